--- a/crates/admission/src/arrivals.rs
+++ b/crates/admission/src/arrivals.rs
@@ -82,7 +82,7 @@
     }
 
     fn advice(&self) -> Span {
-        let advice = Span::of(self.busy_mean).max(MIN_ADVICE);
+        let advice = Span::from_micros_f64(self.busy_mean).max(MIN_ADVICE);
         advice.min(self.bounds.advice_most)
     }
 
--- a/crates/admission/src/habit.rs
+++ b/crates/admission/src/habit.rs
@@ -44,13 +44,13 @@
 
 /// The stretch that an age falls in.
 pub(crate) fn stretch(age: Span) -> usize {
-    let seconds = age.f() / 1e6;
+    let seconds = age.as_micros_f64() / 1e6;
     ENDS.iter().position(|end| seconds < *end).unwrap_or(ENDS.len())
 }
 
 /// When a stretch begins.
 pub(crate) fn begins(stretch: usize) -> Span {
-    Span::of(if stretch == 0 { 0.0 } else { ENDS[stretch - 1] * 1e6 })
+    Span::from_micros_f64(if stretch == 0 { 0.0 } else { ENDS[stretch - 1] * 1e6 })
 }
 
 fn length(stretch: usize) -> f64 {
@@ -59,7 +59,7 @@
 }
 
 fn add_exposure(to: &mut [f64; STRETCHES], age: Span) {
-    let mut rest = age.f().max(0.0) / 1e6;
+    let mut rest = age.as_micros_f64().max(0.0) / 1e6;
     for (i, seconds) in to.iter_mut().enumerate() {
         let here = if i < ENDS.len() { rest.min(length(i)) } else { rest };
         *seconds += here;
--- a/crates/admission/src/tick.rs
+++ b/crates/admission/src/tick.rs
@@ -24,7 +24,7 @@
     /// To be called every [`TICK`] or so. Tells which connections are to be closed; for each the
     /// caller says what is true of it instead, or closes it.
     pub fn tick(&mut self, now: Time) -> Vec<Release> {
-        let passed = (now.since(self.ticked).f() / 1e6).max(0.0);
+        let passed = (now.since(self.ticked).as_micros_f64() / 1e6).max(0.0);
         self.ticked = now;
         if passed > 0.0 {
             let follow = 1.0 - (-passed / RATE_S).exp();
--- a/crates/admission/src/transitions.rs
+++ b/crates/admission/src/transitions.rs
@@ -107,7 +107,7 @@
         }
         conn.answers = conn.answers.saturating_add(1);
         let answers = conn.answers;
-        let busy = now.since(conn.since).f();
+        let busy = now.since(conn.since).as_micros_f64();
         self.busy_mean += (busy - self.busy_mean) * BUSY_GAIN;
         let next = if ends { Stage::Closing } else { Stage::Waits(rests(answers)) };
         self.turn(id, next, now);
--- a/crates/capacity-share/src/lib.rs
+++ b/crates/capacity-share/src/lib.rs
@@ -66,7 +66,7 @@
     /// it, by the slowest clock that holds one and the fastest that waits.
     pub fn wait(&self) -> Span {
         // Rounded up: a wait that is too short by the least bit is too short.
-        Span((self.claim.f() * (1.0 + self.drift) / (1.0 - self.drift)).ceil() as i64)
+        Span((self.claim.as_micros_f64() * (1.0 + self.drift) / (1.0 - self.drift)).ceil() as i64)
     }
 }
 
--- a/crates/capacity-share/tests/rules.rs
+++ b/crates/capacity-share/tests/rules.rs
@@ -44,8 +44,11 @@
     assert_eq!(number(&standing, 0.1), (0, Why::Waits(2)), "a sign of life is no word to it");
     standing.spoke(at(0.2), 2, 4);
     assert_eq!(number(&standing, 0.2), (0, Why::Waits(1)));
-    let wait = times.wait().f() / 1e6;
-    assert!(wait > times.claim.f() / 1e6 * 1.2, "a clock 10% slow against one 10% fast: {wait}");
+    let wait = times.wait().as_micros_f64() / 1e6;
+    assert!(
+        wait > times.claim.as_micros_f64() / 1e6 * 1.2,
+        "a clock 10% slow against one 10% fast: {wait}"
+    );
     assert_eq!(number(&standing, wait - 0.001).0, 0);
     assert_eq!(number(&standing, wait), (4, Why::Shares));
     // One that is proved not to act holds no proofs.
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -164,10 +164,10 @@
         }
         let news = before != Some(snapshot.revision);
         self.revision.set(Some(snapshot.revision));
-        let kind = if snapshot.complete { ListKind::Whole } else { ListKind::Update };
+        let kind = if snapshot.complete { ListKind::Full } else { ListKind::Update };
         let entries = snapshot.entries();
         let news = news || !entries.is_empty();
-        if kind == ListKind::Whole || !entries.is_empty() {
+        if kind == ListKind::Full || !entries.is_empty() {
             sink.clone().listed(kind, entries);
         }
         self.say(None);
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use sableloom_exchange::Entry;
-use sableloom_types::Status;
+use sableloom_exchange::ListedEndpoint;
+use sableloom_types::EndpointStatus;
 use serde::Deserialize;
 
 /// A list of servers, or a change to one, as discovery writes it.
@@ -41,7 +41,7 @@
     1.0
 }
 
-impl From<Written> for Entry {
+impl From<Written> for ListedEndpoint {
     fn from(written: Written) -> Self {
         Self {
             id: written.id,
@@ -50,10 +50,10 @@
             kind: written.flavor,
             cell: written.cell,
             status: match written.phase.as_str() {
-                "SERVING" => Status::Live,
-                "DELETED" => Status::Gone,
+                "SERVING" => EndpointStatus::Live,
+                "DELETED" => EndpointStatus::Gone,
                 // A phase that is not known here is no invitation to send.
-                _ => Status::Draining,
+                _ => EndpointStatus::Draining,
             },
             size: written.size,
             up_since_ms: written.up_since_ms,
@@ -69,29 +69,29 @@
     }
 
     /// The servers that it names.
-    pub fn entries(self) -> Vec<Entry> {
-        let read = |value| serde_json::from_value::<Written>(value).ok().map(Entry::from);
+    pub fn entries(self) -> Vec<ListedEndpoint> {
+        let read = |value| serde_json::from_value::<Written>(value).ok().map(ListedEndpoint::from);
         self.members.unwrap_or_default().into_iter().filter_map(read).collect()
     }
 }
 
 /// What leaves, of the entries that came whole in an answer that broke off or is out of order. Only
 /// that is taken from it: a server comes back by a whole answer alone.
-pub fn leaving(text: &[u8]) -> Vec<Entry> {
+pub fn leaving(text: &[u8]) -> Vec<ListedEndpoint> {
     let key = b"\"members\"";
     let Some(at) = text.windows(key.len()).position(|w| w == key) else { return Vec::new() };
     let Some(open) = text[at..].iter().position(|&b| b == b'[') else { return Vec::new() };
     let mut rest = &text[at + open + 1..];
-    let mut entries: Vec<Entry> = Vec::new();
+    let mut entries: Vec<ListedEndpoint> = Vec::new();
     loop {
         let skip = rest.iter().position(|b| !b.is_ascii_whitespace() && *b != b',');
         rest = &rest[skip.unwrap_or(rest.len())..];
         let mut values = serde_json::Deserializer::from_slice(rest).into_iter();
         let Some(Ok(value)) = values.next() else { break };
         rest = &rest[values.byte_offset()..];
-        entries.extend(serde_json::from_value::<Written>(value).map(Entry::from));
+        entries.extend(serde_json::from_value::<Written>(value).map(ListedEndpoint::from));
     }
-    entries.retain(|entry| entry.status != Status::Live);
+    entries.retain(|entry| entry.status != EndpointStatus::Live);
     entries
 }
 
--- a/crates/discovery/src/list/tests.rs
+++ b/crates/discovery/src/list/tests.rs
@@ -8,7 +8,7 @@
         {"id": "s-4", "host_port": "10.0.0.4:1", "phase": "DELETED"}
     ] }"#;
 
-fn ids(entries: &[Entry]) -> Vec<&str> {
+fn ids(entries: &[ListedEndpoint]) -> Vec<&str> {
     entries.iter().map(|entry| &*entry.id).collect()
 }
 
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use sableloom_discovery::{Dial, Discovery, Options, Stream};
-use sableloom_exchange::{Clock, Entry, Sink, Source, Work};
-use sableloom_types::{ListKind, Span, Status};
+use sableloom_exchange::{Clock, ListedEndpoint, Sink, Source, Work};
+use sableloom_types::{EndpointStatus, ListKind, Span};
 use sableloom_watch::{self as watch, Times, Watch};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{Mutex, Notify};
@@ -207,10 +207,10 @@
 }
 
 impl Sink for Heard {
-    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<Entry>) {
-        self.lists.set(self.lists.get() + usize::from(kind == ListKind::Whole));
+    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
+        self.lists.set(self.lists.get() + usize::from(kind == ListKind::Full));
         for entry in entries {
-            if entry.status == Status::Live {
+            if entry.status == EndpointStatus::Live {
                 self.live.borrow_mut().push(entry.id.to_string());
             } else {
                 self.drains.borrow_mut().entry(entry.id.to_string()).or_insert_with(Instant::now);
@@ -232,7 +232,7 @@
 fn node(dial: Dial, pushed: bool, position: u32, balancers: u32, began: i64) -> Node {
     let options = watch::Options {
         pushed,
-        ask_every: Span(10_000_000),
+        poll_interval: Span(10_000_000),
         grace: Span(GRACE.as_micros() as i64),
         position,
         balancers,
--- a/crates/emulator/src/cores.rs
+++ b/crates/emulator/src/cores.rs
@@ -132,7 +132,7 @@
 
     /// Computes the work up to now; from now on the cores run at this share of their speed.
     pub fn advance(&mut self, now: Time, share: f64) {
-        self.given += now.since(self.at).f().max(0.0) * self.rate();
+        self.given += now.since(self.at).as_micros_f64().max(0.0) * self.rate();
         self.at = self.at.max(now);
         self.share = share;
     }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -230,7 +230,7 @@
         let NodeProfile { cold_from, warm, .. } = self.profile;
         self.started.map_or(1.0, |started| {
             let steps = now.since(started).0 / STEP.0;
-            let grown = (steps * STEP.0) as f64 / warm.f().max(1.0);
+            let grown = (steps * STEP.0) as f64 / warm.as_micros_f64().max(1.0);
             (cold_from + (1.0 - cold_from) * grown).clamp(cold_from, 1.0)
         })
     }
@@ -437,10 +437,10 @@
             self.pushed.pop_front();
         }
         let sent: f64 = self.pushed.iter().map(|p| p.1).sum();
-        let times = sent / (capacity.work_rate() * present * window.f());
+        let times = sent / (capacity.work_rate() * present * window.as_micros_f64());
         self.peak = self.peak.max(times);
         if mean > 0.0 {
-            let budget = capacity.work_rate() * present * window.f() * multiple / mean;
+            let budget = capacity.work_rate() * present * window.as_micros_f64() * multiple / mean;
             let chance = 2.0 * budget.sqrt() + 2.0;
             let excess = (sent / mean - budget) / chance;
             self.excess = self.excess.max(excess);
--- a/crates/emulator/tests/figures.rs
+++ b/crates/emulator/tests/figures.rs
@@ -132,7 +132,7 @@
                 end = next;
                 node.advance(next, &mut out);
             }
-            end.since(at).f() / 10_000.0
+            end.since(at).as_micros_f64() / 10_000.0
         };
         serve(Time(0), 0, 7, 10_000.0);
         for i in 0..others {
@@ -167,8 +167,8 @@
             spent +=
                 out.drain(..).filter(|d: &Completion| d.outcome == AttemptOutcome::Served).count()
                     as f64
-                    * next.since(at).f();
+                    * next.since(at).as_micros_f64();
         }
     }
-    within_a_tenth(spent / 4000.0, work + wait.f(), "a redeem alone");
+    within_a_tenth(spent / 4000.0, work + wait.as_micros_f64(), "a redeem alone");
 }
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -29,7 +29,7 @@
             node.advance(next, &mut out);
             for done in out.drain(..) {
                 assert_eq!(done.outcome, AttemptOutcome::Served);
-                spent += next.since(arrived[done.attempt as usize]).f();
+                spent += next.since(arrived[done.attempt as usize]).as_micros_f64();
                 ended += 1;
             }
         }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -11,10 +11,10 @@
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
 use sableloom_policy::decide::Balancer;
-use sableloom_types::settings::{Facts, span, stable_hash, time};
+use sableloom_types::settings::{DeploymentSettings, span, stable_hash, time};
 use sableloom_types::{
-    Action, Answer as PolicyAnswer, Effect, Entry, ListKind, Member, Outcome, Report, Request,
-    RequestId, ServerId, SettingsError, Span, Status, Time,
+    Action, AttemptResult, Endpoint, EndpointStatus, Idempotency, ListKind, ListedEndpoint,
+    LoadReport, Outcome, PolicySettingsError, Request, RequestId, ServerId, Span, Time,
 };
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
@@ -31,7 +31,7 @@
     id: RequestId,
     class: usize,
     message: Rc<Message>,
-    drop_dead: Time,
+    deadline: Time,
     reply: RefCell<Option<oneshot::Sender<Reply>>>,
     /// Its final answer is given or its client gone.
     over: Rc<Cell<bool>>,
@@ -86,7 +86,7 @@
 /// What an exchange is made of.
 pub struct Options {
     /// The deployment's settings.
-    pub facts: Rc<Facts>,
+    pub settings: Rc<DeploymentSettings>,
     /// For random numbers.
     pub seed: u64,
     /// The clock that all parts share.
@@ -101,7 +101,7 @@
 pub struct Exchange {
     state: RefCell<State>,
     clock: Clock,
-    facts: Rc<Facts>,
+    settings: Rc<DeploymentSettings>,
     transport: Rc<dyn Transport>,
     source: Rc<dyn Source>,
     closed: Cell<bool>,
@@ -111,11 +111,11 @@
 
 impl Exchange {
     /// An exchange that knows no server yet and has begun to keep time, and to listen to its source.
-    pub fn start(options: Options) -> Result<Rc<Self>, SettingsError> {
-        let Options { facts, seed, clock, transport, source } = options;
+    pub fn start(options: Options) -> Result<Rc<Self>, PolicySettingsError> {
+        let Options { settings, seed, clock, transport, source } = options;
         let now = clock.now();
-        let balancer = Balancer::new(facts.settings(), seed, now)?;
-        let rest = Rest::new(&facts, now);
+        let balancer = Balancer::new(settings.policy_settings(), seed, now)?;
+        let rest = Rest::new(&settings, now);
         let state = State {
             balancer,
             part_ends: None,
@@ -129,7 +129,8 @@
         };
         let state = RefCell::new(state);
         let (closed, given_up) = (Cell::new(false), Cell::new(false));
-        let exchange = Rc::new(Self { state, clock, facts, transport, source, closed, given_up });
+        let exchange =
+            Rc::new(Self { state, clock, settings, transport, source, closed, given_up });
         exchange.tell(|balancer, now, out| balancer.start(now, out));
         // At once, whether the list comes unasked or not: the source knows when it is its turn.
         exchange.source.clone().subscribe(exchange.clone());
@@ -161,17 +162,17 @@
     fn end_rest(state: &mut State, now: Time, out: &mut Vec<Action>) {
         match state.rest.end() {
             Some(Timer { token, at }) if at <= now => state.balancer.timer(now, token, out),
-            Some(Timer { token, at }) => out.push(Action::Arm { token, at }),
+            Some(Timer { token, at }) => out.push(Action::SetTimer { token, at }),
             None => {}
         }
     }
 
     fn carry_out(self: &Rc<Self>, state: &mut State, now: Time, action: Action) {
         match action {
-            Action::Send { request, server, timeout } => {
+            Action::Forward { request, server, timeout } => {
                 let Some(job) = state.jobs.get(&request) else { return };
                 let Some(upstream) = state.upstreams.get(&server) else { return };
-                let limit = job.drop_dead;
+                let limit = job.deadline;
                 let until = if timeout.0 == 0 { limit } else { limit.min(now.plus(timeout)) };
                 let until = self.clock.instant(until);
                 let to = (server, &upstream.place);
@@ -189,8 +190,8 @@
                 job.out.set(job.out.get() + 1);
                 spawn_local(carry(Pending::new(self, job, attempt)));
             }
-            Action::Refuse { request, retry_after } => {
-                let limits = &self.facts.policy_limits;
+            Action::Reject { request, retry_after } => {
+                let limits = &self.settings.policy_limits;
                 let advice = limits.retry_after && retry_after.0 > 0;
                 let advice = advice.then(|| micros(retry_after));
                 self.answer(state, request, Reply::Refused(advice));
@@ -203,8 +204,8 @@
                     attempt.cancel.notify_one();
                 }
             }
-            Action::Arm { .. } if self.closed.get() => {}
-            Action::Arm { token, at } => {
+            Action::SetTimer { .. } if self.closed.get() => {}
+            Action::SetTimer { token, at } => {
                 let open = !state.jobs.is_empty();
                 if state.rest.hold(now, open, Timer { token, at }) {
                     return;
@@ -215,14 +216,16 @@
                     exchange.tell(|balancer, now, out| balancer.timer(now, token, out));
                 });
             }
-            Action::Probe { server } => {
+            Action::CheckHealth { server } => {
                 let upstream = state.upstreams.get(&server);
-                if let Some(upstream) = upstream.filter(|_| self.facts.policy_limits.probes) {
+                if let Some(upstream) =
+                    upstream.filter(|_| self.settings.policy_limits.health_checks)
+                {
                     let probe = self.transport.clone().probe(server, upstream.address);
                     let (exchange, sent) = (self.clone(), Instant::now());
                     spawn_local(async move {
                         let report = probe.await;
-                        exchange.probed(server, report, sent.elapsed());
+                        exchange.health_checked(server, report, sent.elapsed());
                     });
                 }
             }
@@ -240,12 +243,13 @@
     /// window of the first that may have run. The decision module looks at it when it decides; a
     /// connection may come up, or a blocked one take the last byte, long after.
     fn known_for_a_repeat_until(&self, job: &Job) -> Option<Instant> {
-        if job.message.effect != Effect::Keyed {
+        if job.message.idempotency != Idempotency::Keyed {
             return None;
         }
         let attempts = job.attempts.borrow();
         let first = attempts.iter().filter(|a| a.may_have_run.get()).map(|a| a.sent).min()?;
-        let window = self.facts.services.get(job.class).map_or(0.0, |service| service.window);
+        let window =
+            self.settings.services.get(job.class).map_or(0.0, |service| service.dedup_window);
         Some(first + micros(span(window)))
     }
 
@@ -300,13 +304,13 @@
     fn outcome(self: &Rc<Self>, job: &Job, attempt: &Attempt, attempt_outcome: AttemptOutcome) {
         let id = job.id;
         job.out.set(job.out.get() - 1);
-        let facts = fate::Facts {
+        let facts = fate::AttemptFacts {
             ended: attempt_outcome.ended,
             left_whole: attempt.call.as_ref().is_some_and(|call| call.left_whole()),
-            disowned: attempt_outcome.disowned,
+            not_executed: attempt_outcome.not_executed,
         };
         let outcome = fate::judge(facts);
-        attempt.may_have_run.set(!outcome.never_ran());
+        attempt.may_have_run.set(!outcome.not_executed());
         if attempt_outcome.ended == Ended::NotBegun && job.message.client_is_gone() {
             self.left(id);
         }
@@ -315,7 +319,7 @@
             let answer = attempt_outcome.answer.unwrap_or_default();
             self.answer(&mut self.state.borrow_mut(), id, Reply::Served(answer));
         }
-        let answer = PolicyAnswer {
+        let answer = AttemptResult {
             request: id,
             attempt: attempt.number,
             server: attempt.server,
@@ -360,10 +364,15 @@
         }
     }
 
-    fn probed(self: &Rc<Self>, server: ServerId, report: Option<Report>, took: Duration) {
+    fn health_checked(
+        self: &Rc<Self>,
+        server: ServerId,
+        report: Option<LoadReport>,
+        took: Duration,
+    ) {
         let took = Span(took.as_micros() as i64);
         let (alive, report) = (report.is_some(), report.unwrap_or_default());
-        self.tell(|balancer, _, _| balancer.probed(server, alive, took, report));
+        self.tell(|balancer, _, _| balancer.health_checked(server, alive, took, report));
     }
 
     // ------------------------------------------------------------ what sources tell
@@ -382,7 +391,7 @@
         });
     }
 
-    fn member(&self, state: &mut State, entry: &Entry) -> Member {
+    fn member(&self, state: &mut State, entry: &ListedEndpoint) -> Endpoint {
         let fresh = ServerId(state.next_upstream);
         let id = *state.by_name.entry(entry.id.clone()).or_insert(fresh);
         if id == fresh {
@@ -395,8 +404,8 @@
             listed: true,
         };
         let upstream = state.upstreams.entry(id).or_insert_with(new);
-        upstream.listed = entry.status != Status::Gone;
-        upstream.place.set((entry.status == Status::Live).then_some(entry.address));
+        upstream.listed = entry.status != EndpointStatus::Gone;
+        upstream.place.set((entry.status == EndpointStatus::Live).then_some(entry.address));
         if upstream.address != entry.address {
             upstream.address = entry.address;
             self.transport.moved(id);
@@ -404,12 +413,12 @@
         let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
-        Member {
+        Endpoint {
             id,
             // Not of the address, which differs from one balancer to the next.
             identity: stable_hash(&upstream.name),
-            zone: index(&self.facts.zones, &entry.zone),
-            kind: index(&self.facts.machine_types, &entry.kind),
+            zone: index(&self.settings.zones, &entry.zone),
+            kind: index(&self.settings.machine_types, &entry.kind),
             cell: entry.cell,
             status: entry.status,
             weight: entry.size,
@@ -426,7 +435,7 @@
         let (sender, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
-            let most = self.facts.policy_limits.max_open;
+            let most = self.settings.policy_limits.max_open;
             if most > 0 && state.jobs.len() >= most {
                 return Err(Turned::TooMany);
             }
@@ -441,7 +450,7 @@
                 id,
                 class: asked.class,
                 message: Rc::new(message),
-                drop_dead: asked.drop_dead,
+                deadline: asked.deadline,
                 reply: RefCell::new(Some(sender)),
                 over: Rc::new(Cell::new(false)),
                 attempts: RefCell::new(Vec::new()),
@@ -452,23 +461,23 @@
             state.rest.busy(self.clock.now());
             id
         };
-        let Asked { class, tenant, key, drop_dead } = asked;
-        let request = Request { id, class, tenant, key, drop_dead };
+        let Asked { class, tenant, key, deadline } = asked;
+        let request = Request { id, class, tenant, key, deadline };
         self.tell(|balancer, now, out| balancer.request(now, request, out));
         Ok(Box::pin(Taken { exchange: self, id, receiver }))
     }
 }
 
 impl Sink for Exchange {
-    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<Entry>) {
-        let members: Vec<Member> = {
+    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
+        let members: Vec<Endpoint> = {
             let mut state = self.state.borrow_mut();
             if kind != ListKind::Update {
                 state.upstreams.values_mut().for_each(|upstream| upstream.listed = false);
             }
-            let members: Vec<Member> =
+            let members: Vec<Endpoint> =
                 entries.iter().map(|entry| self.member(&mut state, entry)).collect();
-            state.rest.listed(matches!(kind, ListKind::Whole | ListKind::Restored), &members);
+            state.rest.listed(matches!(kind, ListKind::Full | ListKind::Restored), &members);
             // What a whole list leaves out is gone. Only that: to retire all of them first would
             // close every connection at rest, and each whole list would cost as many new ones.
             for (id, upstream) in state.upstreams.iter().filter(|(_, upstream)| !upstream.listed) {
@@ -479,7 +488,7 @@
         };
         // Idle connections to a server that drains only hold up its end.
         for member in &members {
-            self.transport.retire(member.id, member.status != Status::Live);
+            self.transport.retire(member.id, member.status != EndpointStatus::Live);
         }
         self.tell(|balancer, now, out| balancer.members(now, kind, &members, out));
         self.forget_gone();
@@ -530,7 +539,7 @@
     async fn carry(&self) -> AttemptOutcome {
         let Self { exchange, job, attempt, .. } = self;
         let call = attempt.call.as_ref();
-        let allowed = attempt.number < exchange.facts.policy_limits.max_attempts;
+        let allowed = attempt.number < exchange.settings.policy_limits.max_attempts;
         let Some(call) = call.filter(|_| allowed) else {
             return AttemptOutcome::nothing(Ended::NotBegun);
         };
@@ -567,7 +576,7 @@
 }
 
 /// The longest that any class lets a client wait.
-pub fn longest_deadline(facts: &Facts) -> Duration {
-    let longest = facts.services.iter().map(|s| s.deadline).fold(0.0, f64::max);
+pub fn longest_deadline(settings: &DeploymentSettings) -> Duration {
+    let longest = settings.services.iter().map(|s| s.deadline).fold(0.0, f64::max);
     micros(span(longest))
 }
--- a/crates/exchange/src/fate.rs
+++ b/crates/exchange/src/fate.rs
@@ -28,7 +28,7 @@
 
 /// What is known of an attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct AttemptFacts {
     /// How it ended.
     pub ended: Ended,
     /// The last byte of the request has left on a connection. A server begins no request before its
@@ -36,22 +36,22 @@
     pub left_whole: bool,
     /// The server stated that it never ran it: turned away unseen (`X-Never-Ran`), a stream refused
     /// or past the last one processed (RFC 9113, sections 6.8 and 8.7).
-    pub disowned: bool,
+    pub not_executed: bool,
 }
 
 /// The outcome that the facts prove, or else the one that allows for its having run.
-pub fn judge(facts: Facts) -> Outcome {
-    let Facts { ended, left_whole, disowned } = facts;
+pub fn judge(facts: AttemptFacts) -> Outcome {
+    let AttemptFacts { ended, left_whole, not_executed } = facts;
     match (ended, left_whole) {
         (Ended::Served, true) => Outcome::Ok,
         // The server's word counts, but not against an answer that it made.
-        _ if disowned => Outcome::Full,
+        _ if not_executed => Outcome::Rejected,
         // An answer to a request that it could not have seen whole is not the one made for it.
         (Ended::Served | Ended::Fault | Ended::Broke | Ended::TimeUp, false) => {
             Outcome::ConnectFailed
         }
         (Ended::NoConnection, false) => Outcome::ConnectFailed,
-        (Ended::NotBegun | Ended::Withdrawn | Ended::Over, false) => Outcome::Moot,
+        (Ended::NotBegun | Ended::Withdrawn | Ended::Over, false) => Outcome::Superseded,
         (Ended::Fault, true) => Outcome::Error,
         (Ended::TimeUp, true) => Outcome::Timeout,
         (Ended::Withdrawn | Ended::Over, true) => Outcome::Cancelled,
--- a/crates/exchange/src/fate/tests.rs
+++ b/crates/exchange/src/fate/tests.rs
@@ -17,20 +17,20 @@
     use Outcome::*;
     // Not whole; whole; disowned and not whole; disowned and whole.
     let table = [
-        (Ended::Served, [ConnectFailed, Ok, Full, Ok]),
-        (Ended::Fault, [ConnectFailed, Error, Full, Full]),
-        (Ended::Broke, [ConnectFailed, Reset, Full, Full]),
-        (Ended::NoConnection, [ConnectFailed, Reset, Full, Full]),
-        (Ended::NotBegun, [Moot, Reset, Full, Full]),
-        (Ended::TimeUp, [ConnectFailed, Timeout, Full, Full]),
-        (Ended::Withdrawn, [Moot, Cancelled, Full, Full]),
-        (Ended::Over, [Moot, Cancelled, Full, Full]),
+        (Ended::Served, [ConnectFailed, Ok, Rejected, Ok]),
+        (Ended::Fault, [ConnectFailed, Error, Rejected, Rejected]),
+        (Ended::Broke, [ConnectFailed, Reset, Rejected, Rejected]),
+        (Ended::NoConnection, [ConnectFailed, Reset, Rejected, Rejected]),
+        (Ended::NotBegun, [Superseded, Reset, Rejected, Rejected]),
+        (Ended::TimeUp, [ConnectFailed, Timeout, Rejected, Rejected]),
+        (Ended::Withdrawn, [Superseded, Cancelled, Rejected, Rejected]),
+        (Ended::Over, [Superseded, Cancelled, Rejected, Rejected]),
     ];
     assert_eq!(table.map(|(ended, _)| ended), ALL);
     for (ended, outcomes) in table {
         let facts = [(false, false), (true, false), (false, true), (true, true)];
-        for ((left_whole, disowned), outcome) in facts.into_iter().zip(outcomes) {
-            let facts = Facts { ended, left_whole, disowned };
+        for ((left_whole, not_executed), outcome) in facts.into_iter().zip(outcomes) {
+            let facts = AttemptFacts { ended, left_whole, not_executed };
             assert_eq!(judge(facts), outcome, "{facts:?}");
         }
     }
@@ -39,10 +39,12 @@
 #[test]
 fn never_ran_is_said_only_with_proof() {
     for ended in ALL {
-        for (left_whole, disowned) in [(false, false), (true, false), (false, true), (true, true)] {
-            let outcome = judge(Facts { ended, left_whole, disowned });
-            let proof = !left_whole || disowned;
-            assert!(!outcome.never_ran() || proof, "{ended:?}: {outcome:?} without proof");
+        for (left_whole, not_executed) in
+            [(false, false), (true, false), (false, true), (true, true)]
+        {
+            let outcome = judge(AttemptFacts { ended, left_whole, not_executed });
+            let proof = !left_whole || not_executed;
+            assert!(!outcome.not_executed() || proof, "{ended:?}: {outcome:?} without proof");
         }
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -18,5 +18,5 @@
 pub use exchange::{Exchange, Options, longest_deadline};
 pub use message::{Answer, Asked, Client, Fields, Message, Reply, Turned};
 pub use ports::{AttemptOutcome, Call, Line, Place, Service, Sink, Source, Transport, Work};
-pub use sableloom_types::Entry;
+pub use sableloom_types::ListedEndpoint;
 pub use task::Task;
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use sableloom_types::{Effect, Time};
+use sableloom_types::{Idempotency, Time};
 
 /// Named values that go along with a request or an answer, in their order. Names are in lower case.
 /// All text lies in one buffer: what is kept of a request is two allocations, however many fields
@@ -71,7 +71,7 @@
     /// Its id, as the client named it.
     pub id: Bytes,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// What is done with its target, as HTTP's methods are named.
     pub verb: Bytes,
     /// What it is about, in the form of a path with its query.
@@ -104,7 +104,7 @@
     /// Hash of what it is about, if that is known.
     pub key: Option<u64>,
     /// When its client stops waiting.
-    pub drop_dead: Time,
+    pub deadline: Time,
 }
 
 /// A server's answer, whole.
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use sableloom_types::{Entry, ListKind, Report, ServerId};
+use sableloom_types::{ListKind, ListedEndpoint, LoadReport, ServerId};
 use tokio::time::Instant;
 
 use crate::fate::Ended;
@@ -101,9 +101,9 @@
     /// How it ended.
     pub ended: Ended,
     /// The server said that it never ran it.
-    pub disowned: bool,
+    pub not_executed: bool,
     /// What the server reported of itself.
-    pub report: Report,
+    pub report: LoadReport,
     /// The answer, where it was served.
     pub answer: Option<Answer>,
 }
@@ -111,7 +111,7 @@
 impl AttemptOutcome {
     /// An end without an answer.
     pub fn nothing(ended: Ended) -> Self {
-        Self { ended, disowned: false, report: Report::default(), answer: None }
+        Self { ended, not_executed: false, report: LoadReport::default(), answer: None }
     }
 }
 
@@ -122,7 +122,7 @@
     fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome>;
 
     /// Examines a server: whether it is alive, and what it reports.
-    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<Report>>;
+    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<LoadReport>>;
 
     /// Whether a server is to be kept no connections to: it drains or is gone.
     fn retire(&self, server: ServerId, retired: bool);
@@ -137,7 +137,7 @@
 /// What a source tells.
 pub trait Sink {
     /// A list has come, or part of one.
-    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<Entry>);
+    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>);
 }
 
 /// Names the servers.
--- a/crates/exchange/src/rest.rs
+++ b/crates/exchange/src/rest.rs
@@ -5,8 +5,8 @@
 //! over a long time gives what decaying often over short ones does. So the timer is held back, and made
 //! up for before the next call of the module. `docs/design/exchange.md`, "Pools at rest", has the reasons.
 
-use sableloom_types::settings::{Facts, RegistryMode, span};
-use sableloom_types::{Member, Span, Status, Time};
+use sableloom_types::settings::{DeploymentSettings, RegistryMode, span};
+use sableloom_types::{Endpoint, EndpointStatus, Span, Time};
 
 /// A pool rests once nothing has been open for so many times the longest deadline of its classes. By then
 /// every attempt that timed out has given its slot back: it keeps it for one deadline at most.
@@ -39,12 +39,14 @@
 }
 
 impl Rest {
-    pub(crate) fn new(facts: &Facts, now: Time) -> Self {
-        let longest = facts.services.iter().map(|class| span(class.deadline).0).max().unwrap_or(0);
-        let (cold, window) = (span(facts.safety.cold), span(facts.safety.tip_after));
+    pub(crate) fn new(settings: &DeploymentSettings, now: Time) -> Self {
+        let longest =
+            settings.services.iter().map(|class| span(class.deadline).0).max().unwrap_or(0);
+        let (cold, window) =
+            (span(settings.safety.slow_start), span(settings.safety.overload_window));
         // Whoever must ask for its list asks by the timer. The rate that warm servers were seen to serve
         // decays in one step as in many only if the count behind it decays sooner.
-        let allowed = facts.registry_mode != RegistryMode::Subscribe && window <= cold;
+        let allowed = settings.registry_mode != RegistryMode::Subscribe && window <= cold;
         let after = Span(longest.saturating_mul(REST_AFTER_DEADLINES));
         Self { allowed, after, cold, idle_since: now, warm_from: now, held: None }
     }
@@ -55,8 +57,8 @@
     }
 
     /// The list of servers, or a part of it, is this now.
-    pub(crate) fn listed(&mut self, whole: bool, members: &[Member]) {
-        let listed = members.iter().filter(|member| member.status != Status::Gone);
+    pub(crate) fn listed(&mut self, whole: bool, members: &[Endpoint]) {
+        let listed = members.iter().filter(|member| member.status != EndpointStatus::Gone);
         let warm_from = listed.filter_map(|member| Some(member.started?.plus(self.cold))).max();
         let before = (!whole).then_some(self.warm_from);
         // A whole list of servers that are long warm leaves nothing to wait for.
--- a/crates/exchange/tests/rest.rs
+++ b/crates/exchange/tests/rest.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use sableloom_exchange::fate::Ended;
 use sableloom_exchange::*;
-use sableloom_types::settings::Facts;
-use sableloom_types::{Effect, ListKind, Report, ServerId, Span, Status};
+use sableloom_types::settings::DeploymentSettings;
+use sableloom_types::{EndpointStatus, Idempotency, ListKind, LoadReport, ServerId, Span};
 use serde_json::json;
 use tokio::runtime::Handle;
 use tokio::task::{LocalSet, spawn_local};
@@ -49,7 +49,7 @@
             }
         })
     }
-    fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<Report>> {
+    fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<LoadReport>> {
         Box::pin(async { None })
     }
     fn retire(&self, _: ServerId, _: bool) {}
@@ -72,7 +72,7 @@
     fn subscribe(self: Rc<Self>, _: Rc<dyn Sink>) {}
 }
 
-fn facts(registry: &str) -> Facts {
+fn settings(registry: &str) -> DeploymentSettings {
     serde_json::from_value(json!({
         "Balancers": 1, "Tick": 1.0, "RegistryMode": registry,
         "Services": [{"Name": "a", "Aim": 200.0, "Deadline": DEADLINE_MS, "Effect": "retryable",
@@ -84,8 +84,8 @@
     .expect("settings")
 }
 
-fn entry(n: u8, status: Status, up_since_ms: f64) -> Entry {
-    Entry {
+fn entry(n: u8, status: EndpointStatus, up_since_ms: f64) -> ListedEndpoint {
+    ListedEndpoint {
         id: format!("s-{n}").into(),
         address: SocketAddr::from(([127, 0, 0, 1 + n], 9000)),
         zone: "".into(),
@@ -97,18 +97,18 @@
     }
 }
 
-fn whole(exchange: &Rc<Exchange>, entries: Vec<Entry>) {
-    exchange.clone().listed(ListKind::Whole, entries);
+fn whole(exchange: &Rc<Exchange>, entries: Vec<ListedEndpoint>) {
+    exchange.clone().listed(ListKind::Full, entries);
 }
 
-fn warm(n: u8) -> Vec<Entry> {
-    (0..n).map(|i| entry(i, Status::Live, 0.0)).collect()
+fn warm(n: u8) -> Vec<ListedEndpoint> {
+    (0..n).map(|i| entry(i, EndpointStatus::Live, 0.0)).collect()
 }
 
 fn start(clock: Clock, registry: &str, servers: &Rc<Servers>) -> Rc<Exchange> {
-    let facts = Rc::new(facts(registry));
+    let settings = Rc::new(settings(registry));
     let (transport, source) = (servers.clone(), Rc::new(Silent));
-    Exchange::start(Options { facts, seed: 1, clock, transport, source }).expect("an exchange")
+    Exchange::start(Options { settings, seed: 1, clock, transport, source }).expect("an exchange")
 }
 
 fn ask(exchange: &Rc<Exchange>, clock: Clock, id: u32) -> Work<Reply> {
@@ -118,7 +118,7 @@
 fn ask_for(exchange: &Rc<Exchange>, clock: Clock, id: u32, ms: u64) -> Work<Reply> {
     let message = Message {
         id: Bytes::from(id.to_string()),
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         verb: Bytes::from_static(b"GET"),
         target: Bytes::from_static(b"/x"),
         fields: Fields::default(),
@@ -126,8 +126,8 @@
         hold: None,
         client: None,
     };
-    let drop_dead = clock.now().plus(Span(ms as i64 * 1000));
-    let asked = Asked { class: 0, tenant: 0, key: None, drop_dead };
+    let deadline = clock.now().plus(Span(ms as i64 * 1000));
+    let asked = Asked { class: 0, tenant: 0, key: None, deadline };
     exchange.clone().call(asked, message).expect("a new id")
 }
 
@@ -171,7 +171,7 @@
         sleep(LONG).await;
         assert!(pool.rests());
         let mut list = warm(3);
-        list.push(entry(3, Status::Live, clock.now().0 as f64 / 1000.0));
+        list.push(entry(3, EndpointStatus::Live, clock.now().0 as f64 / 1000.0));
         whole(&pool, list);
         assert!(!pool.rests());
         sleep(Duration::from_millis(COLD_MS) - LONG).await;
@@ -180,7 +180,7 @@
         assert!(pool.rests());
         // One that goes leaves nothing to wait for; nor does a list without any.
         let mut list = warm(3);
-        list.push(entry(4, Status::Live, clock.now().0 as f64 / 1000.0));
+        list.push(entry(4, EndpointStatus::Live, clock.now().0 as f64 / 1000.0));
         whole(&pool, list);
         assert!(!pool.rests());
         whole(&pool, Vec::new());
@@ -225,7 +225,8 @@
         whole(&pool, warm(2));
         sleep(LONG).await;
         assert!(pool.rests());
-        let list = vec![entry(0, Status::Draining, 0.0), entry(1, Status::Live, 0.0)];
+        let list =
+            vec![entry(0, EndpointStatus::Draining, 0.0), entry(1, EndpointStatus::Live, 0.0)];
         whole(&pool, list);
         for id in 0..40 {
             assert!(matches!(ask(&pool, clock, id).await, Reply::Served(_)));
--- a/crates/exchange/tests/simulation.rs
+++ b/crates/exchange/tests/simulation.rs
@@ -14,8 +14,8 @@
 use oorandom::Rand64;
 use sableloom_exchange::fate::Ended;
 use sableloom_exchange::*;
-use sableloom_types::settings::Facts;
-use sableloom_types::{Effect, ListKind, Report, ServerId, Span, Status};
+use sableloom_types::settings::DeploymentSettings;
+use sableloom_types::{EndpointStatus, Idempotency, ListKind, LoadReport, ServerId, Span};
 use serde_json::json;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
@@ -115,10 +115,10 @@
             self.way("disowned");
             self.pause(5).await;
             let ended = if self.below(2) == 0 { Ended::Fault } else { Ended::Broke };
-            return AttemptOutcome { disowned: true, ..AttemptOutcome::nothing(ended) };
+            return AttemptOutcome { not_executed: true, ..AttemptOutcome::nothing(ended) };
         }
         *world.runs.borrow_mut().entry(call.message.id.clone()).or_default() += 1;
-        if call.message.effect == Effect::Keyed {
+        if call.message.idempotency == Idempotency::Keyed {
             let now = Instant::now();
             let first = *world.first.borrow_mut().entry(id.clone()).or_insert(now);
             if now > first + Duration::from_millis(WINDOW_MS) {
@@ -142,7 +142,7 @@
                 self.way("ran and said nothing");
                 std::future::pending().await
             }
-            3 if call.message.effect == Effect::Safe => panic!("a transport's bug"),
+            3 if call.message.idempotency == Idempotency::Idempotent => panic!("a transport's bug"),
             _ => {
                 self.way("served");
                 let answer = Answer { body: call.message.id.clone(), ..Answer::default() };
@@ -156,7 +156,7 @@
     fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome> {
         Box::pin(async move { self.talk(&call).await })
     }
-    fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<Report>> {
+    fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<LoadReport>> {
         Box::pin(async { None })
     }
     fn retire(&self, _: ServerId, _: bool) {}
@@ -180,9 +180,9 @@
     fn subscribe(self: Rc<Self>, _: Rc<dyn Sink>) {}
 }
 
-fn facts() -> Facts {
-    let class = |name: &str, effect: &str| {
-        json!({"Name": name, "Aim": 200.0, "Deadline": DEADLINE_MS, "Effect": effect,
+fn settings() -> DeploymentSettings {
+    let class = |name: &str, idempotency: &str| {
+        json!({"Name": name, "Aim": 200.0, "Deadline": DEADLINE_MS, "Effect": idempotency,
                "Group": "all", "Window": WINDOW_MS})
     };
     serde_json::from_value(json!({
@@ -198,8 +198,8 @@
 }
 
 /// A server that has moved so often.
-fn entry(n: u64, moved: u16, status: Status) -> Entry {
-    Entry {
+fn entry(n: u64, moved: u16, status: EndpointStatus) -> ListedEndpoint {
+    ListedEndpoint {
         id: format!("s-{n}").into(),
         address: SocketAddr::from(([127, 0, 0, 1 + n as u8], 9000 + moved)),
         zone: "".into(),
@@ -219,19 +219,21 @@
         world: world.clone(),
     });
     let options =
-        Options { facts: Rc::new(facts()), seed, clock, transport, source: Rc::new(Silent) };
+        Options { settings: Rc::new(settings()), seed, clock, transport, source: Rc::new(Silent) };
     let exchange = Exchange::start(options).expect("an exchange");
     let servers = 1 + rng.rand_range(0..4);
-    let tell = |kind, entries: Vec<Entry>| {
+    let tell = |kind, entries: Vec<ListedEndpoint>| {
         for entry in &entries {
             match entry.status {
-                Status::Live => world.servers.borrow_mut().insert(entry.id.clone(), entry.address),
+                EndpointStatus::Live => {
+                    world.servers.borrow_mut().insert(entry.id.clone(), entry.address)
+                }
                 _ => world.servers.borrow_mut().remove(&entry.id),
             };
         }
         exchange.clone().listed(kind, entries);
     };
-    tell(ListKind::Whole, (0..servers).map(|n| entry(n, 0, Status::Live)).collect());
+    tell(ListKind::Full, (0..servers).map(|n| entry(n, 0, EndpointStatus::Live)).collect());
     let (mut moved, mut rests) = (0, 0);
     let mut clients = Vec::new();
     for n in 0..25u64 {
@@ -242,18 +244,19 @@
             rests += usize::from(exchange.rests());
         }
         if rng.rand_range(0..12) == 0 {
-            let status =
-                [Status::Live, Status::Draining, Status::Gone][rng.rand_range(0..3) as usize];
+            let status = [EndpointStatus::Live, EndpointStatus::Draining, EndpointStatus::Gone]
+                [rng.rand_range(0..3) as usize];
             moved += u16::from(rng.rand_range(0..3) == 0);
             tell(ListKind::Update, vec![entry(rng.rand_range(0..servers), moved, status)]);
         }
         let class = rng.rand_range(0..3) as usize;
-        let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe][class];
+        let idempotency =
+            [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent][class];
         let present = Rc::new(Present(Cell::new(true)));
         let id = Bytes::from(format!("{}-{n}", ["balance", "keyed", "redeem"][class]));
         let message = Message {
             id: id.clone(),
-            effect,
+            idempotency,
             verb: Bytes::from_static(b"GET"),
             target: Bytes::from_static(b"/x"),
             fields: Fields::default(),
@@ -261,8 +264,8 @@
             hold: None,
             client: Some(Rc::<Present>::downgrade(&present) as Weak<dyn Client>),
         };
-        let drop_dead = clock.now().plus(Span(DEADLINE_MS * 1000));
-        let asked = Asked { class, tenant: 0, key: None, drop_dead };
+        let deadline = clock.now().plus(Span(DEADLINE_MS * 1000));
+        let asked = Asked { class, tenant: 0, key: None, deadline };
         let leaves = (rng.rand_range(0..8) == 0).then(|| rng.rand_range(0..150));
         // Some leave behind bytes that nobody reads past: nothing is dropped.
         let unseen = (rng.rand_range(0..8) == 0).then(|| rng.rand_range(0..150));
@@ -291,7 +294,7 @@
                         wrong.push(format!("{id:?} got the answer of {:?}", answer.body));
                     }
                     Reply::Served(_) if runs == 0 => wrong.push(format!("{id:?} never ran")),
-                    Reply::Refused(_) if effect == Effect::Unsafe && runs > 0 => {
+                    Reply::Refused(_) if idempotency == Idempotency::NonIdempotent && runs > 0 => {
                         wrong.push(format!("{id:?} ran {runs} times and was refused"));
                     }
                     _ => {}
--- a/crates/fleet-sim/examples/decision.rs
+++ b/crates/fleet-sim/examples/decision.rs
@@ -8,14 +8,14 @@
 use sableloom_policy::decide::Balancer;
 use sableloom_types::*;
 
-fn member(i: u32) -> Member {
-    Member {
+fn member(i: u32) -> Endpoint {
+    Endpoint {
         id: ServerId(i),
         identity: u64::from(i) * 7919,
         zone: i % 3,
         kind: i % 3,
         cell: 0,
-        status: Status::Live,
+        status: EndpointStatus::Live,
         weight: 1.0,
         started: None,
     }
@@ -29,7 +29,7 @@
     let mut out = Vec::new();
     balancer.start(now, &mut out);
     let list: Vec<_> = (0..servers).map(member).collect();
-    balancer.members(now, ListKind::Whole, &list, &mut out);
+    balancer.members(now, ListKind::Full, &list, &mut out);
     let (mut asked, mut swept, mut sweeps) = (0.0, 0.0, 0.0);
     for id in 0..requests {
         now = now.plus(Span(1000));
@@ -40,22 +40,22 @@
             class: 0,
             tenant: 0,
             key: None,
-            drop_dead: now.plus(Span(600_000)),
+            deadline: now.plus(Span(600_000)),
         };
         balancer.request(now, request, &mut out);
         let sent = out.iter().find_map(|a| match a {
-            Action::Send { server, .. } => Some(*server),
+            Action::Forward { server, .. } => Some(*server),
             _ => None,
         });
         if let Some(server) = sent {
-            let answer = Answer {
+            let answer = AttemptResult {
                 request: RequestId(id),
                 attempt: 0,
                 server,
                 outcome: Outcome::Ok,
                 latency: Span(40_000),
                 last: true,
-                report: Report::default(),
+                report: LoadReport::default(),
             };
             balancer.outcome(now, answer, &mut out);
         }
--- a/crates/fleet-sim/src/case.rs
+++ b/crates/fleet-sim/src/case.rs
@@ -114,7 +114,7 @@
     /// Maximum delay of a list update, in milliseconds.
     pub late_ms: i64,
     /// Share of its capacity that a server has right after a start.
-    pub cold_from: f64,
+    pub slow_start_initial_share: f64,
     /// Maximum number of connections of a server, each at the price of a handshake. If `None`, connections are
     /// unlimited and free.
     pub connections: Option<usize>,
@@ -141,7 +141,7 @@
         seconds: 8,
         hot: (0, 1.0),
         late_ms: 800,
-        cold_from: 0.2,
+        slow_start_initial_share: 0.2,
         connections: None,
         clients: Clients::default(),
         script: vec![],
--- a/crates/fleet-sim/src/settings.rs
+++ b/crates/fleet-sim/src/settings.rs
@@ -16,37 +16,40 @@
 }
 
 /// The settings of a balancer. The first class may be repeated, the second must never run twice.
-pub fn settings(case: &Case) -> Settings {
-    let class = |aim: i64, worth, effect| Class {
-        aim: Span(aim * MS),
+pub fn settings(case: &Case) -> PolicySettings {
+    let class = |latency_objective: i64, priority_weight, idempotency| RequestClass {
+        latency_objective: Span(latency_objective * MS),
         deadline: Span(600 * MS),
-        worth,
-        late_worth: 0.0,
-        effect,
-        group: Group::All,
-        window: Span(0),
+        priority_weight,
+        late_priority_weight: 0.0,
+        idempotency,
+        dedup_scope: DedupScope::All,
+        dedup_window: Span(0),
     };
-    Settings {
-        classes: vec![class(250, 3.0, Effect::Safe), class(300, 9.0, Effect::Unsafe)],
+    PolicySettings {
+        classes: vec![
+            class(250, 3.0, Idempotency::Idempotent),
+            class(300, 9.0, Idempotency::NonIdempotent),
+        ],
         tenants: vec![],
         balancers: case.balancers as u32,
         zone: 0,
         tick: Span(5 * MS),
-        must_ask: false,
-        limits: Limits {
+        polls: false,
+        limits: AttemptLimits {
             max_attempts: 4,
-            second_copies: true,
+            hedging: true,
             cancel: true,
-            probes: false,
+            health_checks: false,
             retry_after: true,
             max_retry_after: Span(300 * MS),
         },
-        rules: Rules {
-            cold_from: case.cold_from,
-            cold: Span(15 * S),
-            fall_multiple: 3.0,
-            tip_after: Span(1500 * MS),
-            ask_every: Span(10 * S),
+        rules: SafetyRules {
+            slow_start_initial_share: case.slow_start_initial_share,
+            slow_start: Span(15 * S),
+            overload_factor: 3.0,
+            overload_window: Span(1500 * MS),
+            poll_interval: Span(10 * S),
         },
         cross_zone_price: 0.0,
         warm_keys: false,
--- a/crates/fleet-sim/src/tally.rs
+++ b/crates/fleet-sim/src/tally.rs
@@ -88,15 +88,15 @@
         }
     }
 
-    pub(crate) fn count(&mut self, arrived: Time, class: usize, worth: f64, end: End) {
+    pub(crate) fn count(&mut self, arrived: Time, class: usize, priority_weight: f64, end: End) {
         self.asked += 1;
         self.refused += usize::from(end == End::Refused);
         self.failed += usize::from(matches!(end, End::Failed | End::Late));
         let second = (arrived.since(self.start).0 / S) as usize;
         let last = self.seconds.len() - 1;
         for share in [&mut self.seconds[second.min(last)], &mut self.class[class]] {
-            share.asked += worth;
-            share.served += if end == End::Served { worth } else { 0.0 };
+            share.asked += priority_weight;
+            share.served += if end == End::Served { priority_weight } else { 0.0 };
         }
     }
 
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -69,7 +69,7 @@
     node: Node<usize>,
     zone: u32,
     kind: u32,
-    status: Status,
+    status: EndpointStatus,
     /// Whether its machine is reachable.
     up: bool,
     /// Incremented by each crash: connections of an earlier generation are closed.
@@ -83,13 +83,13 @@
     zone: u32,
     generation: u32,
     traffic_weight: f64,
-    server_list: Rc<Vec<Member>>,
+    server_list: Rc<Vec<Endpoint>>,
 }
 
 /// One play of a case.
 pub struct World {
     case: Case,
-    settings: Settings,
+    settings: PolicySettings,
     chooser: Chooser,
     rng: Rand64,
     now: Time,
@@ -137,7 +137,7 @@
                 node: Node::new(profile(case, &settings, capacity_of(case, &mut rng, i)), 2, now),
                 zone: (i % case.zones) as u32,
                 kind: if case.kinds { kind(i) as u32 } else { 0 },
-                status: Status::Live,
+                status: EndpointStatus::Live,
                 up: true,
                 generation: 0,
                 started: None,
@@ -145,7 +145,7 @@
             })
             .collect();
         let capacity: f64 = servers.iter().map(|p| p.node.profile().capacity.work_rate()).sum();
-        let list: Rc<Vec<Member>> = Rc::new(Vec::new());
+        let list: Rc<Vec<Endpoint>> = Rc::new(Vec::new());
         let balancers = (0..case.balancers)
             .map(|i| BalancerSlot {
                 policy: None,
@@ -220,7 +220,7 @@
             Event::AttemptTimeout(attempt) => self.attempt_ends(attempt, Outcome::Timeout),
             Event::ListArrives { balancer, list } => {
                 self.balancers[balancer].server_list = list.clone();
-                self.notify(balancer, |m, now, out| m.members(now, ListKind::Whole, &list, out));
+                self.notify(balancer, |m, now, out| m.members(now, ListKind::Full, &list, out));
             }
             Event::Change(i) => {
                 let change = self.case.script[i].1.clone();
--- a/crates/fleet-sim/src/world/attempts.rs
+++ b/crates/fleet-sim/src/world/attempts.rs
@@ -37,7 +37,7 @@
         let delay = self.one_way_delay(zone, there);
         if !up || self.is_partitioned(zone, there) {
             self.schedule_after(
-                CONNECT_TIMEOUT.f(),
+                CONNECT_TIMEOUT.as_micros_f64(),
                 Event::AttemptEnds { attempt, outcome: Outcome::ConnectFailed },
             );
         } else if fallen {
@@ -52,7 +52,7 @@
                 Event::AttemptArrives(attempt),
             );
         }
-        self.schedule_after(timeout.f(), Event::AttemptTimeout(attempt));
+        self.schedule_after(timeout.as_micros_f64(), Event::AttemptTimeout(attempt));
     }
 
     /// Takes an idle connection, if there is one.
@@ -119,8 +119,10 @@
                 let back = self.one_way_delay(zone, self.servers[server].zone);
                 self.tally.shut_out += 1;
                 self.attempts[attempt].server_generation = u32::MAX;
-                return self
-                    .schedule_after(back, Event::AttemptEnds { attempt, outcome: Outcome::Full });
+                return self.schedule_after(
+                    back,
+                    Event::AttemptEnds { attempt, outcome: Outcome::Rejected },
+                );
             }
             if ended.is_some() {
                 // Its balancer gave up before the request arrived.
@@ -151,7 +153,9 @@
         a.ended = Some(outcome);
         let Attempt { request, index, server, server_generation, sent, .. } = *a;
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => self.release_connection(attempt, true),
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => {
+                self.release_connection(attempt, true)
+            }
             Outcome::Timeout | Outcome::Cancelled
                 if self.servers[server].generation == server_generation =>
             {
@@ -164,24 +168,24 @@
         *self.tally.outcomes.entry(format!("{outcome:?}")).or_default() += 1;
         if outcome == Outcome::Ok && !over {
             let in_time = self.now.since(request_state.first)
-                <= self.settings.classes[request_state.class].aim;
+                <= self.settings.classes[request_state.class].latency_objective;
             self.finish_request(request, if in_time { End::Served } else { End::Late });
         }
         let request_state = &self.requests[request];
         let balancer = request_state.balancer;
         if self.chooser == Chooser::Sableloom {
-            let answer = Answer {
+            let answer = AttemptResult {
                 request: RequestId(request as u64),
                 attempt: index,
                 server: ServerId(server as u32),
                 outcome,
                 latency: self.now.since(sent),
                 last: outcome == Outcome::Ok,
-                report: Report::default(),
+                report: LoadReport::default(),
             };
             self.notify(balancer, |m, now, out| m.outcome(now, answer, out));
         } else if request_state.end.is_none() {
-            let again = request_state.class == 0 || outcome.never_ran();
+            let again = request_state.class == 0 || outcome.not_executed();
             if again { self.choose(request) } else { self.finish_request(request, End::Failed) }
         }
     }
--- a/crates/fleet-sim/src/world/balancers.rs
+++ b/crates/fleet-sim/src/world/balancers.rs
@@ -11,8 +11,8 @@
 use crate::tally::End;
 
 impl World {
-    pub(super) fn list(&self) -> Rc<Vec<Member>> {
-        let member = |(i, p): (usize, &Server)| Member {
+    pub(super) fn list(&self) -> Rc<Vec<Endpoint>> {
+        let member = |(i, p): (usize, &Server)| Endpoint {
             id: ServerId(i as u32),
             identity: i as u64 * 7919,
             zone: p.zone,
@@ -22,21 +22,22 @@
             weight: 1.0,
             started: p.started,
         };
-        let listed = self.servers.iter().enumerate().filter(|(_, p)| p.status != Status::Gone);
+        let listed =
+            self.servers.iter().enumerate().filter(|(_, p)| p.status != EndpointStatus::Gone);
         Rc::new(listed.map(member).collect())
     }
 
-    pub(super) fn start_balancer(&mut self, balancer: usize, list: Rc<Vec<Member>>) {
+    pub(super) fn start_balancer(&mut self, balancer: usize, list: Rc<Vec<Endpoint>>) {
         let seed = self.rng.rand_u64();
         let front = &mut self.balancers[balancer];
         front.server_list = list.clone();
         if self.chooser != Chooser::Sableloom {
             return;
         }
-        let settings = Settings { zone: front.zone, ..self.settings.clone() };
+        let settings = PolicySettings { zone: front.zone, ..self.settings.clone() };
         let mut policy = Balancer::new(settings, seed, self.now).expect("settings are sound");
         policy.start(self.now, &mut self.actions);
-        policy.members(self.now, ListKind::Whole, &list, &mut self.actions);
+        policy.members(self.now, ListKind::Full, &list, &mut self.actions);
         front.policy = Some(policy);
         self.apply_actions(balancer);
     }
@@ -64,12 +65,12 @@
     pub(super) fn apply_actions(&mut self, balancer: usize) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { request, server, timeout } => {
+                Action::Forward { request, server, timeout } => {
                     let id = request.0 as usize;
                     self.check_send(id, server.0 as usize);
                     self.send(id, server.0 as usize, timeout);
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let id = request.0 as usize;
                     if self.requests[id].class == 1 && self.may_have_run(id) {
                         self.tally.broken.push(format!("refused {id}, which may have run"));
@@ -77,7 +78,7 @@
                     self.finish_request(id, End::Refused);
                 }
                 Action::Fail { request } => self.finish_request(request.0 as usize, End::Failed),
-                Action::Arm { token, at } => {
+                Action::SetTimer { token, at } => {
                     let generation = self.balancers[balancer].generation;
                     self.schedule_at(at, Event::Timer { balancer, generation, token });
                 }
@@ -88,13 +89,13 @@
                         Event::AttemptEnds { attempt, outcome: Outcome::Cancelled },
                     );
                 }
-                Action::Probe { .. } | Action::Subscribe => {}
+                Action::CheckHealth { .. } | Action::Subscribe => {}
             }
         }
     }
 
     pub(super) fn may_have_run(&self, id: usize) -> bool {
-        let ran = |a: &usize| !self.attempts[*a].ended.is_some_and(Outcome::never_ran);
+        let ran = |a: &usize| !self.attempts[*a].ended.is_some_and(Outcome::not_executed);
         self.requests[id].attempts.iter().any(ran)
     }
 
@@ -106,7 +107,7 @@
             self.tally.broken.push(format!("request {id} sent on after its end"));
         }
         let server_list = &self.balancers[self.requests[id].balancer].server_list;
-        let live = |m: &Member| m.id.0 as usize == server && m.status == Status::Live;
+        let live = |m: &Endpoint| m.id.0 as usize == server && m.status == EndpointStatus::Live;
         if !server_list.iter().any(live) {
             self.tally.broken.push(format!("server {server} got {id}, and was withdrawn"));
         }
@@ -118,7 +119,7 @@
                 self.finish_request(id, End::Failed);
                 for attempt in self.requests[id].attempts.clone() {
                     if self.attempts[attempt].ended.is_none() {
-                        self.attempts[attempt].ended = Some(Outcome::Moot);
+                        self.attempts[attempt].ended = Some(Outcome::Superseded);
                         let Attempt { server, server_generation, .. } = self.attempts[attempt];
                         if self.servers[server].generation == server_generation {
                             self.leave(attempt);
--- a/crates/fleet-sim/src/world/event.rs
+++ b/crates/fleet-sim/src/world/event.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use sableloom_types::{Member, Outcome, Time};
+use sableloom_types::{Endpoint, Outcome, Time};
 
 #[derive(Debug)]
 pub(super) enum Event {
@@ -13,7 +13,7 @@
     AttemptEnds { attempt: usize, outcome: Outcome },
     AttemptTimeout(usize),
     Retry(usize),
-    ListArrives { balancer: usize, list: Rc<Vec<Member>> },
+    ListArrives { balancer: usize, list: Rc<Vec<Endpoint>> },
     Change(usize),
     ReplaceServer(usize),
     ZoneRestored { zone: u32, partition: bool },
--- a/crates/fleet-sim/src/world/requests.rs
+++ b/crates/fleet-sim/src/world/requests.rs
@@ -45,13 +45,13 @@
         time: u32,
     ) {
         let id = self.requests.len();
-        let drop_dead = self.now.plus(self.settings.classes[class].deadline);
+        let deadline = self.now.plus(self.settings.classes[class].deadline);
         self.requests.push(RequestState {
             balancer,
             class,
             arrived: self.now,
             work,
-            wait: Span::of(WORK[class].1),
+            wait: Span::from_micros_f64(WORK[class].1),
             attempts: Vec::new(),
             end: None,
             first,
@@ -60,7 +60,7 @@
         match self.chooser {
             Chooser::Sableloom => {
                 let request =
-                    Request { id: RequestId(id as u64), class, tenant: 0, key: None, drop_dead };
+                    Request { id: RequestId(id as u64), class, tenant: 0, key: None, deadline };
                 self.notify(balancer, |m, now, out| m.request(now, request, out));
             }
             _ => self.choose(id),
@@ -70,7 +70,9 @@
     /// For the baselines: sends the request to a server, or ends it.
     pub(super) fn choose(&mut self, id: usize) {
         let request_state = &self.requests[id];
-        let aim_at = request_state.arrived.plus(self.settings.classes[request_state.class].aim);
+        let aim_at = request_state
+            .arrived
+            .plus(self.settings.classes[request_state.class].latency_objective);
         let left = aim_at.since(self.now);
         if left.0 <= 0 || request_state.attempts.len() >= self.settings.limits.max_attempts {
             return self.finish_request(id, End::Failed);
@@ -78,7 +80,8 @@
         let server = match self.chooser {
             Chooser::Random => {
                 let list = self.balancers[request_state.balancer].server_list.clone();
-                let live: Vec<_> = list.iter().filter(|m| m.status == Status::Live).collect();
+                let live: Vec<_> =
+                    list.iter().filter(|m| m.status == EndpointStatus::Live).collect();
                 let draw = self.rng.rand_float() * live.len() as f64;
                 live.get(draw as usize).map(|m| m.id.0 as usize)
             }
@@ -97,7 +100,8 @@
         let mut best: Option<(usize, f64)> = None;
         for (i, p) in self.servers.iter().enumerate() {
             let there = p.up && p.node.phase() == Phase::Up;
-            let seen = p.status == Status::Live && there && !self.is_partitioned(zone, p.zone);
+            let seen =
+                p.status == EndpointStatus::Live && there && !self.is_partitioned(zone, p.zone);
             let fault = p.node.faulty(request_state.class);
             if !seen || fault.failing > 0.2 {
                 continue;
@@ -105,13 +109,13 @@
             let speed = p.node.profile().capacity.speed * p.node.present(now) / fault.slower;
             let crowd = ((p.node.here() + 1) as f64 / p.node.profile().capacity.cores).max(1.0);
             let takes = WORK[request_state.class].0 * crowd / speed
-                + request_state.wait.f()
+                + request_state.wait.as_micros_f64()
                 + 2.0 * DELAY_ACROSS_ZONES;
             if best.is_none_or(|(_, t)| takes < t) {
                 best = Some((i, takes));
             }
         }
-        best.filter(|&(_, takes)| takes < left.f() * 0.9).map(|(i, _)| i)
+        best.filter(|&(_, takes)| takes < left.as_micros_f64() * 0.9).map(|(i, _)| i)
     }
 
     pub(super) fn finish_request(&mut self, id: usize, end: End) {
@@ -131,7 +135,7 @@
             self.schedule_after(wait, Event::Retry(id));
             return;
         }
-        let worth = self.settings.classes[class].worth;
-        self.tally.count(first, class, worth, end);
+        let priority_weight = self.settings.classes[class].priority_weight;
+        self.tally.count(first, class, priority_weight, end);
     }
 }
--- a/crates/fleet-sim/src/world/script.rs
+++ b/crates/fleet-sim/src/world/script.rs
@@ -1,7 +1,7 @@
 //! Applies the changes of a case's script.
 
 use sableloom_emulator::Fault;
-use sableloom_types::Status;
+use sableloom_types::EndpointStatus;
 
 use super::{Event, World, profile};
 use crate::case::{Change, MS};
@@ -60,7 +60,7 @@
             Change::KindGone { kind } => {
                 for i in 0..self.servers.len() {
                     if self.servers[i].kind == kind {
-                        self.servers[i].status = Status::Gone;
+                        self.servers[i].status = EndpointStatus::Gone;
                     }
                 }
                 self.publish();
@@ -70,7 +70,7 @@
                 for i in from..self.servers.len() {
                     self.crash_server(i);
                     self.servers[i].kind = kind;
-                    self.servers[i].status = Status::Live;
+                    self.servers[i].status = EndpointStatus::Live;
                     self.with_node(i, |node, now, out| node.replace(profile, now, out));
                     self.start_server(i);
                 }
--- a/crates/fleet-sim/src/world/servers.rs
+++ b/crates/fleet-sim/src/world/servers.rs
@@ -31,7 +31,7 @@
             let outcome = match outcome {
                 AttemptOutcome::Served => Outcome::Ok,
                 AttemptOutcome::Error => Outcome::Error,
-                AttemptOutcome::TurnedAway => Outcome::Full,
+                AttemptOutcome::TurnedAway => Outcome::Rejected,
                 AttemptOutcome::Spoilt | AttemptOutcome::Cut | AttemptOutcome::Reset => {
                     Outcome::Reset
                 }
@@ -76,16 +76,20 @@
 }
 
 /// The profile of a server, consistent with the rules in the settings of the balancers.
-pub(super) fn profile(case: &Case, settings: &Settings, capacity: NodeCapacity) -> NodeProfile {
+pub(super) fn profile(
+    case: &Case,
+    settings: &PolicySettings,
+    capacity: NodeCapacity,
+) -> NodeProfile {
     let rules = &settings.rules;
     let plain = NodeProfile::of(capacity);
     NodeProfile {
         connections: case.connections.unwrap_or(usize::MAX),
         handshake: if case.connections.is_some() { plain.handshake } else { 0.0 },
-        cold_from: rules.cold_from,
-        warm: rules.cold,
-        multiple: rules.fall_multiple,
-        window: rules.tip_after,
+        cold_from: rules.slow_start_initial_share,
+        warm: rules.slow_start,
+        multiple: rules.overload_factor,
+        window: rules.overload_window,
         keys: 0,
         abandons: false,
         mean: mean_work(),
--- a/crates/fleet-sim/tests/cold_sum.rs
+++ b/crates/fleet-sim/tests/cold_sum.rs
@@ -14,10 +14,17 @@
     let six_in_ten = Change::Replace { from: 0, to: servers * 6 / 10, ms: 500 };
     let mut plays = Vec::new();
     // At the lower end of the operators' figures, where the budget of a small server is 17 requests.
-    let cold_from = 0.1;
+    let slow_start_initial_share = 0.1;
     for hot in [(0, 1.0), (balancers.div_ceil(20), 5.0)] {
         for load in [0.3, 0.85] {
-            let base = Case { hot, load, seconds: 7, late_ms: 0, cold_from, ..plain.clone() };
+            let base = Case {
+                hot,
+                load,
+                seconds: 7,
+                late_ms: 0,
+                slow_start_initial_share,
+                ..plain.clone()
+            };
             let case = |name, script| Case { name, script, ..base.clone() };
             plays.push(case("list", vec![(2000, six_in_ten.clone())]));
             plays.push(case(
--- a/crates/fleet/src/pace.rs
+++ b/crates/fleet/src/pace.rs
@@ -25,7 +25,7 @@
     /// How many it may put now, with so many to ask after and so many others that do so too.
     pub(crate) fn left(&mut self, now: Time, unsure: usize, others: usize) -> usize {
         let a_second = QUESTIONS_AT_ONE * unsure as f64 / (others + 1) as f64;
-        let passed = now.since(self.at).f() / 1e6;
+        let passed = now.since(self.at).as_micros_f64() / 1e6;
         self.at = now;
         let most = (a_second * BURST_SECONDS).max(1.0);
         self.tokens = (self.tokens + a_second * passed.max(0.0)).min(most);
--- a/crates/harness/src/clients.rs
+++ b/crates/harness/src/clients.rs
@@ -15,7 +15,7 @@
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use rustix::time::{ClockId, clock_gettime};
-use sableloom_rehearsal::{Answer, Arrival, Clients, Effect, Try};
+use sableloom_rehearsal::{Answer, Arrival, Clients, Idempotency, Try};
 use tokio::net::TcpStream;
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
@@ -38,7 +38,7 @@
     /// When a client gives up.
     pub deadline: Duration,
     /// Whether a request may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// The configuration and state that all workers of the load generator share.
@@ -184,7 +184,7 @@
             };
             last = Some(balancer);
             let answer = self.send_try(number, time, balancer).await;
-            let safe = self.generator.classes[arrival.class].effect == Effect::Safe;
+            let safe = self.generator.classes[arrival.class].idempotency == Idempotency::Idempotent;
             let harmless = match answer {
                 Answer::Refused | Answer::Unreached => true,
                 Answer::Failed | Answer::Broken => safe,
@@ -300,9 +300,9 @@
 
     async fn send(&self, mut sender: Sender, outgoing: &Outgoing<'_>) -> SendOutcome {
         let Outgoing { id, arrival, class, balancer } = *outgoing;
-        let (method, body) = match class.effect {
-            Effect::Safe => (Method::GET, Bytes::new()),
-            Effect::Unsafe => (Method::POST, Bytes::from_static(b"{\"points\":10}")),
+        let (method, body) = match class.idempotency {
+            Idempotency::Idempotent => (Method::GET, Bytes::new()),
+            Idempotency::NonIdempotent => (Method::POST, Bytes::from_static(b"{\"points\":10}")),
         };
         let request = Request::builder()
             .method(method)
--- a/crates/harness/src/play/prepare.rs
+++ b/crates/harness/src/play/prepare.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use sableloom_emulator::Phase;
-use sableloom_rehearsal::{Arrival, Effect, Facts, Lists, Script, Timeline};
+use sableloom_rehearsal::{Arrival, Facts, Idempotency, Lists, Script, Timeline};
 use sableloom_standin::{Agent, Class as NodeClass, Options as NodeOptions, Shell};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -60,7 +60,7 @@
                 work: class.work,
                 spread: class.spread,
                 wait: Duration::from_micros(class.wait as u64),
-                effect: class.effect == Effect::Unsafe,
+                effect: class.idempotency == Idempotency::NonIdempotent,
             })
             .collect();
         let seed = options.seed;
@@ -171,7 +171,7 @@
         let classes = self.script.classes.iter().map(|class| Class {
             name: class.name.clone(),
             deadline: Duration::from_micros(class.deadline as u64),
-            effect: class.effect,
+            idempotency: class.idempotency,
         });
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         LoadGenerator {
--- a/crates/harness/src/site.rs
+++ b/crates/harness/src/site.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime};
 
 use jiff::Timestamp;
-use sableloom_rehearsal::{Class, Effect, RetainedState, Script};
+use sableloom_rehearsal::{Class, Idempotency, RetainedState, Script};
 use serde_json::json;
 
 /// How long a balancer may still send to a node after its list says that the node drains.
@@ -104,15 +104,15 @@
             }
         }
         for class in &script.classes {
-            let (effect, methods) = match class.effect {
-                Effect::Safe => ("safe", "GET"),
-                Effect::Unsafe => ("unsafe", "POST"),
+            let (idempotency, methods) = match class.idempotency {
+                Idempotency::Idempotent => ("safe", "GET"),
+                Idempotency::NonIdempotent => ("unsafe", "POST"),
             };
             let (aim, deadline) = (milliseconds(class.aim), milliseconds(class.deadline));
             let _ = writeln!(
                 text,
                 "[[class]]\nname = {}\naim_ms = {aim}\ndeadline_ms = {deadline}\n\
-                 effect = \"{effect}\"\nmethods = [\"{methods}\"]\nworth = {}\n",
+                 effect = \"{idempotency}\"\nmethods = [\"{methods}\"]\nworth = {}\n",
                 quoted(&class.name),
                 class.worth,
             );
@@ -143,12 +143,12 @@
         agent: SocketAddr,
     ) -> io::Result<()> {
         let class = |class: &Class| {
-            let effect = match class.effect {
-                Effect::Safe => "retryable",
-                Effect::Unsafe => "fragile",
+            let idempotency = match class.idempotency {
+                Idempotency::Idempotent => "retryable",
+                Idempotency::NonIdempotent => "fragile",
             };
             json!({"Name": class.name, "Aim": milliseconds(class.aim),
-                   "Deadline": milliseconds(class.deadline), "Effect": effect, "Group": "all",
+                   "Deadline": milliseconds(class.deadline), "Effect": idempotency, "Group": "all",
                    "Importance": class.worth})
         };
         let classes: Vec<_> = script.classes.iter().map(class).collect();
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -15,7 +15,7 @@
 use rustc_hash::FxHashMap;
 use sableloom_admission::{Admission, Bounds, ConnId, Phase, Release, Why};
 use sableloom_exchange::{Clock, Service};
-use sableloom_types::settings::{Facts, span};
+use sableloom_types::settings::{DeploymentSettings, span};
 use sableloom_types::{Span, Time};
 use tokio::sync::{Notify, Semaphore};
 
@@ -54,7 +54,7 @@
 /// The listening side of the balancer. Who holds a place is decided by [`Admission`].
 pub struct Frontend {
     service: Rc<dyn Service>,
-    facts: Rc<Facts>,
+    settings: Rc<DeploymentSettings>,
     dialect: Dialect,
     /// Requests that were given an id here.
     named: Cell<u64>,
@@ -101,13 +101,14 @@
     /// A front that hands its requests to this service.
     pub fn new(
         service: Rc<dyn Service>,
-        facts: Rc<Facts>,
+        settings: Rc<DeploymentSettings>,
         dialect: Dialect,
         clock: Clock,
         limits: &Limits,
     ) -> Rc<Self> {
-        let shortest = facts.services.iter().map(|s| s.aim).fold(f64::INFINITY, f64::min);
-        let advice = &facts.policy_limits;
+        let shortest =
+            settings.services.iter().map(|s| s.latency_objective).fold(f64::INFINITY, f64::min);
+        let advice = &settings.policy_limits;
         let bounds = Bounds {
             places: limits.places,
             asking: limits.asking,
@@ -120,7 +121,7 @@
         Rc::new(Self {
             admission: RefCell::new(Admission::new(bounds, clock.now())),
             service,
-            facts,
+            settings,
             dialect,
             named: Cell::new(0),
             clock,
--- a/crates/http1/src/front/head.rs
+++ b/crates/http1/src/front/head.rs
@@ -3,8 +3,9 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
+use sableloom_types::Idempotency;
 use sableloom_types::Span;
-use sableloom_types::settings::{Effect, Facts, key_hash};
+use sableloom_types::settings::{DeploymentSettings, key_hash};
 
 use super::Frontend;
 
@@ -24,7 +25,7 @@
 /// The class of a request: the one that it names in `X-Qos`, or in the first part of its path;
 /// where any client may come, else the first that has its method.
 pub fn class_of(
-    facts: &Facts,
+    settings: &DeploymentSettings,
     dialect: &Dialect,
     method: &Method,
     uri: &Uri,
@@ -33,20 +34,20 @@
     let bad = StatusCode::BAD_REQUEST;
     let named = headers.get("x-qos").map(|v| v.to_str().map_err(|_| bad)).transpose()?;
     let in_path = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let known = |name: &str| facts.services.iter().position(|s| s.name == name);
+    let known = |name: &str| settings.services.iter().position(|s| s.name == name);
     let keyed = headers.contains_key("idempotency-key");
     match dialect {
         Dialect::Platform => {
             let class = known(named.unwrap_or(in_path)).ok_or(bad)?;
-            let effect = facts.services[class].effect;
-            let fits = match effect {
-                Effect::Retryable => *method == Method::GET,
-                Effect::Dedup => *method == Method::POST && keyed,
-                Effect::Fragile => *method == Method::POST,
+            let idempotency = settings.services[class].idempotency;
+            let fits = match idempotency {
+                Idempotency::Idempotent => *method == Method::GET,
+                Idempotency::Keyed => *method == Method::POST && keyed,
+                Idempotency::NonIdempotent => *method == Method::POST,
             };
-            match effect {
+            match idempotency {
                 _ if fits => Ok(class),
-                Effect::Dedup if *method == Method::POST => Err(bad),
+                Idempotency::Keyed if *method == Method::POST => Err(bad),
                 _ => Err(StatusCode::METHOD_NOT_ALLOWED),
             }
         }
@@ -60,9 +61,9 @@
                     None => (0..methods.len()).find(has).ok_or(not_allowed)?,
                 },
             };
-            match facts.services[class].effect {
+            match settings.services[class].idempotency {
                 _ if !has(&class) => Err(not_allowed),
-                Effect::Dedup if !keyed => Err(bad),
+                Idempotency::Keyed if !keyed => Err(bad),
                 _ => Ok(class),
             }
         }
@@ -86,7 +87,7 @@
         uri: &Uri,
         headers: &HeaderMap,
     ) -> Result<Self, StatusCode> {
-        let (facts, dialect) = (&frontend.facts, &frontend.dialect);
+        let (settings, dialect) = (&frontend.settings, &frontend.dialect);
         let bad = StatusCode::BAD_REQUEST;
         let text = |name: &str| headers.get(name).map(|v| v.to_str().map_err(|_| bad)).transpose();
         let id = match (text("x-trace-id")?.filter(|id| !id.is_empty()), dialect) {
@@ -98,8 +99,8 @@
                 Bytes::from(format!(" {}", frontend.named.get()))
             }
         };
-        let class = class_of(facts, dialect, method, uri, headers)?;
-        let tenants = &facts.tenants;
+        let class = class_of(settings, dialect, method, uri, headers)?;
+        let tenants = &settings.tenants;
         let tenant = match text("x-customer")? {
             Some(name) if !tenants.is_empty() => {
                 tenants.iter().position(|t| t.name == name).ok_or(bad)?
@@ -109,7 +110,7 @@
         let expires: i64 = match (text("x-expires-in-ms")?, dialect) {
             (Some(text), _) => text.parse().map_err(|_| bad)?,
             (None, Dialect::Platform) => return Err(bad),
-            (None, Dialect::Open(_)) => facts.services[class].deadline as i64,
+            (None, Dialect::Open(_)) => settings.services[class].deadline as i64,
         };
         if !(1..=EXPIRES_MAX_MS).contains(&expires) {
             return Err(bad);
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/front/request.rs
@@ -121,10 +121,10 @@
     let arrived = frontend.clock.at(client.wire.read_at.get());
     client.tell(Admission::taken);
     let RequestHead { id, class, tenant, key, expires, target } = wanted;
-    let asked = Asked { class, tenant, key, drop_dead: arrived.plus(expires) };
+    let asked = Asked { class, tenant, key, deadline: arrived.plus(expires) };
     let message = Message {
         id,
-        effect: frontend.facts.services[class].effect.into(),
+        idempotency: frontend.settings.services[class].idempotency,
         verb: Bytes::copy_from_slice(head.method.as_str().as_bytes()),
         target,
         fields: fields::end_to_end(head.headers),
--- a/crates/http1/src/front/tests.rs
+++ b/crates/http1/src/front/tests.rs
@@ -20,15 +20,15 @@
 }
 
 fn frontend() -> Rc<Frontend> {
-    let facts = json!({
+    let settings = json!({
         "Balancers": 1, "Tick": 5.0, "RegistryMode": "automatic",
         "Services": [{"Name": "read", "Aim": 250.0, "Deadline": 600.0, "Effect": "retryable"}],
         "PolicyLimits": {"MaxAttempts": 4},
         "Safety": {"Cold": 2000.0, "ColdFrom": 0.2, "FallMultiple": 3.0, "TipAfter": 1000.0},
     });
-    let facts: Facts = serde_json::from_value(facts).expect("settings");
+    let settings: DeploymentSettings = serde_json::from_value(settings).expect("settings");
     let limits = Limits { places: 8, asking: 8, bodies: 1 << 20 };
-    Frontend::new(Rc::new(Echo), Rc::new(facts), Dialect::Platform, Clock::new(), &limits)
+    Frontend::new(Rc::new(Echo), Rc::new(settings), Dialect::Platform, Clock::new(), &limits)
 }
 
 const REQUEST: &str =
--- a/crates/http1/src/reuse.rs
+++ b/crates/http1/src/reuse.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use sableloom_types::Effect;
+use sableloom_types::Idempotency;
 use tokio::time::Instant;
 
 /// For so long after an answer it is waited for whether another one comes. Failure: second answers 4 ms late were
@@ -48,12 +48,17 @@
     }
 
     /// How long the last byte of a request is kept back on a connection that has rested for so long.
-    pub(crate) fn hold(&self, now: Instant, rested: Duration, effect: Effect) -> Option<Duration> {
+    pub(crate) fn hold(
+        &self,
+        now: Instant,
+        rested: Duration,
+        idempotency: Idempotency,
+    ) -> Option<Duration> {
         let to_rest = RESTED.saturating_sub(rested);
-        let hold = match effect {
-            Effect::Keyed | Effect::Unsafe => PROOF.max(to_rest),
-            Effect::Safe if self.may_wait(now, !to_rest.is_zero()) => to_rest,
-            Effect::Safe => Duration::ZERO,
+        let hold = match idempotency {
+            Idempotency::Keyed | Idempotency::NonIdempotent => PROOF.max(to_rest),
+            Idempotency::Idempotent if self.may_wait(now, !to_rest.is_zero()) => to_rest,
+            Idempotency::Idempotent => Duration::ZERO,
         };
         (!hold.is_zero()).then_some(hold)
     }
--- a/crates/http1/src/reuse/tests.rs
+++ b/crates/http1/src/reuse/tests.rs
@@ -5,7 +5,7 @@
 const FRESH: Duration = Duration::from_millis(1);
 
 fn waits(guard: &ReuseGuard, now: Instant, requests: usize) -> usize {
-    (0..requests).filter(|_| guard.hold(now, FRESH, Effect::Safe).is_some()).count()
+    (0..requests).filter(|_| guard.hold(now, FRESH, Idempotency::Idempotent).is_some()).count()
 }
 
 #[test]
@@ -30,10 +30,10 @@
 #[test]
 fn no_request_leaves_whole_before_its_connection_has_rested_or_is_proven_open() {
     let (guard, now) = (ReuseGuard::new(), Instant::now());
-    for effect in [Effect::Keyed, Effect::Unsafe] {
-        assert_eq!(guard.hold(now, FRESH, effect), Some(RESTED - FRESH));
-        assert_eq!(guard.hold(now, RESTED, effect), Some(PROOF));
+    for idempotency in [Idempotency::Keyed, Idempotency::NonIdempotent] {
+        assert_eq!(guard.hold(now, FRESH, idempotency), Some(RESTED - FRESH));
+        assert_eq!(guard.hold(now, RESTED, idempotency), Some(PROOF));
     }
-    assert_eq!(guard.hold(now, FRESH, Effect::Safe), Some(RESTED - FRESH));
-    assert_eq!(guard.hold(now, RESTED, Effect::Safe), None);
+    assert_eq!(guard.hold(now, FRESH, Idempotency::Idempotent), Some(RESTED - FRESH));
+    assert_eq!(guard.hold(now, RESTED, Idempotency::Idempotent), None);
 }
--- a/crates/http1/src/upstream.rs
+++ b/crates/http1/src/upstream.rs
@@ -18,8 +18,8 @@
 use rustc_hash::FxHashSet;
 use sableloom_exchange::fate::Ended;
 use sableloom_exchange::{Answer, AttemptOutcome, Call, Line, Message, Task, Transport, Work};
-use sableloom_types::settings::{Facts, PolicyLimits, Reports, Stats};
-use sableloom_types::{Report, ServerId};
+use sableloom_types::settings::{DeploymentSettings, LoadReportSource, PolicyLimits, Stats};
+use sableloom_types::{LoadReport, ServerId};
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::task::spawn_local;
@@ -142,18 +142,18 @@
 
 impl Upstreams {
     /// A transport whose connections count against this budget.
-    pub fn new(budget: Rc<Budget>, facts: &Facts) -> Rc<Self> {
+    pub fn new(budget: Rc<Budget>, settings: &DeploymentSettings) -> Rc<Self> {
         let stated = |ms: f64, otherwise: f64| {
             Duration::from_secs_f64(if ms > 0.0 { ms / 1000.0 } else { otherwise })
         };
-        let limits: &PolicyLimits = &facts.policy_limits;
+        let limits: &PolicyLimits = &settings.policy_limits;
         let upstreams = Rc::new(Self {
             idle: RefCell::new(VecDeque::new()),
             retired: RefCell::new(FxHashSet::default()),
             budget,
             keep: stated(limits.keepalive, 15.0).mul_f64(KEEP_OF_KEEPALIVE),
             connect: stated(limits.connect_timeout, 1.0),
-            stats: facts.stats.clone(),
+            stats: settings.stats.clone(),
             guard: Rc::new(ReuseGuard::new()),
         });
         let mut users = upstreams.budget.users.borrow_mut();
@@ -284,7 +284,7 @@
         Box::pin(async move { self.talk(&call).await })
     }
 
-    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<Report>> {
+    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<LoadReport>> {
         Box::pin(async move { timeout(PROBE, self.examine(server, to)).await.ok().flatten() })
     }
 
@@ -330,7 +330,7 @@
                 return AttemptOutcome::nothing(Ended::NotBegun);
             };
             let rested = conn.rested.elapsed();
-            let hold = || self.guard.hold(Instant::now(), rested, call.message.effect);
+            let hold = || self.guard.hold(Instant::now(), rested, call.message.idempotency);
             conn.wire.begin(bytes, reused.then(hold).flatten(), Some(call));
             call.goes_out_on(conn.wire.clone());
             let answer = match conn.sender.send_request(request).await {
@@ -371,7 +371,7 @@
         let outcome = |ended| AttemptOutcome { report, ..AttemptOutcome::nothing(ended) };
         if head.status != StatusCode::OK || !conn.wire.all_written() {
             let may_disown = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
-            let never_ran = head.headers.get("x-never-ran").is_some_and(|v| v == "1");
+            let states_not_executed = head.headers.get("x-never-ran").is_some_and(|v| v == "1");
             if conn.wire.all_written() {
                 let pool = self.clone();
                 spawn_local(async move {
@@ -380,8 +380,8 @@
                     }
                 });
             }
-            let disowned = never_ran && may_disown.contains(&head.status);
-            return AttemptOutcome { disowned, ..outcome(Ended::Fault) };
+            let not_executed = states_not_executed && may_disown.contains(&head.status);
+            return AttemptOutcome { not_executed, ..outcome(Ended::Fault) };
         }
         // The protocol has no longer answers: whoever announces or sends one has lost the thread.
         if body.size_hint().exact().is_some_and(|n| n > BODY_MAX as u64) {
@@ -402,20 +402,22 @@
     }
 
     /// The load report on an answer, where the settings have such.
-    fn report(&self, headers: &HeaderMap) -> Report {
+    fn report(&self, headers: &HeaderMap) -> LoadReport {
         let header = headers.get("endpoint-load-metrics").and_then(|h| h.to_str().ok());
         match header {
-            Some(text) if self.stats.how == Reports::Piggyback => report_text(&self.stats, text),
-            _ => Report::default(),
+            Some(text) if self.stats.how == LoadReportSource::Piggyback => {
+                report_text(&self.stats, text)
+            }
+            _ => LoadReport::default(),
         }
     }
 
-    async fn examine(&self, server: ServerId, to: SocketAddr) -> Option<Report> {
+    async fn examine(&self, server: ServerId, to: SocketAddr) -> Option<LoadReport> {
         let mut conn = match self.take(server, to) {
             Some(conn) => conn,
             None => self.connect(to).await?,
         };
-        let silent = self.stats.how == Reports::Silent;
+        let silent = self.stats.how == LoadReportSource::Silent;
         let path = if silent { "/alive" } else { "/metrics/load" };
         let mut request = Request::new(Whole::default());
         *request.uri_mut() = Uri::from_static(path);
@@ -430,7 +432,7 @@
 }
 
 /// A load report in the form `TEXT inflight=7, util=0.61`; what makes no sense in it is skipped.
-pub fn report_text(stats: &Stats, text: &str) -> Report {
+pub fn report_text(stats: &Stats, text: &str) -> LoadReport {
     let pairs = text.trim().strip_prefix("TEXT").unwrap_or_default().split(',');
     let value = |pair: &'_ str| -> Option<(usize, f64)> {
         let (name, value) = pair.split_once('=')?;
--- a/crates/http1/src/upstream/tests.rs
+++ b/crates/http1/src/upstream/tests.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use sableloom_exchange::Fields;
-use sableloom_types::Effect;
+use sableloom_types::Idempotency;
 use tokio::io::AsyncReadExt;
 
 use super::*;
@@ -68,7 +68,7 @@
     fn the_reckoned_length_is_that_which_is_written(asked in any_request()) {
         let message = Message {
             id: Bytes::new(),
-            effect: Effect::Unsafe,
+            idempotency: Idempotency::NonIdempotent,
             verb: Bytes::from_static(asked.verb.as_bytes()),
             target: Bytes::from(asked.target.clone()),
             fields: Fields::collect(|| {
--- a/crates/http1/src/wire/tests.rs
+++ b/crates/http1/src/wire/tests.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use sableloom_exchange::{Fields, Message, Place};
-use sableloom_types::{Effect, ServerId};
+use sableloom_types::{Idempotency, ServerId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
@@ -41,7 +41,7 @@
 fn attempt(client: Option<&Rc<Wire>>, whole_by: Option<Instant>) -> Attempt {
     let message = Message {
         id: Bytes::new(),
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         verb: Bytes::new(),
         target: Bytes::new(),
         fields: Fields::default(),
--- a/crates/members/src/fleet/probes.rs
+++ b/crates/members/src/fleet/probes.rs
@@ -44,8 +44,8 @@
     /// One that is called late was stopped, or starved: what it waited for may have come and lie unread.
     pub(super) fn late(&mut self, now: Time, out: &mut Out) {
         let Some(due) = self.due else { return };
-        let late = now.since(due).f();
-        let periods = late / self.times.period.f();
+        let late = now.since(due).as_micros_f64();
+        let periods = late / self.times.period.as_micros_f64();
         if periods < 0.5 || !self.times.has_local_health {
             return;
         }
@@ -56,7 +56,7 @@
         self.probe = None;
         self.next_probe = self.next_probe.max(now);
         let (least, _) = self.doubts();
-        let again = now.plus(Span::of(least));
+        let again = now.plus(Span::from_micros_f64(least));
         for i in self.table.suspects() {
             self.table.change(i, |peer| {
                 if let Health::Suspect(suspicion) = &mut peer.health {
--- a/crates/members/src/fleet/transitions.rs
+++ b/crates/members/src/fleet/transitions.rs
@@ -43,7 +43,7 @@
     /// The doubt's shortest and longest time, for a fleet of this size.
     pub(super) fn doubts(&self) -> (f64, f64) {
         let n = (self.there() + 1) as f64;
-        let least = self.times.doubt_least * n.log10().max(1.0) * self.times.period.f();
+        let least = self.times.doubt_least * n.log10().max(1.0) * self.times.period.as_micros_f64();
         (least, least * self.times.doubt_most)
     }
 
@@ -55,7 +55,7 @@
             0 => 1.0,
             _ => ((accusers + 1) as f64).ln() / ((wanted + 1) as f64).ln(),
         };
-        from.plus(Span::of((most - (most - least) * part.min(1.0)).max(least)))
+        from.plus(Span::from_micros_f64((most - (most - least) * part.min(1.0)).max(least)))
     }
 
     /// Takes an update in, from others or of its own finding, and passes it on.
--- a/crates/mirror/src/lib.rs
+++ b/crates/mirror/src/lib.rs
@@ -15,7 +15,7 @@
 use sableloom_serverfiles::Files;
 use sableloom_shadow::{Bounds, Changes, Copied, Counts, End, Gate, Rules};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_types::settings::Facts;
+use sableloom_types::settings::DeploymentSettings;
 use sableloom_types::{Span, Time};
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot, watch};
 
@@ -37,7 +37,7 @@
     /// Its name.
     pub name: String,
     /// Facts for its decision module.
-    pub facts: Facts,
+    pub settings: DeploymentSettings,
     /// Its servers.
     pub files: Files,
 }
--- a/crates/mirror/src/live.rs
+++ b/crates/mirror/src/live.rs
@@ -11,7 +11,7 @@
     Answer, Asked, Clock, Exchange, Fields, Message, Reply, Service, Turned, Work,
 };
 use sableloom_shadow::{Copied, End, Gate};
-use sableloom_types::{Effect, Span, Time};
+use sableloom_types::{Idempotency, Span, Time};
 use tokio::sync::mpsc::{Sender, UnboundedReceiver, error::TrySendError};
 use tokio::task::spawn_local;
 
@@ -83,14 +83,14 @@
         }
         let now = self.settings.clock.now();
         self.reap(now);
-        if message.effect != Effect::Safe {
+        if message.idempotency != Idempotency::Idempotent {
             return self.change(pool, asked, message);
         }
         let mut id = FxHasher::default();
         id.write(&message.id);
         let sampled = {
             let gate = self.gate.borrow();
-            gate.samples(asked.class, message.effect, asked.key, id.finish())
+            gate.samples(asked.class, message.idempotency, asked.key, id.finish())
         };
         let captured = sampled.then(|| CapturedRequest::of(&asked, &message, now));
         let work = pool.clone().call(asked, message)?;
--- a/crates/mirror/src/side.rs
+++ b/crates/mirror/src/side.rs
@@ -19,7 +19,7 @@
 use sableloom_serverfiles::ServerFiles;
 use sableloom_shadow::{CopyOutcome, End, Pair, Record, Rules, Side, SkipReason, compare};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_types::{Effect, Report, ServerId, Span};
+use sableloom_types::{Idempotency, LoadReport, ServerId, Span};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{MissedTickBehavior, interval, timeout};
@@ -111,15 +111,15 @@
 
 impl Copies {
     async fn open(options: &Options, group: &Group) -> Result<Self, Vec<Problem>> {
-        let mut facts = group.facts.clone();
+        let mut settings = group.settings.clone();
         // A retry would hide the failure.
-        facts.policy_limits.max_attempts = 1;
-        let facts = Rc::new(facts);
+        settings.policy_limits.max_attempts = 1;
+        let settings = Rc::new(settings);
         let files = ServerFiles::open(group.files.clone(), options.clock).await?;
-        let transport = Upstreams::new(Budget::new(options.bounds.in_flight), &facts);
+        let transport = Upstreams::new(Budget::new(options.bounds.in_flight), &settings);
         let source: Rc<dyn Source> = files.clone();
         let exchange = Exchange::start(ExchangeOptions {
-            facts,
+            settings,
             seed: u64::from(std::process::id()),
             clock: options.clock,
             transport: Rc::new(Seen(transport.clone())),
@@ -153,7 +153,7 @@
         self.0.clone().attempt(call)
     }
 
-    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<Report>> {
+    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<LoadReport>> {
         self.0.clone().probe(server, to)
     }
 
@@ -305,7 +305,7 @@
             class: job.request.class,
             tenant: job.request.tenant,
             key: job.request.key,
-            drop_dead: sent.plus(Span(self.time.as_micros() as i64)),
+            deadline: sent.plus(Span(self.time.as_micros() as i64)),
         };
         let begun = Begun::default();
         let message = Message { hold: Some(Box::new(begun.clone())), ..self.message(job) };
@@ -337,7 +337,7 @@
         Message {
             id: id.clone(),
             // The gate admits only safe requests, and copies are sent only here.
-            effect: Effect::Safe,
+            idempotency: Idempotency::Idempotent,
             verb: job.request.verb.clone(),
             target: job.request.target.clone(),
             fields,
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -96,40 +96,45 @@
 const LANES_USED: f64 = 0.7;
 /// TS of an upstream before any answer from any upstream, as a share of T_QoS.
 const TS_PRIOR_OF_QOS: f64 = 0.25;
-/// Longest first wait before the list is asked, as a share of `ask_every`: banks restart together.
+/// Longest first wait before the list is asked, as a share of `poll_interval`: banks restart together.
 const ASK_JITTER_OF_EVERY: f64 = 0.05;
-/// A list call unanswered for this share of `ask_every` is made again.
+/// A list call unanswered for this share of `poll_interval` is made again.
 const ASK_AGAIN_OF_EVERY: f64 = 0.5;
 
 // ---------------------------------------------------------------- settings
 
-fn checked(mut settings: Settings) -> Result<Settings, SettingsError> {
+fn checked(mut settings: PolicySettings) -> Result<PolicySettings, PolicySettingsError> {
     if settings.classes.is_empty() {
-        return Err(SettingsError::NoClasses);
+        return Err(PolicySettingsError::NoClasses);
     }
-    if let Some(i) = settings.classes.iter().position(|c| c.aim.0 <= 0 || c.deadline.0 <= 0) {
-        return Err(SettingsError::BadAim(i));
+    if let Some(i) =
+        settings.classes.iter().position(|c| c.latency_objective.0 <= 0 || c.deadline.0 <= 0)
+    {
+        return Err(PolicySettingsError::BadLatencyObjective(i));
     }
     // Safe defaults: a zero tick or cold share would stop a clock or a cold server for ever.
     settings.tick.0 = settings.tick.0.max(100);
     settings.balancers = settings.balancers.max(1);
     settings.limits.max_attempts = settings.limits.max_attempts.max(1);
-    settings.rules.cold_from = settings.rules.cold_from.clamp(0.01, 1.0);
-    settings.rules.ask_every.0 = settings.rules.ask_every.0.max(settings.tick.0 * 10);
+    settings.rules.slow_start_initial_share =
+        settings.rules.slow_start_initial_share.clamp(0.01, 1.0);
+    settings.rules.poll_interval.0 = settings.rules.poll_interval.0.max(settings.tick.0 * 10);
     Ok(settings)
 }
 
 /// T_QoS: one target for all, as stated or the mean of the class aims.
-fn t_qos(settings: &Settings) -> f64 {
+fn t_qos(settings: &PolicySettings) -> f64 {
     if let Some(stated) = settings.t_qos.filter(|t| t.0 > 0) {
-        return stated.f();
+        return stated.as_micros_f64();
     }
-    settings.classes.iter().map(|c| c.aim.f()).sum::<f64>() / settings.classes.len() as f64
+    settings.classes.iter().map(|c| c.latency_objective.as_micros_f64()).sum::<f64>()
+        / settings.classes.len() as f64
 }
 
-fn sweep_every(settings: &Settings) -> Span {
-    let aim = settings.classes.iter().map(|c| c.aim.0).min().unwrap_or(0);
-    Span(((aim as f64 * SWEEP_OF_AIM) as i64).max(settings.tick.0))
+fn sweep_every(settings: &PolicySettings) -> Span {
+    let latency_objective =
+        settings.classes.iter().map(|c| c.latency_objective.0).min().unwrap_or(0);
+    Span(((latency_objective as f64 * SWEEP_OF_AIM) as i64).max(settings.tick.0))
 }
 
 // ---------------------------------------------------------------- state
@@ -152,7 +157,7 @@
 struct Entry {
     class: usize,
     key: Option<u64>,
-    drop_dead: Time,
+    deadline: Time,
     /// When an answer stops being worth anything.
     worth_until: Time,
     /// When a held request must be given up.
@@ -177,7 +182,7 @@
     zone: u32,
     kind: u32,
     cell: u32,
-    status: Status,
+    status: EndpointStatus,
     weight: f64,
     started: Option<Time>,
     identity: u64,
@@ -226,7 +231,8 @@
         }
         if self.streak >= forgiven {
             let times = 1 << (self.streak - forgiven).min(PAUSE_DOUBLINGS);
-            self.paused_until = now.plus(Span::of(ts * PAUSE_OF_TS * f64::from(times)));
+            self.paused_until =
+                now.plus(Span::from_micros_f64(ts * PAUSE_OF_TS * f64::from(times)));
         }
         self.streak = (self.streak + 1).min(STREAK + PAUSE_DOUBLINGS);
     }
@@ -240,7 +246,7 @@
             return; // Sent before the pause began: the same trouble, already counted.
         }
         let times = f64::from(1 << self.setbacks);
-        self.paused_until = now.plus(Span::of(ts * PAUSE_OF_TS * times));
+        self.paused_until = now.plus(Span::from_micros_f64(ts * PAUSE_OF_TS * times));
         self.setbacks = (self.setbacks + 1).min(PAUSE_DOUBLINGS);
     }
 }
@@ -255,7 +261,7 @@
 impl Tokens {
     /// What is there by now, at most `most`.
     fn by(&self, now: Time, rate: f64, most: f64) -> f64 {
-        (self.left + now.since(self.at).f().max(0.0) * rate).min(most)
+        (self.left + now.since(self.at).as_micros_f64().max(0.0) * rate).min(most)
     }
 }
 
@@ -268,7 +274,7 @@
 /// The bank's share of one proxy: all its decisions.
 #[derive(Debug)]
 pub struct Balancer {
-    settings: Settings,
+    settings: PolicySettings,
     t_qos: f64,
     rng: Rand64,
     servers: Vec<Server>,
@@ -316,7 +322,7 @@
     /// Takes in an answer of this latency, where the fleet's mean for its class is `mean`; returns
     /// how far a served one lay from those before it, squared.
     fn learn(&mut self, outcome: Outcome, latency: f64, mean: f64) -> Option<f64> {
-        if outcome == Outcome::Full && latency < mean * QUICK_OF_TS {
+        if outcome == Outcome::Rejected && latency < mean * QUICK_OF_TS {
             self.tp2 = Some(self.tp2.map_or(latency, |t| t.min(latency)));
         }
         let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
@@ -476,7 +482,9 @@
     /// Brings what is known of each upstream together with what is known of its kind.
     fn refresh_levels(&mut self, now: Time) {
         let rules = &self.settings.rules;
-        let forget = (-now.since(self.fleet.counted).f() / rules.cold.f().max(1.0)).exp();
+        let forget = (-now.since(self.fleet.counted).as_micros_f64()
+            / rules.slow_start.as_micros_f64().max(1.0))
+        .exp();
         let mut spread = vec![(0.0, 0.0); self.fleet.kinds.len()];
         for s in &mut self.servers {
             // What an upstream was a warm-up ago tells little of what it is.
@@ -499,21 +507,21 @@
         }
         if self.servers.iter().all(|s| s.present == 0.0) {
             // Nothing tells one from another, and N must not be zero.
-            let live = |s: &Server| f64::from(u8::from(s.status == Status::Live));
+            let live = |s: &Server| f64::from(u8::from(s.status == EndpointStatus::Live));
             self.servers.iter_mut().for_each(|s| s.present = live(s));
         }
     }
 
     /// Moves the lanes by one answer: up while its class has room, down once it has not.
     fn press(&mut self, class: usize, latency: f64) {
-        let aim = self.settings.classes[class].aim.f();
+        let latency_objective = self.settings.classes[class].latency_objective.as_micros_f64();
         let (least, fair) = (self.own_part(LEAST_LANES), self.own_part(START_LANES));
         let f = &mut self.fleet;
         let p = &mut f.pressure[class];
-        *p += ((latency / aim).min(2.0) - *p) * PRESSURE_GAIN;
+        *p += ((latency / latency_objective).min(2.0) - *p) * PRESSURE_GAIN;
         // Only the class that answers has a say: one refused whole would never update. Failure: work that
         // takes half its aim even alone kept the lanes at their floor, half refused beside idle cores.
-        let alone = f.unloaded[class] * UNCONTENDED / aim;
+        let alone = f.unloaded[class] * UNCONTENDED / latency_objective;
         let room = (1.0 - *p / alone.clamp(PRESSURE_TARGET, PRESSURE_MOST)).clamp(-1.0, 1.0);
         let used = (self.in_flight + self.queued) as f64 >= LANES_USED * f.lanes;
         if room < 0.0 {
@@ -529,13 +537,14 @@
     /// Requests out at an upstream, its K_i, and its N_i within the time `t`; for gauges.
     pub fn upstream(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
         let s = &self.servers[*self.by_id.get(&id)?];
-        Some((s.in_flight, self.k(s), self.n_rate(s) * t.f()))
+        Some((s.in_flight, self.k(s), self.n_rate(s) * t.as_micros_f64()))
     }
 
     /// Brings up to date what is reckoned over all upstreams.
     fn refresh(&mut self, now: Time) {
         for (c, queue) in self.class_queue.iter_mut().enumerate() {
-            let mut live = self.servers.iter().filter(|s| s.status == Status::Live).peekable();
+            let mut live =
+                self.servers.iter().filter(|s| s.status == EndpointStatus::Live).peekable();
             queue.shut_out = live.peek().is_some() && live.all(|s| s.trust[c].shuts_out(now));
         }
         self.refresh_levels(now);
@@ -548,7 +557,7 @@
     /// to what was left, which then answered hardly anything in time.
     fn presence(&self, now: Time, s: &Server) -> f64 {
         let cut = self.zones.get(&s.zone).is_some_and(|z| z.streak >= STREAK);
-        let there = s.status == Status::Live && s.setbacks == 0 && !cut;
+        let there = s.status == EndpointStatus::Live && s.setbacks == 0 && !cut;
         if there { self.cold_share(now, s).unwrap_or(1.0) } else { 0.0 }
     }
 
@@ -557,7 +566,7 @@
         if told().next().is_some() {
             self.fleet.tp2 = told().sum::<f64>() / told().count() as f64;
         }
-        let live = || self.servers.iter().filter(|s| s.status == Status::Live);
+        let live = || self.servers.iter().filter(|s| s.status == EndpointStatus::Live);
         let present: f64 = live().map(|s| s.present).sum();
         if self.fleet.present > 0.0 && present > 0.0 {
             // Failure: a fleet that doubled kept its old lanes, and refused beside idle upstreams.
@@ -581,7 +590,7 @@
     /// A client request has arrived; it is sent, held or refused.
     pub fn request(&mut self, now: Time, r: Request, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(r.class) else {
-            out.push(Action::Refuse { request: r.id, retry_after: Span(0) });
+            out.push(Action::Reject { request: r.id, retry_after: Span(0) });
             return;
         };
         if self.requests.contains_key(&r.id) {
@@ -589,16 +598,16 @@
         }
         // A held request is worth holding only while its aim can be met, also where a late answer
         // keeps some worth: else, in lasting overload, the whole queue is served late.
-        let aim_at = r.drop_dead.min(now.plus(class.aim));
-        let worth_until = if class.late_worth > 0.0 { r.drop_dead } else { aim_at };
+        let aim_at = r.deadline.min(now.plus(class.latency_objective));
+        let worth_until = if class.late_priority_weight > 0.0 { r.deadline } else { aim_at };
         // Two sweeps early at least: a refusal must come while it is still harmless.
         let harmless = aim_at.0 - 2 * sweep_every(&self.settings).0;
-        let least = Span::of(self.fleet.mean[r.class].0 * LEAST_LEFT);
+        let least = Span::from_micros_f64(self.fleet.mean[r.class].0 * LEAST_LEFT);
         let hold_until = Time(harmless.min(aim_at.0 - least.0));
         let entry = Entry {
             class: r.class,
             key: r.key,
-            drop_dead: r.drop_dead,
+            deadline: r.deadline,
             worth_until,
             hold_until,
             held: false,
@@ -610,7 +619,8 @@
         let late = self.late_for_sure(now, &r);
         // Where nobody has time enough one of a class at a time is tried, or no answer tells otherwise.
         // Failure: after answers slower than the aim a class was refused for good, by idle upstreams.
-        let usual = self.settings.classes[r.class].aim.0.min(self.full_wait[r.class].0);
+        let usual =
+            self.settings.classes[r.class].latency_objective.0.min(self.full_wait[r.class].0);
         let same = |e: &Entry| e.class == r.class && e.out();
         let hopeless = now.0 >= harmless || least.0 < usual || self.requests.values().any(same);
         let in_vain = now >= hold_until && hopeless;
@@ -629,14 +639,15 @@
     /// told by less time left than a first try brings. Failure: in overload, repeats past their
     /// aim took the slots, and most of what was served came late.
     fn late_for_sure(&mut self, now: Time, r: &Request) -> bool {
-        let (class, left) = (&self.settings.classes[r.class], r.drop_dead.since(now));
+        let (class, left) = (&self.settings.classes[r.class], r.deadline.since(now));
         let full = &mut self.full_wait[r.class];
         // The median, as most come with the same wait. Failure: by the longest, last tries that wait
         // to the very end made first tries look like repeats.
-        let step = (class.deadline.f() * FULL_WAIT_STEP).max(1.0) as i64;
+        let step = (class.deadline.as_micros_f64() * FULL_WAIT_STEP).max(1.0) as i64;
         full.0 = if full.0 == 0 { left.0 } else { full.0 + step * (left.0 - full.0).signum() };
-        let waited = class.deadline.f() - left.f();
-        left.f() < full.f() * FULL_WAIT && waited + self.fleet.mean[r.class].0 > class.aim.f()
+        let waited = class.deadline.as_micros_f64() - left.as_micros_f64();
+        left.as_micros_f64() < full.as_micros_f64() * FULL_WAIT
+            && waited + self.fleet.mean[r.class].0 > class.latency_objective.as_micros_f64()
     }
 
     /// Whether a tenant has asked this proxy for no more than its part of the quota, what was
@@ -676,9 +687,11 @@
     fn refresh_admission(&mut self) {
         let f = &mut self.fleet;
         let classes = &self.settings.classes;
-        let bear = |(c, (m, _)): (&Class, &(f64, f64))| c.aim.f() * HOLD_OF_AIM - m;
+        let bear = |(c, (m, _)): (&RequestClass, &(f64, f64))| {
+            c.latency_objective.as_micros_f64() * HOLD_OF_AIM - m
+        };
         f.bearable = classes.iter().zip(&f.mean).map(bear).fold(f64::MAX, f64::min).max(0.0);
-        let value = |c: usize, m: &[(f64, f64)]| classes[c].worth / m[c].0.max(1.0);
+        let value = |c: usize, m: &[(f64, f64)]| classes[c].priority_weight / m[c].0.max(1.0);
         for c in 0..classes.len() {
             let mine = value(c, &f.mean);
             let below = (0..classes.len()).filter(|&o| value(o, &f.mean) < mine).count();
@@ -690,7 +703,7 @@
 
     fn refuse(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let class = self.requests.get(&id).map_or(0, |e| e.class);
-        out.push(Action::Refuse { request: id, retry_after: self.come_back(class) });
+        out.push(Action::Reject { request: id, retry_after: self.come_back(class) });
         self.end(id);
     }
 
@@ -704,7 +717,7 @@
         }
         let over = (self.queued + self.in_flight) as f64 - self.room(class, true);
         let wait = over.max(0.0) / self.fleet.n_per_time.max(1e-9);
-        let wait = Span::of(wait.max(self.fleet.ts.0 * COME_BACK_OF_TS));
+        let wait = Span::from_micros_f64(wait.max(self.fleet.ts.0 * COME_BACK_OF_TS));
         if limits.max_retry_after.0 > 0 { wait.min(limits.max_retry_after) } else { wait }
     }
 
@@ -810,7 +823,7 @@
 
     fn has_slot(&self, now: Time, i: usize) -> bool {
         let s = &self.servers[i];
-        s.status == Status::Live
+        s.status == EndpointStatus::Live
             && s.in_flight < self.k(s)
             && now >= s.paused_until
             && self.cold_allows(now, s)
@@ -830,7 +843,7 @@
         s.trust[class].out += 1;
         self.zones.entry(s.zone).or_insert(Trust::new(now)).out += 1;
         let timeout = e.worth_until.since(now);
-        out.push(Action::Send { request: id, server: s.id, timeout });
+        out.push(Action::Forward { request: id, server: s.id, timeout });
     }
 }
 
@@ -848,48 +861,49 @@
     /// The one place that says whether a request may be sent (again), to this upstream.
     fn may_send(&self, now: Time, e: &Entry, server: usize) -> bool {
         let limits = &self.settings.limits;
-        if e.ended || now >= e.drop_dead || e.attempts.len() >= limits.max_attempts {
+        if e.ended || now >= e.deadline || e.attempts.len() >= limits.max_attempts {
             return false;
         }
-        if e.out() && !limits.second_copies {
+        if e.out() && !limits.hedging {
             return false;
         }
         let class = &self.settings.classes[e.class];
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => e.all_never_ran(),
-            Effect::Keyed => e.attempts.iter().filter(|a| a.fate != Fate::NeverRan).all(|a| {
-                now.since(a.sent) < class.window && self.same_group(class.group, a.server, server)
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => e.all_never_ran(),
+            Idempotency::Keyed => e.attempts.iter().filter(|a| a.fate != Fate::NeverRan).all(|a| {
+                now.since(a.sent) < class.dedup_window
+                    && self.same_group(class.dedup_scope, a.server, server)
             }),
         }
     }
 
-    fn same_group(&self, group: Group, a: usize, b: usize) -> bool {
+    fn same_group(&self, dedup_scope: DedupScope, a: usize, b: usize) -> bool {
         let (a, b) = (&self.servers[a], &self.servers[b]);
-        match group {
-            Group::All => true,
-            Group::Zone => a.zone == b.zone,
-            Group::Cell => a.zone == b.zone && a.cell == b.cell,
+        match dedup_scope {
+            DedupScope::All => true,
+            DedupScope::Zone => a.zone == b.zone,
+            DedupScope::Cell => a.zone == b.zone && a.cell == b.cell,
         }
     }
 
     /// The one place that says whether a request may be refused.
     fn may_refuse(&self, e: &Entry) -> bool {
         let class = &self.settings.classes[e.class];
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => e.all_never_ran(),
-            Effect::Keyed => class.group == Group::All || e.all_never_ran(),
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => e.all_never_ran(),
+            Idempotency::Keyed => class.dedup_scope == DedupScope::All || e.all_never_ran(),
         }
     }
 
     /// An attempt has ended.
-    pub fn outcome(&mut self, now: Time, a: Answer, out: &mut Vec<Action>) {
+    pub fn outcome(&mut self, now: Time, a: AttemptResult, out: &mut Vec<Action>) {
         let Some(e) = self.requests.get_mut(&a.request) else { return };
         let Some(attempt) = e.attempts.get_mut(a.attempt).filter(|t| t.fate == Fate::Out) else {
             return;
         };
-        attempt.fate = if a.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
+        attempt.fate = if a.outcome.not_executed() { Fate::NeverRan } else { Fate::MayHaveRun };
         let (server, sent) = (attempt.server, attempt.sent);
         let class = e.class;
         self.learn(now, class, server, sent, &a);
@@ -901,8 +915,8 @@
         self.dispatch(now, out);
     }
 
-    fn learn(&mut self, now: Time, class: usize, server: usize, sent: Time, a: &Answer) {
-        let latency = a.latency.f();
+    fn learn(&mut self, now: Time, class: usize, server: usize, sent: Time, a: &AttemptResult) {
+        let latency = a.latency.as_micros_f64();
         // Failure: once all is overfull nothing answers, and lanes that only answers move stay.
         // A time-out counts too, unless its upstream stands out: one that hangs tells of itself.
         let kind = self.servers[server].kind;
@@ -940,21 +954,21 @@
         zone.out = zone.out.saturating_sub(1);
         match a.outcome {
             Outcome::ConnectFailed => zone.fail(now, sent, self.fleet.ts.0, STREAK - 1),
-            Outcome::Ok | Outcome::Error | Outcome::Full => zone.streak = 0,
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => zone.streak = 0,
             _ => {}
         }
         let t = &mut s.trust[class];
         t.out -= 1;
         match a.outcome {
-            Outcome::Full => t.fail(now, sent, self.fleet.ts.0, 0),
+            Outcome::Rejected => t.fail(now, sent, self.fleet.ts.0, 0),
             Outcome::Error | Outcome::Reset | Outcome::Timeout => {
                 t.fail(now, sent, self.fleet.ts.0, STREAK - 1);
             }
             Outcome::Ok => t.streak = 0,
-            Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Superseded => {}
         }
         if a.outcome == Outcome::Timeout {
-            let until = now.plus(Span::of(latency * GHOST_OF_TIMEOUT));
+            let until = now.plus(Span::from_micros_f64(latency * GHOST_OF_TIMEOUT));
             self.ghosts.push((until, server));
         } else {
             self.in_flight -= 1;
@@ -984,7 +998,7 @@
         if e.held || e.out() {
             return;
         }
-        let live = |i: &usize| self.servers[*i].status == Status::Live;
+        let live = |i: &usize| self.servers[*i].status == EndpointStatus::Live;
         let again = (0..self.servers.len()).filter(live).any(|i| self.may_send(now, e, i));
         if again && now < e.hold_until {
             self.hold(id, true);
@@ -1031,11 +1045,11 @@
     fn cold_share(&self, now: Time, s: &Server) -> Option<f64> {
         let age = now.since(s.started?);
         let rules = &self.settings.rules;
-        if age >= rules.cold {
+        if age >= rules.slow_start {
             return None;
         }
-        let grown = (age.f() / rules.cold.f()).max(0.0);
-        Some(rules.cold_from + (1.0 - rules.cold_from) * grown)
+        let grown = (age.as_micros_f64() / rules.slow_start.as_micros_f64()).max(0.0);
+        Some(rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * grown)
     }
 
     fn cold_allows(&self, now: Time, s: &Server) -> bool {
@@ -1068,7 +1082,7 @@
     /// Weight of the warm upstreams of each kind.
     fn warm_weight(&self, now: Time) -> Vec<f64> {
         let mut weight = vec![0.0; self.fleet.kinds.len()];
-        for s in self.servers.iter().filter(|s| s.status == Status::Live) {
+        for s in self.servers.iter().filter(|s| s.status == EndpointStatus::Live) {
             if let Some(w) = weight.get_mut(s.kind as usize) {
                 *w += if self.cold_share(now, s).is_none() { s.weight } else { 0.0 };
             }
@@ -1093,25 +1107,26 @@
     }
 
     fn refresh_warm(&mut self, now: Time) {
-        let elapsed = now.since(self.fleet.counted).f();
+        let elapsed = now.since(self.fleet.counted).as_micros_f64();
         self.fleet.counted = now;
         for i in 0..self.servers.len() {
             let s = &self.servers[i];
             // Only by rates that stand. Failure: earned by sums still half made, the first
             // upstreams of the list had the whole fleet's rate, and fell over.
-            if let Some(earned) = self.earned(now, s).filter(|_| s.status == Status::Live) {
+            if let Some(earned) = self.earned(now, s).filter(|_| s.status == EndpointStatus::Live) {
                 self.servers[i].tokens = Tokens { left: earned, at: now };
             }
         }
         let weight = self.warm_weight(now);
-        let window = self.settings.rules.tip_after.f().max(1.0);
-        let cold = self.settings.rules.cold.f().max(1.0);
+        let dedup_window = self.settings.rules.overload_window.as_micros_f64().max(1.0);
+        let slow_start = self.settings.rules.slow_start.as_micros_f64().max(1.0);
         let f = &mut self.fleet;
-        f.kinds.iter_mut().for_each(|k| k.warm_served *= (-elapsed / window).exp());
+        f.kinds.iter_mut().for_each(|k| k.warm_served *= (-elapsed / dedup_window).exp());
         // Failure: when the warm ones slowed, the young, who did not, were held back with them.
         let keep = |peak: &mut f64, served: f64, weight: f64| {
-            let seen = if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
-            *peak = (*peak * (-elapsed / cold).exp()).max(seen);
+            let seen =
+                if weight > 0.0 && served >= 1.0 { served / dedup_window / weight } else { 0.0 };
+            *peak = (*peak * (-elapsed / slow_start).exp()).max(seen);
         };
         keep(&mut f.any_rate, f.kinds.iter().map(|k| k.warm_served).sum(), weight.iter().sum());
         for (k, weight) in f.kinds.iter_mut().zip(weight) {
@@ -1134,7 +1149,11 @@
 
 impl Balancer {
     /// A balancer that knows its settings and nothing else yet.
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
+    pub fn new(
+        settings: PolicySettings,
+        seed: u64,
+        now: Time,
+    ) -> Result<Self, PolicySettingsError> {
         let settings = checked(settings)?;
         let t_qos = t_qos(&settings);
         Ok(Self {
@@ -1174,11 +1193,13 @@
     }
 
     fn jitter(&mut self, of_every: f64) -> Span {
-        Span::of(self.rng.rand_float() * of_every * self.settings.rules.ask_every.f())
+        Span::from_micros_f64(
+            self.rng.rand_float() * of_every * self.settings.rules.poll_interval.as_micros_f64(),
+        )
     }
 
     fn arm(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Arm { token: SWEEP, at: now.plus(sweep_every(&self.settings)) });
+        out.push(Action::SetTimer { token: SWEEP, at: now.plus(sweep_every(&self.settings)) });
     }
 
     /// A timer is due.
@@ -1195,16 +1216,18 @@
     }
 
     fn ask_for_list(&mut self, now: Time, out: &mut Vec<Action>) {
-        if !self.settings.must_ask || self.ask.subscribed || now < self.ask.next {
+        if !self.settings.polls || self.ask.subscribed || now < self.ask.next {
             return;
         }
         out.push(Action::Subscribe);
-        let again = Span::of(self.settings.rules.ask_every.f() * ASK_AGAIN_OF_EVERY);
+        let again = Span::from_micros_f64(
+            self.settings.rules.poll_interval.as_micros_f64() * ASK_AGAIN_OF_EVERY,
+        );
         self.ask.next = now.plus(again).plus(self.jitter(ASK_JITTER_OF_EVERY));
     }
 
     /// The list of upstreams, or a change to it.
-    pub fn members(&mut self, now: Time, kind: ListKind, list: &[Member], out: &mut Vec<Action>) {
+    pub fn members(&mut self, now: Time, kind: ListKind, list: &[Endpoint], out: &mut Vec<Action>) {
         match kind {
             ListKind::Unavailable => {
                 self.ask.subscribed = false;
@@ -1214,14 +1237,14 @@
                 return;
             }
             ListKind::Restored => {}
-            ListKind::Update | ListKind::Whole => {
+            ListKind::Update | ListKind::Full => {
                 self.ask.subscribed = true;
                 self.ask.failures = 0;
             }
         }
         let before = self.warm_weight(now);
         if kind != ListKind::Update {
-            self.servers.iter_mut().for_each(|s| s.status = Status::Gone);
+            self.servers.iter_mut().for_each(|s| s.status = EndpointStatus::Gone);
         }
         for m in list {
             self.member(now, m);
@@ -1246,7 +1269,7 @@
         self.by_id.retain(|_, &mut i| {
             let s = &mut servers[i];
             let tried = |e: &Entry| e.attempts.iter().any(|a| a.server == i);
-            if s.status != Status::Gone || s.in_flight > 0 || requests.values().any(tried) {
+            if s.status != EndpointStatus::Gone || s.in_flight > 0 || requests.values().any(tried) {
                 return true;
             }
             s.est = Estimate::NONE;
@@ -1257,8 +1280,8 @@
         vacant.sort_unstable_by(|a, b| b.cmp(a));
     }
 
-    fn member(&mut self, now: Time, m: &Member) {
-        if m.status == Status::Gone && !self.knows(m.id) {
+    fn member(&mut self, now: Time, m: &Endpoint) {
+        if m.status == EndpointStatus::Gone && !self.knows(m.id) {
             return;
         }
         let i = self.by_id.get(&m.id).copied().unwrap_or_else(|| {
@@ -1301,5 +1324,12 @@
     }
 
     /// A probe was answered.
-    pub fn probed(&mut self, _server: ServerId, _ok: bool, _latency: Span, _report: Report) {}
+    pub fn health_checked(
+        &mut self,
+        _server: ServerId,
+        _ok: bool,
+        _latency: Span,
+        _report: LoadReport,
+    ) {
+    }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -8,40 +8,44 @@
 
 pub const MS: i64 = 1000;
 
-pub fn class(effect: Effect) -> Class {
-    Class {
-        aim: Span(200 * MS),
+pub fn class(idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: Span(200 * MS),
         deadline: Span(600 * MS),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group: Group::Zone,
-        window: Span(300 * MS),
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
+        idempotency,
+        dedup_scope: DedupScope::Zone,
+        dedup_window: Span(300 * MS),
     }
 }
 
-pub fn settings() -> Settings {
-    Settings {
-        classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
+pub fn settings() -> PolicySettings {
+    PolicySettings {
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed),
+            class(Idempotency::NonIdempotent),
+        ],
         tenants: vec![],
         balancers: 1,
         zone: 0,
         tick: Span(MS),
-        must_ask: false,
-        limits: Limits {
+        polls: false,
+        limits: AttemptLimits {
             max_attempts: 3,
-            second_copies: true,
+            hedging: true,
             cancel: true,
-            probes: false,
+            health_checks: false,
             retry_after: true,
             max_retry_after: Span(300 * MS),
         },
-        rules: Rules {
-            cold_from: 0.2,
-            cold: Span(10_000 * MS),
-            fall_multiple: 3.0,
-            tip_after: Span(1000 * MS),
-            ask_every: Span(10_000 * MS),
+        rules: SafetyRules {
+            slow_start_initial_share: 0.2,
+            slow_start: Span(10_000 * MS),
+            overload_factor: 3.0,
+            overload_window: Span(1000 * MS),
+            poll_interval: Span(10_000 * MS),
         },
         cross_zone_price: 0.0,
         warm_keys: false,
@@ -49,14 +53,14 @@
     }
 }
 
-pub fn member(id: u32, zone: u32) -> Member {
-    Member {
+pub fn member(id: u32, zone: u32) -> Endpoint {
+    Endpoint {
         id: ServerId(id),
         identity: u64::from(id) * 7919,
         zone,
         kind: 0,
         cell: id / 2,
-        status: Status::Live,
+        status: EndpointStatus::Live,
         weight: 1.0,
         started: None,
     }
@@ -72,16 +76,16 @@
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub class: usize,
-    pub drop_dead: Time,
+    pub deadline: Time,
     pub tries: Vec<Try>,
     pub over: bool,
 }
 
 pub struct World {
-    pub settings: Settings,
+    pub settings: PolicySettings,
     pub balancer: Balancer,
     pub now: Time,
-    pub members: BTreeMap<u32, Member>,
+    pub members: BTreeMap<u32, Endpoint>,
     pub asked: BTreeMap<u64, Asked>,
     pub timers: Vec<(u64, Time)>,
     pub log: Vec<Action>,
@@ -91,7 +95,7 @@
 }
 
 impl World {
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: PolicySettings) -> Self {
         let now = Time(1_000_000 * MS);
         let balancer = Balancer::new(settings.clone(), 7, now).expect("settings are sound");
         let mut world = Self {
@@ -110,16 +114,16 @@
         world
     }
 
-    pub fn with_servers(settings: Settings, n: u32) -> Self {
+    pub fn with_servers(settings: PolicySettings, n: u32) -> Self {
         let mut world = Self::new(settings);
         let list: Vec<_> = (0..n).map(|i| member(i, i % 2)).collect();
         world.list(ListKind::Restored, &list);
         world
     }
 
-    pub fn list(&mut self, kind: ListKind, list: &[Member]) {
-        if matches!(kind, ListKind::Whole | ListKind::Restored) {
-            self.members.values_mut().for_each(|m| m.status = Status::Gone);
+    pub fn list(&mut self, kind: ListKind, list: &[Endpoint]) {
+        if matches!(kind, ListKind::Full | ListKind::Restored) {
+            self.members.values_mut().for_each(|m| m.status = EndpointStatus::Gone);
         }
         if kind != ListKind::Unavailable {
             self.members.extend(list.iter().map(|m| (m.id.0, *m)));
@@ -133,11 +137,11 @@
         self.request_until(id, class, self.now.plus(wait));
     }
 
-    pub fn request_until(&mut self, id: u64, class: usize, drop_dead: Time) {
-        let asked = Asked { class, drop_dead, tries: vec![], over: false };
+    pub fn request_until(&mut self, id: u64, class: usize, deadline: Time) {
+        let asked = Asked { class, deadline, tries: vec![], over: false };
         assert!(self.asked.insert(id, asked).is_none(), "ids are not repeated");
         let tenant = self.tenant;
-        let request = Request { id: RequestId(id), class, tenant, key: Some(id % 5), drop_dead };
+        let request = Request { id: RequestId(id), class, tenant, key: Some(id % 5), deadline };
         self.balancer.request(self.now, request, &mut self.actions);
         self.obey();
     }
@@ -148,14 +152,14 @@
         let Some(t) = asked.tries.get_mut(attempt).filter(|t| t.ended.is_none()) else { return };
         t.ended = Some(outcome);
         asked.over |= outcome == Outcome::Ok;
-        let answer = Answer {
+        let answer = AttemptResult {
             request: RequestId(id),
             attempt,
             server: t.server,
             outcome,
             latency: self.now.since(t.sent),
             last: asked.over,
-            report: Report::default(),
+            report: LoadReport::default(),
         };
         self.balancer.outcome(self.now, answer, &mut self.actions);
         self.obey();
@@ -187,7 +191,7 @@
     }
 
     fn time_out(&mut self) {
-        let due = |a: &Asked| a.drop_dead <= self.now;
+        let due = |a: &Asked| a.deadline <= self.now;
         let late: Vec<u64> = self.asked.iter().filter(|(_, a)| due(a)).map(|(id, _)| *id).collect();
         for id in late {
             for attempt in 0..self.asked[&id].tries.len() {
@@ -200,21 +204,24 @@
         for action in std::mem::take(&mut self.actions) {
             self.log.push(action);
             match action {
-                Action::Send { request, server, timeout } => self.sent(request.0, server, timeout),
-                Action::Refuse { request, .. } => {
+                Action::Forward { request, server, timeout } => {
+                    self.sent(request.0, server, timeout)
+                }
+                Action::Reject { request, .. } => {
                     let class = &self.settings.classes[self.asked[&request.0].class];
                     let ran = self.asked[&request.0].tries.iter().any(may_have_run);
-                    let harmless = class.effect == Effect::Safe
-                        || (class.effect == Effect::Keyed && class.group == Group::All);
+                    let harmless = class.idempotency == Idempotency::Idempotent
+                        || (class.idempotency == Idempotency::Keyed
+                            && class.dedup_scope == DedupScope::All);
                     assert!(harmless || !ran, "refused {request:?} that may have run");
                     self.end(request.0);
                 }
                 Action::Fail { request } => self.end(request.0),
-                Action::Arm { token, at } => self.timers.push((token, at)),
+                Action::SetTimer { token, at } => self.timers.push((token, at)),
                 Action::Cancel { request, attempt } => {
                     assert!(attempt < self.asked[&request.0].tries.len(), "cancels what was sent");
                 }
-                Action::Probe { .. } | Action::Subscribe => {}
+                Action::CheckHealth { .. } | Action::Subscribe => {}
             }
         }
     }
@@ -228,25 +235,31 @@
     fn sent(&mut self, id: u64, server: ServerId, timeout: Span) {
         let asked = &self.asked[&id];
         assert!(!asked.over, "sent {id} after its end");
-        assert!(self.now < asked.drop_dead && timeout.0 > 0);
-        assert!(self.now.plus(timeout) <= asked.drop_dead, "time-out past the client's");
-        assert_eq!(self.members[&server.0].status, Status::Live, "sent to a drained upstream");
+        assert!(self.now < asked.deadline && timeout.0 > 0);
+        assert!(self.now.plus(timeout) <= asked.deadline, "time-out past the client's");
+        assert_eq!(
+            self.members[&server.0].status,
+            EndpointStatus::Live,
+            "sent to a drained upstream"
+        );
         assert!(asked.tries.len() < self.settings.limits.max_attempts);
-        if !self.settings.limits.second_copies {
+        if !self.settings.limits.hedging {
             assert!(asked.tries.iter().all(|t| t.ended.is_some()), "two copies out");
         }
         let class = &self.settings.classes[asked.class];
         for before in asked.tries.iter().filter(|t| may_have_run(t)) {
-            let same = match class.group {
-                Group::All => true,
-                Group::Zone => self.zone(before.server) == self.zone(server),
-                Group::Cell => self.members[&before.server.0].cell == self.members[&server.0].cell,
+            let same = match class.dedup_scope {
+                DedupScope::All => true,
+                DedupScope::Zone => self.zone(before.server) == self.zone(server),
+                DedupScope::Cell => {
+                    self.members[&before.server.0].cell == self.members[&server.0].cell
+                }
             };
-            let kept = self.now.since(before.sent) < class.window;
-            let allowed = match class.effect {
-                Effect::Safe => true,
-                Effect::Keyed => same && kept,
-                Effect::Unsafe => false,
+            let kept = self.now.since(before.sent) < class.dedup_window;
+            let allowed = match class.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed => same && kept,
+                Idempotency::NonIdempotent => false,
             };
             assert!(allowed, "effect of {id} may happen twice");
         }
@@ -263,7 +276,7 @@
     }
 
     pub fn refused(&self, id: u64) -> bool {
-        self.log.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
+        self.log.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
 
     pub fn failed(&self, id: u64) -> bool {
@@ -271,11 +284,11 @@
     }
 
     pub fn sends_to(&self, server: u32) -> usize {
-        let to = |a: &&Action| matches!(a, Action::Send { server: s, .. } if s.0 == server);
+        let to = |a: &&Action| matches!(a, Action::Forward { server: s, .. } if s.0 == server);
         self.log.iter().filter(to).count()
     }
 }
 
 fn may_have_run(t: &Try) -> bool {
-    !t.ended.is_some_and(Outcome::never_ran)
+    !t.ended.is_some_and(Outcome::not_executed)
 }
--- a/crates/policy/tests/mechanism/choice.rs
+++ b/crates/policy/tests/mechanism/choice.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_key_stays_with_its_upstream_while_it_has_a_slot() {
-    let mut w = World::with_servers(Settings { warm_keys: true, ..settings() }, 8);
+    let mut w = World::with_servers(PolicySettings { warm_keys: true, ..settings() }, 8);
     for i in 0..10 {
         w.request(i * 5, 0);
         serve(&mut w, i * 5, 20);
@@ -63,7 +63,7 @@
     // Failure: with near upstreams always first, a zone with more clients than upstreams was
     // overrun while others idled.
     let far_sends = |near_ms: i64| {
-        let mut w = World::with_servers(Settings { cross_zone_price: 0.1, ..settings() }, 4);
+        let mut w = World::with_servers(PolicySettings { cross_zone_price: 0.1, ..settings() }, 4);
         for id in 0..600 {
             w.request(id, 0);
             let Some(ServerId(server)) = w.out(id) else { continue };
@@ -82,7 +82,7 @@
     // Failure: each of two kinds was quick at one class and slow at the other, and one slowness for
     // all classes made them look alike.
     let mut w = World::new(settings());
-    let list: Vec<_> = (0..4).map(|i| Member { kind: i % 2, ..member(i, 0) }).collect();
+    let list: Vec<_> = (0..4).map(|i| Endpoint { kind: i % 2, ..member(i, 0) }).collect();
     w.list(ListKind::Restored, &list);
     let suits = |class: usize, server: ServerId| class as u32 == server.0 % 2;
     let mut suited = [0; 2];
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_upstream_that_fails_one_class_is_tried_ever_less_often_for_it_alone() {
-    for outcome in [Outcome::Full, Outcome::Error, Outcome::Reset] {
+    for outcome in [Outcome::Rejected, Outcome::Error, Outcome::Reset] {
         let mut w = World::with_servers(settings(), 1);
         let (mut failed, mut served) = (0, 0);
         for id in 0..400 {
@@ -123,7 +123,12 @@
 }
 
 /// How the last of these requests were spread over upstreams, which each take so long.
-fn sends_where(list: &[Member], requests: u64, counted: u64, ms: impl Fn(u32) -> i64) -> Vec<u64> {
+fn sends_where(
+    list: &[Endpoint],
+    requests: u64,
+    counted: u64,
+    ms: impl Fn(u32) -> i64,
+) -> Vec<u64> {
     let mut w = World::new(settings());
     w.list(ListKind::Restored, list);
     let mut sends = vec![0; list.len()];
@@ -140,7 +145,7 @@
 fn a_kind_stands_in_for_upstreams_with_hardly_an_answer() {
     // Failure: each of 300 proxies had one or two answers of an upstream in a whole day. All seemed
     // equal; 75 small ones got 38% of all tries, and a quarter of these failed.
-    let list: Vec<_> = (0..200).map(|i| Member { kind: i % 2, ..member(i, 0) }).collect();
+    let list: Vec<_> = (0..200).map(|i| Endpoint { kind: i % 2, ..member(i, 0) }).collect();
     let sends = sends_where(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
     let quick: u64 = sends.iter().step_by(2).sum();
     assert!(quick > 90, "of 120, with half an answer an upstream: {quick}");
--- a/crates/policy/tests/mechanism/cold_start.rs
+++ b/crates/policy/tests/mechanism/cold_start.rs
@@ -12,7 +12,7 @@
         w.request(id, 0);
         serve(&mut w, id, 5);
     }
-    let young = Member { started: Some(w.now), ..member(9, 0) };
+    let young = Endpoint { started: Some(w.now), ..member(9, 0) };
     w.list(ListKind::Update, &[young]);
     for id in 200..400 {
         w.request(id, 0);
@@ -27,9 +27,9 @@
 fn a_fleet_that_is_young_as_a_whole_gets_work() {
     // Failure: the pace came from warm upstreams alone, and there was none.
     let mut w = World::new(settings());
-    let young = |i| Member { started: Some(w.now), ..member(i, 0) };
+    let young = |i| Endpoint { started: Some(w.now), ..member(i, 0) };
     let list: Vec<_> = (0..4).map(young).collect();
-    w.list(ListKind::Whole, &list);
+    w.list(ListKind::Full, &list);
     let mut served = 0;
     for id in 0..400 {
         w.request(id, 0);
@@ -63,7 +63,7 @@
         w.sends_to(2) - before
     };
     young_sends(&mut w, 100, 1);
-    w.list(ListKind::Update, &[Member { started: Some(w.now), ..member(2, 0) }]);
+    w.list(ListKind::Update, &[Endpoint { started: Some(w.now), ..member(2, 0) }]);
     let quick = young_sends(&mut w, 100, 1);
     young_sends(&mut w, 100, 25);
     let slow = young_sends(&mut w, 100, 25);
@@ -83,9 +83,10 @@
     };
     run(&mut w);
     let started = |i| (i == young).then_some(w.now);
-    let list: Vec<_> = (0..n).map(|i| Member { started: started(i), ..member(i, i % 2) }).collect();
+    let list: Vec<_> =
+        (0..n).map(|i| Endpoint { started: started(i), ..member(i, i % 2) }).collect();
     let before = w.sends_to(young);
-    w.list(ListKind::Whole, &list);
+    w.list(ListKind::Full, &list);
     run(&mut w);
     w.sends_to(young) - before
 }
@@ -119,9 +120,9 @@
         young(w) - before
     };
     let warm = run(&mut w, 100) / 20;
-    let young = |i| Member { started: (i > 0).then_some(w.now), ..member(i, i % 2) };
+    let young = |i| Endpoint { started: (i > 0).then_some(w.now), ..member(i, i % 2) };
     let list: Vec<_> = (0..40).map(young).collect();
-    w.list(ListKind::Whole, &list);
+    w.list(ListKind::Full, &list);
     // At a fifth of the capacity, twice that for chance; before it is known what one can serve.
     let cold = run(&mut w, 5);
     assert!(cold > 0 && cold <= 2 * warm / 5, "{cold} sends in 0.1 s, {warm} when warm");
--- a/crates/policy/tests/mechanism/queue.rs
+++ b/crates/policy/tests/mechanism/queue.rs
@@ -19,7 +19,7 @@
     w.outcome(0, 0, Outcome::Ok);
     assert!(w.out(k).is_some(), "the head of the queue goes first");
     let sent = |a: &Action| match a {
-        Action::Send { request, .. } => Some(request.0),
+        Action::Forward { request, .. } => Some(request.0),
         _ => None,
     };
     let order: Vec<u64> = w.log.iter().filter_map(sent).collect();
@@ -41,7 +41,7 @@
 fn a_class_with_a_long_aim_does_not_starve_a_short_one() {
     // Failure: the queue filled with requests of long aims until no short one could be held.
     let mut s = settings();
-    s.classes[0].aim = Span(2000 * MS);
+    s.classes[0].latency_objective = Span(2000 * MS);
     s.classes[0].deadline = Span(4000 * MS);
     let mut w = World::with_servers(s, 2);
     for id in 0..300 {
@@ -73,10 +73,10 @@
 #[test]
 fn a_tenant_past_its_quota_leaves_room_for_the_others() {
     // Failure: in overload a tenant past its quota, worth little there, took the slots of the others.
-    let quota = |quota_rps| Tenant { quota_rps };
+    let quota = |quota_rps| TenantQuota { quota_rps };
     let tenants = vec![quota(5.0), quota(1000.0)];
-    let classes = vec![common::class(Effect::Safe)];
-    let mut w = World::with_servers(Settings { tenants, classes, ..settings() }, 2);
+    let classes = vec![common::class(Idempotency::Idempotent)];
+    let mut w = World::with_servers(PolicySettings { tenants, classes, ..settings() }, 2);
     w.pass(Span(500 * MS));
     let held = |w: &World, ids: std::ops::Range<u64>| ids.filter(|id| !w.asked[id].over).count();
     (0..100).for_each(|id| w.request(id, 0));
--- a/crates/policy/tests/mechanism/slots.rs
+++ b/crates/policy/tests/mechanism/slots.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn an_upstream_that_never_answered_gets_one_slot_at_least() {
-    let s = Settings { balancers: 50, ..settings() };
+    let s = PolicySettings { balancers: 50, ..settings() };
     let w = World::with_servers(s, 4);
     for i in 0..4 {
         assert_eq!(w.balancer.upstream(ServerId(i), Span(MS)).unwrap().1, 1);
@@ -112,7 +112,7 @@
     let before = k(&w);
     w.request(300, 0);
     w.pass(Span(95 * MS));
-    w.outcome(300, 0, Outcome::Full);
+    w.outcome(300, 0, Outcome::Rejected);
     w.pass(Span(400 * MS));
     assert!(k(&w) <= before + 1, "{} after {before}", k(&w));
 }
@@ -122,8 +122,8 @@
     // Failure: when most of a fleet was new and cold, the lanes meant for all went to the rest, which
     // then answered hardly anything in time.
     let out_with = |young: u32| {
-        let mut w = World::with_servers(Settings { balancers: 40, ..settings() }, 100);
-        let new = |i| Member { started: Some(w.now), ..member(i, i % 2) };
+        let mut w = World::with_servers(PolicySettings { balancers: 40, ..settings() }, 100);
+        let new = |i| Endpoint { started: Some(w.now), ..member(i, i % 2) };
         let list: Vec<_> = (0..young).map(new).collect();
         w.list(ListKind::Update, &list);
         (0..200).for_each(|id| w.request(id, 0));
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_part_that_shrinks_is_given_up_at_once_and_one_that_grows_is_a_start() {
-    let mut w = World::with_servers(Settings { balancers: 4, ..settings() }, 16);
+    let mut w = World::with_servers(PolicySettings { balancers: 4, ..settings() }, 16);
     let quarter = lanes(&mut w, 0..400);
     w.balancer.shared_by(16);
     let sixteenth = lanes(&mut w, 400..800);
@@ -155,7 +155,7 @@
     let again = lanes(&mut w, 800..1200);
     assert!(again > sixteenth && again <= quarter + 16, "{sixteenth}, then {again} of {quarter}");
     // One that was told a multitude before it had a part begins as one that knew at its start.
-    let mut w = World::new(Settings { balancers: 4, ..settings() });
+    let mut w = World::new(PolicySettings { balancers: 4, ..settings() });
     w.balancer.shared_by(10_000);
     let list: Vec<_> = (0..16).map(|i| member(i, i % 2)).collect();
     w.list(ListKind::Restored, &list);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -28,23 +28,23 @@
 #[test]
 fn what_follows_an_outcome_depends_on_effect_and_outcome() {
     let may_run = [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled];
-    let never_ran = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
-    for o in never_ran.into_iter().chain(may_run) {
+    let not_executed = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Superseded];
+    for o in not_executed.into_iter().chain(may_run) {
         assert_eq!(after(SAFE, o), "again", "{o:?}");
         assert_eq!(after(KEYED, o), "again", "{o:?}");
     }
-    never_ran.iter().for_each(|o| assert_eq!(after(UNSAFE, *o), "again", "{o:?}"));
+    not_executed.iter().for_each(|o| assert_eq!(after(UNSAFE, *o), "again", "{o:?}"));
     may_run.iter().for_each(|o| assert_eq!(after(UNSAFE, *o), "failed", "{o:?}"));
 }
 
 #[test]
 fn a_keyed_repeat_outside_its_group_is_failed_not_refused() {
     let mut w = World::new(settings());
-    w.list(ListKind::Whole, &[member(0, 0), member(1, 1)]);
+    w.list(ListKind::Full, &[member(0, 0), member(1, 1)]);
     w.request(1, KEYED);
     let first = w.out(1).unwrap();
     let other = member(1 - first.0, 1 - first.0);
-    w.list(ListKind::Whole, &[other]);
+    w.list(ListKind::Full, &[other]);
     w.outcome(1, 0, Outcome::Error);
     assert!(w.failed(1), "no live upstream would drop the repeat");
 }
@@ -64,7 +64,7 @@
     for id in 0..30 {
         w.request(id, SAFE);
     }
-    let draining = Member { status: Status::Draining, ..member(0, 0) };
+    let draining = Endpoint { status: EndpointStatus::Draining, ..member(0, 0) };
     w.list(ListKind::Update, &[draining]);
     let before = w.sends_to(0);
     for id in 0..30 {
@@ -81,7 +81,7 @@
     Outcome { id: u64, attempt: usize, outcome: Outcome },
     Pass { ms: i64 },
     Gone { id: u64 },
-    Status { id: u32, status: Status, young: bool },
+    EndpointStatus { id: u32, status: EndpointStatus, young: bool },
     Whole { count: u32 },
     Unavailable,
     StrayTimer { token: u64 },
@@ -91,17 +91,21 @@
     prop_oneof![
         4 => Just(Outcome::Ok),
         1 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::Rejected),
         1 => Just(Outcome::Timeout),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
         1 => Just(Outcome::Cancelled),
-        1 => Just(Outcome::Moot),
+        1 => Just(Outcome::Superseded),
     ]
 }
 
 fn events() -> impl Strategy<Value = Event> {
-    let status = prop_oneof![Just(Status::Live), Just(Status::Draining), Just(Status::Gone)];
+    let status = prop_oneof![
+        Just(EndpointStatus::Live),
+        Just(EndpointStatus::Draining),
+        Just(EndpointStatus::Gone)
+    ];
     prop_oneof![
         8 => (0..3usize, 0..700i64).prop_map(|(class, wait_ms)| Event::Request { class, wait_ms }),
         8 => (0..60u64, 0..3usize, outcomes())
@@ -109,7 +113,7 @@
         6 => (0..80i64).prop_map(|ms| Event::Pass { ms }),
         1 => (0..60u64).prop_map(|id| Event::Gone { id }),
         2 => (0..8u32, status, any::<bool>())
-            .prop_map(|(id, status, young)| Event::Status { id, status, young }),
+            .prop_map(|(id, status, young)| Event::EndpointStatus { id, status, young }),
         1 => (0..8u32).prop_map(|count| Event::Whole { count }),
         1 => Just(Event::Unavailable),
         1 => (0..9u64).prop_map(|token| Event::StrayTimer { token }),
@@ -127,13 +131,13 @@
             Event::Outcome { id, attempt, outcome } => w.outcome(id, attempt, outcome),
             Event::Pass { ms } => w.pass(Span(ms * MS)),
             Event::Gone { id } => w.gone(id),
-            Event::Status { id, status, young } => {
+            Event::EndpointStatus { id, status, young } => {
                 let started = young.then_some(w.now);
-                w.list(ListKind::Update, &[Member { status, started, ..member(id, id % 2) }]);
+                w.list(ListKind::Update, &[Endpoint { status, started, ..member(id, id % 2) }]);
             }
             Event::Whole { count } => {
                 let list: Vec<_> = (0..count).map(|i| member(i, i % 2)).collect();
-                w.list(ListKind::Whole, &list);
+                w.list(ListKind::Full, &list);
             }
             Event::Unavailable => w.list(ListKind::Unavailable, &[]),
             Event::StrayTimer { token } => {
@@ -153,9 +157,9 @@
     let input = (any::<[bool; 3]>(), prop::collection::vec(events(), 1..250));
     let result = runner.run(&input, |([copies, ask, keys], events)| {
         let mut s = settings();
-        (s.limits.second_copies, s.must_ask, s.warm_keys) = (copies, ask, keys);
+        (s.limits.hedging, s.polls, s.warm_keys) = (copies, ask, keys);
         if copies {
-            s.tenants = vec![Tenant { quota_rps: 5.0 }];
+            s.tenants = vec![TenantQuota { quota_rps: 5.0 }];
         }
         let mut w = World::with_servers(s, 4);
         play(&mut w, events);
--- a/crates/rehearsal/src/account.rs
+++ b/crates/rehearsal/src/account.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::script::{Effect, MS, S, Script};
+use crate::script::{Idempotency, MS, S, Script};
 use crate::timeline::Timeline;
 
 /// What a client received for one try.
@@ -361,7 +361,7 @@
     for (one, end) in facts.tries.iter().zip(ends) {
         by_id.insert(&one.id, one);
         let class = &script.classes[facts.arrivals[one.arrival].1];
-        let effect = class.effect == Effect::Unsafe;
+        let idempotency = class.idempotency == Idempotency::NonIdempotent;
         let describe = || {
             let (sent, ended) = (one.sent as f64 / 1e6, one.ended as f64 / 1e6);
             let (name, b) = (&class.name, one.balancer + 1);
@@ -371,15 +371,15 @@
         if *end == End::Lost {
             breaches.note(|b| &mut b.lost, || format!("lost: {}: {:?}", describe(), one.answer));
         }
-        if effect && ran > 1 {
+        if idempotency && ran > 1 {
             breaches
                 .note(|b| &mut b.doubled, || format!("doubled: {} ran {ran} times", describe()));
         }
-        if effect && ran > 0 && one.answer == Answer::Refused {
+        if idempotency && ran > 0 && one.answer == Answer::Refused {
             breaches.note(|b| &mut b.refused_ran, || format!("refused and ran: {}", describe()));
         }
-        let made_up =
-            one.answer == Answer::Wrong || (one.answer == Answer::Served && effect && ran == 0);
+        let made_up = one.answer == Answer::Wrong
+            || (one.answer == Answer::Served && idempotency && ran == 0);
         if made_up {
             breaches.note(|b| &mut b.invented, || format!("answer of no node: {}", describe()));
         }
--- a/crates/rehearsal/src/read/fleet.rs
+++ b/crates/rehearsal/src/read/fleet.rs
@@ -154,8 +154,11 @@
         let aim = table.need_number("aim_ms", 1.0..=HOUR_MS, " ms");
         let deadline = table.need_number("deadline_ms", 1.0..=HOUR_MS, " ms");
         let worth = table.number("worth", 0.001..=1e6, "");
-        let effect = table.choice("effect", &[("safe", Effect::Safe), ("unsafe", Effect::Unsafe)]);
-        if effect.is_none() && !table.has("effect") {
+        let idempotency = table.choice(
+            "effect",
+            &[("safe", Idempotency::Idempotent), ("unsafe", Idempotency::NonIdempotent)],
+        );
+        if idempotency.is_none() && !table.has("effect") {
             table.missing("effect", "\"safe\" or \"unsafe\"");
         }
         if let (Some(aim), Some(deadline)) = (&aim, &deadline)
@@ -165,7 +168,9 @@
         }
         table.finish();
         let (Some(name), Some(share), Some(work)) = (name, share, work) else { continue };
-        let (Some(aim), Some(deadline), Some(effect)) = (aim, deadline, effect) else { continue };
+        let (Some(aim), Some(deadline), Some(idempotency)) = (aim, deadline, idempotency) else {
+            continue;
+        };
         classes.push(Class {
             name: name.value,
             share: share.value,
@@ -175,7 +180,7 @@
             aim: us(aim.value),
             deadline: us(deadline.value),
             worth: worth.map_or(1.0, |n| n.value),
-            effect: effect.value,
+            idempotency: idempotency.value,
         });
     }
     if !tables.is_empty() && classes.len() == tables.len() && classes.iter().all(|c| c.share == 0.0)
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -90,11 +90,11 @@
 
 /// Whether requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeating one does no harm.
-    Safe,
+    Idempotent,
     /// A repeated one takes effect twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
@@ -117,7 +117,7 @@
     /// Priority value of an answer in time.
     pub worth: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// The load.
--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -16,7 +16,7 @@
 use sableloom_serverlist::{self as serverlist, Lists};
 use sableloom_site::{Pool, Site, Target};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_types::Status;
+use sableloom_types::EndpointStatus;
 
 use crate::site_file::{files, load};
 
@@ -188,13 +188,13 @@
         return Err(format!("{file}: its routes come from control machines, not from the site"));
     }
     let Request { method, uri, headers } = request(options)?;
-    let facts = site.client_facts();
+    let settings = site.client_settings();
     let methods = site
         .classes
         .iter()
         .map(|class| class.methods.iter().filter_map(|m| m.parse().ok()).collect::<Vec<Method>>());
     let dialect = Dialect::Open(methods.collect());
-    let class = class_of(&facts, &dialect, &method, &uri, &headers).map_err(|status| {
+    let class = class_of(&settings, &dialect, &method, &uri, &headers).map_err(|status| {
         format!("the request is of no class: it is answered with {status}, before any route")
     })?;
     let host = headers.get(header::HOST).map(|h| h.as_bytes()).unwrap_or_default();
@@ -246,9 +246,9 @@
     println!("pool:    {}", pool.name);
     let lists = lists(&options.file, &site, pool).map_err(|wrong| shown(&options.file, &wrong))?;
     let entries = lists.entries();
-    let serving = entries.iter().filter(|e| e.status == Status::Live).count();
+    let serving = entries.iter().filter(|e| e.status == EndpointStatus::Live).count();
     println!("servers: {} of {} serve; the decision module chooses among", serving, entries.len());
-    for entry in entries.iter().filter(|e| e.status == Status::Live).take(20) {
+    for entry in entries.iter().filter(|e| e.status == EndpointStatus::Live).take(20) {
         println!("  {} at {}, weight {}", entry.id, entry.address, entry.size);
     }
     if serving > 20 {
--- a/crates/sableloom/src/config.rs
+++ b/crates/sableloom/src/config.rs
@@ -5,7 +5,7 @@
 
 use sableloom_discovery::Snapshot;
 use sableloom_http1::Limits as ClientLimits;
-use sableloom_types::settings::Facts;
+use sableloom_types::settings::DeploymentSettings;
 use serde::Deserialize;
 
 /// Descriptors kept for all that is neither a client nor an upstream: standard streams, the
@@ -24,7 +24,7 @@
     limits: Limits,
     #[serde(default)]
     known: Option<Snapshot>,
-    settings: Facts,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -38,7 +38,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub known: Option<Snapshot>,
-    pub facts: Facts,
+    pub settings: DeploymentSettings,
     pub clients: ClientLimits,
     /// Most connections to upstreams.
     pub upstreams: usize,
@@ -100,7 +100,7 @@
             discovery: address("discovery", file.discovery, "ROUTER_DISCOVERY")?,
             seed,
             known: file.known,
-            facts: file.settings,
+            settings: file.settings,
             clients,
             upstreams,
         })
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -100,17 +100,17 @@
         let listener =
             listen(config.listen).map_err(|e| format!("field `listen`: {}: {e}", config.listen))?;
         let address = listener.local_addr().map_err(|e| format!("field `listen`: {e}"))?;
-        let Config { discovery, seed, known, facts, clients, upstreams, .. } = config;
-        let (facts, clock) = (Rc::new(facts), Clock::new());
-        let longest = longest_deadline(&facts);
-        let transport = Upstreams::new(Budget::new(upstreams), &facts);
+        let Config { discovery, seed, known, settings, clients, upstreams, .. } = config;
+        let (settings, clock) = (Rc::new(settings), Clock::new());
+        let longest = longest_deadline(&settings);
+        let transport = Upstreams::new(Budget::new(upstreams), &settings);
         let revision = known.as_ref().map(|known| known.revision);
         let times = Times::of(&watch::Options {
-            pushed: facts.registry_mode == RegistryMode::Automatic,
-            ask_every: span(facts.safety.ask_every),
-            grace: span(facts.safety.drain_grace),
-            position: facts.position,
-            balancers: facts.balancers,
+            pushed: settings.registry_mode == RegistryMode::Automatic,
+            poll_interval: span(settings.safety.poll_interval),
+            grace: span(settings.safety.drain_grace),
+            position: settings.position,
+            balancers: settings.balancers,
         });
         let discovery = Discovery::new(discovery::Options {
             at: discovery,
@@ -120,7 +120,7 @@
             watch: Watch::new(times, seed, revision.is_none()),
         });
         let exchange = Exchange::start(Options {
-            facts: facts.clone(),
+            settings: settings.clone(),
             seed,
             clock,
             transport: transport.clone(),
@@ -131,7 +131,8 @@
         if let Some(known) = known {
             exchange.clone().listed(ListKind::Restored, known.entries());
         }
-        let frontend = Frontend::new(exchange.clone(), facts, Dialect::Platform, clock, &clients);
+        let frontend =
+            Frontend::new(exchange.clone(), settings, Dialect::Platform, clock, &clients);
         let ingress = Ingress::open(frontend.clone(), vec![listener], longest);
         spawn_local(async move {
             loop {
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -69,7 +69,7 @@
     let budget = Budget::new(upstreams);
     let context = Rc::new(PoolContext { path: path.clone(), clock, budget, upstreams });
     let pools = start_pools(&context, &site).await?;
-    let facts = Rc::new(site.client_facts());
+    let settings = Rc::new(site.client_settings());
     let method = |m: &String| m.parse().map_err(|_| format!("no method {m:?}"));
     let methods = site
         .classes
@@ -88,7 +88,7 @@
         }
         listeners = bind(&path, &router.routing.borrow().site)?;
     }
-    let frontend = Frontend::new(router.clone(), facts, Dialect::Open(methods), clock, &clients);
+    let frontend = Frontend::new(router.clone(), settings, Dialect::Open(methods), clock, &clients);
     // Before the first request: from when it acts to its end it holds its address among the others.
     let fleet = match &named {
         Some(fleet) => {
--- a/crates/sableloom/src/serve/feed.rs
+++ b/crates/sableloom/src/serve/feed.rs
@@ -5,7 +5,7 @@
 
 use sableloom_exchange::{Clock, Sink, Source};
 use sableloom_serverlist::{Roster, RosterChange};
-use sableloom_types::{Entry, ListKind, Span};
+use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
@@ -61,7 +61,7 @@
     }
 
     /// Gives changed entries to all who have the list, and the whole list to all others.
-    fn publish(&self, changed: &[Entry]) {
+    fn publish(&self, changed: &[ListedEndpoint]) {
         let mut calls = Vec::new();
         self.listeners.borrow_mut().retain_mut(|listener| {
             let Some(sink) = listener.sink.upgrade() else { return false };
@@ -74,7 +74,7 @@
         // Not while the listeners are borrowed: an exchange may subscribe anew when it is told.
         for (sink, whole) in calls {
             match whole {
-                true => sink.listed(ListKind::Whole, self.roster.borrow().entries()),
+                true => sink.listed(ListKind::Full, self.roster.borrow().entries()),
                 false => sink.listed(ListKind::Update, changed.to_vec()),
             }
         }
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -90,10 +90,10 @@
         pool: &Pool,
         source: ServerSource,
     ) -> Result<RunningPool, String> {
-        let facts = Rc::new(site.facts(pool));
-        let transport = Upstreams::new(self.budget.clone(), &facts);
+        let settings = Rc::new(site.deployment_settings(pool));
+        let transport = Upstreams::new(self.budget.clone(), &settings);
         let exchange = Exchange::start(ExchangeOptions {
-            facts,
+            settings,
             seed: u64::from(std::process::id()),
             clock: self.clock,
             transport: transport.clone(),
@@ -122,7 +122,7 @@
         };
         let group = |pool: &Pool| Group {
             name: pool.name.clone(),
-            facts: site.facts(pool),
+            settings: site.deployment_settings(pool),
             files: files(&self.path, site, pool),
         };
         let folder = self.path.parent().unwrap_or(Path::new(""));
--- a/crates/serverfiles/src/lib.rs
+++ b/crates/serverfiles/src/lib.rs
@@ -164,7 +164,7 @@
     fn publish(&self) {
         if let Some(sink) = self.sink.borrow().clone() {
             let entries = self.lists.borrow().entries();
-            sink.listed(ListKind::Whole, entries);
+            sink.listed(ListKind::Full, entries);
         }
     }
 
--- a/crates/serverfiles/tests/pools.rs
+++ b/crates/serverfiles/tests/pools.rs
@@ -7,7 +7,7 @@
 use sableloom_exchange::{Clock, Sink, Source};
 use sableloom_serverfiles::{Files, ServerFiles};
 use sableloom_serverlist::Spec;
-use sableloom_types::{Entry, ListKind, Span};
+use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 use tokio::time::timeout;
@@ -22,7 +22,7 @@
 struct Counts(UnboundedSender<usize>);
 
 impl Sink for Counts {
-    fn listed(self: Rc<Self>, _: ListKind, entries: Vec<Entry>) {
+    fn listed(self: Rc<Self>, _: ListKind, entries: Vec<ListedEndpoint>) {
         let _ = self.0.send(entries.len());
     }
 }
--- a/crates/serverlist/src/lib.rs
+++ b/crates/serverlist/src/lib.rs
@@ -14,7 +14,7 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_types::{Entry, Span, Status, Time};
+use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 use sha2::{Digest, Sha256};
 
 pub use file::{
@@ -204,14 +204,14 @@
     }
 
     /// The whole list as it is in force.
-    pub fn entries(&self) -> Vec<Entry> {
-        let entry = |held: &Held| Entry {
+    pub fn entries(&self) -> Vec<ListedEndpoint> {
+        let entry = |held: &Held| ListedEndpoint {
             id: held.name.clone(),
             address: held.listed.address,
             zone: held.listed.zone.as_str().into(),
             kind: Box::default(),
             cell: 0,
-            status: if held.serves() { Status::Live } else { Status::Draining },
+            status: if held.serves() { EndpointStatus::Live } else { EndpointStatus::Draining },
             size: if held.listed.weight > 0.0 { held.listed.weight } else { 1.0 },
             up_since_ms: held.up_since_ms,
         };
--- a/crates/serverlist/src/roster.rs
+++ b/crates/serverlist/src/roster.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use rustc_hash::{FxHashMap, FxHashSet};
-use sableloom_types::{Entry, Span, Status, Time};
+use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
 use crate::unix_ms;
 
@@ -96,7 +96,7 @@
     }
 
     /// Takes changes over; gives the entries that are different now.
-    pub fn apply(&mut self, now: Time, changes: Vec<RosterChange>) -> Vec<Entry> {
+    pub fn apply(&mut self, now: Time, changes: Vec<RosterChange>) -> Vec<ListedEndpoint> {
         let mut touched = FxHashSet::default();
         // Removals first: what follows may be at the address of a server that is removed.
         for change in &changes {
@@ -117,13 +117,16 @@
     }
 
     /// Forgets servers whose time to drain is over; gives their last entries.
-    pub fn tick(&mut self, now: Time) -> Vec<Entry> {
+    pub fn tick(&mut self, now: Time) -> Vec<ListedEndpoint> {
         let mut gone = Vec::new();
         while let Some((at, name)) = self.leaving.first().cloned()
             && at <= now
         {
             self.leaving.remove(&(at, name.clone()));
-            gone.extend(self.entry(&name).map(|entry| Entry { status: Status::Gone, ..entry }));
+            gone.extend(
+                self.entry(&name)
+                    .map(|entry| ListedEndpoint { status: EndpointStatus::Gone, ..entry }),
+            );
             self.forget(&name);
         }
         gone
@@ -135,7 +138,7 @@
     }
 
     /// All entries.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<ListedEndpoint> {
         self.known.keys().filter_map(|name| self.entry(name)).collect()
     }
 
@@ -205,16 +208,16 @@
         }
     }
 
-    fn entry(&self, name: &Name) -> Option<Entry> {
+    fn entry(&self, name: &Name) -> Option<ListedEndpoint> {
         let Known { server, up_since_ms, leaves } = self.known.get(name)?;
         let serves = leaves.is_none() && !server.draining && server.weight > 0.0;
-        Some(Entry {
+        Some(ListedEndpoint {
             id: name.clone(),
             address: server.address,
             zone: server.zone.clone(),
             kind: Box::default(),
             cell: 0,
-            status: if serves { Status::Live } else { Status::Draining },
+            status: if serves { EndpointStatus::Live } else { EndpointStatus::Draining },
             size: if server.weight > 0.0 { server.weight } else { 1.0 },
             up_since_ms: *up_since_ms,
         })
--- a/crates/serverlist/tests/lists.rs
+++ b/crates/serverlist/tests/lists.rs
@@ -4,7 +4,7 @@
 
 use sableloom_serverlist::*;
 use sableloom_toml_diagnostics::Problem;
-use sableloom_types::{Entry, Span, Status, Time};
+use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
 const DRAIN: i64 = 3_000_000;
 const T0: Time = Time(1_764_576_000_000_000);
@@ -74,7 +74,7 @@
     lists
 }
 
-fn entry(lists: &Lists, name: &str) -> Entry {
+fn entry(lists: &Lists, name: &str) -> ListedEndpoint {
     lists.entries().into_iter().find(|e| &*e.id == name).unwrap_or_else(|| panic!("no {name}"))
 }
 
@@ -92,7 +92,7 @@
     assert_eq!((revision, hash.len()), (1, 12));
     let status: Vec<_> =
         lists.entries().iter().map(|e| (e.status, e.size, e.up_since_ms)).collect();
-    let (live, draining) = (Status::Live, Status::Draining);
+    let (live, draining) = (EndpointStatus::Live, EndpointStatus::Draining);
     // What is there at the start has long been there; a weight of 0 gets nothing.
     assert_eq!(
         status,
@@ -168,7 +168,7 @@
     let changes = accepted(&mut lists, at(2), &[&file("takes_out = 1", &[])]);
     assert_eq!(changes, ["removed a"]);
     // Emptied, and filled again.
-    assert!(lists.entries().iter().all(|e| e.status == Status::Draining));
+    assert!(lists.entries().iter().all(|e| e.status == EndpointStatus::Draining));
     let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "e 5"])]);
     assert_eq!(changes, ["returned a", "added e"]);
     let mut half = one(&["a 1", "b 2", "c 3", "d 4"]);
@@ -182,7 +182,7 @@
 fn a_server_that_is_left_out_drains_first_and_is_forgotten_then() {
     let mut lists = one(&["a 1", "b 2"]);
     accepted(&mut lists, at(10), &[&file("", &["a 1"])]);
-    assert_eq!(entry(&lists, "b").status, Status::Draining);
+    assert_eq!(entry(&lists, "b").status, EndpointStatus::Draining);
     assert_eq!(lists.next(), Some(Time(at(10).0 + DRAIN)));
     assert!(!lists.tick(Time(at(10).0 + DRAIN - 1)));
     assert_eq!(lists.held(), 2);
@@ -217,7 +217,7 @@
         assert_eq!(changes, told, "{back}");
         // The decision module knows it as the same: what is out to it counts.
         let held = entry(&lists, "b");
-        assert_eq!(held.status, Status::Live);
+        assert_eq!(held.status, EndpointStatus::Live);
         assert_eq!(held.up_since_ms > 0.0, cold, "{back}");
         assert_eq!(lists.held(), 2, "{back}: one entry, and its lanes once");
     }
@@ -324,7 +324,7 @@
     // The old one is broken now, and still as it was; the new one must be good.
     let offered = offer(&mut lists, at(2), &["[", &file("", &["d 4"])]);
     assert_eq!(offered.applied.expect("the new file").changes, [Change::Added("d".into())]);
-    assert_eq!(lists.entries().iter().filter(|e| e.status == Status::Live).count(), 3);
+    assert_eq!(lists.entries().iter().filter(|e| e.status == EndpointStatus::Live).count(), 3);
     // Set again, and nothing is new.
     let number = lists.version().0;
     lists.set(spec(&["a.toml", "d.toml"]));
--- a/crates/serverlist/tests/property.rs
+++ b/crates/serverlist/tests/property.rs
@@ -7,7 +7,7 @@
 
 use oorandom::Rand64;
 use sableloom_serverlist::*;
-use sableloom_types::{Span, Status, Time};
+use sableloom_types::{EndpointStatus, Span, Time};
 
 const SEEDS: u64 = 1500;
 const DRAIN: i64 = 3_000_000;
@@ -208,7 +208,7 @@
         // In force is what the model has, no more and no less.
         let live: BTreeMap<SocketAddr, f64> = entries
             .iter()
-            .filter(|e| e.status == Status::Live)
+            .filter(|e| e.status == EndpointStatus::Live)
             .map(|e| (e.address, e.size))
             .collect();
         let modelled: BTreeMap<SocketAddr, f64> = model
--- a/crates/serverlist/tests/roster.rs
+++ b/crates/serverlist/tests/roster.rs
@@ -1,7 +1,7 @@
 //! Servers that change one by one.
 
 use sableloom_serverlist::{Roster, RosterChange, RosterServer};
-use sableloom_types::{Entry, Span, Status, Time};
+use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
 const DRAIN: Span = Span(2_000_000);
 
@@ -29,12 +29,12 @@
 }
 
 /// Name, port and state of each entry, in order.
-fn told(mut entries: Vec<Entry>) -> Vec<(String, u16, Status)> {
+fn told(mut entries: Vec<ListedEndpoint>) -> Vec<(String, u16, EndpointStatus)> {
     entries.sort_by(|a, b| a.id.cmp(&b.id));
     entries.iter().map(|e| (e.id.to_string(), e.address.port(), e.status)).collect()
 }
 
-fn row(id: &str, port: u16, status: Status) -> (String, u16, Status) {
+fn row(id: &str, port: u16, status: EndpointStatus) -> (String, u16, EndpointStatus) {
     (id.to_string(), port, status)
 }
 
@@ -48,10 +48,13 @@
 fn a_change_gives_only_what_it_touched() {
     let mut roster = filled();
     let entries = roster.apply(seconds(2), vec![set("d", 4), remove("a")]);
-    assert_eq!(told(entries), [row("a", 1, Status::Draining), row("d", 4, Status::Live)]);
+    assert_eq!(
+        told(entries),
+        [row("a", 1, EndpointStatus::Draining), row("d", 4, EndpointStatus::Live)]
+    );
     assert_eq!(told(roster.tick(seconds(3))), []);
     assert_eq!(roster.next(), Some(seconds(4)));
-    assert_eq!(told(roster.tick(seconds(4))), [row("a", 1, Status::Gone)]);
+    assert_eq!(told(roster.tick(seconds(4))), [row("a", 1, EndpointStatus::Gone)]);
     assert_eq!((roster.len(), roster.next()), (3, None));
 }
 
@@ -68,7 +71,7 @@
     let entries = roster.apply(seconds(11), vec![set("b", 20)]);
     assert_eq!(
         (told(entries.clone()), entries[0].up_since_ms),
-        (vec![row("b", 20, Status::Live)], 11000.0)
+        (vec![row("b", 20, EndpointStatus::Live)], 11000.0)
     );
 }
 
@@ -79,7 +82,7 @@
     let entries = roster.apply(seconds(3), vec![set("a", 1)]);
     assert_eq!(
         (told(entries.clone()), entries[0].up_since_ms),
-        (vec![row("a", 1, Status::Live)], 0.0)
+        (vec![row("a", 1, EndpointStatus::Live)], 0.0)
     );
     assert_eq!((roster.next(), roster.tick(seconds(9))), (None, Vec::new()));
 }
@@ -89,11 +92,11 @@
     let mut roster = filled();
     // Renamed: the decision module knows it by its first id.
     let entries = roster.apply(seconds(2), vec![remove("a"), set("x", 1)]);
-    assert_eq!(told(entries), [row("a", 1, Status::Live)]);
+    assert_eq!(told(entries), [row("a", 1, EndpointStatus::Live)]);
     assert_eq!(roster.id_at(([127, 0, 0, 1], 1).into()), Some("x"));
     // Its first id is another machine's name now, and is not given twice.
     let entries = roster.apply(seconds(3), vec![set("a", 5)]);
-    assert_eq!(told(entries), [row("a 2", 5, Status::Live)]);
+    assert_eq!(told(entries), [row("a 2", 5, EndpointStatus::Live)]);
     // Two change places.
     roster.apply(seconds(4), vec![set("b", 3), set("c", 2)]);
     let mut ids: Vec<&str> = roster.ids().collect();
@@ -101,7 +104,10 @@
     assert_eq!((ids, roster.next()), (vec!["a", "b", "c", "x"], None));
     // One takes the place of another that is removed; where it was, nothing is any more.
     let entries = roster.apply(seconds(5), vec![remove("c"), set("b", 2)]);
-    assert_eq!(told(entries), [row("b", 2, Status::Live), row("c", 3, Status::Draining)]);
+    assert_eq!(
+        told(entries),
+        [row("b", 2, EndpointStatus::Live), row("c", 3, EndpointStatus::Draining)]
+    );
 }
 
 #[test]
@@ -111,5 +117,8 @@
     let weightless = RosterServer { weight: 0.0, ..server("b", 2) };
     let changes = vec![RosterChange::Set(draining), RosterChange::Set(weightless)];
     let entries = roster.apply(seconds(2), changes);
-    assert_eq!(told(entries), [row("a", 1, Status::Draining), row("b", 2, Status::Draining)]);
+    assert_eq!(
+        told(entries),
+        [row("a", 1, EndpointStatus::Draining), row("b", 2, EndpointStatus::Draining)]
+    );
 }
--- a/crates/shadow/src/gate.rs
+++ b/crates/shadow/src/gate.rs
@@ -4,7 +4,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use sableloom_types::{Effect, Span, Time};
+use sableloom_types::{Idempotency, Span, Time};
 
 use crate::mix;
 
@@ -206,8 +206,14 @@
     }
 
     /// Whether a live request is sampled; only safe ones are. `id` is a hash of its id.
-    pub fn samples(&self, class: usize, effect: Effect, key: Option<u64>, id: u64) -> bool {
-        if effect != Effect::Safe || self.bounds.classes.get(class) != Some(&true) {
+    pub fn samples(
+        &self,
+        class: usize,
+        idempotency: Idempotency,
+        key: Option<u64>,
+        id: u64,
+    ) -> bool {
+        if idempotency != Idempotency::Idempotent || self.bounds.classes.get(class) != Some(&true) {
             return false;
         }
         Counts::add(&self.counts.seen);
@@ -272,7 +278,7 @@
             return Err(SkipReason::Held);
         }
         // Last, so that only copies take tokens. A clock that steps back adds none.
-        let passed = now.since(self.filled).f().max(0.0) / 1e6;
+        let passed = now.since(self.filled).as_micros_f64().max(0.0) / 1e6;
         self.filled = self.filled.max(now);
         self.tokens = (self.tokens + passed * bounds.per_second).min(burst(bounds));
         if self.tokens < 1.0 {
@@ -323,7 +329,7 @@
         self.era += 1;
         Counts::add(&self.counts.rests);
         let part = mix(self.bounds.own ^ mix(self.era)) as f64 / 2f64.powi(64);
-        let rest = Span::of(self.rest.f() * (0.75 + 0.5 * part));
+        let rest = Span::from_micros_f64(self.rest.as_micros_f64() * (0.75 + 0.5 * part));
         self.phase = Phase::Resting { until: now.plus(rest) };
     }
 
--- a/crates/shadow/src/record.rs
+++ b/crates/shadow/src/record.rs
@@ -216,7 +216,7 @@
     pub fn add(&mut self, pair: &Pair<'_>, values: bool) {
         let Some(class) = self.classes.get_mut(pair.class) else { return };
         class.ended += 1;
-        let in_time = |time: Span| time.f() / 1e3 <= class.aim_ms;
+        let in_time = |time: Span| time.as_micros_f64() / 1e3 <= class.aim_ms;
         let (live, candidate) = match &pair.candidate {
             CopyOutcome::Refused => {
                 class.refused += 1;
--- a/crates/shadow/tests/gate.rs
+++ b/crates/shadow/tests/gate.rs
@@ -5,7 +5,7 @@
 
 use oorandom::Rand64;
 use sableloom_shadow::{Bounds, By, Changes, Copied, End, Gate, SkipReason};
-use sableloom_types::{Effect, Span, Time};
+use sableloom_types::{Idempotency, Span, Time};
 
 fn ms(ms: i64) -> Span {
     Span(ms * 1000)
@@ -42,9 +42,14 @@
 fn only_safe_requests_of_the_named_classes_are_of_the_sample() {
     let gate = Gate::new(bounds(), at(0));
     for class in 0..4 {
-        for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
-            let wanted = effect == Effect::Safe && [0, 2].contains(&class);
-            assert_eq!(gate.samples(class, effect, Some(7), 9), wanted, "{class} {effect:?}");
+        for idempotency in [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent]
+        {
+            let wanted = idempotency == Idempotency::Idempotent && [0, 2].contains(&class);
+            assert_eq!(
+                gate.samples(class, idempotency, Some(7), 9),
+                wanted,
+                "{class} {idempotency:?}"
+            );
         }
     }
 }
@@ -54,24 +59,29 @@
     for share in [0.0, 0.01, 0.3, 1.0] {
         let gate = Gate::new(Bounds { share, ..bounds() }, at(0));
         // Short numbers in a row, as cards have them.
-        let hits = (0..100_000).filter(|key| gate.samples(0, Effect::Safe, Some(*key), 0)).count();
+        let hits = (0..100_000)
+            .filter(|key| gate.samples(0, Idempotency::Idempotent, Some(*key), 0))
+            .count();
         let found = hits as f64 / 1e5;
         assert!((found - share).abs() < 0.01, "{found} of {share}");
         // The same key is in or out, whatever the request; one without a key goes by its id.
-        let by_key = |id| gate.samples(0, Effect::Safe, Some(5), id);
+        let by_key = |id| gate.samples(0, Idempotency::Idempotent, Some(5), id);
         assert!((0..100).all(|id| by_key(id) == by_key(0)));
-        let ids = (0..100_000).filter(|id| gate.samples(0, Effect::Safe, None, *id)).count();
+        let ids =
+            (0..100_000).filter(|id| gate.samples(0, Idempotency::Idempotent, None, *id)).count();
         assert!((ids as f64 / 1e5 - share).abs() < 0.01);
     }
     let other = Bounds { share: 0.3, own: 77, ..bounds() };
     let (one, two) = (Bounds { share: 0.3, ..bounds() }, other);
     let (one, two) = (Gate::new(one, at(0)), Gate::new(two, at(0)));
     let same = |key| {
-        one.samples(0, Effect::Safe, Some(key), 0) == two.samples(0, Effect::Safe, Some(key), 1)
+        one.samples(0, Idempotency::Idempotent, Some(key), 0)
+            == two.samples(0, Idempotency::Idempotent, Some(key), 1)
     };
     assert!((0..1000).all(same), "two balancers sample the same keys");
     let gate = Gate::new(Bounds { share: 0.5, by: By::Request, ..bounds() }, at(0));
-    let hits = (0..1000).filter(|id| gate.samples(0, Effect::Safe, Some(5), *id)).count();
+    let hits =
+        (0..1000).filter(|id| gate.samples(0, Idempotency::Idempotent, Some(5), *id)).count();
     assert!((400..600).contains(&hits), "{hits}");
 }
 
--- a/crates/sim/src/instance.rs
+++ b/crates/sim/src/instance.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 use sableloom_policy::decide::Balancer;
 use sableloom_types::settings::{Stats, key_hash, span, stable_hash, time};
-use sableloom_types::{self as d, Action, Report, RequestId, ServerId, Time};
+use sableloom_types::{self as d, Action, LoadReport, RequestId, ServerId, Time};
 
 use crate::wire::{self, Command};
 
@@ -29,17 +29,21 @@
     jobs: FxHashMap<u64, Job>,
     next_job: u64,
     actions: Vec<Action>,
-    members: Vec<d::Member>,
+    members: Vec<d::Endpoint>,
 }
 
 impl Instance {
-    pub fn new(now: Time, init: &wire::Init, out: &mut Vec<u8>) -> Result<Self, d::SettingsError> {
-        let facts = &init.facts;
+    pub fn new(
+        now: Time,
+        init: &wire::Init,
+        out: &mut Vec<u8>,
+    ) -> Result<Self, d::PolicySettingsError> {
+        let settings = &init.settings;
         let mut instance = Self {
             who: init.who,
-            balancer: Balancer::new(facts.settings(), init.entropy, now)?,
-            classes: facts.services.len(),
-            stats: facts.stats.clone(),
+            balancer: Balancer::new(settings.policy_settings(), init.entropy, now)?,
+            classes: settings.services.len(),
+            stats: settings.stats.clone(),
             servers: FxHashMap::default(),
             server_names: Vec::new(),
             by_name: FxHashMap::default(),
@@ -63,7 +67,7 @@
             class: m.tier_class,
             tenant: m.party,
             key: key.map(key_hash),
-            drop_dead: time(m.drop_dead),
+            deadline: time(m.deadline),
         };
         let name: Box<str> = m.job.as_ref().into();
         self.by_name.insert(name.clone(), self.next_job);
@@ -86,7 +90,7 @@
         else {
             return Ok(());
         };
-        let answer = d::Answer {
+        let answer = d::AttemptResult {
             request: RequestId(handle),
             attempt: m.go,
             server,
@@ -128,7 +132,7 @@
         let Some(&server) = self.servers.get(m.upstream.as_ref()) else { return };
         let report = self.report(m.metrics.as_ref());
         let ok = m.rc == 200;
-        self.balancer.probed(server, ok, span(m.latency), report);
+        self.balancer.health_checked(server, ok, span(m.latency), report);
         self.flush(out);
     }
 
@@ -138,7 +142,7 @@
         members.extend(m.lines.iter().map(|line| self.member(line)));
         let kind = match m.kind {
             wire::ListKind::Update => d::ListKind::Update,
-            wire::ListKind::Replace => d::ListKind::Whole,
+            wire::ListKind::Replace => d::ListKind::Full,
             wire::ListKind::Restored => d::ListKind::Restored,
             wire::ListKind::Unavailable => d::ListKind::Unavailable,
         };
@@ -147,7 +151,7 @@
         self.flush(out);
     }
 
-    fn member(&mut self, line: &wire::Line) -> d::Member {
+    fn member(&mut self, line: &wire::Line) -> d::Endpoint {
         let name = line.upstream.as_ref();
         let id = self.servers.get(name).copied().unwrap_or_else(|| {
             let id = ServerId(self.server_names.len() as u32);
@@ -155,23 +159,23 @@
             self.servers.insert(name.into(), id);
             id
         });
-        d::Member {
+        d::Endpoint {
             id,
             identity: stable_hash(name),
             zone: line.az,
             kind: line.kind,
             cell: line.pack,
             status: match line.status {
-                wire::Status::Live => d::Status::Live,
-                wire::Status::Quiescing => d::Status::Draining,
-                wire::Status::Dead => d::Status::Gone,
+                wire::Status::Live => d::EndpointStatus::Live,
+                wire::Status::Quiescing => d::EndpointStatus::Draining,
+                wire::Status::Dead => d::EndpointStatus::Gone,
             },
             weight: line.capacity_hint,
             started: (line.online_since > 0.0).then(|| time(line.online_since)),
         }
     }
 
-    fn report(&self, row: Option<&wire::Row>) -> Report {
+    fn report(&self, row: Option<&wire::Row>) -> LoadReport {
         let values = row.into_iter().flatten();
         self.stats.report(self.stats.names.iter().map(String::as_str).zip(values.copied()))
     }
@@ -182,14 +186,14 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, server, timeout } => {
+                Action::Forward { request, server, timeout } => {
                     let Some(job) = self.jobs.get_mut(&request.0) else { continue };
                     job.out += 1;
                     let upstream = &self.server_names[server.0 as usize];
                     let allow_for = ms(timeout.0);
                     write(out, &Command::Relay { who, job: &job.name, upstream, allow_for });
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     let Some(job) = self.jobs.get_mut(&request.0) else { continue };
                     job.over = true;
                     let cool_down = ms(retry_after.0);
@@ -206,10 +210,10 @@
                     let Some(job) = self.jobs.get(&request.0) else { continue };
                     write(out, &Command::Retract { who, job: &job.name, go: attempt });
                 }
-                Action::Arm { token, at } => {
+                Action::SetTimer { token, at } => {
                     write(out, &Command::Arm { who, token, instant: ms(at.0) });
                 }
-                Action::Probe { server } => {
+                Action::CheckHealth { server } => {
                     let upstream = &self.server_names[server.0 as usize];
                     write(out, &Command::Ping { who, upstream });
                 }
@@ -239,12 +243,12 @@
     Ok(match rc {
         200 => d::Outcome::Ok,
         500 => d::Outcome::Error,
-        503 => d::Outcome::Full,
+        503 => d::Outcome::Rejected,
         504 => d::Outcome::Timeout,
         502 => d::Outcome::ConnectFailed,
         598 => d::Outcome::Reset,
         499 => d::Outcome::Cancelled,
-        410 => d::Outcome::Moot,
+        410 => d::Outcome::Superseded,
         _ => return Err(format!("field `Rc`: no outcome {rc}")),
     })
 }
--- a/crates/sim/src/wire.rs
+++ b/crates/sim/src/wire.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 
 use arrayvec::ArrayVec;
-use sableloom_types::settings::Facts;
+use sableloom_types::settings::DeploymentSettings;
 use serde::{Deserialize, Serialize};
 
 pub type Text<'a> = Cow<'a, str>;
@@ -54,7 +54,8 @@
     pub party: usize,
     #[serde(borrow, default)]
     pub object: Option<Text<'a>>,
-    pub drop_dead: f64,
+    #[serde(rename = "DropDead")]
+    pub deadline: f64,
 }
 
 pub type Row = ArrayVec<f64, 4>;
@@ -176,7 +177,8 @@
 pub struct Init {
     pub who: u64,
     pub entropy: u64,
-    pub facts: Facts,
+    #[serde(rename = "Facts")]
+    pub settings: DeploymentSettings,
 }
 
 #[derive(Serialize)]
--- a/crates/sim/tests/wire.rs
+++ b/crates/sim/tests/wire.rs
@@ -43,8 +43,8 @@
          "CapacityHint": 1}]}})
 }
 
-fn order(who: u64, job: &str, drop_dead: f64) -> Value {
-    json!({"Order": {"Who": who, "Job": job, "TierClass": 0, "DropDead": drop_dead}})
+fn order(who: u64, job: &str, deadline: f64) -> Value {
+    json!({"Order": {"Who": who, "Job": job, "TierClass": 0, "DropDead": deadline}})
 }
 
 fn replies(output: &Output) -> Vec<Value> {
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -17,9 +17,10 @@
 use sableloom_routes::{Rule, Table, TableError};
 use sableloom_shadow::{Bounds, Rules};
 use sableloom_types::settings::{
-    Effect, Facts, FamilyInfo, Group, PolicyLimits, Prices, RegistryMode, Reports, Safety, Service,
-    Stats,
+    ClassSettings, DeploymentSettings, FamilyInfo, LoadReportSource, PolicyLimits, Prices,
+    RegistryMode, Safety, Stats,
 };
+use sableloom_types::{DedupScope, Idempotency};
 use serde::{Deserialize, Serialize};
 
 pub use change::unchangeable;
@@ -97,15 +98,15 @@
     /// The longest a client waits; what a request has that names no time of its own.
     pub deadline_ms: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For how long servers drop repeats of a keyed request.
     pub window_ms: f64,
     /// Methods that its requests may have.
     pub methods: Vec<String>,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth after the aim.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Where it is written.
     pub place: Place,
 }
@@ -143,7 +144,7 @@
     /// The longest that a refused client is told to stay away; 0 to say nothing.
     pub retry_after_ms: f64,
     /// Load reports: where they come, and the values they carry.
-    pub reports: (Reports, Vec<String>),
+    pub reports: (LoadReportSource, Vec<String>),
     /// Cold starts.
     pub cold: ColdStart,
     /// Files of servers, as written.
@@ -264,20 +265,20 @@
     }
 
     /// What clients' side is told: of classes all, of pools what the first says.
-    pub fn client_facts(&self) -> Facts {
+    pub fn client_settings(&self) -> DeploymentSettings {
         match self.pools.first() {
-            Some(pool) => self.facts(pool),
+            Some(pool) => self.deployment_settings(pool),
             None => {
                 let defaults = ClassDefaults::of(&self.classes);
-                self.facts(&PoolSettings::default().into_pool("", &defaults))
+                self.deployment_settings(&PoolSettings::default().into_pool("", &defaults))
             }
         }
     }
 
     /// What the decision module of a pool is told.
-    pub fn facts(&self, pool: &Pool) -> Facts {
+    pub fn deployment_settings(&self, pool: &Pool) -> DeploymentSettings {
         let (how, names) = pool.reports.clone();
-        Facts {
+        DeploymentSettings {
             balancers: match &self.fleet {
                 Some(fleet) => fleet.members.len().max(1) as u32,
                 None => self.locality.balancers,
@@ -295,19 +296,19 @@
                 max_open: pool.max_open,
                 connect_timeout: pool.connect_timeout_ms,
                 keepalive: pool.keepalive_ms,
-                second_copies: false,
+                hedging: false,
                 cancelling: true,
-                probes: matches!(how, Reports::Pull),
+                health_checks: matches!(how, LoadReportSource::Pull),
                 retry_after: pool.retry_after_ms > 0.0,
                 max_retry_after: pool.retry_after_ms,
             },
             safety: Safety {
-                ask_every: 0.0,
+                poll_interval: 0.0,
                 drain_grace: 0.0,
-                cold: pool.cold.time_ms,
-                cold_from: pool.cold.from,
-                fall_multiple: pool.cold.multiple,
-                tip_after: pool.cold.window_ms,
+                slow_start: pool.cold.time_ms,
+                slow_start_initial_share: pool.cold.from,
+                overload_factor: pool.cold.multiple,
+                overload_window: pool.cold.window_ms,
             },
             prices: Prices { cross_zone: self.locality.crossing },
             stats: Stats { how, names },
@@ -318,16 +319,16 @@
 }
 
 impl Class {
-    fn service(&self) -> Service {
-        Service {
+    fn service(&self) -> ClassSettings {
+        ClassSettings {
             name: self.name.clone(),
-            aim: self.aim_ms,
+            latency_objective: self.aim_ms,
             deadline: self.deadline_ms,
-            effect: self.effect,
-            group: Group::All,
-            importance: self.worth,
-            late_value: self.late_worth,
-            window: self.window_ms,
+            idempotency: self.idempotency,
+            dedup_scope: DedupScope::All,
+            priority_weight: self.priority_weight,
+            late_priority_weight: self.late_priority_weight,
+            dedup_window: self.window_ms,
         }
     }
 }
