--- a/crates/site/src/pool_settings.rs
+++ b/crates/site/src/pool_settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a pool that do not depend on where its servers come from.
 
 use sableloom_toml_diagnostics::{Table, instead};
-use sableloom_types::settings::Reports;
+use sableloom_types::settings::LoadReportSource;
 use serde::{Deserialize, Serialize};
 
 use crate::field::HOUR_MS;
@@ -49,7 +49,7 @@
     /// The longest that a refused client is asked to stay away; 0 to say nothing.
     pub retry_after_ms: f64,
     /// Load reports: where they come, and the values they carry.
-    pub reports: (Reports, Vec<String>),
+    pub reports: (LoadReportSource, Vec<String>),
     /// Cold starts.
     pub cold: ColdStart,
     /// How long a removed server drains; the longest deadline of the site's classes if none is set.
@@ -66,7 +66,7 @@
             max_open: 1000,
             max_attempts: 4,
             retry_after_ms: 1000.0,
-            reports: (Reports::Silent, Vec::new()),
+            reports: (LoadReportSource::Silent, Vec::new()),
             cold: ColdStart { from: 0.2, time_ms: 30_000.0, multiple: 2.0, window_ms: 1500.0 },
             drain_ms: None,
         }
@@ -127,11 +127,14 @@
     table.choice("protocol", &words).map_or(Protocol::Http1, |p| p.value)
 }
 
-fn reports(table: Option<Table<'_>>) -> (Reports, Vec<String>) {
-    let Some(table) = table else { return (Reports::Silent, Vec::new()) };
-    let words =
-        [("none", Reports::Silent), ("answers", Reports::Piggyback), ("probes", Reports::Pull)];
-    let how = table.choice("how", &words).map_or(Reports::Silent, |how| how.value);
+fn reports(table: Option<Table<'_>>) -> (LoadReportSource, Vec<String>) {
+    let Some(table) = table else { return (LoadReportSource::Silent, Vec::new()) };
+    let words = [
+        ("none", LoadReportSource::Silent),
+        ("answers", LoadReportSource::Piggyback),
+        ("probes", LoadReportSource::Pull),
+    ];
+    let how = table.choice("how", &words).map_or(LoadReportSource::Silent, |how| how.value);
     let mut names = Vec::new();
     for name in table.texts("names") {
         if !REPORTS.contains(&name.value.as_str()) {
@@ -140,7 +143,7 @@
         }
         names.push(name.value);
     }
-    if how != Reports::Silent && names.is_empty() && !table.has("names") {
+    if how != LoadReportSource::Silent && names.is_empty() && !table.has("names") {
         table.missing("names", "the values that reports carry");
     }
     table.finish();
--- a/crates/site/src/read.rs
+++ b/crates/site/src/read.rs
@@ -2,7 +2,7 @@
 
 use sableloom_routes::Rule;
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Found, Problem, Table, instead};
-use sableloom_types::settings::Effect;
+use sableloom_types::Idempotency;
 use sha2::{Digest, Sha256};
 
 use crate::conditions::{methods, read_conditions, read_refusal};
@@ -130,27 +130,31 @@
     let tables = root.tables("class");
     for table in &tables {
         let name = new_name(table, &classes);
-        let aim = table.need_number("aim_ms", 1.0..=HOUR_MS, " ms");
+        let latency_objective = table.need_number("aim_ms", 1.0..=HOUR_MS, " ms");
         let deadline = table.need_number("deadline_ms", 1.0..=HOUR_MS, " ms");
-        if let (Some(aim), Some(deadline)) = (&aim, &deadline)
-            && deadline.value < aim.value
+        if let (Some(latency_objective), Some(deadline)) = (&latency_objective, &deadline)
+            && deadline.value < latency_objective.value
         {
-            let message = format!("{} ms is under the aim of {} ms", deadline.value, aim.value);
+            let message =
+                format!("{} ms is under the aim of {} ms", deadline.value, latency_objective.value);
             table.wrong(deadline, message, None);
         }
-        let words =
-            [("safe", Effect::Retryable), ("keyed", Effect::Dedup), ("unsafe", Effect::Fragile)];
-        let effect = table.choice("effect", &words);
-        if effect.is_none() && !table.has("effect") {
+        let words = [
+            ("safe", Idempotency::Idempotent),
+            ("keyed", Idempotency::Keyed),
+            ("unsafe", Idempotency::NonIdempotent),
+        ];
+        let idempotency = table.choice("effect", &words);
+        if idempotency.is_none() && !table.has("effect") {
             table.missing("effect", "\"safe\", \"keyed\" or \"unsafe\"");
         }
-        let keyed = effect.as_ref().is_some_and(|e| e.value == Effect::Dedup);
+        let keyed = idempotency.as_ref().is_some_and(|e| e.value == Idempotency::Keyed);
         let window = table.number("window_ms", 1.0..=24.0 * HOUR_MS, " ms");
         match &window {
             None if keyed && !table.has("window_ms") => {
                 table.missing("window_ms", "for how long servers drop repeats");
             }
-            Some(window) if !keyed && effect.is_some() => {
+            Some(window) if !keyed && idempotency.is_some() => {
                 table.wrong(window, "only a keyed class has it", None);
             }
             _ => {}
@@ -159,22 +163,24 @@
         if methods.is_empty() && !table.has("methods") {
             table.missing("methods", "at least one method");
         }
-        let worth = table.number("worth", 0.001..=1000.0, "").map_or(1.0, |w| w.value);
-        let late_worth = table.number("late_worth", 0.0..=1.0, "").map_or(0.0, |w| w.value);
+        let priority_weight = table.number("worth", 0.001..=1000.0, "").map_or(1.0, |w| w.value);
+        let late_priority_weight =
+            table.number("late_worth", 0.0..=1.0, "").map_or(0.0, |w| w.value);
         table.finish();
-        let (Some(name), Some(aim), Some(deadline), Some(effect)) = (name, aim, deadline, effect)
+        let (Some(name), Some(latency_objective), Some(deadline), Some(idempotency)) =
+            (name, latency_objective, deadline, idempotency)
         else {
             continue;
         };
         let class = Class {
             name: name.clone(),
-            aim_ms: aim.value,
+            aim_ms: latency_objective.value,
             deadline_ms: deadline.value,
-            effect: effect.value,
+            idempotency: idempotency.value,
             window_ms: window.map_or(0.0, |w| w.value),
             methods,
-            worth,
-            late_worth,
+            priority_weight,
+            late_priority_weight,
             place: place(table, starts),
         };
         classes.push((name, class));
--- a/crates/site/src/shadow.rs
+++ b/crates/site/src/shadow.rs
@@ -2,7 +2,8 @@
 
 use sableloom_shadow::{Bounds, By, Pattern, Rules};
 use sableloom_toml_diagnostics::{Found, Table, instead};
-use sableloom_types::settings::{Effect, span};
+use sableloom_types::Idempotency;
+use sableloom_types::settings::span;
 
 use crate::field::{HOUR_MS, Named, header_name, index, new_name, place};
 use crate::{Class, Pool, Shadow};
@@ -142,7 +143,7 @@
         let of_these = classes.iter().zip(&wanted).filter(|(_, wanted)| **wanted);
         of_these.map(|((_, class), _)| time(class)).fold(1.0, f64::max)
     };
-    let (longest, aim) = (longest_of(|c| c.deadline_ms), longest_of(|c| c.aim_ms));
+    let (longest, latency_objective) = (longest_of(|c| c.deadline_ms), longest_of(|c| c.aim_ms));
     let by = table.choice("by", &[("key", By::Key), ("request", By::Request)]);
     let rest_ms = ms("rest_ms", 1.0, 1000.0);
     let rest_most = table.number("rest_most_ms", 1.0..=HOUR_MS, " ms");
@@ -178,7 +179,7 @@
         rules: rules(table.table("compare")),
         time_ms: table.number("time_ms", 1.0..=HOUR_MS, " ms"),
         longest_ms: longest,
-        aim_ms: aim,
+        aim_ms: latency_objective,
         settle_ms: ms("settle_ms", 0.0, 1000.0),
         drop: names(table, "drop", &DROP),
         values: table.flag("values").is_some_and(|values| values.value),
@@ -190,7 +191,7 @@
 
 /// Which classes are copied: those that are named, or else all that are safe.
 fn copied(table: &Table<'_>, classes: &Named<Class>) -> Vec<bool> {
-    let safe = |class: &Class| class.effect == Effect::Retryable;
+    let safe = |class: &Class| class.idempotency == Idempotency::Idempotent;
     let mut copied = vec![false; classes.len()];
     for name in table.texts("classes") {
         let Some(at) = index(table, &name, classes, "class") else { continue };
--- a/crates/site/tests/fleet.rs
+++ b/crates/site/tests/fleet.rs
@@ -45,9 +45,12 @@
     let fleet = site.fleet.as_ref().expect("it is there");
     assert_eq!(fleet.address().map(|a| a.port()), Some(7002));
     assert_eq!((fleet.period_ms, fleet.answer_ms, fleet.claim_ms), (200.0, 80.0, 2000.0));
-    assert_eq!(site.facts(&site.pools[0]).balancers, 2);
+    assert_eq!(site.deployment_settings(&site.pools[0]).balancers, 2);
     let without = good(GOOD.split_once("[fleet]").expect("it is there").0);
-    assert_eq!((without.fleet.clone(), without.facts(&without.pools[0]).balancers), (None, 9));
+    assert_eq!(
+        (without.fleet.clone(), without.deployment_settings(&without.pools[0]).balancers),
+        (None, 9)
+    );
     let slow = good(&GOOD.replace("own =", "period_ms = 1000\nown ="));
     let fleet = slow.fleet.expect("it is there");
     assert_eq!((fleet.answer_ms, fleet.claim_ms), (400.0, 10_000.0));
--- a/crates/site/tests/site.rs
+++ b/crates/site/tests/site.rs
@@ -3,8 +3,8 @@
 use sableloom_routes::{Host, Path};
 use sableloom_site::*;
 use sableloom_toml_diagnostics::Problem;
+use sableloom_types::Idempotency;
 use sableloom_types::Span;
-use sableloom_types::settings::Effect;
 
 const GOOD: &str = r#"
 [[listener]]
@@ -52,7 +52,7 @@
     let pool = &site.pools[0];
     // T_QoS is the mean of the aims, and a drain as long as any client waits, but a second at least.
     assert_eq!((pool.t_qos_ms, pool.drain_ms, pool.out_at_most), (150.0, 1000.0, 0.5));
-    assert_eq!(site.classes[1].effect, Effect::Dedup);
+    assert_eq!(site.classes[1].idempotency, Idempotency::Keyed);
     let rule = &site.routes[0].rule;
     let exact = |name: &str| Host::Exact(name.into());
     assert_eq!(
@@ -66,9 +66,9 @@
         Path::Suffix(".x".into()),
     ];
     assert_eq!(rule.paths, paths);
-    let settings = site.facts(pool).settings();
+    let settings = site.deployment_settings(pool).policy_settings();
     assert_eq!(settings.t_qos, Some(Span(150_000)));
-    assert_eq!((settings.classes.len(), settings.must_ask), (2, false));
+    assert_eq!((settings.classes.len(), settings.polls), (2, false));
     assert_eq!(site.hash, good(GOOD).hash);
     assert_ne!(site.hash, good(&format!("{GOOD}#")).hash);
 }
--- /dev/null
+++ b/crates/types/src/action.rs
@@ -0,0 +1,50 @@
+//! What the policy asks its caller to do.
+
+use crate::{RequestId, ServerId, Span, Time};
+
+/// An action that the caller must carry out, in the order in which actions are returned.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Action {
+    /// Forward the request to a server as its next attempt.
+    Forward {
+        /// The request.
+        request: RequestId,
+        /// The server.
+        server: ServerId,
+        /// Timeout of the attempt.
+        timeout: Span,
+    },
+    /// Reject the request: it was not executed, so the client may safely repeat it.
+    Reject {
+        /// The request.
+        request: RequestId,
+        /// When to come back (Retry-After); zero for no advice.
+        retry_after: Span,
+    },
+    /// Fail the request: it may have been executed.
+    Fail {
+        /// The request.
+        request: RequestId,
+    },
+    /// Stop waiting for an attempt.
+    Cancel {
+        /// The request.
+        request: RequestId,
+        /// The number of the attempt, from 0.
+        attempt: usize,
+    },
+    /// Call the policy's timer at or after this time.
+    SetTimer {
+        /// To be passed back.
+        token: u64,
+        /// When the timer is due.
+        at: Time,
+    },
+    /// Run a health check against a server.
+    CheckHealth {
+        /// The server.
+        server: ServerId,
+    },
+    /// Open the standing subscription to the endpoint list.
+    Subscribe,
+}
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -1,11 +1,15 @@
-//! The settings that a deployment states as JSON, read for both programs, and the
-//! figures and hashes that both derive from what they are told.
+//! The settings of a deployment, a JSON object that the platform hands to both programs, and the values and
+//! hashes that are derived from it. The keys are part of the deployment protocol: a field that has another name
+//! states its key in a `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 
-use crate::{self as d, Report, Span, Time};
+use crate::{
+    AttemptLimits, DedupScope, Idempotency, LoadReport, PolicySettings, RequestClass, SafetyRules,
+    Span, TenantQuota, Time,
+};
 
-/// Milliseconds in whole microseconds; whatever is not a number is 0.
+/// Milliseconds rounded to whole microseconds; 0 for anything that is not a number.
 pub fn span(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
 }
@@ -15,25 +19,30 @@
     Time(span(ms).0)
 }
 
-/// FNV-1a: the same at every balancer and in every build.
+/// Offset basis of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// FNV-1a hash of a text: the same at every balancer and in every build.
 pub fn stable_hash(text: &str) -> u64 {
     text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+        .fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// Hash of a routing key: hex digits stand for themselves.
+/// Hash of a routing key; a key of hexadecimal digits is its own hash.
 pub fn key_hash(key: &str) -> u64 {
     u64::from_str_radix(key, 16).unwrap_or_else(|_| stable_hash(key))
 }
 
-fn one() -> f64 {
+fn default_priority_weight() -> f64 {
     1.0
 }
 
-/// The settings object. Keys that are not named here are skipped.
+/// The settings object. Unknown keys are ignored.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Facts {
+pub struct DeploymentSettings {
     /// Balancers in the fleet.
     pub balancers: u32,
     /// Number of this balancer among them, from 0.
@@ -50,24 +59,24 @@
     pub machine_types: Vec<String>,
     /// How often events are delivered at most, in milliseconds.
     pub tick: f64,
-    /// How the list of upstreams comes.
+    /// How the endpoint list is delivered.
     pub registry_mode: RegistryMode,
     /// Classes of requests.
-    pub services: Vec<Service>,
+    pub services: Vec<ClassSettings>,
     /// Tenants; may be empty.
     #[serde(default)]
-    pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    pub tenants: Vec<TenantSettings>,
+    /// What the deployment permits.
     pub policy_limits: PolicyLimits,
-    /// Figures of the rules.
+    /// Limits on servers that warm up and on the age of the endpoint list.
     pub safety: Safety,
-    /// What is taken off the result.
+    /// Prices of the deployment.
     #[serde(default)]
     pub prices: Prices,
     /// Load reports.
     #[serde(default)]
     pub stats: Stats,
-    /// Properties of the kind of service.
+    /// Properties of this kind of service.
     #[serde(default)]
     pub family_info: FamilyInfo,
     /// T_QoS in milliseconds, where an operator sets it.
@@ -75,179 +84,152 @@
     pub t_qos: Option<f64>,
 }
 
-/// How the list of upstreams comes.
+/// How the endpoint list is delivered.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum RegistryMode {
-    /// Changes are delivered unasked.
+    /// Changes are pushed.
     Automatic,
-    /// Only when asked for.
+    /// Changes come only when polled.
     Subscribe,
 }
 
 /// A class of requests; times in milliseconds.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Service {
+pub struct ClassSettings {
     /// Its name on sockets.
     #[serde(default)]
     pub name: String,
-    /// An answer within this time earns the full worth.
-    pub aim: f64,
+    /// Latency objective: an answer within this time has the full weight.
+    #[serde(rename = "Aim")]
+    pub latency_objective: f64,
     /// The longest a client waits.
     pub deadline: f64,
-    /// What a repeat does.
-    pub effect: Effect,
-    /// Who drops repeats.
-    #[serde(default)]
-    pub group: Group,
-    /// Worth of one request.
-    #[serde(default = "one")]
-    pub importance: f64,
-    /// Share of the worth after the aim.
-    #[serde(default)]
-    pub late_value: f64,
-    /// For how long repeats are dropped.
-    #[serde(default)]
-    pub window: f64,
-}
-
-/// What a repeat does.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(rename_all = "lowercase")]
-pub enum Effect {
-    /// Nothing.
-    Retryable,
-    /// Upstreams drop it.
-    Dedup,
-    /// It must not happen.
-    Fragile,
-}
-
-impl From<Effect> for d::Effect {
-    fn from(effect: Effect) -> Self {
-        match effect {
-            Effect::Retryable => d::Effect::Safe,
-            Effect::Dedup => d::Effect::Keyed,
-            Effect::Fragile => d::Effect::Unsafe,
-        }
-    }
-}
-
-/// Which upstreams drop each other's repeats.
-#[derive(Clone, Copy, Deserialize, Default)]
-#[serde(rename_all = "lowercase")]
-pub enum Group {
-    /// All of them.
-    #[default]
-    All,
-    /// Those of one zone.
-    Zone,
-    /// Those of one cell.
-    Cell,
+    /// Whether a request may be executed more than once.
+    #[serde(rename = "Effect")]
+    pub idempotency: Idempotency,
+    /// Which servers drop repeats of a keyed request.
+    #[serde(default, rename = "Group")]
+    pub dedup_scope: DedupScope,
+    /// Priority weight of one request.
+    #[serde(default = "default_priority_weight", rename = "Importance")]
+    pub priority_weight: f64,
+    /// Share of the weight, 0 to 1, that an answer after the latency objective still has.
+    #[serde(default, rename = "LateValue")]
+    pub late_priority_weight: f64,
+    /// For how long they drop repeats.
+    #[serde(default, rename = "Window")]
+    pub dedup_window: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Tenant {
+pub struct TenantSettings {
     /// Its name on sockets.
     #[serde(default)]
     pub name: String,
-    /// Requests a second inside its share.
+    /// Requests a second within its quota, over all balancers.
     #[serde(default)]
     pub quota_rps: f64,
 }
 
-/// What the site allows; times in milliseconds, 0 for none stated.
+/// What the deployment permits; times in milliseconds, 0 where not stated.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PolicyLimits {
     /// Most attempts of one request.
     pub max_attempts: usize,
-    /// Most open requests of one balancer; 0 for none stated.
+    /// Most open requests of one balancer; 0 where not stated.
     #[serde(default)]
     pub max_open: usize,
-    /// A connection that is not up by then has failed.
+    /// Time after which a connection attempt has failed.
     #[serde(default)]
     pub connect_timeout: f64,
-    /// When upstreams close idle connections.
+    /// Time after which servers close idle connections.
     #[serde(default)]
     pub keepalive: f64,
-    /// Two attempts of a request may be out at once.
-    #[serde(default)]
-    pub second_copies: bool,
+    /// Two attempts of a request may be in flight at once (hedging).
+    #[serde(default, rename = "SecondCopies")]
+    pub hedging: bool,
     /// Attempts may be cancelled.
     #[serde(default)]
     pub cancelling: bool,
-    /// Upstreams may be probed.
-    #[serde(default)]
-    pub probes: bool,
-    /// Clients are given retry advice.
+    /// Servers may be sent health checks.
+    #[serde(default, rename = "Probes")]
+    pub health_checks: bool,
+    /// Clients are given Retry-After advice.
     #[serde(default)]
     pub retry_after: bool,
-    /// Longest advice that a client heeds.
+    /// The longest Retry-After that a client heeds.
     #[serde(default)]
     pub max_retry_after: f64,
 }
 
-/// Figures of the rules; times in milliseconds.
+/// Limits on servers that warm up and on the age of the endpoint list; times in milliseconds.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
-    /// The longest silence towards discovery before news counts as told.
-    #[serde(default)]
-    pub ask_every: f64,
-    /// How long after a drain was told a send to the upstream may still begin; 0 for none stated.
+    /// The longest silence towards discovery after which a change counts as notified.
+    #[serde(default, rename = "AskEvery")]
+    pub poll_interval: f64,
+    /// How long after the notification of a drain an attempt may still begin; 0 where not stated.
     #[serde(default)]
     pub drain_grace: f64,
-    /// An upstream is warm no later than this.
-    pub cold: f64,
-    /// It starts at this share of its capacity or more.
-    pub cold_from: f64,
-    /// It falls over when sent more than this many times its capacity
-    pub fall_multiple: f64,
+    /// A server has its full capacity after this time at the latest.
+    #[serde(rename = "Cold")]
+    pub slow_start: f64,
+    /// A server starts with this share of its capacity or more, 0 to 1.
+    #[serde(rename = "ColdFrom")]
+    pub slow_start_initial_share: f64,
+    /// A server is overloaded when it gets more than this many times its present capacity,
+    #[serde(rename = "FallMultiple")]
+    pub overload_factor: f64,
     /// for this long.
-    pub tip_after: f64,
+    #[serde(rename = "TipAfter")]
+    pub overload_window: f64,
 }
 
-/// What is taken off the result.
+/// Prices of the deployment.
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Prices {
-    /// For an attempt that crosses zones.
+    /// Price of an attempt that crosses zones, as a share of a request's weight.
     pub cross_zone: f64,
 }
 
-/// How upstreams report their load.
+/// How servers report their load.
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Stats {
-    /// Where the reports come.
-    pub how: Reports,
+    /// How load reports are delivered.
+    pub how: LoadReportSource,
     /// The values they carry, in order.
     pub names: Vec<String>,
 }
 
-/// Where load reports come.
+/// How load reports are delivered.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum Reports {
-    /// On answers and probes.
+pub enum LoadReportSource {
+    /// With answers and health checks.
     Piggyback,
-    /// On probes only.
+    /// With health checks only.
     Pull,
-    /// Nowhere.
+    /// Not at all.
     #[default]
     #[serde(other)]
     Silent,
 }
 
 impl Stats {
-    /// The report that these named values make; names that the settings do not list are skipped.
-    pub fn report<'a>(&self, values: impl Iterator<Item = (&'a str, f64)>) -> Report {
-        let mut report = Report::default();
-        for (name, value) in values.filter(|(name, _)| self.names.iter().any(|n| n == name)) {
+    /// The load report of these named values; names that the settings do not list are ignored.
+    pub fn report<'a>(&self, values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
+        let mut report = LoadReport::default();
+        for (name, value) in
+            values.filter(|(name, _)| self.names.iter().any(|listed| listed == name))
+        {
             match name {
                 "inflight" => report.inflight = Some(value),
                 "queue" => report.queue = Some(value),
@@ -260,52 +242,48 @@
     }
 }
 
-/// Properties of the kind of service.
+/// Properties of this kind of service.
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FamilyInfo {
-    /// An upstream that met a key lately serves it with less work.
+    /// A server that has served a key lately serves it again with less work.
     pub warm_keys: bool,
 }
 
-impl Facts {
-    /// What the module is told of them.
-    pub fn settings(&self) -> d::Settings {
-        let class = |s: &Service| d::Class {
-            aim: span(s.aim),
-            deadline: span(s.deadline),
-            worth: s.importance,
-            late_worth: s.late_value,
-            effect: s.effect.into(),
-            group: match s.group {
-                Group::All => d::Group::All,
-                Group::Zone => d::Group::Zone,
-                Group::Cell => d::Group::Cell,
-            },
-            window: span(s.window),
+impl DeploymentSettings {
+    /// The settings of the policy that follow from these.
+    pub fn policy_settings(&self) -> PolicySettings {
+        let class = |class: &ClassSettings| RequestClass {
+            latency_objective: span(class.latency_objective),
+            deadline: span(class.deadline),
+            priority_weight: class.priority_weight,
+            late_priority_weight: class.late_priority_weight,
+            idempotency: class.idempotency,
+            dedup_scope: class.dedup_scope,
+            dedup_window: span(class.dedup_window),
         };
         let limits = &self.policy_limits;
-        d::Settings {
+        PolicySettings {
             classes: self.services.iter().map(class).collect(),
-            tenants: self.tenants.iter().map(|t| d::Tenant { quota_rps: t.quota_rps }).collect(),
+            tenants: self.tenants.iter().map(|t| TenantQuota { quota_rps: t.quota_rps }).collect(),
             balancers: self.balancers,
             zone: self.zone,
             tick: span(self.tick),
-            must_ask: self.registry_mode == RegistryMode::Subscribe,
-            limits: d::Limits {
+            polls: self.registry_mode == RegistryMode::Subscribe,
+            limits: AttemptLimits {
                 max_attempts: limits.max_attempts,
-                second_copies: limits.second_copies,
+                hedging: limits.hedging,
                 cancel: limits.cancelling,
-                probes: limits.probes,
+                health_checks: limits.health_checks,
                 retry_after: limits.retry_after,
                 max_retry_after: span(limits.max_retry_after),
             },
-            rules: d::Rules {
-                cold_from: self.safety.cold_from,
-                cold: span(self.safety.cold),
-                fall_multiple: self.safety.fall_multiple,
-                tip_after: span(self.safety.tip_after),
-                ask_every: span(self.safety.ask_every),
+            rules: SafetyRules {
+                slow_start_initial_share: self.safety.slow_start_initial_share,
+                slow_start: span(self.safety.slow_start),
+                overload_factor: self.safety.overload_factor,
+                overload_window: span(self.safety.overload_window),
+                poll_interval: span(self.safety.poll_interval),
             },
             cross_zone_price: self.prices.cross_zone,
             warm_keys: self.family_info.warm_keys,
--- a/crates/types/tests/settings_keys.rs
+++ b/crates/types/tests/settings_keys.rs
@@ -1,11 +1,12 @@
 //! Every key of the settings JSON, each with a value that is not its default, arrives in the field that it
 //! names. Guards against a renamed field whose key changes with it: a key with a default is then lost silently.
 
-use sableloom_types::settings::{Effect, Facts, Group, RegistryMode, Reports};
-use sableloom_types::{Effect as PolicyEffect, Group as PolicyGroup, Span};
+use sableloom_types::settings::{DeploymentSettings, LoadReportSource, RegistryMode};
+use sableloom_types::{DedupScope, Idempotency};
+use sableloom_types::{DedupScope as PolicyGroup, Idempotency as PolicyIdempotency, Span};
 use serde_json::json;
 
-fn every_key() -> Facts {
+fn every_key() -> DeploymentSettings {
     let settings = json!({
         "Balancers": 7,
         "Position": 3,
@@ -52,74 +53,92 @@
         (&balance.name[..], &redeem.name[..], &transfer.name[..]),
         ("balance", "redeem", "transfer")
     );
-    assert_eq!((balance.aim, redeem.aim, transfer.aim), (101.0, 103.0, 105.0));
+    assert_eq!(
+        (balance.latency_objective, redeem.latency_objective, transfer.latency_objective),
+        (101.0, 103.0, 105.0)
+    );
     assert_eq!((balance.deadline, redeem.deadline, transfer.deadline), (402.0, 404.0, 406.0));
     assert_eq!(
-        (balance.effect, redeem.effect, transfer.effect),
-        (Effect::Retryable, Effect::Dedup, Effect::Fragile)
+        (balance.idempotency, redeem.idempotency, transfer.idempotency),
+        (Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent)
     );
     assert!(matches!(
-        (balance.group, redeem.group, transfer.group),
-        (Group::Zone, Group::Cell, Group::All)
+        (balance.dedup_scope, redeem.dedup_scope, transfer.dedup_scope),
+        (DedupScope::Zone, DedupScope::Cell, DedupScope::All)
     ));
-    assert_eq!((balance.importance, redeem.importance, transfer.importance), (3.5, 4.5, 5.5));
-    assert_eq!((balance.late_value, redeem.late_value, transfer.late_value), (0.25, 0.5, 0.75));
-    assert_eq!((balance.window, redeem.window, transfer.window), (5001.0, 5002.0, 5003.0));
+    assert_eq!(
+        (balance.priority_weight, redeem.priority_weight, transfer.priority_weight),
+        (3.5, 4.5, 5.5)
+    );
+    assert_eq!(
+        (balance.late_priority_weight, redeem.late_priority_weight, transfer.late_priority_weight),
+        (0.25, 0.5, 0.75)
+    );
+    assert_eq!(
+        (balance.dedup_window, redeem.dedup_window, transfer.dedup_window),
+        (5001.0, 5002.0, 5003.0)
+    );
     let [tenant] = &facts.tenants[..] else { panic!("one tenant") };
     assert_eq!((&tenant.name[..], tenant.quota_rps), ("tills", 11.5));
     let limits = &facts.policy_limits;
     assert_eq!((limits.max_attempts, limits.max_open), (5, 1234));
     assert_eq!((limits.connect_timeout, limits.keepalive), (251.0, 15_001.0));
-    assert!(limits.second_copies && limits.cancelling && limits.probes && limits.retry_after);
+    assert!(limits.hedging && limits.cancelling && limits.health_checks && limits.retry_after);
     assert_eq!(limits.max_retry_after, 1001.0);
     let safety = &facts.safety;
-    assert_eq!((safety.ask_every, safety.drain_grace), (10_001.0, 1002.0));
-    assert_eq!((safety.cold, safety.cold_from), (15_003.0, 0.35));
-    assert_eq!((safety.fall_multiple, safety.tip_after), (2.5, 2004.0));
+    assert_eq!((safety.poll_interval, safety.drain_grace), (10_001.0, 1002.0));
+    assert_eq!((safety.slow_start, safety.slow_start_initial_share), (15_003.0, 0.35));
+    assert_eq!((safety.overload_factor, safety.overload_window), (2.5, 2004.0));
     assert_eq!(facts.prices.cross_zone, 0.02);
-    assert_eq!(facts.stats.how, Reports::Pull);
+    assert_eq!(facts.stats.how, LoadReportSource::Pull);
     assert_eq!(facts.stats.names, ["inflight", "latency_ms"]);
     assert!(facts.family_info.warm_keys);
 }
 
 #[test]
 fn every_key_that_the_policy_needs_reaches_its_settings() {
-    let settings = every_key().settings();
+    let settings = every_key().policy_settings();
     assert_eq!((settings.balancers, settings.zone, settings.tick), (7, 1, Span(2500)));
-    assert!(settings.must_ask);
+    assert!(settings.polls);
     let [balance, redeem, transfer] = &settings.classes[..] else { panic!("three classes") };
     assert_eq!(
-        (balance.aim, redeem.aim, transfer.aim),
+        (balance.latency_objective, redeem.latency_objective, transfer.latency_objective),
         (Span(101_000), Span(103_000), Span(105_000))
     );
     assert_eq!(
         (balance.deadline, redeem.deadline, transfer.deadline),
         (Span(402_000), Span(404_000), Span(406_000))
     );
-    assert_eq!((balance.worth, redeem.worth, transfer.worth), (3.5, 4.5, 5.5));
-    assert_eq!((balance.late_worth, redeem.late_worth, transfer.late_worth), (0.25, 0.5, 0.75));
     assert_eq!(
-        (balance.effect, redeem.effect, transfer.effect),
-        (PolicyEffect::Safe, PolicyEffect::Keyed, PolicyEffect::Unsafe)
+        (balance.priority_weight, redeem.priority_weight, transfer.priority_weight),
+        (3.5, 4.5, 5.5)
+    );
+    assert_eq!(
+        (balance.late_priority_weight, redeem.late_priority_weight, transfer.late_priority_weight),
+        (0.25, 0.5, 0.75)
+    );
+    assert_eq!(
+        (balance.idempotency, redeem.idempotency, transfer.idempotency),
+        (PolicyIdempotency::Idempotent, PolicyIdempotency::Keyed, PolicyIdempotency::NonIdempotent)
     );
     assert_eq!(
-        (balance.group, redeem.group, transfer.group),
+        (balance.dedup_scope, redeem.dedup_scope, transfer.dedup_scope),
         (PolicyGroup::Zone, PolicyGroup::Cell, PolicyGroup::All)
     );
     assert_eq!(
-        (balance.window, redeem.window, transfer.window),
+        (balance.dedup_window, redeem.dedup_window, transfer.dedup_window),
         (Span(5_001_000), Span(5_002_000), Span(5_003_000))
     );
     assert_eq!(settings.tenants.len(), 1);
     assert_eq!(settings.tenants[0].quota_rps, 11.5);
     let limits = &settings.limits;
     assert_eq!(limits.max_attempts, 5);
-    assert!(limits.second_copies && limits.cancel && limits.probes && limits.retry_after);
+    assert!(limits.hedging && limits.cancel && limits.health_checks && limits.retry_after);
     assert_eq!(limits.max_retry_after, Span(1_001_000));
     let rules = &settings.rules;
-    assert_eq!((rules.cold_from, rules.cold), (0.35, Span(15_003_000)));
-    assert_eq!((rules.fall_multiple, rules.tip_after), (2.5, Span(2_004_000)));
-    assert_eq!(rules.ask_every, Span(10_001_000));
+    assert_eq!((rules.slow_start_initial_share, rules.slow_start), (0.35, Span(15_003_000)));
+    assert_eq!((rules.overload_factor, rules.overload_window), (2.5, Span(2_004_000)));
+    assert_eq!(rules.poll_interval, Span(10_001_000));
     assert_eq!(settings.cross_zone_price, 0.02);
     assert!(settings.warm_keys);
     assert_eq!(settings.t_qos, None);
--- a/crates/watch/src/lib.rs
+++ b/crates/watch/src/lib.rs
@@ -34,7 +34,7 @@
     /// balancers, which works through new calls in turn.
     pub pushed: bool,
     /// How often the list has to be asked for at least, where it must be.
-    pub ask_every: Span,
+    pub poll_interval: Span,
     /// How long after a drain was told a send to the server may still begin; zero if not stated.
     pub grace: Span,
     /// Number of this balancer, from 0, and how many there are.
@@ -105,7 +105,9 @@
         if options.pushed {
             // What the agent has counts as told at once, also what it gets while a call hangs that it
             // will never answer: wait, slack and a new call have to fit into the grace of a drain.
-            let part = |of: f64, most: Span| Span::of(grace.f() * of).min(most).max(ms(20));
+            let part = |of: f64, most: Span| {
+                Span::from_micros_f64(grace.as_micros_f64() * of).min(most).max(ms(20))
+            };
             return Self {
                 wait: part(0.4, ms(400)),
                 short_wait: part(0.4, ms(400)),
@@ -129,7 +131,7 @@
         // watches fall silent in one moment, the calls that find it out still come one by one. Failure:
         // all began in one moment, and called again in one moment, 1.5 s late, at a service that took
         // 0.35 s for each.
-        let wait = options.ask_every.max(ms(500)).min(ms(10_000));
+        let wait = options.poll_interval.max(ms(500)).min(ms(10_000));
         let of = f64::from(options.position % options.balancers.max(1));
         let mut times = Self {
             wait,
@@ -147,15 +149,19 @@
             urgent_backoff: ms(250),
             // Not by the time for asking: what counts as told after a failure does not depend on it.
             // Failure: rests of up to four tenths of that time, and a service that came back meanwhile.
-            backoff: Span::of(options.ask_every.f() * 0.1).min(ms(250)),
+            backoff: Span::from_micros_f64(options.poll_interval.as_micros_f64() * 0.1)
+                .min(ms(250)),
             grace,
         };
         let known = Span(TOLD_AFTER_FAILURE.0 + grace.0 - times.slack.0 - times.connect.0);
-        times.short_wait = Span::of(known.f() * SHORT_OF_KNOWN).min(wait);
-        times.short_if = Span::of(known.f() * QUICK_OF_KNOWN);
-        times.stagger = Span::of(options.ask_every.f().min(10e6) * STAGGER_OF_EVERY * times.phase);
+        times.short_wait = Span::from_micros_f64(known.as_micros_f64() * SHORT_OF_KNOWN).min(wait);
+        times.short_if = Span::from_micros_f64(known.as_micros_f64() * QUICK_OF_KNOWN);
+        times.stagger = Span::from_micros_f64(
+            options.poll_interval.as_micros_f64().min(10e6) * STAGGER_OF_EVERY * times.phase,
+        );
         // Late, as a service that is merely slow is made slower by it.
-        times.hedge = Span::of(times.left_after_silence().f() * 0.65).min(ms(1500));
+        times.hedge =
+            Span::from_micros_f64(times.left_after_silence().as_micros_f64() * 0.65).min(ms(1500));
         times
     }
 
@@ -378,10 +384,12 @@
             // has its answer sooner, and may take a slow service for a quick one.
             (Some((began, true)), ..) => {
                 let share = t.phase + 1.0 / t.balancers;
-                self.all = Some(Span::of(now.since(began).f() / share));
+                self.all = Some(Span::from_micros_f64(now.since(began).as_micros_f64() / share));
             }
             // It may have been the first of all, or the last.
-            (Some((_, false)), _, Some(took)) => self.all = Some(Span::of(took.f() * t.balancers)),
+            (Some((_, false)), _, Some(took)) => {
+                self.all = Some(Span::from_micros_f64(took.as_micros_f64() * t.balancers))
+            }
             (None, Some(all), Some(took)) => self.all = Some(all.max(took)),
             _ => {}
         }
@@ -451,11 +459,11 @@
         let (t, lot) = (&self.times, self.rng.rand_float());
         let urgent = self.pressing && self.state(now) == State::Owed;
         let longest = if urgent {
-            t.urgent_backoff.f()
+            t.urgent_backoff.as_micros_f64()
         } else {
-            t.backoff.f() * f64::from(1u32 << self.failures.min(DOUBLINGS))
+            t.backoff.as_micros_f64() * f64::from(1u32 << self.failures.min(DOUBLINGS))
         };
         self.failures = (self.failures + 1).min(DOUBLINGS);
-        self.backoff_until = now.plus(Span::of(longest * (0.2 + 0.8 * lot)));
+        self.backoff_until = now.plus(Span::from_micros_f64(longest * (0.2 + 0.8 * lot)));
     }
 }
--- a/crates/watch/tests/simulation.rs
+++ b/crates/watch/tests/simulation.rs
@@ -109,7 +109,7 @@
         let nodes = (0..plan.balancers).map(|i| {
             let options = Options {
                 pushed: plan.pushed,
-                ask_every: Span(ASK_EVERY),
+                poll_interval: Span(ASK_EVERY),
                 grace: Span(GRACE),
                 position: i as u32,
                 balancers: plan.balancers as u32,
--- a/crates/watch/tests/times.rs
+++ b/crates/watch/tests/times.rs
@@ -3,10 +3,10 @@
 use sableloom_types::{Span, Time};
 use sableloom_watch::*;
 
-fn options(pushed: bool, ask_every: i64, grace: i64, position: u32, balancers: u32) -> Options {
+fn options(pushed: bool, poll_interval: i64, grace: i64, position: u32, balancers: u32) -> Options {
     Options {
         pushed,
-        ask_every: Span(ask_every * 1000),
+        poll_interval: Span(poll_interval * 1000),
         grace: Span(grace * 1000),
         position,
         balancers,
@@ -15,16 +15,19 @@
 
 #[test]
 fn silence_is_known_early_enough_for_an_answer_where_discovery_is_asked() {
-    for ask_every in [500, 1000, 5000, 10_000, 60_000, 3_600_000] {
+    for poll_interval in [500, 1000, 5000, 10_000, 60_000, 3_600_000] {
         for grace in [0, 500, 1000, 5000] {
-            let times = Times::of(&options(false, ask_every, grace, 0, 300));
+            let times = Times::of(&options(false, poll_interval, grace, 0, 300));
             assert!(
                 times.wait <= Span(10_000_000),
                 "what is silent hides news no longer than this"
             );
             // 6 s and the grace, less the longest short wait, 0.25 s of slack and 0.5 s to connect.
             let least = if grace == 500 { 1_400_000 } else { 1_520_000 };
-            assert!(times.left_after_silence() >= Span(least), "{ask_every} {grace}: {times:?}");
+            assert!(
+                times.left_after_silence() >= Span(least),
+                "{poll_interval} {grace}: {times:?}"
+            );
             assert!(times.hedge < times.left_after_silence(), "a second call has time as well");
         }
     }
@@ -196,8 +199,8 @@
 
 #[test]
 fn what_a_failed_call_misses_is_owed_in_six_seconds_and_the_grace_for_any_time_of_asking() {
-    for ask_every in [1000, 10_000, 60_000, 3_600_000] {
-        let mut watch = Watch::new(Times::of(&options(false, ask_every, 1000, 0, 6)), 1, false);
+    for poll_interval in [1000, 10_000, 60_000, 3_600_000] {
+        let mut watch = Watch::new(Times::of(&options(false, poll_interval, 1000, 0, 6)), 1, false);
         let mut now = at(0);
         for _ in 0..20 {
             watch.call(now);
