--- a/crates/watch/tests/simulation.rs
+++ b/crates/discovery-schedule/tests/simulation.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use oorandom::Rand64;
+use sableloom_discovery_schedule::*;
 use sableloom_types::{Span, Time};
-use sableloom_watch::*;
 
 const SEEDS: u64 = 6000;
 const S: i64 = 1_000_000;
--- a/crates/watch/tests/times.rs
+++ b/crates/discovery-schedule/tests/times.rs
@@ -1,7 +1,7 @@
 //! The sums that the times of a watch have to keep, for many settings.
 
+use sableloom_discovery_schedule::*;
 use sableloom_types::{Span, Time};
-use sableloom_watch::*;
 
 fn options(pushed: bool, poll_interval: i64, grace: i64, position: u32, balancers: u32) -> Options {
     Options {
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -9,9 +9,9 @@
 use std::pin::pin;
 use std::rc::Rc;
 
+use sableloom_discovery_schedule::{Ended, State, Watch};
 use sableloom_exchange::{Clock, Sink, Source, Task};
 use sableloom_types::ListKind;
-use sableloom_watch::{Ended, State, Watch};
 use tokio::time::sleep_until;
 
 use call::{Asked, Call, Line, call};
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use sableloom_discovery::{Dial, Discovery, Options, Stream};
+use sableloom_discovery_schedule::{self as watch, Times, Watch};
 use sableloom_exchange::{Clock, ListedEndpoint, Sink, Source, Work};
 use sableloom_types::{EndpointStatus, ListKind, Span};
-use sableloom_watch::{self as watch, Times, Watch};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{Mutex, Notify};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -22,9 +22,9 @@
 
 use crate::clock::{Clock, micros};
 use crate::fate::{self, Ended};
+use crate::idle::{IdleState, Timer};
 use crate::message::{Asked, Message, Reply, Turned};
 use crate::ports::{AttemptOutcome, Call, Place, Service, Sink, Source, Transport, Work};
-use crate::rest::{Rest, Timer};
 
 /// An open request.
 struct Job {
@@ -80,7 +80,7 @@
     upstreams: FxHashMap<ServerId, Upstream>,
     by_name: FxHashMap<Box<str>, ServerId>,
     next_upstream: u32,
-    rest: Rest,
+    idle: IdleState,
 }
 
 /// What an exchange is made of.
@@ -115,7 +115,7 @@
         let Options { settings, seed, clock, transport, source } = options;
         let now = clock.now();
         let balancer = Balancer::new(settings.policy_settings(), seed, now)?;
-        let rest = Rest::new(&settings, now);
+        let idle = IdleState::new(&settings, now);
         let state = State {
             balancer,
             part_ends: None,
@@ -125,7 +125,7 @@
             upstreams: FxHashMap::default(),
             by_name: FxHashMap::default(),
             next_upstream: 0,
-            rest,
+            idle,
         };
         let state = RefCell::new(state);
         let (closed, given_up) = (Cell::new(false), Cell::new(false));
@@ -160,7 +160,7 @@
 
     /// Makes up for the timer that was held back while the pool rested.
     fn end_rest(state: &mut State, now: Time, out: &mut Vec<Action>) {
-        match state.rest.end() {
+        match state.idle.end() {
             Some(Timer { token, at }) if at <= now => state.balancer.timer(now, token, out),
             Some(Timer { token, at }) => out.push(Action::SetTimer { token, at }),
             None => {}
@@ -207,7 +207,7 @@
             Action::SetTimer { .. } if self.closed.get() => {}
             Action::SetTimer { token, at } => {
                 let open = !state.jobs.is_empty();
-                if state.rest.hold(now, open, Timer { token, at }) {
+                if state.idle.hold(now, open, Timer { token, at }) {
                     return;
                 }
                 let (exchange, at) = (self.clone(), self.clock.instant(at));
@@ -269,7 +269,7 @@
             && let Some(job) = state.jobs.remove(&id)
         {
             state.trace_ids.remove(&job.message.id);
-            state.rest.busy(now);
+            state.idle.busy(now);
         }
     }
 
@@ -291,7 +291,7 @@
 
     /// Whether it keeps no time, as nothing has been open for long and no server warms up.
     pub fn rests(&self) -> bool {
-        self.state.borrow().rest.is_on()
+        self.state.borrow().idle.is_on()
     }
 
     /// Requests that are taken and not over.
@@ -458,7 +458,7 @@
                 ended: Notify::new(),
             };
             state.jobs.insert(id, Rc::new(job));
-            state.rest.busy(self.clock.now());
+            state.idle.busy(self.clock.now());
             id
         };
         let Asked { class, tenant, key, deadline } = asked;
@@ -477,7 +477,7 @@
             }
             let members: Vec<Endpoint> =
                 entries.iter().map(|entry| self.member(&mut state, entry)).collect();
-            state.rest.listed(matches!(kind, ListKind::Full | ListKind::Restored), &members);
+            state.idle.listed(matches!(kind, ListKind::Full | ListKind::Restored), &members);
             // What a whole list leaves out is gone. Only that: to retire all of them first would
             // close every connection at rest, and each whole list would cost as many new ones.
             for (id, upstream) in state.upstreams.iter().filter(|(_, upstream)| !upstream.listed) {
--- a/crates/exchange/src/rest.rs
+++ b/crates/exchange/src/idle.rs
@@ -23,7 +23,7 @@
 
 /// Whether a pool rests, and what it needs to go on.
 #[derive(Debug)]
-pub(crate) struct Rest {
+pub(crate) struct IdleState {
     /// Whether the settings allow it at all.
     allowed: bool,
     /// How long nothing must have been open.
@@ -38,7 +38,7 @@
     held: Option<Timer>,
 }
 
-impl Rest {
+impl IdleState {
     pub(crate) fn new(settings: &DeploymentSettings, now: Time) -> Self {
         let longest =
             settings.services.iter().map(|class| span(class.deadline).0).max().unwrap_or(0);
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -9,9 +9,9 @@
 mod clock;
 mod exchange;
 pub mod fate;
+mod idle;
 mod message;
 mod ports;
-mod rest;
 mod task;
 
 pub use clock::{Clock, micros};
--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -12,8 +12,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use sableloom_fleet::{Core, Out, Setup};
-use sableloom_members::{Change, Listed, MemberList, key_of};
-use sableloom_simnet::{Net, Process, S, Sent, address, place};
+use sableloom_membership::{Change, Listed, MemberList, key_of};
+use sableloom_simulated_network::{Net, Process, S, Sent, address, place};
 use sableloom_types::Time;
 
 /// How long a fleet at rest is watched.
@@ -164,7 +164,7 @@
 /// second begins each quarter of one.
 fn worst_second(net: &mut Net<Member>, seconds: usize) -> u64 {
     let traffic = |net: &Net<Member>| -> Vec<u64> {
-        let running = |place: &sableloom_simnet::Place<Member>| place.process.is_some();
+        let running = |place: &sableloom_simulated_network::Place<Member>| place.process.is_some();
         net.places.iter().map(|p| if running(p) { p.traffic } else { 0 }).collect()
     };
     let mut samples = vec![traffic(net)];
--- a/crates/fleet/src/ask.rs
+++ b/crates/fleet/src/ask.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sableloom_members::MOST;
+use sableloom_membership::MOST;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use sableloom_capacity_share::{Part, Standing};
-use sableloom_members::{Change, Fleet, Key, MemberList, Out as Said, Standing as Place};
+use sableloom_membership::{Change, Fleet, Key, MemberList, Out as Said, Standing as Place};
 use sableloom_types::{Span, Time};
 
 use crate::pace::QuestionPace;
@@ -25,7 +25,7 @@
     /// Its own.
     pub own: String,
     /// Times of the talk.
-    pub talk: sableloom_members::Times,
+    pub talk: sableloom_membership::Times,
     /// Times of the part.
     pub part: sableloom_capacity_share::Times,
 }
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -10,7 +10,7 @@
 
 use sableloom_capacity_share::{Part, Why};
 use sableloom_exchange::{Clock, Task};
-use sableloom_members::{Change, KNOCK, Key, Listed, MAX_PAGE, MemberList, Standing as Place};
+use sableloom_membership::{Change, KNOCK, Key, Listed, MAX_PAGE, MemberList, Standing as Place};
 use sableloom_types::Time;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, Semaphore};
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,7 +1,7 @@
 //! What a member says of itself and of the fleet, for operators and for tests.
 
 use sableloom_capacity_share::Why;
-use sableloom_members::{Health, Refused, Standing as Place};
+use sableloom_membership::{Health, Refused, Standing as Place};
 use sableloom_types::Time;
 use serde::{Deserialize, Serialize};
 
@@ -107,7 +107,7 @@
         let there = members.count_there() + 1;
         let left = members.count_left();
         let ago = |at: Time| now.since(at).0 / 1000;
-        let peer = |peer: &sableloom_members::Peer| {
+        let peer = |peer: &sableloom_membership::Peer| {
             let (state, accusers) = match &peer.health {
                 Health::Unknown => ("unknown", 0),
                 Health::Alive => ("alive", 0),
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -7,10 +7,10 @@
 
 use sableloom_capacity_share::Times;
 use sableloom_fleet::{Core, Out, Setup};
-use sableloom_members::{
+use sableloom_membership::{
     Body, Change, Listed, MAX_BYTES_A_SECOND, MemberList, Times as Talk, decode, key_of,
 };
-use sableloom_simnet::{HEADERS, Net, Process, S, Sent, address, place};
+use sableloom_simulated_network::{HEADERS, Net, Process, S, Sent, address, place};
 use sableloom_types::Time;
 
 /// Longer than the lists whose members all call one another.
@@ -93,7 +93,7 @@
 /// quarter of one.
 fn run(net: &mut Net<Member>, seconds: usize, phase: &str) {
     let traffic = |net: &Net<Member>| -> Vec<(u64, BTreeMap<&'static str, usize>)> {
-        let kinds = |p: &sableloom_simnet::Place<Member>| {
+        let kinds = |p: &sableloom_simulated_network::Place<Member>| {
             p.process.as_ref().map(|m| m.kinds.clone()).unwrap_or_default()
         };
         net.places.iter().map(|p| (p.traffic, kinds(p))).collect()
--- a/crates/fleet/tests/parts.rs
+++ b/crates/fleet/tests/parts.rs
@@ -6,8 +6,8 @@
 
 use sableloom_capacity_share::{Part, Times, Why};
 use sableloom_fleet::{Core, Out, Setup};
-use sableloom_members::{Change, Key, Listed, MemberList, Times as Talk, key_of};
-use sableloom_simnet::{MS, Net, Process, S, Sent, address, on_all_cores, place};
+use sableloom_membership::{Change, Key, Listed, MemberList, Times as Talk, key_of};
+use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, on_all_cores, place};
 use sableloom_types::Time;
 
 /// A member and its part, as the shell holds it between two calls.
@@ -78,7 +78,7 @@
 }
 
 fn numbers(net: &Net<Member>) -> Vec<Option<(u32, Why)>> {
-    let part = |p: &sableloom_simnet::Place<Member>| p.process.as_ref().map(|m| m.part);
+    let part = |p: &sableloom_simulated_network::Place<Member>| p.process.as_ref().map(|m| m.part);
     net.places.iter().map(|p| part(p).map(|part| (part.balancers, part.why))).collect()
 }
 
@@ -267,6 +267,6 @@
 /// The bound that docs/design/members.md states: what is kept of a member, its name apart.
 #[test]
 fn what_is_kept_of_a_member_is_bounded() {
-    let bytes = size_of::<sableloom_members::Peer>() + sableloom_capacity_share::BYTES_EACH;
+    let bytes = size_of::<sableloom_membership::Peer>() + sableloom_capacity_share::BYTES_EACH;
     assert!(bytes < 200, "{bytes}");
 }
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -8,7 +8,7 @@
 use sableloom_capacity_share::{Part, Times};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told};
-use sableloom_members::{Listed, MemberList, Times as Talk};
+use sableloom_membership::{Listed, MemberList, Times as Talk};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
--- a/crates/harness/src/net.rs
+++ b/crates/harness/src/net.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use sableloom_emulator::Phase;
 use sableloom_rehearsal::{LinkDirection, LinkQuality, LinkState};
-use sableloom_standin::Shell;
+use sableloom_stand_ins::Shell;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, duplex, split};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc, watch};
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -22,7 +22,7 @@
     Account, Facts, Machine, RetainedState, Script, Step, StepAction, Timeline, Verdict, account,
     arrivals, judge, timeline,
 };
-use sableloom_standin::{Agent, Lateness, Shell};
+use sableloom_stand_ins::{Agent, Lateness, Shell};
 use serde::{Deserialize, Serialize};
 use socket2::Socket;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
--- a/crates/harness/src/play/lists.rs
+++ b/crates/harness/src/play/lists.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use sableloom_rehearsal::{Drain, MS};
-use sableloom_standin::{FaultMode, Member};
+use sableloom_stand_ins::{FaultMode, Member};
 
 use super::{Balancer, Play};
 use crate::site::{DRAIN, Listed};
--- a/crates/harness/src/play/prepare.rs
+++ b/crates/harness/src/play/prepare.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use sableloom_emulator::Phase;
 use sableloom_rehearsal::{Arrival, Facts, Idempotency, Lists, Script, Timeline};
-use sableloom_standin::{Agent, Class as NodeClass, Options as NodeOptions, Shell};
+use sableloom_stand_ins::{Agent, Class as NodeClass, Options as NodeOptions, Shell};
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::{Balancer, Options, Play, ProcessState, RegisteredNode, io};
--- a/crates/members/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -10,8 +10,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use sableloom_members::{Change, Fleet, Health, Key, Listed, MemberList, Out, Times, key_of};
-use sableloom_simnet::{MS, Net, Process, S, Sent, address, place};
+use sableloom_membership::{Change, Fleet, Health, Key, Listed, MemberList, Out, Times, key_of};
+use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, place};
 use sableloom_types::{Span, Time};
 
 /// From one probe, or heartbeat, to the next.
--- a/crates/members/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -5,11 +5,11 @@
 
 use std::net::SocketAddr;
 
-use sableloom_members::{
+use sableloom_membership::{
     Body, Fleet, Listed, MemberList, MemberState, Message, Out, Page, Pull, Times, Update, decode,
     encode, key_of,
 };
-use sableloom_simnet::{address, on_all_cores};
+use sableloom_simulated_network::{address, on_all_cores};
 use sableloom_types::{Span, Time};
 
 use sim::{MS, S, Sim};
--- a/crates/members/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::ops::{Deref, DerefMut};
 
-use sableloom_members::{Change, Fleet, Key, Listed, MemberList, Out, Times, decode, key_of};
-use sableloom_simnet::{Net, Process, Sent, address};
+use sableloom_membership::{Change, Fleet, Key, Listed, MemberList, Out, Times, decode, key_of};
+use sableloom_simulated_network::{Net, Process, Sent, address};
 use sableloom_types::Time;
 
-pub use sableloom_simnet::{MS, S};
+pub use sableloom_simulated_network::{MS, S};
 
 /// A member alone, without what is made of its view.
 pub struct Member(pub Fleet);
--- a/crates/members/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -3,8 +3,8 @@
 
 mod sim;
 
-use sableloom_members::{Change, Health, Standing};
-use sableloom_simnet::on_all_cores;
+use sableloom_membership::{Change, Health, Standing};
+use sableloom_simulated_network::on_all_cores;
 
 use sim::{MS, S, Sim, key};
 
@@ -64,7 +64,7 @@
     let took = sim.until_agreed(AGREED_WITHIN);
     let views = || {
         let told = sim.fleets().map(|(i, f)| {
-            let health = |p: &sableloom_members::Peer| match p.health {
+            let health = |p: &sableloom_membership::Peer| match p.health {
                 Health::Unknown => '?',
                 Health::Alive => 'a',
                 Health::Suspect { .. } => 's',
@@ -307,8 +307,9 @@
             let until = sim.now + 100 * MS;
             sim.run(until);
             for (i, fleet) in sim.fleets() {
-                let dead =
-                    |p: &sableloom_members::Peer| p.key == key(victim) && p.health == Health::Dead;
+                let dead = |p: &sableloom_membership::Peer| {
+                    p.key == key(victim) && p.health == Health::Dead
+                };
                 if fleet.peers().any(dead) {
                     let held = sim.now - *since[i].get_or_insert(sim.now);
                     assert!(held < HELD_DEAD, "seed {seed}: held dead by {i} for {held} us");
--- a/crates/members/tests/talk.rs
+++ b/crates/membership/tests/talk.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_members::{
+use sableloom_membership::{
     Body, Change, Fleet, Health, Listed, MAX_PAGE, MemberList, MemberState, Message, Out, Refused,
     Times, Update, decode, encode, key_of,
 };
@@ -220,8 +220,8 @@
 #[test]
 fn what_is_kept_of_a_member_is_bounded() {
     assert!(
-        size_of::<sableloom_members::Peer>() <= 200,
+        size_of::<sableloom_membership::Peer>() <= 200,
         "{}",
-        size_of::<sableloom_members::Peer>()
+        size_of::<sableloom_membership::Peer>()
     );
 }
--- a/crates/resources/src/body.rs
+++ b/crates/resources/src/body.rs
@@ -4,8 +4,8 @@
 
 use sableloom_distribution::ResourceKind;
 use sableloom_routes::{Header, Host, Path, Rule};
-use sableloom_serverlist::State;
-use sableloom_site::PoolSettings;
+use sableloom_server_list::State;
+use sableloom_site_config::PoolSettings;
 use serde::{Deserialize, Serialize};
 
 use crate::tenant::TenantLimit;
--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -2,8 +2,8 @@
 
 use rustc_hash::FxHashMap;
 use sableloom_distribution::{MAX_BODY_BYTES, ResourceKind, ResourceName, ServiceName, hash_bytes};
-use sableloom_serverlist::{ServerFields, read_server_fields};
-use sableloom_site::{PoolSettings, read_conditions, read_refusal};
+use sableloom_server_list::{ServerFields, read_server_fields};
+use sableloom_site_config::{PoolSettings, read_conditions, read_refusal};
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 
 use crate::body::{Body, RouteRule, ServerEntry};
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,8 +1,8 @@
 //! Resources of the distribution of configuration: their typed bodies with their encoding, and operators'
 //! change files. Text and bytes in, typed values or all that is wrong out; no I/O, no clock.
 //!
-//! A body becomes what a site's file would have said: settings become a [`sableloom_site::Pool`], servers a
-//! [`sableloom_serverlist::Listing`], routes a [`sableloom_routes::Rule`]. The fields are read and checked by
+//! A body becomes what a site's file would have said: settings become a [`sableloom_site_config::Pool`], servers a
+//! [`sableloom_server_list::Listing`], routes a [`sableloom_routes::Rule`]. The fields are read and checked by
 //! the readers of those crates, so that there is one validator.
 
 mod body;
--- a/crates/resources/src/listing.rs
+++ b/crates/resources/src/listing.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_serverlist::{Listed, Listing, ServerFields};
+use sableloom_server_list::{Listed, Listing, ServerFields};
 use sableloom_toml_diagnostics::Found;
 use sha2::{Digest, Sha256};
 
--- a/crates/resources/src/resolve.rs
+++ b/crates/resources/src/resolve.rs
@@ -8,7 +8,7 @@
 use sableloom_distribution::{
     Change, LogEntry, Origin, Resource, ResourceKind, ResourceName, ServiceName, Store,
 };
-use sableloom_serverlist::MOST_SERVERS;
+use sableloom_server_list::MOST_SERVERS;
 use sableloom_toml_diagnostics::{Problem, instead};
 
 use crate::body::{Body, ServerEntry};
--- a/crates/resources/tests/change.rs
+++ b/crates/resources/tests/change.rs
@@ -7,7 +7,7 @@
     Body, BodyError, Empty, FORMAT_VERSION, Inventory, ListedServer, ServerState, is_finished,
     listing, read_change,
 };
-use sableloom_site::{Class, ClassDefaults};
+use sableloom_site_config::{Class, ClassDefaults};
 
 const FIRST: &str = r#"number = 1
 epoch = 1
@@ -123,7 +123,7 @@
 how = "answers"
 names = ["inflight"]
 "#;
-    let site = sableloom_site::read("site.toml", site).expect("a good site");
+    let site = sableloom_site_config::read("site.toml", site).expect("a good site");
     let mut expected = site.pools[0].clone();
     (expected.files, expected.out_at_most, expected.reread_ms) = (Vec::new(), 1.0, 0.0);
     let classes: Vec<Class> = site.classes.clone();
--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -12,9 +12,9 @@
 use sableloom_exchange::Clock;
 use sableloom_http1::{Dialect, class_of};
 use sableloom_routes::{Head, Why};
-use sableloom_serverfiles::bytes_of;
-use sableloom_serverlist::{self as serverlist, Lists};
-use sableloom_site::{Pool, Site, Target};
+use sableloom_server_files::bytes_of;
+use sableloom_server_list::{self as serverlist, Lists};
+use sableloom_site_config::{Pool, Site, Target};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::EndpointStatus;
 
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -9,7 +9,7 @@
 use sableloom_distribution::{
     LagStatus, LogStatus, MachineStatus, Position, PublisherStatus, RejectionStatus, SessionStatus,
 };
-use sableloom_serverfiles::bytes_of;
+use sableloom_server_files::bytes_of;
 use sableloom_toml_diagnostics::Problem;
 use serde_json::{Value, json};
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use oorandom::Rand64;
 use sableloom_emulator::{NodeCapacity, NodeProfile};
-use sableloom_standin::{Class, Node, Options as NodeOptions, agent};
+use sableloom_stand_ins::{Class, Node, Options as NodeOptions, agent};
 use serde_json::json;
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -11,8 +11,8 @@
 use sableloom_capacity_share::Times;
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Status, Told, status_of};
-use sableloom_members::{Listed, MemberList, Times as Talk};
-use sableloom_site::Fleet;
+use sableloom_membership::{Listed, MemberList, Times as Talk};
+use sableloom_site_config::Fleet;
 use sableloom_types::settings::span;
 
 use crate::site_file::{lines_of, load};
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use sableloom_discovery::{self as discovery, Discovery};
+use sableloom_discovery_schedule::{self as watch, Times, Watch};
 use sableloom_exchange::{Clock, Exchange, Options, Sink, Task, longest_deadline};
 use sableloom_http1::{Budget, Dialect, Frontend, Upstreams};
 use sableloom_types::ListKind;
 use sableloom_types::settings::{RegistryMode, span};
-use sableloom_watch::{self as watch, Times, Watch};
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/sableloom/src/rehearse.rs
+++ b/crates/sableloom/src/rehearse.rs
@@ -10,7 +10,7 @@
     LaunchOptions, Options as Play, Report, beside, compared, page, play, table,
 };
 use sableloom_rehearsal::{Lists, Script, timeline};
-use sableloom_serverfiles::bytes_of;
+use sableloom_server_files::bytes_of;
 use sableloom_toml_diagnostics::Problem;
 
 /// What to rehearse.
--- a/crates/sableloom/src/serve/apply.rs
+++ b/crates/sableloom/src/serve/apply.rs
@@ -11,8 +11,8 @@
 
 use sableloom_distribution::{Rejection, ServiceName, Transaction};
 use sableloom_routes::IndexedRoute;
-use sableloom_serverlist::RosterChange;
-use sableloom_site::{ClassDefaults, PoolSettings, Site};
+use sableloom_server_list::RosterChange;
+use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
 use sableloom_subscription::Applier;
 use sableloom_tenant_limits::Limit;
 use sableloom_types::settings::span;
--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use sableloom_distribution::SubscriberTimes;
-use sableloom_site::Control;
+use sableloom_site_config::Control;
 use sableloom_subscription::{StateOrigin, Subscription, SubscriptionOptions};
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
--- a/crates/sableloom/src/serve/feed.rs
+++ b/crates/sableloom/src/serve/feed.rs
@@ -4,7 +4,7 @@
 use std::rc::{Rc, Weak};
 
 use sableloom_exchange::{Clock, Sink, Source};
-use sableloom_serverlist::{Roster, RosterChange};
+use sableloom_server_list::{Roster, RosterChange};
 use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
--- a/crates/sableloom/src/serve/plan.rs
+++ b/crates/sableloom/src/serve/plan.rs
@@ -10,8 +10,8 @@
 };
 use sableloom_resources::{Body, RouteRule, ServerEntry, ServerState, TenantLimit};
 use sableloom_routes::{IndexedRoute, MAX_PAIRS_PER_ROUTE, RouteOrder, Rule};
-use sableloom_serverlist::{MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer};
-use sableloom_site::{ClassDefaults, PoolSettings, Site};
+use sableloom_server_list::{MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer};
+use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
 use sableloom_toml_diagnostics::instead;
 
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -8,11 +8,11 @@
 use sableloom_exchange::{Asked, Clock, Exchange, Message, Reply, Service, Turned, Work};
 use sableloom_exchange::{Options as ExchangeOptions, Source};
 use sableloom_http1::{Budget, Upstreams};
-use sableloom_mirror::{Group, Mirror, Options as MirrorOptions, Ready};
-use sableloom_serverfiles::ServerFiles;
+use sableloom_server_files::ServerFiles;
 use sableloom_shadow::Bounds;
-use sableloom_site::{Pool, Shadow, Site};
+use sableloom_site_config::{Pool, Shadow, Site};
 use sableloom_toml_diagnostics::Problem;
+use sableloom_traffic_mirror::{Group, Mirror, Options as MirrorOptions, Ready};
 use sableloom_types::settings::{span, stable_hash};
 
 use super::feed::ServerFeed;
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use sableloom_serverfiles::{Prepared, ServerFiles};
-use sableloom_site::Shadow;
+use sableloom_server_files::{Prepared, ServerFiles};
+use sableloom_site_config::Shadow;
 use sableloom_toml_diagnostics::Problem;
 
 use super::pools::{PoolContext, RunningPool, ServerSource};
@@ -16,7 +16,7 @@
         let name = self.path.display().to_string();
         let (site, table) = load(&self.path)?;
         let old = router.routing.borrow().clone();
-        let fixed = sableloom_site::unchangeable(&name, &old.site, &site);
+        let fixed = sableloom_site_config::unchangeable(&name, &old.site, &site);
         if !fixed.is_empty() {
             return Err(fixed);
         }
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -8,7 +8,7 @@
 use sableloom_exchange::{Asked, Clock, Message, Reply, Service, Turned, Work};
 use sableloom_fleet::{Running as Fleet, Told};
 use sableloom_routes::{Head, Table};
-use sableloom_site::{Site, Target};
+use sableloom_site_config::{Site, Target};
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
 
--- a/crates/sableloom/src/serve/subscribed.rs
+++ b/crates/sableloom/src/serve/subscribed.rs
@@ -6,7 +6,7 @@
 
 use sableloom_distribution::ServiceName;
 use sableloom_routes::{Head, RouteIndex};
-use sableloom_site::PoolSettings;
+use sableloom_site_config::PoolSettings;
 use sableloom_tenant_limits::TenantLimits;
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sableloom_exchange::{Message, Turned};
-use sableloom_site::Site;
+use sableloom_site_config::Site;
 use sableloom_tenant_limits::{Refusals, Share, Verdict};
 use sableloom_types::Time;
 use serde_json::{Value, json};
--- a/crates/sableloom/src/shadow.rs
+++ b/crates/sableloom/src/shadow.rs
@@ -7,7 +7,7 @@
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table};
 use plotters::prelude::*;
-use sableloom_serverfiles::bytes_of;
+use sableloom_server_files::bytes_of;
 use sableloom_shadow::{Finding, Judgement, LatencySummary, Limits, Record, What, judge};
 
 /// Something speaks against the candidate.
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use sableloom_routes::Table;
-use sableloom_serverfiles::{Files, bytes_of};
-use sableloom_serverlist::Spec;
-use sableloom_site::{Pool, Site};
+use sableloom_server_files::{Files, bytes_of};
+use sableloom_server_list::Spec;
+use sableloom_site_config::{Pool, Site};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::settings::span;
 
@@ -15,7 +15,7 @@
     let name = path.display().to_string();
     let path = path.to_path_buf();
     let text = bytes_of(&path).map_err(|e| vec![Problem::of_file(&name, e)])?;
-    let site = sableloom_site::read(&name, &text)?;
+    let site = sableloom_site_config::read(&name, &text)?;
     let table = site.table().map_err(|e| vec![Problem::of_file(&name, format!("routes: {e}"))])?;
     Ok((with_members(&path, site)?, table))
 }
@@ -28,7 +28,7 @@
         Some(file) => {
             let at = path.parent().unwrap_or(Path::new("")).join(&file);
             let text = bytes_of(&at).map_err(|e| vec![Problem::of_file(&file, e)])?;
-            let members = sableloom_site::read_members(&file, &text)?;
+            let members = sableloom_site_config::read_members(&file, &text)?;
             fleet.with_members(&file, members)?
         }
     });
--- a/crates/sableloom/tests/fleet/direct.rs
+++ b/crates/sableloom/tests/fleet/direct.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use sableloom_members::{Body, MAX_PAGE, Message, encode, key_of};
+use sableloom_membership::{Body, MAX_PAGE, Message, encode, key_of};
 use sableloom_testkit::{Balancer, Peer, Site, eventually, named, ok, program, read, servers};
 
 /// A free UDP port of a loopback address that nobody else uses, so that it stays free.
--- a/crates/sableloom/tests/subscription/strange.rs
+++ b/crates/sableloom/tests/subscription/strange.rs
@@ -9,7 +9,7 @@
     resource_digest,
 };
 use sableloom_resources::{Body, TenantLimit};
-use sableloom_site::PoolSettings;
+use sableloom_site_config::PoolSettings;
 use sableloom_testkit::control::{Process, site};
 use sableloom_testkit::{LONG, Site};
 
--- a/crates/scale/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -5,10 +5,10 @@
 use std::time::Instant;
 
 use clap::{Parser, Subcommand};
-use sableloom_scale::play::{self, PlayOptions};
-use sableloom_scale::report::RunReport;
-use sableloom_scale::source::{self, Source};
-use sableloom_scale::{site_cost, worker};
+use sableloom_scale_test::play::{self, PlayOptions};
+use sableloom_scale_test::report::RunReport;
+use sableloom_scale_test::source::{self, Source};
+use sableloom_scale_test::{site_cost, worker};
 
 /// What control costs by the size of the fleet, measured with hollow balancers beside real ones.
 #[derive(Parser)]
--- a/crates/scale/src/members.rs
+++ b/crates/scale-test/src/members.rs
@@ -10,7 +10,7 @@
 use sableloom_capacity_share::{Part, Times as ShareTimes, Why};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told, Traffic};
-use sableloom_members::{Listed, MemberList, Times as ProbeTimes};
+use sableloom_membership::{Listed, MemberList, Times as ProbeTimes};
 use serde::{Deserialize, Serialize};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
--- a/crates/scale/tests/client.rs
+++ b/crates/scale-test/tests/client.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
-use sableloom_scale::client::{Client, RequestFailure};
+use sableloom_scale_test::client::{Client, RequestFailure};
 
 /// A server that gives each connection one of these answers and then closes it; it says when one is closed.
 fn server(answers: &'static [&'static str]) -> (SocketAddr, Receiver<()>) {
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale-test/tests/fit.rs
@@ -1,7 +1,7 @@
 //! Lines by least squares, and what of a report they are put through.
 
-use sableloom_scale::fit::Fit;
-use sableloom_scale::report::RunReport;
+use sableloom_scale_test::fit::Fit;
+use sableloom_scale_test::report::RunReport;
 
 #[test]
 fn a_line_is_found_with_its_residual() {
--- a/crates/scale/tests/memory_plan.rs
+++ b/crates/scale-test/tests/memory_plan.rs
@@ -1,7 +1,7 @@
 //! How many control machines are started, by the memory that they and the balancers take.
 
-use sableloom_scale::play::machines_that_fit;
-use sableloom_scale::source::{Source, TENANTS_EACH};
+use sableloom_scale_test::play::machines_that_fit;
+use sableloom_scale_test::source::{Source, TENANTS_EACH};
 
 /// The users' services, and their balancers.
 const SERVICES: usize = 2_500;
--- a/crates/scale/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -4,11 +4,11 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use sableloom_scale::data_path::{self, DataPathOptions};
-use sableloom_scale::distribution::{self, DistributionOptions};
-use sableloom_scale::membership::{self, MembershipOptions};
-use sableloom_scale::report::RunReport;
-use sableloom_scale::source::{ROUTES_EACH, SERVERS_EACH, Source};
+use sableloom_scale_test::data_path::{self, DataPathOptions};
+use sableloom_scale_test::distribution::{self, DistributionOptions};
+use sableloom_scale_test::membership::{self, MembershipOptions};
+use sableloom_scale_test::report::RunReport;
+use sableloom_scale_test::source::{ROUTES_EACH, SERVERS_EACH, Source};
 use sableloom_testkit::program;
 
 /// Hollow balancers.
--- a/crates/scale/tests/times.rs
+++ b/crates/scale-test/tests/times.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use sableloom_scale::latency::{Audience, Published, times_in_force};
-use sableloom_scale::source::{scope_of, subscribers_of};
-use sableloom_scale::subscribers::InForce;
+use sableloom_scale_test::latency::{Audience, Published, times_in_force};
+use sableloom_scale_test::source::{scope_of, subscribers_of};
+use sableloom_scale_test::subscribers::InForce;
 
 fn seen(subscriber: usize, version: u64, at_us: u64) -> InForce {
     InForce { subscriber, service: 0, version, at_us }
--- a/crates/scale/tests/worst_second.rs
+++ b/crates/scale-test/tests/worst_second.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sableloom_scale::worst_second::SecondWindow;
+use sableloom_scale_test::worst_second::SecondWindow;
 
 #[test]
 fn a_rate_is_taken_over_a_second_where_readings_are_closer() {
--- a/crates/serverfiles/src/lib.rs
+++ b/crates/server-files/src/lib.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use sableloom_exchange::{Clock, Sink, Source, Task};
-use sableloom_serverlist::{Lists, OfferResult, Spec};
+use sableloom_server_list::{Lists, OfferResult, Spec};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::ListKind;
 use tokio::sync::{Mutex, Notify, OwnedMutexGuard};
--- a/crates/serverfiles/src/reading.rs
+++ b/crates/server-files/src/reading.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sableloom_serverlist::{self as serverlist, Reading, Spec};
+use sableloom_server_list::{self as serverlist, Reading, Spec};
 use sableloom_toml_diagnostics::Problem;
 use sha2::{Digest, Sha256};
 
--- a/crates/serverfiles/tests/pools.rs
+++ b/crates/server-files/tests/pools.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sableloom_exchange::{Clock, Sink, Source};
-use sableloom_serverfiles::{Files, ServerFiles};
-use sableloom_serverlist::Spec;
+use sableloom_server_files::{Files, ServerFiles};
+use sableloom_server_list::Spec;
 use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
--- a/crates/serverlist/tests/lists.rs
+++ b/crates/server-list/tests/lists.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sableloom_serverlist::*;
+use sableloom_server_list::*;
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
--- a/crates/serverlist/tests/property.rs
+++ b/crates/server-list/tests/property.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use sableloom_serverlist::*;
+use sableloom_server_list::*;
 use sableloom_types::{EndpointStatus, Span, Time};
 
 const SEEDS: u64 = 1500;
--- a/crates/serverlist/tests/roster.rs
+++ b/crates/server-list/tests/roster.rs
@@ -1,6 +1,6 @@
 //! Servers that change one by one.
 
-use sableloom_serverlist::{Roster, RosterChange, RosterServer};
+use sableloom_server_list::{Roster, RosterChange, RosterServer};
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
 const DRAIN: Span = Span(2_000_000);
--- a/crates/site/src/fleet.rs
+++ b/crates/site-config/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use sableloom_members::key_of;
+use sableloom_membership::key_of;
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Found, Problem, Table, instead};
 
 use crate::Place;
--- a/crates/site/tests/fleet.rs
+++ b/crates/site-config/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! What a site says of the fleet that its balancer belongs to, and all that can be wrong with it.
 
-use sableloom_site::{Site, read, read_members, unchangeable};
+use sableloom_site_config::{Site, read, read_members, unchangeable};
 use sableloom_toml_diagnostics::Problem;
 
 const GOOD: &str = r#"
--- a/crates/site/tests/shadow.rs
+++ b/crates/site-config/tests/shadow.rs
@@ -1,7 +1,7 @@
 //! What a site says of shadows, and what can be wrong with it.
 
 use sableloom_shadow::{Bounds, By};
-use sableloom_site::*;
+use sableloom_site_config::*;
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::Span;
 
--- a/crates/site/tests/site.rs
+++ b/crates/site-config/tests/site.rs
@@ -1,7 +1,7 @@
 //! What a site says, what can be wrong with it, and what a running balancer takes over.
 
 use sableloom_routes::{Host, Path};
-use sableloom_site::*;
+use sableloom_site_config::*;
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::Idempotency;
 use sableloom_types::Span;
--- a/crates/site/tests/tenants.rs
+++ b/crates/site-config/tests/tenants.rs
@@ -1,6 +1,6 @@
 //! The section `[tenants]`.
 
-use sableloom_site::{read, unchangeable};
+use sableloom_site_config::{read, unchangeable};
 
 const TOP: &str = r#"
 [[listener]]
--- a/crates/mirror/src/lib.rs
+++ b/crates/traffic-mirror/src/lib.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use sableloom_exchange::{Answer, Asked, Clock, Fields, Message};
-use sableloom_serverfiles::Files;
+use sableloom_server_files::Files;
 use sableloom_shadow::{Bounds, Changes, Copied, Counts, End, Gate, Rules};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::settings::DeploymentSettings;
--- a/crates/mirror/src/side.rs
+++ b/crates/traffic-mirror/src/side.rs
@@ -16,7 +16,7 @@
     Options as ExchangeOptions, Reply, Service, Source, Transport, Work,
 };
 use sableloom_http1::{Budget, Upstreams};
-use sableloom_serverfiles::ServerFiles;
+use sableloom_server_files::ServerFiles;
 use sableloom_shadow::{CopyOutcome, End, Pair, Record, Rules, Side, SkipReason, compare};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::{Idempotency, LoadReport, ServerId, Span};
