--- a/crates/control/src/connection.rs
+++ b/crates/control/src/connection.rs
@@ -7,7 +7,7 @@
 
 use arrayvec::ArrayVec;
 use bytes::{Buf, Bytes};
-use sableloom_distribution::{CloseReason, CodecError, FrameReader, ToControl};
+use sableloom_distribution::{CloseReason, CodecError, FrameReader, SubscriberMessage};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
@@ -26,7 +26,7 @@
 /// What a connection tells the server of.
 pub(crate) trait Session {
     /// A message has come.
-    fn message(&self, message: ToControl);
+    fn message(&self, message: SubscriberMessage);
     /// What came is no message.
     fn malformed(&self, error: CodecError);
     /// So many bytes have been written.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -10,7 +10,7 @@
 
 use rustc_hash::FxHashMap;
 use sableloom_distribution::{
-    CodecError, Position, Publisher, PublisherOutput, SessionId, Store, ToControl,
+    CodecError, Position, Publisher, PublisherOutput, SessionId, Store, SubscriberMessage,
 };
 use sableloom_types::Time;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -168,7 +168,7 @@
 }
 
 impl Session for Handle {
-    fn message(&self, message: ToControl) {
+    fn message(&self, message: SubscriberMessage) {
         self.decide(|publisher, now, orders| publisher.message(now, self.id, message, orders));
     }
 
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sableloom_distribution::{
-    CodecError, FrameReader, Held, MachineStatus, PublisherStatus, SessionStatus, StatusPage,
-    StatusQuery, StatusRows, ToControl, ToSubscriber, encode,
+    CodecError, FrameReader, MachineStatus, PublisherMessage, PublisherStatus, ServiceVersion,
+    SessionStatus, StatusPage, StatusQuery, StatusRows, SubscriberMessage, encode,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -25,7 +25,7 @@
     /// Its sessions, in the order of their ids.
     pub sessions: Vec<SessionStatus>,
     /// Its services, in the order of their names.
-    pub services: Vec<Held>,
+    pub services: Vec<ServiceVersion>,
 }
 
 /// Why there is no status.
@@ -108,11 +108,11 @@
     }
 
     async fn ask(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
-        self.stream.write_all(&encode(&ToControl::StatusRequest(query))).await?;
+        self.stream.write_all(&encode(&SubscriberMessage::StatusRequest(query))).await?;
         let mut buffer = vec![0; 16 << 10];
         loop {
-            match self.frames.next::<ToSubscriber>()? {
-                Some(ToSubscriber::Status(page)) => return Ok(page),
+            match self.frames.next::<PublisherMessage>()? {
+                Some(PublisherMessage::Status(page)) => return Ok(page),
                 Some(_) => return Err(StatusError::Unexpected),
                 None => {}
             }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use sableloom_discovery_schedule::{Ended, State, Watch};
-use sableloom_exchange::{Clock, Sink, Source, Task};
+use sableloom_exchange::{Clock, EndpointListener, EndpointSource, Task};
 use sableloom_types::ListKind;
 use tokio::time::sleep_until;
 
@@ -24,7 +24,7 @@
     clock: Clock,
     dial: Dial,
     revision: Cell<Option<u64>>,
-    sink: RefCell<Option<Rc<dyn Sink>>>,
+    sink: RefCell<Option<Rc<dyn EndpointListener>>>,
     watch: RefCell<Watch>,
     /// The running watch, if there is one.
     runs: RefCell<Option<Task>>,
@@ -63,7 +63,7 @@
     }
 
     /// Tells this sink, also before it first subscribes.
-    pub fn attach(&self, sink: Rc<dyn Sink>) {
+    pub fn attach(&self, sink: Rc<dyn EndpointListener>) {
         *self.sink.borrow_mut() = Some(sink);
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Watches for ever.
-    async fn run(self: Rc<Self>, sink: Rc<dyn Sink>) {
+    async fn run(self: Rc<Self>, sink: Rc<dyn EndpointListener>) {
         let mut kept = None;
         loop {
             let now = self.clock.now();
@@ -153,7 +153,7 @@
     }
 
     /// Takes an answer in.
-    fn took(&self, snapshot: Snapshot, sink: &Rc<dyn Sink>) -> Ended {
+    fn took(&self, snapshot: Snapshot, sink: &Rc<dyn EndpointListener>) -> Ended {
         let before = self.revision.get();
         let back = before.is_some_and(|before| snapshot.revision < before);
         if back && !snapshot.complete {
@@ -186,8 +186,8 @@
     }
 }
 
-impl Source for Discovery {
-    fn subscribe(self: Rc<Self>, sink: Rc<dyn Sink>) {
+impl EndpointSource for Discovery {
+    fn subscribe(self: Rc<Self>, sink: Rc<dyn EndpointListener>) {
         self.attach(sink);
         if self.runs.borrow().is_none() {
             self.watch.borrow_mut().begin(self.clock.now());
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -12,7 +12,7 @@
 
 use sableloom_discovery::{Dial, Discovery, Options, Stream};
 use sableloom_discovery_schedule::{self as watch, Times, Watch};
-use sableloom_exchange::{Clock, ListedEndpoint, Sink, Source, Work};
+use sableloom_exchange::{Clock, EndpointListener, EndpointSource, ListedEndpoint, Work};
 use sableloom_types::{EndpointStatus, ListKind, Span};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{Mutex, Notify};
@@ -206,7 +206,7 @@
     lists: Cell<usize>,
 }
 
-impl Sink for Heard {
+impl EndpointListener for Heard {
     fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
         self.lists.set(self.lists.get() + usize::from(kind == ListKind::Full));
         for entry in entries {
--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -9,8 +9,8 @@
 use rustix::time::{ClockId, clock_gettime};
 use sableloom_distribution::{
     Change, FrameReader, LogEntry, Origin, Publisher, PublisherOptions, PublisherOutput, Resource,
-    ResourceName, ServiceName, SessionId, Store, StoreLimits, Subscriber, SubscriberName,
-    SubscriberOptions, SubscriberOutput, ToControl, encode,
+    ResourceName, ServiceName, SessionId, Store, StoreLimits, Subscriber, SubscriberMessage,
+    SubscriberName, SubscriberOptions, SubscriberOutput, encode,
 };
 use sableloom_types::Time;
 use serde_json::{Value, json};
@@ -173,7 +173,7 @@
 
     fn ping_all(&mut self, first_session: u64, queue: &mut Vec<PublisherOutput>) {
         for index in 0..self.ends.len() {
-            let ping = SubscriberOutput::Send(ToControl::Ping { sequence: 1 });
+            let ping = SubscriberOutput::Send(SubscriberMessage::Ping { sequence: 1 });
             self.deliver_up(SessionId(first_session + index as u64), vec![ping], queue);
         }
     }
--- a/crates/distribution/src/codec.rs
+++ b/crates/distribution/src/codec.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::message::{ToControl, ToSubscriber};
+use crate::message::{PublisherMessage, SubscriberMessage};
 
 /// The version of the format, in each frame. A kind of resource that programs from before can't decode raises it:
 /// they refuse the frame by its version, and neither skip the resource nor take the frame for garbage. 1 had pools,
@@ -41,13 +41,13 @@
 /// A message that goes in a frame.
 pub trait Message: Serialize + DeserializeOwned + private::Sealed {}
 
-impl Message for ToControl {}
-impl Message for ToSubscriber {}
+impl Message for SubscriberMessage {}
+impl Message for PublisherMessage {}
 
 mod private {
     pub trait Sealed {}
-    impl Sealed for crate::ToControl {}
-    impl Sealed for crate::ToSubscriber {}
+    impl Sealed for crate::SubscriberMessage {}
+    impl Sealed for crate::PublisherMessage {}
 }
 
 /// Writes a message as a frame. The bounds of messages keep it within [`MAX_FRAME_BYTES`].
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -25,8 +25,8 @@
 };
 pub use digest::{chain_next, hash_bytes, resource_digest, scope_digest_part};
 pub use message::{
-    Base, MAX_CHANGES_PER_MESSAGE, MAX_REJECTIONS, MAX_SERVICES_PER_MESSAGE, NackReason, Refusal,
-    ServiceBase, StatusQuery, ToControl, ToSubscriber,
+    Base, MAX_CHANGES_PER_MESSAGE, MAX_REJECTIONS, MAX_SERVICES_PER_MESSAGE, NackReason,
+    PublisherMessage, Refusal, ServiceBase, StatusQuery, SubscriberMessage,
 };
 pub use name::{
     MAX_KEY_BYTES, MAX_NAME_BYTES, NameError, ResourceKind, ResourceName, ServiceName,
@@ -36,8 +36,8 @@
     CloseReason, Publisher, PublisherCounters, PublisherOptions, PublisherOutput, SessionId,
 };
 pub use resource::{
-    Change, Held, LogEntry, MAX_BODY_BYTES, MAX_TEXT_BYTES, Origin, Position, Rejection, Resource,
-    ResourceBody,
+    Change, LogEntry, MAX_BODY_BYTES, MAX_TEXT_BYTES, Origin, Position, Rejection, Resource,
+    ResourceBody, ServiceVersion,
 };
 pub use status::{
     LagStatus, LogStatus, MAX_LISTED_PER_SESSION, MAX_SESSIONS_PER_PAGE, MachineStatus,
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Change, Held, Position, Rejection};
+use crate::resource::{Change, Position, Rejection, ServiceVersion};
 use crate::status::StatusPage;
 
 /// The most services named in one message; with the longest names they fit into a frame.
@@ -15,7 +15,7 @@
 
 /// From a subscriber, or from a tool that asks for the status, to a control machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ToControl {
+pub enum SubscriberMessage {
     /// First of a subscriber's messages on a connection.
     Hello {
         /// Who.
@@ -29,11 +29,11 @@
         /// Counts the scope messages of a connection, from 1.
         generation: u32,
         /// Subscribed, with what the subscriber has of them.
-        add: Vec<Held>,
+        add: Vec<ServiceVersion>,
         /// No longer subscribed.
         remove: Vec<ServiceName>,
         /// What the subscriber has refused of them: not to be sent again.
-        rejected: Vec<Held>,
+        rejected: Vec<ServiceVersion>,
         /// No further message of this scope follows.
         last: bool,
     },
@@ -64,7 +64,7 @@
     /// Its content is wrong: at most [`MAX_REJECTIONS`] problems.
     Rejected(Vec<Rejection>),
     /// It did not fit what the subscriber has, or its digest was wrong: what the subscriber has instead.
-    Mismatch(Vec<Held>),
+    Mismatch(Vec<ServiceVersion>),
 }
 
 /// Which part of the status is asked for.
@@ -86,7 +86,7 @@
 
 /// From a control machine to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ToSubscriber {
+pub enum PublisherMessage {
     /// The answer to a hello.
     Welcome {
         /// How far the control machine is.
@@ -117,7 +117,7 @@
         /// How far the control machine was.
         position: Position,
         /// What the subscriber has of each service of the transaction, once it is applied.
-        services: Vec<Held>,
+        services: Vec<ServiceVersion>,
     },
     /// A bookmark: all of the scope has been sent and acknowledged (or refused) up to this position.
     Current {
--- a/crates/distribution/src/publisher/answers.rs
+++ b/crates/distribution/src/publisher/answers.rs
@@ -7,9 +7,11 @@
 use super::options::{CloseReason, PublisherOutput, SessionId};
 use super::session::{Refused, Session, Target, Unacknowledged};
 use super::{Publisher, SPARE_CONNECTIONS};
-use crate::message::{MAX_SERVICES_PER_MESSAGE, NackReason, Refusal, ToControl, ToSubscriber};
+use crate::message::{
+    MAX_SERVICES_PER_MESSAGE, NackReason, PublisherMessage, Refusal, SubscriberMessage,
+};
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Held, Position, Rejection};
+use crate::resource::{Position, Rejection, ServiceVersion};
 use crate::store::Store;
 
 type Taken = Result<(), CloseReason>;
@@ -17,9 +19,9 @@
 /// One scope message.
 struct Scope {
     generation: u32,
-    add: Vec<Held>,
+    add: Vec<ServiceVersion>,
     remove: Vec<ServiceName>,
-    rejected: Vec<Held>,
+    rejected: Vec<ServiceVersion>,
     last: bool,
 }
 
@@ -28,29 +30,29 @@
         &mut self,
         now: Time,
         session: SessionId,
-        message: ToControl,
+        message: SubscriberMessage,
         out: &mut Vec<PublisherOutput>,
     ) -> Taken {
         match message {
-            ToControl::Hello { subscriber, position } => {
+            SubscriberMessage::Hello { subscriber, position } => {
                 self.hello(now, session, subscriber, position, out)
             }
-            ToControl::Scope { generation, add, remove, rejected, last } => {
+            SubscriberMessage::Scope { generation, add, remove, rejected, last } => {
                 let scope = Scope { generation, add, remove, rejected, last };
                 self.scope(now, session, scope, out)
             }
-            ToControl::Ack { transfer } => self.acknowledged(now, session, transfer, out),
-            ToControl::Nack { transfer, reason } => {
+            SubscriberMessage::Ack { transfer } => self.acknowledged(now, session, transfer, out),
+            SubscriberMessage::Nack { transfer, reason } => {
                 self.not_acknowledged(now, session, transfer, reason, out)
             }
-            ToControl::Ping { sequence } => {
-                self.answer(now, session, &ToSubscriber::Pong { sequence }, out);
+            SubscriberMessage::Ping { sequence } => {
+                self.answer(now, session, &PublisherMessage::Pong { sequence }, out);
                 self.bookmark_if_moved(now, session, out);
                 Ok(())
             }
-            ToControl::StatusRequest(query) => {
+            SubscriberMessage::StatusRequest(query) => {
                 let page = self.status_page(now, &query);
-                self.answer(now, session, &ToSubscriber::Status(page), out);
+                self.answer(now, session, &PublisherMessage::Status(page), out);
                 Ok(())
             }
         }
@@ -79,7 +81,7 @@
         let position = self.store.position();
         self.session(session)?.subscriber = Some(subscriber);
         self.traffic.counters.sessions += 1;
-        self.answer(now, session, &ToSubscriber::Welcome { position }, out);
+        self.answer(now, session, &PublisherMessage::Welcome { position }, out);
         Ok(())
     }
 
@@ -90,7 +92,7 @@
         refusal: Refusal,
         out: &mut Vec<PublisherOutput>,
     ) -> Taken {
-        self.answer(now, session, &ToSubscriber::Refused(refusal), out);
+        self.answer(now, session, &PublisherMessage::Refused(refusal), out);
         Err(CloseReason::Refused)
     }
 
@@ -282,7 +284,7 @@
     }
 
     /// Of a transaction's services, those that have not been dropped from the scope or named anew since.
-    fn still_subscribed(&self, targets: Vec<Target>) -> Vec<Held> {
+    fn still_subscribed(&self, targets: Vec<Target>) -> Vec<ServiceVersion> {
         let same = |target: &Target| {
             self.services
                 .get(&target.held.service)
@@ -291,7 +293,7 @@
         targets.into_iter().filter(same).map(|target| target.held).collect()
     }
 
-    fn refused(&mut self, targets: &[Held], rejections: Vec<Rejection>, store: &Store) {
+    fn refused(&mut self, targets: &[ServiceVersion], rejections: Vec<Rejection>, store: &Store) {
         for target in targets {
             let own =
                 rejections.iter().find(|rejection| rejection.resource.service == target.service);
@@ -303,7 +305,7 @@
         self.put_aside(targets.iter().map(|target| target.service.clone()).collect(), store);
     }
 
-    fn mismatched(&mut self, targets: &[Held], helds: &[Held], store: &Store) {
+    fn mismatched(&mut self, targets: &[ServiceVersion], helds: &[ServiceVersion], store: &Store) {
         for held in helds {
             if targets.iter().any(|target| target.service == held.service) {
                 self.set_held(held);
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -15,7 +15,7 @@
 use sableloom_types::Time;
 
 use crate::codec::{CodecError, PROTOCOL_VERSION};
-use crate::message::{Refusal, ToControl, ToSubscriber};
+use crate::message::{PublisherMessage, Refusal, SubscriberMessage};
 use crate::name::ServiceName;
 use crate::resource::LogEntry;
 use crate::status::LogStatus;
@@ -76,7 +76,7 @@
         &mut self,
         now: Time,
         session: SessionId,
-        message: ToControl,
+        message: SubscriberMessage,
         out: &mut Vec<PublisherOutput>,
     ) {
         let Some(known) = self.sessions.get_mut(&session) else {
@@ -99,7 +99,7 @@
     ) {
         if let CodecError::Version(_) = error {
             let refusal = Refusal::Version { expected: PROTOCOL_VERSION };
-            self.answer(now, session, &ToSubscriber::Refused(refusal), out);
+            self.answer(now, session, &PublisherMessage::Refused(refusal), out);
         }
         self.close(now, session, CloseReason::Malformed(error), out);
     }
@@ -263,7 +263,7 @@
         &mut self,
         now: Time,
         session: SessionId,
-        message: &ToSubscriber,
+        message: &PublisherMessage,
         out: &mut Vec<PublisherOutput>,
     ) {
         let Some(known) = self.sessions.get_mut(&session) else {
--- a/crates/distribution/src/publisher/options.rs
+++ b/crates/distribution/src/publisher/options.rs
@@ -70,7 +70,7 @@
     Send {
         /// Which connection.
         session: SessionId,
-        /// The encoded message ([`crate::ToSubscriber`]).
+        /// The encoded message ([`crate::PublisherMessage`]).
         frame: Vec<u8>,
     },
     /// Write what was handed out as far as that goes without waiting, and close the connection. The publisher has
--- a/crates/distribution/src/publisher/sending.rs
+++ b/crates/distribution/src/publisher/sending.rs
@@ -9,9 +9,9 @@
 use super::session::{Session, Target, Transfer, Turn, Unacknowledged};
 use super::traffic::{Traffic, Urgency};
 use crate::codec::encode;
-use crate::message::{Base, MAX_CHANGES_PER_MESSAGE, ServiceBase, ToSubscriber};
+use crate::message::{Base, MAX_CHANGES_PER_MESSAGE, PublisherMessage, ServiceBase};
 use crate::name::ServiceName;
-use crate::resource::{Change, Held, Position};
+use crate::resource::{Change, Position, ServiceVersion};
 use crate::store::Store;
 
 /// What a session does next.
@@ -189,7 +189,7 @@
     pub(super) fn send(
         &mut self,
         now: Time,
-        message: &ToSubscriber,
+        message: &PublisherMessage,
         traffic: &mut Traffic,
         out: &mut Vec<PublisherOutput>,
     ) {
@@ -370,14 +370,24 @@
         if !open.bases.is_empty() {
             let services = std::mem::take(&mut open.bases);
             let generation = self.generation;
-            self.send(now, &ToSubscriber::Begin { transfer, generation, services }, traffic, out);
+            self.send(
+                now,
+                &PublisherMessage::Begin { transfer, generation, services },
+                traffic,
+                out,
+            );
         } else if !open.changes.is_empty() {
             let changes = take_chunk(&mut open.changes, options.chunk_bytes);
-            self.send(now, &ToSubscriber::Changes { transfer, changes }, traffic, out);
+            self.send(now, &PublisherMessage::Changes { transfer, changes }, traffic, out);
         } else if let Some(open) = self.open.take() {
-            let services: Vec<Held> =
+            let services: Vec<ServiceVersion> =
                 open.targets.iter().map(|target| target.held.clone()).collect();
-            self.send(now, &ToSubscriber::Commit { transfer, position, services }, traffic, out);
+            self.send(
+                now,
+                &PublisherMessage::Commit { transfer, position, services },
+                traffic,
+                out,
+            );
             traffic.counters.transactions += 1;
             traffic.counters.snapshots += u64::from(open.snapshot);
             let Transfer { targets, bytes, snapshot, .. } = open;
@@ -396,7 +406,7 @@
         self.owes_bookmark = false;
         self.bookmark = position;
         let Session { generation, digest, .. } = *self;
-        self.send(now, &ToSubscriber::Current { position, generation, digest }, traffic, out);
+        self.send(now, &PublisherMessage::Current { position, generation, digest }, traffic, out);
     }
 }
 
--- a/crates/distribution/src/publisher/session.rs
+++ b/crates/distribution/src/publisher/session.rs
@@ -11,7 +11,7 @@
 use crate::digest::scope_digest_part;
 use crate::message::ServiceBase;
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Change, Held, Position, Rejection};
+use crate::resource::{Change, Position, Rejection, ServiceVersion};
 use crate::store::Store;
 
 type GroupId = u64;
@@ -60,7 +60,7 @@
 /// A service of a transaction.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
-    pub(super) held: Held,
+    pub(super) held: ServiceVersion,
     pub(super) generation: u32,
 }
 
@@ -108,7 +108,7 @@
     /// Services named by a scope that is not whole yet.
     pub(super) new_services: BTreeSet<ServiceName>,
     /// What it has refused, as the scope says.
-    pub(super) told_refused: Vec<Held>,
+    pub(super) told_refused: Vec<ServiceVersion>,
     pub(super) services: BTreeMap<ServiceName, Subscription>,
     groups: BTreeMap<GroupId, Group>,
     delta_groups: BTreeSet<GroupId>,
@@ -164,7 +164,7 @@
     }
 
     /// Takes a service into the scope, or anew with another state.
-    pub(super) fn subscribe(&mut self, held: Held) {
+    pub(super) fn subscribe(&mut self, held: ServiceVersion) {
         self.unsubscribe(&held.service);
         self.digest =
             self.digest.wrapping_add(scope_digest_part(&held.service, held.version, held.digest));
@@ -215,7 +215,7 @@
     }
 
     /// Notes what the subscriber has of a service.
-    pub(super) fn set_held(&mut self, held: &Held) {
+    pub(super) fn set_held(&mut self, held: &ServiceVersion) {
         let Some(subscription) = self.services.get_mut(&held.service) else {
             return;
         };
@@ -259,7 +259,7 @@
     }
 
     /// Puts the group of a service aside if the subscriber has refused all that is pending in it.
-    pub(super) fn put_aside_if_refused(&mut self, held: &Held, store: &Store) {
+    pub(super) fn put_aside_if_refused(&mut self, held: &ServiceVersion, store: &Store) {
         let Some(id) = self.services.get(&held.service).and_then(|subscription| subscription.group)
         else {
             return;
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -197,7 +197,7 @@
 
 /// What one has of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct ServiceVersion {
     /// Which service.
     pub service: ServiceName,
     /// The number of the last change that touched it; 0 for none.
--- a/crates/distribution/src/status.rs
+++ b/crates/distribution/src/status.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Held, Position, Rejection};
+use crate::resource::{Position, Rejection, ServiceVersion};
 
 /// The most sessions in one page of the status.
 pub const MAX_SESSIONS_PER_PAGE: usize = 16;
@@ -34,7 +34,7 @@
     /// Services in the order of their names.
     Services {
         /// At most [`crate::MAX_SERVICES_PER_MESSAGE`].
-        services: Vec<Held>,
+        services: Vec<ServiceVersion>,
         /// The last of this page, if there is more.
         next: Option<ServiceName>,
     },
--- a/crates/distribution/src/store.rs
+++ b/crates/distribution/src/store.rs
@@ -8,7 +8,7 @@
 use crate::digest::chain_next;
 use crate::message::Refusal;
 use crate::name::{MAX_KEY_BYTES, ResourceName, ServiceName};
-use crate::resource::{Change, Held, LogEntry, MAX_BODY_BYTES, Position, Resource};
+use crate::resource::{Change, LogEntry, MAX_BODY_BYTES, Position, Resource, ServiceVersion};
 use crate::service::{Key, Service, key_of, name_of};
 
 /// What a store may hold.
@@ -184,22 +184,27 @@
     }
 
     /// What is there of a service; version 0 and digest 0 if it has never been.
-    pub fn held(&self, service: &ServiceName) -> Held {
+    pub fn held(&self, service: &ServiceName) -> ServiceVersion {
         let (version, digest) = self
             .services
             .get(service)
             .map_or((0, 0), |stored| (stored.service.version, stored.service.digest));
-        Held { service: service.clone(), version, digest }
+        ServiceVersion { service: service.clone(), version, digest }
     }
 
     /// What is there of the services after a name, in order.
-    pub fn services_after(&self, after: Option<&ServiceName>) -> impl Iterator<Item = Held> + '_ {
+    pub fn services_after(
+        &self,
+        after: Option<&ServiceName>,
+    ) -> impl Iterator<Item = ServiceVersion> + '_ {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
-        self.services.range::<ServiceName, _>((from, Unbounded)).map(|(name, stored)| Held {
-            service: name.clone(),
-            version: stored.service.version,
-            digest: stored.service.digest,
+        self.services.range::<ServiceName, _>((from, Unbounded)).map(|(name, stored)| {
+            ServiceVersion {
+                service: name.clone(),
+                version: stored.service.version,
+                digest: stored.service.digest,
+            }
         })
     }
 
--- a/crates/distribution/src/subscriber/connection.rs
+++ b/crates/distribution/src/subscriber/connection.rs
@@ -7,9 +7,9 @@
     Connection, DisconnectReason, SubscriberEvent, SubscriberOutput, SubscriberTimes,
 };
 use super::{Subscriber, SubscriberCounters};
-use crate::message::{MAX_SERVICES_PER_MESSAGE, Refusal, ToControl};
+use crate::message::{MAX_SERVICES_PER_MESSAGE, Refusal, SubscriberMessage};
 use crate::name::ServiceName;
-use crate::resource::{Held, Position};
+use crate::resource::{Position, ServiceVersion};
 
 /// A control machine that is behind, diverged or full is passed over for so long if there are others.
 const AVOID: Span = Span(10_000_000);
@@ -175,7 +175,7 @@
         {
             *next_ping = now.plus(self.times.ping_every);
             *sequence = sequence.wrapping_add(1);
-            out.push(SubscriberOutput::Send(ToControl::Ping { sequence: *sequence }));
+            out.push(SubscriberOutput::Send(SubscriberMessage::Ping { sequence: *sequence }));
         }
     }
 
@@ -201,7 +201,7 @@
         *greeted = true;
         self.generation = 0;
         self.misfits = 0;
-        let hello = ToControl::Hello { subscriber: self.name.clone(), position: self.seen };
+        let hello = SubscriberMessage::Hello { subscriber: self.name.clone(), position: self.seen };
         out.push(SubscriberOutput::Send(hello));
         self.send_whole_scope(out);
     }
@@ -230,7 +230,7 @@
             let (add, rejected) = self.name_services(add.unwrap_or(&[]));
             let last = removed.peek().is_none() && added.peek().is_none();
             let generation = self.generation;
-            out.push(SubscriberOutput::Send(ToControl::Scope {
+            out.push(SubscriberOutput::Send(SubscriberMessage::Scope {
                 generation,
                 add,
                 remove,
@@ -243,7 +243,10 @@
         }
     }
 
-    fn name_services(&mut self, services: &[ServiceName]) -> (Vec<Held>, Vec<Held>) {
+    fn name_services(
+        &mut self,
+        services: &[ServiceName],
+    ) -> (Vec<ServiceVersion>, Vec<ServiceVersion>) {
         let generation = self.generation;
         let named =
             services.iter().filter_map(|service| self.holding.name(service, generation)).collect();
--- a/crates/distribution/src/subscriber/holding.rs
+++ b/crates/distribution/src/subscriber/holding.rs
@@ -7,7 +7,7 @@
 use super::transfer::Part;
 use crate::digest::scope_digest_part;
 use crate::name::ServiceName;
-use crate::resource::{Change, Held, Resource, ResourceBody};
+use crate::resource::{Change, Resource, ResourceBody, ServiceVersion};
 use crate::service::Service;
 
 /// A service of the scope.
@@ -97,7 +97,7 @@
         self.services.get(service)
     }
 
-    pub(super) fn held(&self) -> impl Iterator<Item = Held> + '_ {
+    pub(super) fn held(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
         self.services.iter().map(|(name, held)| held.held(name))
     }
 
@@ -105,17 +105,21 @@
         self.services.get(service).into_iter().flat_map(|held| held.service.resources.values())
     }
 
-    pub(super) fn rejected(&self) -> impl Iterator<Item = Held> + '_ {
+    pub(super) fn rejected(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
         self.services.keys().filter_map(|service| self.rejected_of(service))
     }
 
-    pub(super) fn rejected_of(&self, service: &ServiceName) -> Option<Held> {
+    pub(super) fn rejected_of(&self, service: &ServiceName) -> Option<ServiceVersion> {
         let (version, digest) = self.services.get(service)?.rejected?;
-        Some(Held { service: service.clone(), version, digest })
+        Some(ServiceVersion { service: service.clone(), version, digest })
     }
 
     /// What is held of a service that is named to the control machine by a scope message.
-    pub(super) fn name(&mut self, service: &ServiceName, generation: u32) -> Option<Held> {
+    pub(super) fn name(
+        &mut self,
+        service: &ServiceName,
+        generation: u32,
+    ) -> Option<ServiceVersion> {
         let held = self.services.get_mut(service)?;
         held.generation = generation;
         Some(held.held(service))
@@ -209,11 +213,15 @@
 }
 
 impl HeldService {
-    pub(super) fn held(&self, name: &ServiceName) -> Held {
-        Held { service: name.clone(), version: self.service.version, digest: self.service.digest }
+    pub(super) fn held(&self, name: &ServiceName) -> ServiceVersion {
+        ServiceVersion {
+            service: name.clone(),
+            version: self.service.version,
+            digest: self.service.digest,
+        }
     }
 }
 
-fn digest_part(held: &Held) -> u64 {
+fn digest_part(held: &ServiceVersion) -> u64 {
     scope_digest_part(&held.service, held.version, held.digest)
 }
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -16,9 +16,9 @@
 use sableloom_types::Time;
 
 use crate::codec::CodecError;
-use crate::message::{NackReason, ToControl, ToSubscriber};
+use crate::message::{NackReason, PublisherMessage, SubscriberMessage};
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Held, Position, Rejection, Resource, ResourceBody};
+use crate::resource::{Position, Rejection, Resource, ResourceBody, ServiceVersion};
 use connection::{Choice, Link};
 use holding::Holding;
 use transfer::{Applying, Staging};
@@ -106,7 +106,12 @@
     }
 
     /// A message has come.
-    pub fn message(&mut self, now: Time, message: ToSubscriber, out: &mut Vec<SubscriberOutput>) {
+    pub fn message(
+        &mut self,
+        now: Time,
+        message: PublisherMessage,
+        out: &mut Vec<SubscriberOutput>,
+    ) {
         let Some(control) = self.link.control() else {
             return;
         };
@@ -195,7 +200,7 @@
     }
 
     /// What it has of the services of its scope, in order.
-    pub fn held(&self) -> impl Iterator<Item = Held> + '_ {
+    pub fn held(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
         self.holding.held()
     }
 
@@ -225,26 +230,26 @@
         &mut self,
         now: Time,
         control: usize,
-        message: ToSubscriber,
+        message: PublisherMessage,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         match message {
-            ToSubscriber::Welcome { position } => self.welcome(now, control, position, out),
-            ToSubscriber::Refused(refusal) => Err(self.refusal(now, control, refusal, out)),
-            ToSubscriber::Begin { transfer, generation, services } => {
+            PublisherMessage::Welcome { position } => self.welcome(now, control, position, out),
+            PublisherMessage::Refused(refusal) => Err(self.refusal(now, control, refusal, out)),
+            PublisherMessage::Begin { transfer, generation, services } => {
                 self.begin(transfer, generation, services)
             }
-            ToSubscriber::Changes { transfer, changes } => self.changes(transfer, changes),
-            ToSubscriber::Commit { transfer, position, services } => {
+            PublisherMessage::Changes { transfer, changes } => self.changes(transfer, changes),
+            PublisherMessage::Commit { transfer, position, services } => {
                 self.see(now, control, position, out)?;
                 self.commit(transfer, position, services, out)
             }
-            ToSubscriber::Current { position, generation, digest } => {
+            PublisherMessage::Current { position, generation, digest } => {
                 self.see(now, control, position, out)?;
                 self.bookmark(position, generation, digest, out)
             }
-            ToSubscriber::Pong { .. } => Ok(()),
-            ToSubscriber::Status(_) => {
+            PublisherMessage::Pong { .. } => Ok(()),
+            PublisherMessage::Status(_) => {
                 Err(DisconnectReason::Violation("a status that was not asked for".into()))
             }
         }
@@ -299,7 +304,7 @@
         &mut self,
         applying: Applying,
         out: &mut Vec<SubscriberOutput>,
-    ) -> Option<ToControl> {
+    ) -> Option<SubscriberMessage> {
         let Applying { transfer, parts, .. } = applying;
         self.counters.applied += 1;
         for part in parts {
@@ -307,7 +312,7 @@
             self.holding.put_in_force(part);
         }
         out.push(SubscriberOutput::Save);
-        self.link.greeted().then_some(ToControl::Ack { transfer })
+        self.link.greeted().then_some(SubscriberMessage::Ack { transfer })
     }
 
     fn rejected(
@@ -315,7 +320,7 @@
         applying: Applying,
         mut rejections: Vec<Rejection>,
         out: &mut Vec<SubscriberOutput>,
-    ) -> Option<ToControl> {
+    ) -> Option<SubscriberMessage> {
         let Applying { transfer, parts, .. } = applying;
         self.counters.rejected += 1;
         rejections.truncate(crate::message::MAX_REJECTIONS);
@@ -326,6 +331,6 @@
         let event = SubscriberEvent::Rejected { services, rejections: rejections.clone() };
         out.push(SubscriberOutput::Changed(event));
         let reason = NackReason::Rejected(rejections);
-        self.link.greeted().then_some(ToControl::Nack { transfer, reason })
+        self.link.greeted().then_some(SubscriberMessage::Nack { transfer, reason })
     }
 }
--- a/crates/distribution/src/subscriber/options.rs
+++ b/crates/distribution/src/subscriber/options.rs
@@ -3,7 +3,7 @@
 use sableloom_types::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::message::{Refusal, ToControl};
+use crate::message::{Refusal, SubscriberMessage};
 use crate::name::{ServiceName, SubscriberName};
 use crate::resource::{Change, Position, Rejection, Resource};
 
@@ -137,7 +137,7 @@
         control: usize,
     },
     /// Send a message on the connection.
-    Send(ToControl),
+    Send(SubscriberMessage),
     /// Close the connection, or give up making it. The subscriber has forgotten it.
     Close {
         /// Why.
--- a/crates/distribution/src/subscriber/transfer.rs
+++ b/crates/distribution/src/subscriber/transfer.rs
@@ -8,9 +8,9 @@
     DisconnectReason, ServiceUpdate, SubscriberEvent, SubscriberOutput, Transaction,
 };
 use crate::digest::resource_digest;
-use crate::message::{Base, NackReason, ServiceBase, ToControl};
+use crate::message::{Base, NackReason, ServiceBase, SubscriberMessage};
 use crate::name::ServiceName;
-use crate::resource::{Change, Held, Position, Resource};
+use crate::resource::{Change, Position, Resource, ServiceVersion};
 use crate::service::{Key, Service, key_of, name_of};
 
 /// A transaction of which not all has come.
@@ -33,7 +33,7 @@
 /// One service of a transaction that is whole and checked.
 #[derive(Debug)]
 pub(super) struct Part {
-    pub(super) target: Held,
+    pub(super) target: ServiceVersion,
     pub(super) epoch: u32,
     pub(super) generation: u32,
     base: Base,
@@ -106,7 +106,7 @@
         &mut self,
         transfer: u64,
         position: Position,
-        services: Vec<Held>,
+        services: Vec<ServiceVersion>,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         let staging = self.staging.take().filter(|staging| staging.transfer == transfer);
@@ -124,7 +124,7 @@
             return Ok(());
         }
         if parts.is_empty() {
-            out.push(SubscriberOutput::Send(ToControl::Ack { transfer }));
+            out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transfer }));
             return Ok(());
         }
         let services =
@@ -139,7 +139,7 @@
         &self,
         mut staging: Staging,
         position: Position,
-        services: Vec<Held>,
+        services: Vec<ServiceVersion>,
     ) -> Result<Vec<Part>, DisconnectReason> {
         let mut parts = Vec::with_capacity(services.len());
         let generation = staging.generation;
@@ -173,12 +173,12 @@
     }
 
     /// Says what is held of the services that did not fit: a snapshot of them comes.
-    fn mismatch(&mut self, transfer: u64, wrong: &[ServiceName]) -> ToControl {
+    fn mismatch(&mut self, transfer: u64, wrong: &[ServiceName]) -> SubscriberMessage {
         self.counters.mismatches += 1;
         let held = wrong
             .iter()
             .filter_map(|service| self.holding.get(service).map(|held| held.held(service)));
-        ToControl::Nack { transfer, reason: NackReason::Mismatch(held.collect()) }
+        SubscriberMessage::Nack { transfer, reason: NackReason::Mismatch(held.collect()) }
     }
 
     fn check_buffer(&self) -> Result<(), DisconnectReason> {
@@ -216,7 +216,7 @@
 
     /// What the shell is to do, given what is in force.
     fn update(&self, held: Option<&HeldService>) -> ServiceUpdate {
-        let Held { service, version, digest } = self.target.clone();
+        let ServiceVersion { service, version, digest } = self.target.clone();
         let remove = |key: &Key| Change::Remove { name: name_of(&service, key.0, &key.1), version };
         let mut changes = Vec::with_capacity(self.changes.len());
         if self.is_snapshot() {
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use sableloom_distribution::{
-    Base, Change, CodecError, FrameReader, Held, MAX_BUFFERED_BYTES, MAX_FRAME_BYTES, NackReason,
-    Origin, PROTOCOL_VERSION, Position, Rejection, Resource, ResourceName, ServiceBase,
-    ServiceName, SubscriberName, ToControl, ToSubscriber, encode,
+    Base, Change, CodecError, FrameReader, MAX_BUFFERED_BYTES, MAX_FRAME_BYTES, NackReason, Origin,
+    PROTOCOL_VERSION, Position, PublisherMessage, Rejection, Resource, ResourceName, ServiceBase,
+    ServiceName, ServiceVersion, SubscriberMessage, SubscriberName, encode,
 };
 
 fn service(name: &str) -> ServiceName {
@@ -21,13 +21,13 @@
 }
 
 /// All that a control machine says, and the frame that must come of it.
-fn to_subscriber() -> Vec<(ToSubscriber, Vec<u8>)> {
+fn to_subscriber() -> Vec<(PublisherMessage, Vec<u8>)> {
     let position = Position { epoch: 1, number: 300, chain: 5 };
-    let held = Held { service: service("ab"), version: 300, digest: 7 };
+    let held = ServiceVersion { service: service("ab"), version: 300, digest: 7 };
     vec![
-        (ToSubscriber::Welcome { position }, vec![0, 0, 0, 6, 2, 0, 1, 0xac, 2, 5]),
+        (PublisherMessage::Welcome { position }, vec![0, 0, 0, 6, 2, 0, 1, 0xac, 2, 5]),
         (
-            ToSubscriber::Begin {
+            PublisherMessage::Begin {
                 transfer: 1,
                 generation: 2,
                 services: vec![
@@ -38,7 +38,7 @@
             vec![0, 0, 0, 13, 2, 2, 1, 2, 2, 2, b'a', b'b', 0, 4, 1, b'c', 1],
         ),
         (
-            ToSubscriber::Changes {
+            PublisherMessage::Changes {
                 transfer: 1,
                 changes: vec![
                     Change::Set(resource()),
@@ -51,14 +51,14 @@
             ],
         ),
         (
-            ToSubscriber::Commit { transfer: 1, position, services: vec![held] },
+            PublisherMessage::Commit { transfer: 1, position, services: vec![held] },
             vec![0, 0, 0, 14, 2, 4, 1, 1, 0xac, 2, 5, 1, 2, b'a', b'b', 0xac, 2, 7],
         ),
         (
-            ToSubscriber::Current { position, generation: 3, digest: 1 },
+            PublisherMessage::Current { position, generation: 3, digest: 1 },
             vec![0, 0, 0, 8, 2, 5, 1, 0xac, 2, 5, 3, 1],
         ),
-        (ToSubscriber::Pong { sequence: 7 }, vec![0, 0, 0, 3, 2, 6, 7]),
+        (PublisherMessage::Pong { sequence: 7 }, vec![0, 0, 0, 3, 2, 6, 7]),
     ]
 }
 
@@ -72,17 +72,17 @@
         let mut reader = FrameReader::new();
         reader.push(&frame);
         assert_eq!(reader.next(), Ok(Some(message)));
-        assert_eq!(reader.next::<ToSubscriber>(), Ok(None));
+        assert_eq!(reader.next::<PublisherMessage>(), Ok(None));
     }
-    let hello = ToControl::Hello {
+    let hello = SubscriberMessage::Hello {
         subscriber: SubscriberName::try_from("b").expect("a name"),
         position: Position { epoch: 1, number: 2, chain: 3 },
     };
     assert_eq!(encode(&hello), [0, 0, 0, 7, 2, 0, 1, b'b', 1, 2, 3]);
-    assert_eq!(encode(&ToControl::Ping { sequence: 7 }), [0, 0, 0, 3, 2, 4, 7]);
-    let scope = ToControl::Scope {
+    assert_eq!(encode(&SubscriberMessage::Ping { sequence: 7 }), [0, 0, 0, 3, 2, 4, 7]);
+    let scope = SubscriberMessage::Scope {
         generation: 1,
-        add: vec![Held { service: service("a"), version: 1, digest: 2 }],
+        add: vec![ServiceVersion { service: service("a"), version: 1, digest: 2 }],
         remove: vec![],
         rejected: vec![],
         last: true,
@@ -98,10 +98,13 @@
         field: "f".into(),
         problem: "ä".repeat(400).as_str().into(),
     };
-    let nack = ToControl::Nack { transfer: 1, reason: NackReason::Rejected(vec![rejection]) };
+    let nack =
+        SubscriberMessage::Nack { transfer: 1, reason: NackReason::Rejected(vec![rejection]) };
     let mut reader = FrameReader::new();
     reader.push(&encode(&nack));
-    let Ok(Some(ToControl::Nack { reason: NackReason::Rejected(read), .. })) = reader.next() else {
+    let Ok(Some(SubscriberMessage::Nack { reason: NackReason::Rejected(read), .. })) =
+        reader.next()
+    else {
         panic!("no message");
     };
     assert_eq!(&*read[0].problem, "ä".repeat(256));
@@ -110,8 +113,10 @@
 #[test]
 fn a_tenant_is_these_bytes_and_a_kind_that_is_not_known_is_no_message() {
     let name = ResourceName::tenant(service("c"), "t");
-    let message =
-        ToSubscriber::Changes { transfer: 1, changes: vec![Change::Remove { name, version: 1 }] };
+    let message = PublisherMessage::Changes {
+        transfer: 1,
+        changes: vec![Change::Remove { name, version: 1 }],
+    };
     let mut frame = vec![0, 0, 0, 10, 2, 3, 1, 1, 1, 1, b'c', 3, 1, b't', 1];
     frame[3] = frame.len() as u8 - 4;
     assert_eq!(encode(&message), frame);
@@ -119,7 +124,7 @@
     frame[11] = 4;
     let mut reader = FrameReader::new();
     reader.push(&frame);
-    assert_eq!(reader.next::<ToSubscriber>(), Err(CodecError::Malformed));
+    assert_eq!(reader.next::<PublisherMessage>(), Err(CodecError::Malformed));
 }
 
 #[test]
@@ -127,11 +132,11 @@
     let end = |bytes: &[u8]| {
         let mut reader = FrameReader::new();
         reader.push(bytes);
-        let first = reader.next::<ToControl>();
+        let first = reader.next::<SubscriberMessage>();
         // For good: a good frame behind it is not read.
-        reader.push(&encode(&ToControl::Ping { sequence: 1 }));
+        reader.push(&encode(&SubscriberMessage::Ping { sequence: 1 }));
         if first != Ok(None) {
-            assert_eq!(reader.next::<ToControl>(), first);
+            assert_eq!(reader.next::<SubscriberMessage>(), first);
         }
         assert_eq!(reader.buffered(), if first.is_err() { 0 } else { reader.buffered() });
         first
@@ -162,7 +167,7 @@
     let mut reader = FrameReader::new();
     reader.push(&frame);
     let allocated = allocation_counter::measure(|| {
-        assert_eq!(reader.next::<ToSubscriber>(), Err(CodecError::Malformed));
+        assert_eq!(reader.next::<PublisherMessage>(), Err(CodecError::Malformed));
     });
     assert!(allocated.bytes_max <= 1 << 20, "{} bytes", allocated.bytes_max);
 }
@@ -170,15 +175,15 @@
 #[test]
 fn a_reader_keeps_no_more_than_its_bound() {
     let mut reader = FrameReader::new();
-    let frame = encode(&ToControl::Ping { sequence: 1 });
+    let frame = encode(&SubscriberMessage::Ping { sequence: 1 });
     for _ in 0..MAX_BUFFERED_BYTES {
         reader.push(&frame);
         assert!(reader.buffered() <= MAX_BUFFERED_BYTES);
     }
-    assert_eq!(reader.next::<ToControl>(), Err(CodecError::Overflow));
+    assert_eq!(reader.next::<SubscriberMessage>(), Err(CodecError::Overflow));
 }
 
-fn read_all(reader: &mut FrameReader) -> Vec<ToSubscriber> {
+fn read_all(reader: &mut FrameReader) -> Vec<PublisherMessage> {
     std::iter::from_fn(|| reader.next().ok().flatten()).collect()
 }
 
@@ -190,8 +195,8 @@
         for chunk in chunks {
             to_control.push(&chunk);
             to_subscriber.push(&chunk);
-            while let Ok(Some(_)) = to_control.next::<ToControl>() {}
-            while let Ok(Some(_)) = to_subscriber.next::<ToSubscriber>() {}
+            while let Ok(Some(_)) = to_control.next::<SubscriberMessage>() {}
+            while let Ok(Some(_)) = to_subscriber.next::<PublisherMessage>() {}
         }
     }
 
@@ -202,7 +207,7 @@
         frame[at] = byte;
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        while let Ok(Some(message)) = reader.next::<ToSubscriber>() {
+        while let Ok(Some(message)) = reader.next::<PublisherMessage>() {
             // What is read can be written.
             prop_assert!(encode(&message).len() <= MAX_FRAME_BYTES + 4);
         }
@@ -210,7 +215,7 @@
 
     #[test]
     fn any_cut_of_the_stream_gives_the_same_messages(cuts in proptest::collection::vec(1usize..9, 1..60)) {
-        let messages: Vec<ToSubscriber> = to_subscriber().into_iter().map(|(message, _)| message).collect();
+        let messages: Vec<PublisherMessage> = to_subscriber().into_iter().map(|(message, _)| message).collect();
         let stream: Vec<u8> = messages.iter().flat_map(encode).collect();
         let mut reader = FrameReader::new();
         let mut read = Vec::new();
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -1,10 +1,10 @@
 //! The control machine's side, one case each.
 
 use sableloom_distribution::{
-    Base, Change, CloseReason, CodecError, FrameReader, Held, LogEntry, LogStatus, NackReason,
-    Origin, Position, Publisher, PublisherOptions, PublisherOutput, Refusal, Rejection, Resource,
-    ResourceName, ServiceName, SessionId, StatusQuery, StatusRows, Store, StoreLimits,
-    SubscriberName, ToControl, ToSubscriber,
+    Base, Change, CloseReason, CodecError, FrameReader, LogEntry, LogStatus, NackReason, Origin,
+    Position, Publisher, PublisherMessage, PublisherOptions, PublisherOutput, Refusal, Rejection,
+    Resource, ResourceName, ServiceName, ServiceVersion, SessionId, StatusQuery, StatusRows, Store,
+    StoreLimits, SubscriberMessage, SubscriberName,
 };
 use sableloom_types::{Span, Time};
 
@@ -23,8 +23,8 @@
     ResourceName::server(service(of), id)
 }
 
-fn nothing(of: &str) -> Held {
-    Held { service: service(of), version: 0, digest: 0 }
+fn nothing(of: &str) -> ServiceVersion {
+    ServiceVersion { service: service(of), version: 0, digest: 0 }
 }
 
 /// A publisher and what it has said so far.
@@ -54,23 +54,29 @@
         self.change(vec![set(server(of, id), number, b"body")]);
     }
 
-    fn say(&mut self, session: u64, message: ToControl) {
+    fn say(&mut self, session: u64, message: SubscriberMessage) {
         self.publisher.message(Time(self.now), SessionId(session), message, &mut self.out);
     }
 
-    fn connect(&mut self, session: u64, position: Position, add: Vec<Held>) {
+    fn connect(&mut self, session: u64, position: Position, add: Vec<ServiceVersion>) {
         self.publisher.connected(Time(self.now), SessionId(session));
         let subscriber =
             SubscriberName::try_from(format!("balancer-{session}").as_str()).expect("a name");
-        self.say(session, ToControl::Hello { subscriber, position });
+        self.say(session, SubscriberMessage::Hello { subscriber, position });
         self.say(
             session,
-            ToControl::Scope { generation: 1, add, remove: vec![], rejected: vec![], last: true },
+            SubscriberMessage::Scope {
+                generation: 1,
+                add,
+                remove: vec![],
+                rejected: vec![],
+                last: true,
+            },
         );
     }
 
     /// What has been said to a session since the last time, all written if that is so.
-    fn said(&mut self, session: u64) -> Vec<ToSubscriber> {
+    fn said(&mut self, session: u64) -> Vec<PublisherMessage> {
         let mut messages = Vec::new();
         loop {
             let mut kept = Vec::new();
@@ -108,7 +114,7 @@
         })
     }
 
-    fn held(&self, of: &str) -> Held {
+    fn held(&self, of: &str) -> ServiceVersion {
         self.publisher.store().held(&service(of))
     }
 }
@@ -117,25 +123,25 @@
     Control::new(StoreLimits::default(), PublisherOptions::default())
 }
 
-fn bases(messages: &[ToSubscriber]) -> Vec<(String, Base)> {
+fn bases(messages: &[PublisherMessage]) -> Vec<(String, Base)> {
     let services = messages.iter().filter_map(|message| match message {
-        ToSubscriber::Begin { services, .. } => Some(services),
+        PublisherMessage::Begin { services, .. } => Some(services),
         _ => None,
     });
     services.flatten().map(|part| (part.service.to_string(), part.base)).collect()
 }
 
-fn changes(messages: &[ToSubscriber]) -> Vec<Change> {
+fn changes(messages: &[PublisherMessage]) -> Vec<Change> {
     let changes = messages.iter().filter_map(|message| match message {
-        ToSubscriber::Changes { changes, .. } => Some(changes.clone()),
+        PublisherMessage::Changes { changes, .. } => Some(changes.clone()),
         _ => None,
     });
     changes.flatten().collect()
 }
 
-fn transfers(messages: &[ToSubscriber]) -> Vec<u64> {
+fn transfers(messages: &[PublisherMessage]) -> Vec<u64> {
     let commits = messages.iter().filter_map(|message| match message {
-        ToSubscriber::Commit { transfer, .. } => Some(*transfer),
+        PublisherMessage::Commit { transfer, .. } => Some(*transfer),
         _ => None,
     });
     commits.collect()
@@ -152,15 +158,18 @@
     );
     let said = control.said(1);
     assert!(
-        matches!(said[..], [ToSubscriber::Welcome { .. }, ToSubscriber::Current { .. }]),
+        matches!(said[..], [PublisherMessage::Welcome { .. }, PublisherMessage::Current { .. }]),
         "{said:?}"
     );
     control.touch("other", "a");
     assert_eq!(control.said(1), [], "a change of what is not subscribed to");
-    control.say(1, ToControl::Ping { sequence: 5 });
+    control.say(1, SubscriberMessage::Ping { sequence: 5 });
     let said = control.said(1);
     assert!(
-        matches!(said[..], [ToSubscriber::Pong { sequence: 5 }, ToSubscriber::Current { .. }]),
+        matches!(
+            said[..],
+            [PublisherMessage::Pong { sequence: 5 }, PublisherMessage::Current { .. }]
+        ),
         "{said:?}"
     );
 }
@@ -263,7 +272,7 @@
     assert!(sessions[0].queued_bytes < 300, "{} bytes", sessions[0].queued_bytes);
     for _ in 0..9 {
         assert_eq!(control.closed(1), None);
-        control.say(1, ToControl::Ping { sequence: 0 });
+        control.say(1, SubscriberMessage::Ping { sequence: 0 });
         control.tick(1);
     }
     assert_eq!(control.closed(1), Some(CloseReason::Stalled));
@@ -281,7 +290,7 @@
         control.touch("points", &format!("s-{}", change % 40));
     }
     assert_eq!(control.said(1), [], "one transaction of a service at one time");
-    control.say(1, ToControl::Ack { transfer: transfers(&first)[0] });
+    control.say(1, SubscriberMessage::Ack { transfer: transfers(&first)[0] });
     let second = control.said(1);
     assert_eq!((transfers(&second).len(), changes(&second).len()), (1, 40));
 }
@@ -312,8 +321,8 @@
         problem: "no address".into(),
     };
     let reason = NackReason::Rejected(vec![rejection.clone()]);
-    control.say(3, ToControl::Nack { transfer: refused[0], reason });
-    control.say(4, ToControl::Ack { transfer: taken[0] });
+    control.say(3, SubscriberMessage::Nack { transfer: refused[0], reason });
+    control.say(4, SubscriberMessage::Ack { transfer: taken[0] });
     assert_eq!(transfers(&control.said(3)), [0; 0]);
     let StatusRows::Sessions { sessions, .. } =
         control.publisher.status_page(Time(0), &StatusQuery::Sessions { from: 0 }).rows
@@ -341,9 +350,12 @@
     control.touch("points", "b");
     control.publisher.connected(Time(0), SessionId(1));
     let subscriber = SubscriberName::try_from("balancer-1").expect("a name");
-    control.say(1, ToControl::Hello { subscriber, position });
+    control.say(1, SubscriberMessage::Hello { subscriber, position });
     let (add, rejected) = (vec![held], vec![control.held("points")]);
-    control.say(1, ToControl::Scope { generation: 1, add, remove: vec![], rejected, last: true });
+    control.say(
+        1,
+        SubscriberMessage::Scope { generation: 1, add, remove: vec![], rejected, last: true },
+    );
     assert_eq!(bases(&control.said(1)), []);
     control.touch("points", "b");
     assert_eq!(bases(&control.said(1)).len(), 1);
@@ -369,7 +381,7 @@
     let last = changes(&said).pop();
     assert_eq!(last, Some(Change::Remove { name: server("points", "s-00"), version: 2 }));
     assert!(
-        matches!(said.last(), Some(ToSubscriber::Commit { services, .. }) if services[0] == control.held("points"))
+        matches!(said.last(), Some(PublisherMessage::Commit { services, .. }) if services[0] == control.held("points"))
     );
 }
 
@@ -429,7 +441,7 @@
             control.publisher.written(Time(control.now), session, frame.len(), &mut control.out);
             let mut reader = FrameReader::new();
             reader.push(&frame);
-            let message: Option<ToSubscriber> = reader.next().expect("a message");
+            let message: Option<PublisherMessage> = reader.next().expect("a message");
             if bases(message.as_slice()).iter().any(|(service, _)| service == "small")
                 && session.0 == 21
             {
@@ -458,12 +470,12 @@
     assert_eq!(bases(&said)[0].1, Base::Delta { from: 1 });
     for _ in 0..2 {
         let reason = NackReason::Mismatch(vec![held.clone()]);
-        control.say(1, ToControl::Nack { transfer: transfers(&said)[0], reason });
+        control.say(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
         said = control.said(1);
         assert_eq!(bases(&said)[0].1, Base::Snapshot);
     }
     let reason = NackReason::Mismatch(vec![held]);
-    control.say(1, ToControl::Nack { transfer: transfers(&said)[0], reason });
+    control.say(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
     assert_eq!(control.closed(1), Some(CloseReason::Mismatch));
 }
 
@@ -489,7 +501,7 @@
         let mut said = control.said(1);
         // The second may wait for the first, for the bytes on the way have the same bound.
         for transfer in transfers(&said.clone()) {
-            control.say(1, ToControl::Ack { transfer });
+            control.say(1, SubscriberMessage::Ack { transfer });
             said.extend(control.said(1));
         }
         assert_eq!(
@@ -537,7 +549,7 @@
     control.said(1);
     control.said(2);
     for _ in 0..30 {
-        control.say(1, ToControl::Ping { sequence: 0 });
+        control.say(1, SubscriberMessage::Ping { sequence: 0 });
         control.said(1);
         control.tick(1);
     }
@@ -548,11 +560,11 @@
 
 #[test]
 fn what_may_not_be_said_ends_the_session_and_is_counted() {
-    let hello = || ToControl::Hello {
+    let hello = || SubscriberMessage::Hello {
         subscriber: SubscriberName::try_from("b").expect("a name"),
         position: Position::default(),
     };
-    let scope = |generation, count: usize| ToControl::Scope {
+    let scope = |generation, count: usize| SubscriberMessage::Scope {
         generation,
         add: (0..count).map(|index| nothing(&format!("s-{index}"))).collect(),
         remove: vec![],
@@ -561,11 +573,11 @@
     };
     let cases = [
         vec![scope(1, 1)],
-        vec![ToControl::Ack { transfer: 1 }],
+        vec![SubscriberMessage::Ack { transfer: 1 }],
         vec![hello(), hello()],
         vec![hello(), scope(2, 1)],
         vec![hello(), scope(1, 1_025)],
-        vec![hello(), scope(1, 1), ToControl::Ack { transfer: 9 }],
+        vec![hello(), scope(1, 1), SubscriberMessage::Ack { transfer: 9 }],
     ];
     for messages in cases {
         let mut control = control();
@@ -588,7 +600,7 @@
     assert_eq!(control.closed(1), Some(CloseReason::Refused));
     assert_eq!(
         control.said(1).pop(),
-        Some(ToSubscriber::Refused(Refusal::ScopeTooLarge { max: 10 }))
+        Some(PublisherMessage::Refused(Refusal::ScopeTooLarge { max: 10 }))
     );
 }
 
@@ -611,10 +623,10 @@
     control.touch("points", "c");
     control.now += SECOND;
     assert_eq!(behind(&control), [3_000], "since the first that it has not");
-    control.say(1, ToControl::Ack { transfer: first[0] });
+    control.say(1, SubscriberMessage::Ack { transfer: first[0] });
     let second = transfers(&control.said(1));
     assert_eq!(behind(&control), [3_000], "it has caught up in part");
-    control.say(1, ToControl::Ack { transfer: second[0] });
+    control.say(1, SubscriberMessage::Ack { transfer: second[0] });
     assert_eq!(behind(&control), [0; 0]);
     control.touch("points", "d");
     control.now += SECOND;
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -111,12 +111,12 @@
                 let Some(connection) = self.balancers[index].connection else {
                     panic!("a message without a connection");
                 };
-                self.send(connection, Way::ToControl, encode(&message));
+                self.send(connection, Way::SubscriberMessage, encode(&message));
             }
             SubscriberOutput::Close { reason } => {
                 self.count(&reason_name(&reason));
                 if let Some(connection) = self.balancers[index].connection.take() {
-                    self.leave(connection, Way::ToControl);
+                    self.leave(connection, Way::SubscriberMessage);
                 }
             }
             SubscriberOutput::Apply(transaction) => {
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -2,7 +2,8 @@
 
 use oorandom::Rand64;
 use sableloom_distribution::{
-    Change, FrameReader, Publisher, PublisherOptions, PublisherOutput, Store, ToSubscriber, encode,
+    Change, FrameReader, Publisher, PublisherMessage, PublisherOptions, PublisherOutput, Store,
+    encode,
 };
 use sableloom_types::{Span, Time};
 
@@ -113,7 +114,7 @@
         match output {
             PublisherOutput::Send { session, frame } => {
                 let frame = self.watch_frame(session.0, frame);
-                self.send(session.0, Way::ToSubscriber, frame);
+                self.send(session.0, Way::PublisherMessage, frame);
                 let bytes = self.connections.get(&session.0).map_or(0, |c| c.to_subscriber.bytes);
                 assert!(
                     bytes <= self.options.max_queued_bytes + FRAME_SLACK,
@@ -122,7 +123,7 @@
             }
             PublisherOutput::Close { session, reason } => {
                 self.count(&control_reason_name(reason));
-                self.leave(session.0, Way::ToSubscriber);
+                self.leave(session.0, Way::PublisherMessage);
             }
         }
         let _ = control;
@@ -132,17 +133,17 @@
     pub(super) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        let Ok(Some(message)) = reader.next::<ToSubscriber>() else {
+        let Ok(Some(message)) = reader.next::<PublisherMessage>() else {
             panic!("a publisher sends no message");
         };
         match message {
-            ToSubscriber::Begin { .. } => {
+            PublisherMessage::Begin { .. } => {
                 if let Some(subscriber) = self.connections.get(&connection).map(|c| c.subscriber) {
                     self.balancers[subscriber].begun += 1;
                 }
                 frame
             }
-            ToSubscriber::Changes { transfer, mut changes }
+            PublisherMessage::Changes { transfer, mut changes }
                 if !self.quiet && self.below(50) == 0 =>
             {
                 for change in &mut changes {
@@ -152,7 +153,7 @@
                         resource.body = body.into();
                     }
                 }
-                encode(&ToSubscriber::Changes { transfer, changes })
+                encode(&PublisherMessage::Changes { transfer, changes })
             }
             _ => frame,
         }
--- a/crates/distribution/tests/sim/faults.rs
+++ b/crates/distribution/tests/sim/faults.rs
@@ -86,7 +86,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ids.into_iter().filter(|_| loud) {
-            self.leave(id, Way::ToSubscriber);
+            self.leave(id, Way::PublisherMessage);
         }
         self.at(until, Event::StartControl { control });
     }
@@ -119,7 +119,7 @@
         let loud = self.below(2) == 0;
         if let Some(id) = self.balancers[index].connection.take() {
             if loud {
-                self.leave(id, Way::ToControl);
+                self.leave(id, Way::SubscriberMessage);
             } else if let Some(connection) = self.connections.get_mut(&id) {
                 connection.left_by_subscriber = true;
             }
@@ -148,7 +148,7 @@
 
     pub fn reset_connection(&mut self, index: usize) {
         if let Some(id) = self.balancers[index].connection.take() {
-            self.leave(id, Way::ToControl);
+            self.leave(id, Way::SubscriberMessage);
             let why = DisconnectReason::Lost("reset".into());
             self.with_subscriber(index, |subscriber, now, out| {
                 subscriber.disconnected(now, why, out)
@@ -188,7 +188,7 @@
         let Some(id) = self.balancers[index].connection else {
             return;
         };
-        let way = if self.below(2) == 0 { Way::ToControl } else { Way::ToSubscriber };
+        let way = if self.below(2) == 0 { Way::SubscriberMessage } else { Way::PublisherMessage };
         let mut bytes = vec![0u8; self.below(200) + 1];
         bytes.iter_mut().for_each(|byte| *byte = self.random.rand_range(0..256) as u8);
         // A frame's length that is plausible, so that it is the message that is no message.
--- a/crates/distribution/tests/sim/link.rs
+++ b/crates/distribution/tests/sim/link.rs
@@ -27,8 +27,8 @@
 /// Which way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    ToControl,
-    ToSubscriber,
+    SubscriberMessage,
+    PublisherMessage,
 }
 
 pub struct Connection {
@@ -46,8 +46,8 @@
 impl Connection {
     pub fn stream(&mut self, way: Way) -> &mut Stream {
         match way {
-            Way::ToControl => &mut self.to_control,
-            Way::ToSubscriber => &mut self.to_subscriber,
+            Way::SubscriberMessage => &mut self.to_control,
+            Way::PublisherMessage => &mut self.to_subscriber,
         }
     }
 }
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -11,7 +11,10 @@
         let at = self.after(MS, late);
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.stream(way).push(at, bytes);
-            self.at(at, Event::Arrive { connection: id, to_control: way == Way::ToControl });
+            self.at(
+                at,
+                Event::Arrive { connection: id, to_control: way == Way::SubscriberMessage },
+            );
         }
     }
 
@@ -22,8 +25,8 @@
             return;
         };
         match way {
-            Way::ToControl => connection.left_by_subscriber = true,
-            Way::ToSubscriber => connection.left_by_control = true,
+            Way::SubscriberMessage => connection.left_by_subscriber = true,
+            Way::PublisherMessage => connection.left_by_control = true,
         }
         let stream = connection.stream(way);
         stream.closed = true;
@@ -31,7 +34,7 @@
             chunk.truncate(chunk.len() / 2);
         }
         let at = stream.chunks.back().map_or(self.now, |(at, _)| *at) + MS;
-        self.at(at, Event::Arrive { connection: id, to_control: way == Way::ToControl });
+        self.at(at, Event::Arrive { connection: id, to_control: way == Way::SubscriberMessage });
     }
 
     pub(super) fn connect(&mut self, id: u64) {
@@ -70,7 +73,7 @@
 
     pub(super) fn arrive(&mut self, id: u64, way: Way) {
         let now = self.now;
-        let to_control = way == Way::ToControl;
+        let to_control = way == Way::SubscriberMessage;
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
@@ -87,8 +90,8 @@
             return;
         }
         let receiver_gone = match way {
-            Way::ToControl => self.controls[control].publisher.is_none(),
-            Way::ToSubscriber => connection.left_by_subscriber,
+            Way::SubscriberMessage => self.controls[control].publisher.is_none(),
+            Way::PublisherMessage => connection.left_by_subscriber,
         };
         let unknown = to_control && Some(self.controls[control].incarnation) != accepted_by;
         if to_control && receiver_gone {
@@ -106,8 +109,8 @@
                 });
             }
             match way {
-                Way::ToControl => self.deliver_to_control(id, control),
-                Way::ToSubscriber => self.deliver_to_subscriber(id, subscriber),
+                Way::SubscriberMessage => self.deliver_to_control(id, control),
+                Way::PublisherMessage => self.deliver_to_subscriber(id, subscriber),
             }
         }
         let ended = self.connections.get(&id).is_some_and(|connection| {
@@ -181,7 +184,11 @@
     }
 
     pub(super) fn reset(&mut self, id: u64, way: Way) {
-        let back = if way == Way::ToControl { Way::ToSubscriber } else { Way::ToControl };
+        let back = if way == Way::SubscriberMessage {
+            Way::PublisherMessage
+        } else {
+            Way::SubscriberMessage
+        };
         let at = self.after(MS, 20 * MS);
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -193,7 +200,7 @@
         }
         stream.chunks.clear();
         stream.closed = true;
-        self.at(at, Event::Arrive { connection: id, to_control: back == Way::ToControl });
+        self.at(at, Event::Arrive { connection: id, to_control: back == Way::SubscriberMessage });
     }
 
     pub(super) fn ended(&mut self, id: u64, way: Way, control: usize, index: usize) {
@@ -201,16 +208,16 @@
             return;
         };
         match way {
-            Way::ToControl if connection.left_by_control => {}
-            Way::ToControl => {
+            Way::SubscriberMessage if connection.left_by_control => {}
+            Way::SubscriberMessage => {
                 self.with_publisher(control, |publisher, now, out| {
                     publisher.disconnected(now, SessionId(id), out)
                 });
             }
-            Way::ToSubscriber
+            Way::PublisherMessage
                 if connection.left_by_subscriber
                     || self.balancers[index].connection != Some(id) => {}
-            Way::ToSubscriber => {
+            Way::PublisherMessage => {
                 self.balancers[index].connection = None;
                 let why = DisconnectReason::Lost("reset".into());
                 self.with_subscriber(index, |subscriber, now, out| {
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -192,10 +192,10 @@
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { connection, to_control: true } => {
-                self.arrive(connection, Way::ToControl)
+                self.arrive(connection, Way::SubscriberMessage)
             }
             Event::Arrive { connection, to_control: false } => {
-                self.arrive(connection, Way::ToSubscriber)
+                self.arrive(connection, Way::PublisherMessage)
             }
             Event::Connect { connection } => self.connect(connection),
             Event::ControlTimer { control } => self.control_timer(control),
--- a/crates/distribution/tests/store.rs
+++ b/crates/distribution/tests/store.rs
@@ -1,8 +1,8 @@
 //! The store: which changes it takes, and what it remembers.
 
 use sableloom_distribution::{
-    AppendError, Change, Held, LogEntry, Origin, Position, Refusal, Resource, ResourceName,
-    ServiceName, Store, StoreLimits,
+    AppendError, Change, LogEntry, Origin, Position, Refusal, Resource, ResourceName, ServiceName,
+    ServiceVersion, Store, StoreLimits,
 };
 
 fn service(name: &str) -> ServiceName {
@@ -105,7 +105,7 @@
         .unwrap();
     assert_eq!(
         store.held(&service("points")),
-        Held { service: service("points"), version: 3, digest: 0 }
+        ServiceVersion { service: service("points"), version: 3, digest: 0 }
     );
     assert_eq!((store.resources(&service("points")).count(), store.resource_count()), (0, 1));
     // And it comes back.
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use sableloom_distribution::{
-    Base, Change, Connection, DisconnectReason, Held, NackReason, Origin, Position, Refusal,
-    Rejection, Resource, ResourceName, SavedState, ServiceBase, ServiceName, Subscriber,
-    SubscriberEvent, SubscriberName, SubscriberOptions, SubscriberOutput, ToControl, ToSubscriber,
-    Transaction, resource_digest,
+    Base, Change, Connection, DisconnectReason, NackReason, Origin, Position, PublisherMessage,
+    Refusal, Rejection, Resource, ResourceName, SavedState, ServiceBase, ServiceName,
+    ServiceVersion, Subscriber, SubscriberEvent, SubscriberMessage, SubscriberName,
+    SubscriberOptions, SubscriberOutput, Transaction, resource_digest,
 };
 use sableloom_types::Time;
 
@@ -61,7 +61,7 @@
         }
     }
 
-    fn connected(&mut self) -> Vec<ToControl> {
+    fn connected(&mut self) -> Vec<SubscriberMessage> {
         self.subscriber.connected(Time(self.now), &mut self.out);
         self.sent()
     }
@@ -74,14 +74,14 @@
         );
     }
 
-    fn hear(&mut self, message: ToSubscriber) {
+    fn hear(&mut self, message: PublisherMessage) {
         self.subscriber.message(Time(self.now), message, &mut self.out);
     }
 
-    fn greet(&mut self, position: Position) -> Vec<ToControl> {
+    fn greet(&mut self, position: Position) -> Vec<SubscriberMessage> {
         self.connects();
         let sent = self.connected();
-        self.hear(ToSubscriber::Welcome { position });
+        self.hear(PublisherMessage::Welcome { position });
         sent
     }
 
@@ -92,18 +92,19 @@
         position: Position,
         base: Base,
         changes: Vec<Change>,
-        held: Held,
+        held: ServiceVersion,
     ) {
         let services = vec![ServiceBase { service: held.service.clone(), base }];
-        self.hear(ToSubscriber::Begin { transfer, generation: 1, services });
-        self.hear(ToSubscriber::Changes { transfer, changes });
-        self.hear(ToSubscriber::Commit { transfer, position, services: vec![held] });
+        self.hear(PublisherMessage::Begin { transfer, generation: 1, services });
+        self.hear(PublisherMessage::Changes { transfer, changes });
+        self.hear(PublisherMessage::Commit { transfer, position, services: vec![held] });
     }
 
     /// A snapshot of one server, applied.
     fn has(&mut self, of: &str, version: u64) -> Resource {
         let resource = server(of, "a", version, b"body");
-        let held = Held { service: service(of), version, digest: resource_digest(&resource) };
+        let held =
+            ServiceVersion { service: service(of), version, digest: resource_digest(&resource) };
         self.transfer(
             version,
             at(version),
@@ -112,16 +113,18 @@
             held,
         );
         self.subscriber.applied(Time(self.now), version, Ok(()), &mut self.out);
-        assert_eq!(self.sent(), [ToControl::Ack { transfer: version }]);
+        assert_eq!(self.sent(), [SubscriberMessage::Ack { transfer: version }]);
         resource
     }
 
-    fn sent(&mut self) -> Vec<ToControl> {
+    fn sent(&mut self) -> Vec<SubscriberMessage> {
         let sent = self.take(|output| match output {
             SubscriberOutput::Send(message) => Ok(message),
             output => Err(output),
         });
-        sent.into_iter().filter(|message| !matches!(message, ToControl::Ping { .. })).collect()
+        sent.into_iter()
+            .filter(|message| !matches!(message, SubscriberMessage::Ping { .. }))
+            .collect()
     }
 
     fn applies(&mut self) -> Vec<Transaction> {
@@ -165,21 +168,25 @@
 fn a_new_scope_comes_by_hello_and_what_is_held_is_told_after_a_loss() {
     let mut balancer = Balancer::new(options(2, &["points", "partners"], 1));
     let sent = balancer.greet(at(3));
-    let nothing = |of| Held { service: service(of), version: 0, digest: 0 };
+    let nothing = |of| ServiceVersion { service: service(of), version: 0, digest: 0 };
     assert!(
-        matches!(&sent[0], ToControl::Hello { position, .. } if *position == Position::default())
+        matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == Position::default())
     );
-    let ToControl::Scope { add, last: true, .. } = &sent[1] else { panic!("{sent:?}") };
+    let SubscriberMessage::Scope { add, last: true, .. } = &sent[1] else { panic!("{sent:?}") };
     assert_eq!(*add, [nothing("partners"), nothing("points")]);
     let resource = balancer.has("points", 3);
     balancer.lost();
     balancer.connects();
     let sent = balancer.connected();
-    assert!(matches!(&sent[0], ToControl::Hello { position, .. } if *position == at(3)));
-    let ToControl::Scope { add, .. } = &sent[1] else { panic!("{sent:?}") };
+    assert!(matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == at(3)));
+    let SubscriberMessage::Scope { add, .. } = &sent[1] else { panic!("{sent:?}") };
     assert_eq!(
         add[1],
-        Held { service: service("points"), version: 3, digest: resource_digest(&resource) }
+        ServiceVersion {
+            service: service("points"),
+            version: 3,
+            digest: resource_digest(&resource)
+        }
     );
 }
 
@@ -188,22 +195,26 @@
     let mut balancer = Balancer::new(options(1, &["points"], 1));
     balancer.greet(at(3));
     let resource = balancer.has("points", 3);
-    let held = Held { service: service("points"), version: 3, digest: resource_digest(&resource) };
+    let held = ServiceVersion {
+        service: service("points"),
+        version: 3,
+        digest: resource_digest(&resource),
+    };
     let change = Change::Set(server("points", "b", 4, b"x"));
-    let wrong = Held { version: 4, digest: 1, ..held.clone() };
+    let wrong = ServiceVersion { version: 4, digest: 1, ..held.clone() };
     balancer.applies();
     balancer.transfer(9, at(4), Base::Delta { from: 3 }, vec![change.clone()], wrong);
     assert_eq!(
         balancer.sent(),
-        [ToControl::Nack { transfer: 9, reason: NackReason::Mismatch(vec![held.clone()]) }]
+        [SubscriberMessage::Nack { transfer: 9, reason: NackReason::Mismatch(vec![held.clone()]) }]
     );
     // Right, but on the ground of what is not there.
     let digest = held.digest.wrapping_add(resource_digest(&server("points", "b", 4, b"x")));
-    let right = Held { version: 4, digest, ..held.clone() };
+    let right = ServiceVersion { version: 4, digest, ..held.clone() };
     balancer.transfer(10, at(4), Base::Delta { from: 2 }, vec![change.clone()], right.clone());
     assert_eq!(
         balancer.sent(),
-        [ToControl::Nack { transfer: 10, reason: NackReason::Mismatch(vec![held]) }]
+        [SubscriberMessage::Nack { transfer: 10, reason: NackReason::Mismatch(vec![held]) }]
     );
     assert_eq!(balancer.applies(), []);
     balancer.transfer(11, at(4), Base::Delta { from: 3 }, vec![change], right);
@@ -216,7 +227,8 @@
     balancer.greet(at(3));
     let resource = balancer.has("points", 3);
     let new = server("points", "a", 4, b"bad");
-    let held = Held { service: service("points"), version: 4, digest: resource_digest(&new) };
+    let held =
+        ServiceVersion { service: service("points"), version: 4, digest: resource_digest(&new) };
     balancer.transfer(
         9,
         at(4),
@@ -232,13 +244,15 @@
     };
     balancer.subscriber.applied(Time(0), 9, Err(vec![problem.clone()]), &mut balancer.out);
     let reason = NackReason::Rejected(vec![problem]);
-    assert_eq!(balancer.sent(), [ToControl::Nack { transfer: 9, reason }]);
+    assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transfer: 9, reason }]);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     assert_eq!(balancer.subscriber.status(Time(0)).rejected, [service("points")]);
     // The next control machine is told as well.
     balancer.lost();
     balancer.connects();
-    let ToControl::Scope { rejected, .. } = &balancer.connected()[1] else { panic!("no scope") };
+    let SubscriberMessage::Scope { rejected, .. } = &balancer.connected()[1] else {
+        panic!("no scope")
+    };
     assert_eq!(*rejected, [held]);
 }
 
@@ -248,8 +262,8 @@
     balancer.greet(at(3));
     let resource = balancer.has("points", 3);
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
-    balancer.hear(ToSubscriber::Begin { transfer: 9, generation: 1, services });
-    balancer.hear(ToSubscriber::Changes {
+    balancer.hear(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.hear(PublisherMessage::Changes {
         transfer: 9,
         changes: vec![Change::Set(server("points", "z", 4, b"z"))],
     });
@@ -259,7 +273,7 @@
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     // And no end of it is taken on the next.
     balancer.greet(at(4));
-    balancer.hear(ToSubscriber::Commit { transfer: 9, position: at(4), services: vec![] });
+    balancer.hear(PublisherMessage::Commit { transfer: 9, position: at(4), services: vec![] });
     assert!(matches!(balancer.closed(), Some(DisconnectReason::Violation(_))));
 }
 
@@ -271,10 +285,10 @@
     });
     balancer.greet(at(3));
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
-    balancer.hear(ToSubscriber::Begin { transfer: 9, generation: 1, services });
+    balancer.hear(PublisherMessage::Begin { transfer: 9, generation: 1, services });
     for id in 0..30 {
         let change = Change::Set(server("points", &id.to_string(), 3, &[0; 100]));
-        balancer.hear(ToSubscriber::Changes { transfer: 9, changes: vec![change] });
+        balancer.hear(PublisherMessage::Changes { transfer: 9, changes: vec![change] });
         assert!(balancer.subscriber.buffered_bytes() <= 2_200);
     }
     assert_eq!(balancer.closed(), Some(DisconnectReason::TooLarge));
@@ -285,14 +299,18 @@
     let mut balancer = Balancer::new(options(2, &["points"], 1));
     balancer.greet(at(3));
     let resource = server("points", "a", 3, b"body");
-    let held = Held { service: service("points"), version: 3, digest: resource_digest(&resource) };
+    let held = ServiceVersion {
+        service: service("points"),
+        version: 3,
+        digest: resource_digest(&resource),
+    };
     balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], held.clone());
     balancer.lost();
     balancer.connects();
     assert_eq!(balancer.connected(), []);
     balancer.subscriber.applied(Time(balancer.now), 9, Ok(()), &mut balancer.out);
     let sent = balancer.sent();
-    let [ToControl::Hello { .. }, ToControl::Scope { add, .. }] = &sent[..] else {
+    let [SubscriberMessage::Hello { .. }, SubscriberMessage::Scope { add, .. }] = &sent[..] else {
         panic!("{sent:?}")
     };
     assert_eq!(*add, [held], "and no answer to the earlier connection's transaction");
@@ -305,20 +323,20 @@
     balancer.lost();
     let behind = balancer.connects();
     balancer.connected();
-    balancer.hear(ToSubscriber::Welcome { position: at(4) });
+    balancer.hear(PublisherMessage::Welcome { position: at(4) });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(at(4))));
     let diverged = balancer.connects();
     assert_ne!(diverged, behind);
     balancer.connected();
     let other = Position { chain: 1, ..at(5) };
-    balancer.hear(ToSubscriber::Welcome { position: other });
+    balancer.hear(PublisherMessage::Welcome { position: other });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
     let named = SubscriberEvent::Diverged { control: diverged, seen: at(5), other };
     assert!(balancer.events().contains(&named));
     // Told by the control machine, it is the same.
     balancer.connects();
     balancer.connected();
-    balancer.hear(ToSubscriber::Refused(Refusal::Diverged { position: other }));
+    balancer.hear(PublisherMessage::Refused(Refusal::Diverged { position: other }));
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
     // A raised epoch is taken though its number is lower; the old one never again.
     balancer.greet(Position { epoch: 2, number: 1, chain: 3 });
@@ -339,21 +357,24 @@
         balancer.subscriber.resources(&service("points")).next().expect("a server"),
     );
     for _ in 0..3 {
-        balancer.hear(ToSubscriber::Pong { sequence: 0 });
+        balancer.hear(PublisherMessage::Pong { sequence: 0 });
         balancer.now += SECOND;
         balancer.subscriber.tick(Time(balancer.now), &mut balancer.out);
     }
     assert_eq!(balancer.events(), [SubscriberEvent::Drift { service: service("points") }]);
     let sent = balancer.sent();
-    let [ToControl::Scope { generation: 2, add, .. }] = &sent[..] else { panic!("{sent:?}") };
-    assert_eq!(*add, [Held { service: service("points"), version: 3, digest }]);
+    let [SubscriberMessage::Scope { generation: 2, add, .. }] = &sent[..] else {
+        panic!("{sent:?}")
+    };
+    assert_eq!(*add, [ServiceVersion { service: service("points"), version: 3, digest }]);
 }
 
 #[test]
 fn a_bookmark_that_does_not_fit_has_the_whole_scope_named_anew_once() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
     balancer.greet(at(3));
-    let bookmark = |generation| ToSubscriber::Current { position: at(3), generation, digest: 1 };
+    let bookmark =
+        |generation| PublisherMessage::Current { position: at(3), generation, digest: 1 };
     balancer.hear(bookmark(0));
     assert_eq!(balancer.sent(), [], "a bookmark of an earlier scope says nothing");
     balancer.hear(bookmark(1));
@@ -370,7 +391,7 @@
     balancer.applies();
     let new = server("points", "b", 4, b"x");
     let services = vec![ServiceBase { service: service("points"), base: Base::Delta { from: 3 } }];
-    balancer.hear(ToSubscriber::Begin { transfer: 9, generation: 1, services });
+    balancer.hear(PublisherMessage::Begin { transfer: 9, generation: 1, services });
     balancer.subscriber.set_scope(Time(0), vec![service("partners")], &mut balancer.out);
     balancer.subscriber.set_scope(
         Time(0),
@@ -378,16 +399,19 @@
         &mut balancer.out,
     );
     let sent = balancer.sent();
-    let [ToControl::Scope { remove, .. }, ToControl::Scope { add, generation: 3, .. }] = &sent[..]
+    let [
+        SubscriberMessage::Scope { remove, .. },
+        SubscriberMessage::Scope { add, generation: 3, .. },
+    ] = &sent[..]
     else {
         panic!("{sent:?}")
     };
     assert_eq!((remove.len(), add[0].version), (1, 0));
-    balancer.hear(ToSubscriber::Changes { transfer: 9, changes: vec![Change::Set(new)] });
-    let held = Held { service: service("points"), version: 4, digest: 1 };
-    balancer.hear(ToSubscriber::Commit { transfer: 9, position: at(4), services: vec![held] });
+    balancer.hear(PublisherMessage::Changes { transfer: 9, changes: vec![Change::Set(new)] });
+    let held = ServiceVersion { service: service("points"), version: 4, digest: 1 };
+    balancer.hear(PublisherMessage::Commit { transfer: 9, position: at(4), services: vec![held] });
     assert_eq!(balancer.applies(), []);
-    assert_eq!(balancer.sent(), [ToControl::Ack { transfer: 9 }]);
+    assert_eq!(balancer.sent(), [SubscriberMessage::Ack { transfer: 9 }]);
     assert_eq!(balancer.subscriber.resources(&service("points")).count(), 0);
 }
 
@@ -396,7 +420,11 @@
     let mut balancer = Balancer::new(options(1, &["points"], 1));
     balancer.greet(at(3));
     let resource = server("points", "a", 3, b"body");
-    let held = Held { service: service("points"), version: 3, digest: resource_digest(&resource) };
+    let held = ServiceVersion {
+        service: service("points"),
+        version: 3,
+        digest: resource_digest(&resource),
+    };
     balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], held);
     balancer.subscriber.set_scope(Time(0), vec![], &mut balancer.out);
     balancer.subscriber.set_scope(Time(0), vec![service("points")], &mut balancer.out);
@@ -444,7 +472,7 @@
         let mut balancer = Balancer::new(options(57, &["points"], seed));
         let first = balancer.connects();
         balancer.connected();
-        balancer.hear(ToSubscriber::Welcome { position: at(1) });
+        balancer.hear(PublisherMessage::Welcome { position: at(1) });
         let died = balancer.now;
         balancer.lost();
         let next = balancer.connects();
@@ -487,7 +515,7 @@
         ))
     });
     balancer.events();
-    balancer.hear(ToSubscriber::Current { position: at(4), generation: 1, digest });
-    balancer.hear(ToSubscriber::Current { position: at(5), generation: 1, digest });
+    balancer.hear(PublisherMessage::Current { position: at(4), generation: 1, digest });
+    balancer.hear(PublisherMessage::Current { position: at(5), generation: 1, digest });
     assert_eq!(balancer.events(), [SubscriberEvent::Current { position: at(4) }]);
 }
--- a/crates/distribution/tests/version.rs
+++ b/crates/distribution/tests/version.rs
@@ -1,8 +1,8 @@
 //! A subscriber of another version of the protocol.
 
 use sableloom_distribution::{
-    CloseReason, CodecError, FrameReader, PROTOCOL_VERSION, Publisher, PublisherOptions,
-    PublisherOutput, Refusal, SessionId, Store, StoreLimits, ToSubscriber,
+    CloseReason, CodecError, FrameReader, PROTOCOL_VERSION, Publisher, PublisherMessage,
+    PublisherOptions, PublisherOutput, Refusal, SessionId, Store, StoreLimits,
 };
 use sableloom_types::Time;
 
@@ -22,7 +22,7 @@
         let mut reader = FrameReader::new();
         reader.push(frame);
         let refusal = Refusal::Version { expected: PROTOCOL_VERSION };
-        assert_eq!(reader.next(), Ok(Some(ToSubscriber::Refused(refusal))));
+        assert_eq!(reader.next(), Ok(Some(PublisherMessage::Refused(refusal))));
         let reason = CloseReason::Malformed(error);
         assert_eq!(*closed, PublisherOutput::Close { session, reason });
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -23,8 +23,11 @@
 use crate::clock::{Clock, micros};
 use crate::fate::{self, Ended};
 use crate::idle::{IdleState, Timer};
-use crate::message::{Asked, Message, Reply, Turned};
-use crate::ports::{AttemptOutcome, Call, Place, Service, Sink, Source, Transport, Work};
+use crate::message::{Message, Reply, RequestContext, RequestRejection};
+use crate::ports::{
+    AttemptContext, AttemptOutcome, DispatchAddress, EndpointListener, EndpointSource, Service,
+    Transport, Work,
+};
 
 /// An open request.
 struct Job {
@@ -54,7 +57,7 @@
     server: ServerId,
     sent: Instant,
     /// None if the server wanted nothing new by the time that it was decided.
-    call: Option<Rc<Call>>,
+    call: Option<Rc<AttemptContext>>,
     /// Until it is proven that it never ran.
     may_have_run: Cell<bool>,
     cancel: Notify,
@@ -64,7 +67,7 @@
     name: Box<str>,
     address: SocketAddr,
     /// Where new attempts may go: its address while it is live.
-    place: Place,
+    place: DispatchAddress,
     /// Not gone.
     listed: bool,
 }
@@ -94,7 +97,7 @@
     /// Carries attempts.
     pub transport: Rc<dyn Transport>,
     /// Names servers.
-    pub source: Rc<dyn Source>,
+    pub source: Rc<dyn EndpointSource>,
 }
 
 /// One pool of servers, its decision module and its open requests.
@@ -103,7 +106,7 @@
     clock: Clock,
     settings: Rc<DeploymentSettings>,
     transport: Rc<dyn Transport>,
-    source: Rc<dyn Source>,
+    source: Rc<dyn EndpointSource>,
     closed: Cell<bool>,
     /// Nothing is sent on any more, as this process is about to end.
     given_up: Cell<bool>,
@@ -154,7 +157,7 @@
     /// for something before any timer of its own is due.
     fn end_part(state: &mut State, now: Time) {
         if let Some((_, after)) = state.part_ends.take_if(|(ends, _)| now >= *ends) {
-            state.balancer.shared_by(after);
+            state.balancer.set_balancers(after);
         }
     }
 
@@ -176,7 +179,7 @@
                 let until = if timeout.0 == 0 { limit } else { limit.min(now.plus(timeout)) };
                 let until = self.clock.instant(until);
                 let to = (server, &upstream.place);
-                let call = Call::new(job.message.clone(), to, until, job.over.clone());
+                let call = AttemptContext::new(job.message.clone(), to, until, job.over.clone());
                 let by = self.known_for_a_repeat_until(job);
                 let attempt = Rc::new(Attempt {
                     number: job.attempts.borrow().len(),
@@ -285,7 +288,7 @@
         let mut state = self.state.borrow_mut();
         // First what ended before: in a pool at rest nothing has looked at it since.
         Self::end_part(&mut state, self.clock.now());
-        state.balancer.shared_by(balancers);
+        state.balancer.set_balancers(balancers);
         state.part_ends = ends;
     }
 
@@ -328,7 +331,7 @@
             last: job.over.get(),
             report: attempt_outcome.report,
         };
-        self.tell(|balancer, now, out| balancer.outcome(now, answer, out));
+        self.tell(|balancer, now, out| balancer.attempt_ended(now, answer, out));
         Self::forget(&mut self.state.borrow_mut(), self.clock.now(), id);
     }
 
@@ -400,7 +403,7 @@
         let new = || Upstream {
             name: entry.id.clone(),
             address: entry.address,
-            place: Place::default(),
+            place: DispatchAddress::default(),
             listed: true,
         };
         let upstream = state.upstreams.entry(id).or_insert_with(new);
@@ -428,7 +431,11 @@
 }
 
 impl Service for Exchange {
-    fn call(self: Rc<Self>, asked: Asked, message: Message) -> Result<Work<Reply>, Turned> {
+    fn call(
+        self: Rc<Self>,
+        asked: RequestContext,
+        message: Message,
+    ) -> Result<Work<Reply>, RequestRejection> {
         if self.given_up.get() {
             return Ok(Box::pin(std::future::ready(Reply::Refused(None))));
         }
@@ -437,12 +444,12 @@
             let mut state = self.state.borrow_mut();
             let most = self.settings.policy_limits.max_open;
             if most > 0 && state.jobs.len() >= most {
-                return Err(Turned::TooMany);
+                return Err(RequestRejection::TooMany);
             }
             // Whoever goes by the id would take the two for one: an answer, a repeat or a reset
             // of one for the other's. Also while an attempt of a request that is over is out.
             if !state.trace_ids.insert(message.id.clone()) {
-                return Err(Turned::SameId);
+                return Err(RequestRejection::SameId);
             }
             let id = RequestId(state.next_id);
             state.next_id += 1;
@@ -461,14 +468,14 @@
             state.idle.busy(self.clock.now());
             id
         };
-        let Asked { class, tenant, key, deadline } = asked;
+        let RequestContext { class, tenant, key, deadline } = asked;
         let request = Request { id, class, tenant, key, deadline };
         self.tell(|balancer, now, out| balancer.request(now, request, out));
         Ok(Box::pin(Taken { exchange: self, id, receiver }))
     }
 }
 
-impl Sink for Exchange {
+impl EndpointListener for Exchange {
     fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
         let members: Vec<Endpoint> = {
             let mut state = self.state.borrow_mut();
@@ -490,7 +497,7 @@
         for member in &members {
             self.transport.retire(member.id, member.status != EndpointStatus::Live);
         }
-        self.tell(|balancer, now, out| balancer.members(now, kind, &members, out));
+        self.tell(|balancer, now, out| balancer.update_endpoints(now, kind, &members, out));
         self.forget_gone();
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Exchange`] owns the decision module of one pool of servers. It tells it what happens, carries
 //! out what it answers with, and is the one place that gives a request its final answer. It knows no
 //! protocol: a front hands it whole requests through [`Service`], a [`Transport`] carries single
-//! attempts, and a [`Source`] names the servers. Whether an attempt may have run is decided in
+//! attempts, and a [`EndpointSource`] names the servers. Whether an attempt may have run is decided in
 //! [`fate`], from facts that transports report, and nowhere else.
 
 mod clock;
@@ -16,7 +16,10 @@
 
 pub use clock::{Clock, micros};
 pub use exchange::{Exchange, Options, longest_deadline};
-pub use message::{Answer, Asked, Client, Fields, Message, Reply, Turned};
-pub use ports::{AttemptOutcome, Call, Line, Place, Service, Sink, Source, Transport, Work};
+pub use message::{Answer, Client, Fields, Message, Reply, RequestContext, RequestRejection};
+pub use ports::{
+    AttemptConnection, AttemptContext, AttemptOutcome, DispatchAddress, EndpointListener,
+    EndpointSource, Service, Transport, Work,
+};
 pub use sableloom_types::ListedEndpoint;
 pub use task::Task;
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -96,7 +96,7 @@
 
 /// What the decision module is told of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct RequestContext {
     /// Its class, by index.
     pub class: usize,
     /// Its tenant, by index.
@@ -129,7 +129,7 @@
 
 /// Why a request is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum RequestRejection {
     /// Too many are open.
     TooMany,
     /// Its id is another's that is open.
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::fate::Ended;
-use crate::message::{Answer, Asked, Message, Reply, Turned};
+use crate::message::{Answer, Message, Reply, RequestContext, RequestRejection};
 
 /// Work on this thread.
 pub type Work<T> = Pin<Box<dyn Future<Output = T>>>;
@@ -17,21 +17,25 @@
 /// What a front hands requests to: a whole request in, one final answer out.
 pub trait Service {
     /// Takes a request. Dropping the work before it is done tells that the client is gone.
-    fn call(self: Rc<Self>, asked: Asked, message: Message) -> Result<Work<Reply>, Turned>;
+    fn call(
+        self: Rc<Self>,
+        asked: RequestContext,
+        message: Message,
+    ) -> Result<Work<Reply>, RequestRejection>;
 }
 
 /// Where new attempts at a server may go now: its address, and none while it drains or is gone. All
 /// attempts at a server share it, so that what changes after one was decided is seen at its first byte.
-pub type Place = Rc<Cell<Option<SocketAddr>>>;
+pub type DispatchAddress = Rc<Cell<Option<SocketAddr>>>;
 
 /// A connection that an attempt's bytes go out on.
-pub trait Line {
+pub trait AttemptConnection {
     /// Whether the last byte of the present request has left.
     fn all_written(&self) -> bool;
 }
 
 /// One attempt, as a transport is given it.
-pub struct Call {
+pub struct AttemptContext {
     /// The request.
     pub message: Rc<Message>,
     /// The server, and where it is.
@@ -42,17 +46,17 @@
     pub until: Instant,
     /// A repeat whose last byte leaves later than this may not be known for one.
     whole_by: Option<Instant>,
-    place: Place,
+    place: DispatchAddress,
     over: Rc<Cell<bool>>,
-    line: RefCell<Option<Rc<dyn Line>>>,
+    line: RefCell<Option<Rc<dyn AttemptConnection>>>,
 }
 
-impl Call {
+impl AttemptContext {
     /// An attempt at this server, of a request that is over once the cell says so. `None` if nothing new
     /// may be sent there.
     pub fn new(
         message: Rc<Message>,
-        (server, place): (ServerId, &Place),
+        (server, place): (ServerId, &DispatchAddress),
         until: Instant,
         over: Rc<Cell<bool>>,
     ) -> Option<Self> {
@@ -86,7 +90,7 @@
     }
 
     /// From here on the request's bytes go out on this connection. To be said before the first one.
-    pub fn goes_out_on(&self, line: Rc<dyn Line>) {
+    pub fn goes_out_on(&self, line: Rc<dyn AttemptConnection>) {
         *self.line.borrow_mut() = Some(line);
     }
 
@@ -119,7 +123,7 @@
 /// nothing again of which a byte more than the last has left.
 pub trait Transport {
     /// Carries out one attempt. When the work is dropped, nothing more of the request goes out.
-    fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome>;
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome>;
 
     /// Examines a server: whether it is alive, and what it reports.
     fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<LoadReport>>;
@@ -135,13 +139,13 @@
 }
 
 /// What a source tells.
-pub trait Sink {
+pub trait EndpointListener {
     /// A list has come, or part of one.
     fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>);
 }
 
 /// Names the servers.
-pub trait Source {
+pub trait EndpointSource {
     /// Opens the standing subscription to the list, unless there is one.
-    fn subscribe(self: Rc<Self>, sink: Rc<dyn Sink>);
+    fn subscribe(self: Rc<Self>, sink: Rc<dyn EndpointListener>);
 }
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -31,7 +31,7 @@
 }
 
 impl Transport for Servers {
-    fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
         Box::pin(async move {
             if !call.may_begin() {
                 return AttemptOutcome::nothing(Ended::NotBegun);
@@ -60,7 +60,7 @@
 /// A connection that all bytes have left on.
 struct Written;
 
-impl Line for Written {
+impl AttemptConnection for Written {
     fn all_written(&self) -> bool {
         true
     }
@@ -68,8 +68,8 @@
 
 struct Silent;
 
-impl Source for Silent {
-    fn subscribe(self: Rc<Self>, _: Rc<dyn Sink>) {}
+impl EndpointSource for Silent {
+    fn subscribe(self: Rc<Self>, _: Rc<dyn EndpointListener>) {}
 }
 
 fn settings(registry: &str) -> DeploymentSettings {
@@ -127,7 +127,7 @@
         client: None,
     };
     let deadline = clock.now().plus(Span(ms as i64 * 1000));
-    let asked = Asked { class: 0, tenant: 0, key: None, deadline };
+    let asked = RequestContext { class: 0, tenant: 0, key: None, deadline };
     exchange.clone().call(asked, message).expect("a new id")
 }
 
--- a/crates/exchange/tests/simulation.rs
+++ b/crates/exchange/tests/simulation.rs
@@ -41,7 +41,7 @@
 
 struct Whole(Cell<bool>);
 
-impl Line for Whole {
+impl AttemptConnection for Whole {
     fn all_written(&self) -> bool {
         self.0.get()
     }
@@ -69,7 +69,7 @@
         sleep(Duration::from_micros(self.below(most_ms * 1000))).await;
     }
 
-    async fn talk(&self, call: &Call) -> AttemptOutcome {
+    async fn talk(&self, call: &AttemptContext) -> AttemptOutcome {
         let world = &self.world;
         self.pause(10).await;
         match self.below(10) {
@@ -153,7 +153,7 @@
 }
 
 impl Transport for Fickle {
-    fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
         Box::pin(async move { self.talk(&call).await })
     }
     fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<LoadReport>> {
@@ -176,8 +176,8 @@
 /// A source that the test speaks for.
 struct Silent;
 
-impl Source for Silent {
-    fn subscribe(self: Rc<Self>, _: Rc<dyn Sink>) {}
+impl EndpointSource for Silent {
+    fn subscribe(self: Rc<Self>, _: Rc<dyn EndpointListener>) {}
 }
 
 fn settings() -> DeploymentSettings {
@@ -265,7 +265,7 @@
             client: Some(Rc::<Present>::downgrade(&present) as Weak<dyn Client>),
         };
         let deadline = clock.now().plus(Span(DEADLINE_MS * 1000));
-        let asked = Asked { class, tenant: 0, key: None, deadline };
+        let asked = RequestContext { class, tenant: 0, key: None, deadline };
         let leaves = (rng.rand_range(0..8) == 0).then(|| rng.rand_range(0..150));
         // Some leave behind bytes that nobody reads past: nothing is dropped.
         let unseen = (rng.rand_range(0..8) == 0).then(|| rng.rand_range(0..150));
--- a/crates/fleet-sim/examples/decision.rs
+++ b/crates/fleet-sim/examples/decision.rs
@@ -29,7 +29,7 @@
     let mut out = Vec::new();
     balancer.start(now, &mut out);
     let list: Vec<_> = (0..servers).map(member).collect();
-    balancer.members(now, ListKind::Full, &list, &mut out);
+    balancer.update_endpoints(now, ListKind::Full, &list, &mut out);
     let (mut asked, mut swept, mut sweeps) = (0.0, 0.0, 0.0);
     for id in 0..requests {
         now = now.plus(Span(1000));
@@ -57,7 +57,7 @@
                 last: true,
                 report: LoadReport::default(),
             };
-            balancer.outcome(now, answer, &mut out);
+            balancer.attempt_ended(now, answer, &mut out);
         }
         asked += begun.elapsed().as_secs_f64() * 1e6;
         if id % 8 == 0 {
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -220,7 +220,9 @@
             Event::AttemptTimeout(attempt) => self.attempt_ends(attempt, Outcome::Timeout),
             Event::ListArrives { balancer, list } => {
                 self.balancers[balancer].server_list = list.clone();
-                self.notify(balancer, |m, now, out| m.members(now, ListKind::Full, &list, out));
+                self.notify(balancer, |m, now, out| {
+                    m.update_endpoints(now, ListKind::Full, &list, out)
+                });
             }
             Event::Change(i) => {
                 let change = self.case.script[i].1.clone();
--- a/crates/fleet-sim/src/world/attempts.rs
+++ b/crates/fleet-sim/src/world/attempts.rs
@@ -183,7 +183,7 @@
                 last: outcome == Outcome::Ok,
                 report: LoadReport::default(),
             };
-            self.notify(balancer, |m, now, out| m.outcome(now, answer, out));
+            self.notify(balancer, |m, now, out| m.attempt_ended(now, answer, out));
         } else if request_state.end.is_none() {
             let again = request_state.class == 0 || outcome.not_executed();
             if again { self.choose(request) } else { self.finish_request(request, End::Failed) }
--- a/crates/fleet-sim/src/world/balancers.rs
+++ b/crates/fleet-sim/src/world/balancers.rs
@@ -37,7 +37,7 @@
         let settings = PolicySettings { zone: front.zone, ..self.settings.clone() };
         let mut policy = Balancer::new(settings, seed, self.now).expect("settings are sound");
         policy.start(self.now, &mut self.actions);
-        policy.members(self.now, ListKind::Full, &list, &mut self.actions);
+        policy.update_endpoints(self.now, ListKind::Full, &list, &mut self.actions);
         front.policy = Some(policy);
         self.apply_actions(balancer);
     }
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/front/request.rs
@@ -13,7 +13,9 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use sableloom_admission::Admission;
-use sableloom_exchange::{Answer as UpstreamAnswer, Asked, Client, Message, Reply, Turned};
+use sableloom_exchange::{
+    Answer as UpstreamAnswer, Client, Message, Reply, RequestContext, RequestRejection,
+};
 use tokio::time::timeout_at;
 
 use super::Frontend;
@@ -121,7 +123,7 @@
     let arrived = frontend.clock.at(client.wire.read_at.get());
     client.tell(Admission::taken);
     let RequestHead { id, class, tenant, key, expires, target } = wanted;
-    let asked = Asked { class, tenant, key, deadline: arrived.plus(expires) };
+    let asked = RequestContext { class, tenant, key, deadline: arrived.plus(expires) };
     let message = Message {
         id,
         idempotency: frontend.settings.services[class].idempotency,
@@ -134,12 +136,12 @@
     };
     let reply = match frontend.service.clone().call(asked, message) {
         Ok(reply) => reply,
-        Err(Turned::TooMany) => return plain(StatusCode::SERVICE_UNAVAILABLE),
-        Err(Turned::SameId) => return plain(StatusCode::CONFLICT).closing(),
-        Err(Turned::NoRoute(status)) => {
+        Err(RequestRejection::TooMany) => return plain(StatusCode::SERVICE_UNAVAILABLE),
+        Err(RequestRejection::SameId) => return plain(StatusCode::CONFLICT).closing(),
+        Err(RequestRejection::NoRoute(status)) => {
             return plain(StatusCode::from_u16(status).unwrap_or(StatusCode::NOT_FOUND));
         }
-        Err(Turned::OverLimit(after)) => return over_limit(after),
+        Err(RequestRejection::OverLimit(after)) => return over_limit(after),
     };
     match reply.await {
         Reply::Served(answer) => served(answer),
--- a/crates/http1/src/front/tests.rs
+++ b/crates/http1/src/front/tests.rs
@@ -2,7 +2,7 @@
 
 use std::io::{Read, Write};
 
-use sableloom_exchange::{Answer, Asked, Message, Reply, Turned, Work};
+use sableloom_exchange::{Answer, Message, Reply, RequestContext, RequestRejection, Work};
 use serde_json::json;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -13,7 +13,11 @@
 struct Echo;
 
 impl Service for Echo {
-    fn call(self: Rc<Self>, _: Asked, message: Message) -> Result<Work<Reply>, Turned> {
+    fn call(
+        self: Rc<Self>,
+        _: RequestContext,
+        message: Message,
+    ) -> Result<Work<Reply>, RequestRejection> {
         let made = Answer { body: message.id.clone(), ..Answer::default() };
         Ok(Box::pin(async move { Reply::Served(made) }))
     }
--- a/crates/http1/src/upstream.rs
+++ b/crates/http1/src/upstream.rs
@@ -17,7 +17,9 @@
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashSet;
 use sableloom_exchange::fate::Ended;
-use sableloom_exchange::{Answer, AttemptOutcome, Call, Line, Message, Task, Transport, Work};
+use sableloom_exchange::{
+    Answer, AttemptConnection, AttemptContext, AttemptOutcome, Message, Task, Transport, Work,
+};
 use sableloom_types::settings::{DeploymentSettings, LoadReportSource, PolicyLimits, Stats};
 use sableloom_types::{LoadReport, ServerId};
 use tokio::net::TcpStream;
@@ -280,7 +282,7 @@
 // ---------------------------------------------------------------- attempts
 
 impl Transport for Upstreams {
-    fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
         Box::pin(async move { self.talk(&call).await })
     }
 
@@ -307,7 +309,7 @@
 }
 
 impl Upstreams {
-    async fn talk(self: &Rc<Self>, call: &Rc<Call>) -> AttemptOutcome {
+    async fn talk(self: &Rc<Self>, call: &Rc<AttemptContext>) -> AttemptOutcome {
         let mut may_reuse = true;
         loop {
             if !call.is_wanted() {
--- a/crates/http1/src/upstream/tests.rs
+++ b/crates/http1/src/upstream/tests.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct RequestContext {
     verb: &'static str,
     target: String,
     fields: Vec<(String, String)>,
@@ -17,7 +17,7 @@
     left: u64,
 }
 
-fn any_request() -> impl Strategy<Value = Asked> {
+fn any_request() -> impl Strategy<Value = RequestContext> {
     let verb =
         prop::sample::select(vec!["GET", "POST", "PUT", "DELETE", "HEAD", "PATCH", "OPTIONS"]);
     let target = "/[a-z0-9/%._~-]{0,40}([?][a-z=&%0-9]{0,30})?";
@@ -33,7 +33,7 @@
     let body = prop::collection::vec(any::<u8>(), 0..600);
     (verb, target, fields, body, 0u64..100_000).prop_map(|(verb, target, fields, body, left)| {
         let body = if matches!(verb, "GET" | "HEAD") { Vec::new() } else { body };
-        Asked { verb, target, fields, body, left }
+        RequestContext { verb, target, fields, body, left }
     })
 }
 
--- a/crates/http1/src/wire.rs
+++ b/crates/http1/src/wire.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use sableloom_exchange::{Call, Client, Line};
+use sableloom_exchange::{AttemptConnection, AttemptContext, Client};
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
@@ -39,7 +39,7 @@
     /// Bytes of the present request that have not left yet.
     left: Cell<u64>,
     /// The attempt whose request is written. Not held, as it holds the wire.
-    call: RefCell<Option<Weak<Call>>>,
+    call: RefCell<Option<Weak<AttemptContext>>>,
     /// A byte of it has left.
     begun: Cell<bool>,
     /// Bytes have come since the present request began.
@@ -86,7 +86,12 @@
     /// before the request is whole, so that it provably never ran. What `call` says is asked at the first
     /// byte and at each further one: hyper writes in turns of its own, which may come before the attempt
     /// hears that it is over, or that its server leaves.
-    pub(crate) fn begin(&self, bytes: u64, hold: Option<Duration>, call: Option<&Rc<Call>>) {
+    pub(crate) fn begin(
+        &self,
+        bytes: u64,
+        hold: Option<Duration>,
+        call: Option<&Rc<AttemptContext>>,
+    ) {
         self.left.set(bytes);
         self.begun.set(false);
         self.heard.set(false);
@@ -119,7 +124,7 @@
     fn may_write(&self) -> bool {
         let call = self.call.borrow();
         let Some(call) = call.as_ref().filter(|_| self.left.get() > 0) else { return true };
-        let may = |call: Rc<Call>| match self.begun.get() {
+        let may = |call: Rc<AttemptContext>| match self.begun.get() {
             true => call.may_go_on(),
             false => call.may_begin(),
         };
@@ -218,7 +223,7 @@
     }
 }
 
-impl Line for Wire {
+impl AttemptConnection for Wire {
     fn all_written(&self) -> bool {
         self.left.get() == 0
     }
--- a/crates/http1/src/wire/tests.rs
+++ b/crates/http1/src/wire/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use sableloom_exchange::{Fields, Message, Place};
+use sableloom_exchange::{DispatchAddress, Fields, Message};
 use sableloom_types::{Idempotency, ServerId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -31,9 +31,9 @@
 
 /// An attempt, and all that can end it.
 struct Attempt {
-    call: Rc<Call>,
+    call: Rc<AttemptContext>,
     over: Rc<Cell<bool>>,
-    place: Place,
+    place: DispatchAddress,
 }
 
 const AT: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
@@ -49,10 +49,10 @@
         hold: None,
         client: client.map(|wire| Rc::<Wire>::downgrade(wire) as std::rc::Weak<dyn Client>),
     };
-    let (over, place) = (Rc::new(Cell::new(false)), Place::default());
+    let (over, place) = (Rc::new(Cell::new(false)), DispatchAddress::default());
     place.set(Some(SocketAddr::from(AT)));
     let until = Instant::now() + Duration::from_secs(60);
-    let call = Call::new(Rc::new(message), (ServerId(0), &place), until, over.clone());
+    let call = AttemptContext::new(Rc::new(message), (ServerId(0), &place), until, over.clone());
     let call = Rc::new(call.expect("it is live").whole_by(whole_by));
     Attempt { call, over, place }
 }
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -425,7 +425,7 @@
     }
 
     /// So many proxies share the upstreams from now on. A part that grew is no more than a start.
-    pub fn shared_by(&mut self, balancers: u32) {
+    pub fn set_balancers(&mut self, balancers: u32) {
         let before = std::mem::replace(&mut self.settings.balancers, balancers.max(1));
         let scaled = self.fleet.lanes * f64::from(before) / f64::from(self.settings.balancers);
         self.fleet.lanes = scaled.min(self.fleet.lanes.max(self.own_part(START_LANES)));
@@ -898,7 +898,7 @@
     }
 
     /// An attempt has ended.
-    pub fn outcome(&mut self, now: Time, a: AttemptResult, out: &mut Vec<Action>) {
+    pub fn attempt_ended(&mut self, now: Time, a: AttemptResult, out: &mut Vec<Action>) {
         let Some(e) = self.requests.get_mut(&a.request) else { return };
         let Some(attempt) = e.attempts.get_mut(a.attempt).filter(|t| t.fate == Fate::Out) else {
             return;
@@ -1227,7 +1227,13 @@
     }
 
     /// The list of upstreams, or a change to it.
-    pub fn members(&mut self, now: Time, kind: ListKind, list: &[Endpoint], out: &mut Vec<Action>) {
+    pub fn update_endpoints(
+        &mut self,
+        now: Time,
+        kind: ListKind,
+        list: &[Endpoint],
+        out: &mut Vec<Action>,
+    ) {
         match kind {
             ListKind::Unavailable => {
                 self.ask.subscribed = false;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -128,7 +128,7 @@
         if kind != ListKind::Unavailable {
             self.members.extend(list.iter().map(|m| (m.id.0, *m)));
         }
-        self.balancer.members(self.now, kind, list, &mut self.actions);
+        self.balancer.update_endpoints(self.now, kind, list, &mut self.actions);
         self.obey();
     }
 
@@ -161,7 +161,7 @@
             last: asked.over,
             report: LoadReport::default(),
         };
-        self.balancer.outcome(self.now, answer, &mut self.actions);
+        self.balancer.attempt_ended(self.now, answer, &mut self.actions);
         self.obey();
     }
 
--- a/crates/policy/tests/mechanism/slots.rs
+++ b/crates/policy/tests/mechanism/slots.rs
@@ -148,23 +148,23 @@
 fn a_part_that_shrinks_is_given_up_at_once_and_one_that_grows_is_a_start() {
     let mut w = World::with_servers(PolicySettings { balancers: 4, ..settings() }, 16);
     let quarter = lanes(&mut w, 0..400);
-    w.balancer.shared_by(16);
+    w.balancer.set_balancers(16);
     let sixteenth = lanes(&mut w, 400..800);
     assert!(sixteenth > 0 && sixteenth * 2 < quarter, "{sixteenth} of {quarter}");
-    w.balancer.shared_by(4);
+    w.balancer.set_balancers(4);
     let again = lanes(&mut w, 800..1200);
     assert!(again > sixteenth && again <= quarter + 16, "{sixteenth}, then {again} of {quarter}");
     // One that was told a multitude before it had a part begins as one that knew at its start.
     let mut w = World::new(PolicySettings { balancers: 4, ..settings() });
-    w.balancer.shared_by(10_000);
+    w.balancer.set_balancers(10_000);
     let list: Vec<_> = (0..16).map(|i| member(i, i % 2)).collect();
     w.list(ListKind::Restored, &list);
-    w.balancer.shared_by(4);
+    w.balancer.set_balancers(4);
     // N is reckoned anew at the next sweep.
     w.pass(Span(20 * MS));
     let told = lanes(&mut w, 0..400);
     assert!(told <= quarter + 16 && told * 2 > quarter, "{told} of {quarter}");
     // A number of none is taken for one.
-    w.balancer.shared_by(0);
+    w.balancer.set_balancers(0);
     assert!(lanes(&mut w, 400..800) >= told);
 }
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -24,14 +24,14 @@
 #[derive(clap::Subcommand)]
 pub enum Command {
     /// Shows what one balancer knows of its fleet: who is there, since when, by whose word, its own part
-    Members(Asked),
+    Members(RequestContext),
     /// Shows where several balancers' knowledge differs. Ends with 0 if they agree, 1 if not
     Compare(Several),
 }
 
 /// Whom to ask.
 #[derive(clap::Args)]
-pub struct Asked {
+pub struct RequestContext {
     /// Where the balancer takes datagrams
     #[arg(required_unless_present = "config", conflicts_with = "config", requires = "from")]
     address: Option<SocketAddr>,
@@ -118,7 +118,7 @@
 /// Runs a command.
 pub async fn run(command: Command) -> Result<ExitCode, String> {
     match command {
-        Command::Members(Asked { address, from, config }) => {
+        Command::Members(RequestContext { address, from, config }) => {
             let (from, address) = match (config, address, from) {
                 (Some(path), ..) => {
                     let (fleet, operator) = named(&path)?;
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -6,7 +6,7 @@
 
 use sableloom_discovery::{self as discovery, Discovery};
 use sableloom_discovery_schedule::{self as watch, Times, Watch};
-use sableloom_exchange::{Clock, Exchange, Options, Sink, Task, longest_deadline};
+use sableloom_exchange::{Clock, EndpointListener, Exchange, Options, Task, longest_deadline};
 use sableloom_http1::{Budget, Dialect, Frontend, Upstreams};
 use sableloom_types::ListKind;
 use sableloom_types::settings::{RegistryMode, span};
--- a/crates/sableloom/src/serve/feed.rs
+++ b/crates/sableloom/src/serve/feed.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 
-use sableloom_exchange::{Clock, Sink, Source};
+use sableloom_exchange::{Clock, EndpointListener, EndpointSource};
 use sableloom_server_list::{Roster, RosterChange};
 use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::task::spawn_local;
@@ -11,7 +11,7 @@
 
 /// An exchange that is told of the servers.
 struct Listener {
-    sink: Weak<dyn Sink>,
+    sink: Weak<dyn EndpointListener>,
     /// It has the whole list, so that changes will do.
     has_list: bool,
 }
@@ -96,8 +96,8 @@
     }
 }
 
-impl Source for ServerFeed {
-    fn subscribe(self: Rc<Self>, sink: Rc<dyn Sink>) {
+impl EndpointSource for ServerFeed {
+    fn subscribe(self: Rc<Self>, sink: Rc<dyn EndpointListener>) {
         let sink = Rc::downgrade(&sink);
         self.listeners.borrow_mut().retain(|listener| !Weak::ptr_eq(&listener.sink, &sink));
         self.listeners.borrow_mut().push(Listener { sink, has_list: false });
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -5,8 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sableloom_exchange::{Asked, Clock, Exchange, Message, Reply, Service, Turned, Work};
-use sableloom_exchange::{Options as ExchangeOptions, Source};
+use sableloom_exchange::{
+    Clock, Exchange, Message, Reply, RequestContext, RequestRejection, Service, Work,
+};
+use sableloom_exchange::{EndpointSource, Options as ExchangeOptions};
 use sableloom_http1::{Budget, Upstreams};
 use sableloom_server_files::ServerFiles;
 use sableloom_shadow::Bounds;
@@ -27,7 +29,7 @@
 }
 
 impl ServerSource {
-    fn as_source(&self) -> Rc<dyn Source> {
+    fn as_source(&self) -> Rc<dyn EndpointSource> {
         match self {
             ServerSource::Files(files) => files.clone(),
             ServerSource::Feed(feed) => feed.clone(),
@@ -54,7 +56,11 @@
         }
     }
 
-    pub(super) fn call(&self, asked: Asked, message: Message) -> Result<Work<Reply>, Turned> {
+    pub(super) fn call(
+        &self,
+        asked: RequestContext,
+        message: Message,
+    ) -> Result<Work<Reply>, RequestRejection> {
         let mirror = self.mirror.borrow().clone();
         match mirror {
             Some(mirror) => mirror.call(&self.exchange, asked, message),
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -5,7 +5,7 @@
 
 use sableloom_capacity_share::Part;
 use sableloom_distribution::ServiceName;
-use sableloom_exchange::{Asked, Clock, Message, Reply, Service, Turned, Work};
+use sableloom_exchange::{Clock, Message, Reply, RequestContext, RequestRejection, Service, Work};
 use sableloom_fleet::{Running as Fleet, Told};
 use sableloom_routes::{Head, Table};
 use sableloom_site_config::{Site, Target};
@@ -46,7 +46,11 @@
 }
 
 impl Service for Router {
-    fn call(self: Rc<Self>, asked: Asked, message: Message) -> Result<Work<Reply>, Turned> {
+    fn call(
+        self: Rc<Self>,
+        asked: RequestContext,
+        message: Message,
+    ) -> Result<Work<Reply>, RequestRejection> {
         let routing = self.routing.borrow().clone();
         if routing.site.control.is_some() {
             let found = with_head(&asked, &message, |head| self.subscribed.borrow().target(head));
@@ -56,10 +60,10 @@
                     pool.call(asked, message)
                 }
                 (Some(SubscribedTarget::Refuse(status)), _) | (None, Target::Refuse(status)) => {
-                    Err(Turned::NoRoute(status))
+                    Err(RequestRejection::NoRoute(status))
                 }
                 // A site with control has no pools.
-                (None, Target::Pool(_)) => Err(Turned::NoRoute(NOT_FOUND)),
+                (None, Target::Pool(_)) => Err(RequestRejection::NoRoute(NOT_FOUND)),
             };
         }
         let found = with_head(&asked, &message, |head| routing.table.find(head));
@@ -67,13 +71,13 @@
             found.map_or(routing.site.otherwise, |route| routing.site.routes[route].target);
         match target {
             Target::Pool(pool) => routing.pools[pool].call(asked, message),
-            Target::Refuse(status) => Err(Turned::NoRoute(status)),
+            Target::Refuse(status) => Err(RequestRejection::NoRoute(status)),
         }
     }
 }
 
 /// Looks at a request as routes do.
-fn with_head<T>(asked: &Asked, message: &Message, look: impl FnOnce(&Head<'_>) -> T) -> T {
+fn with_head<T>(asked: &RequestContext, message: &Message, look: impl FnOnce(&Head<'_>) -> T) -> T {
     let host = message.fields.get("host").unwrap_or_default();
     let end = message.target.iter().position(|b| *b == b'?');
     let has = |name: &str, value: Option<&str>| {
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sableloom_exchange::{Message, Turned};
+use sableloom_exchange::{Message, RequestRejection};
 use sableloom_site_config::Site;
 use sableloom_tenant_limits::{Refusals, Share, Verdict};
 use sableloom_types::Time;
@@ -25,7 +25,7 @@
         site: &Site,
         service: &str,
         message: &Message,
-    ) -> Result<(), Turned> {
+    ) -> Result<(), RequestRejection> {
         let Some(tenants) = &site.tenants else { return Ok(()) };
         let limits = &mut self.subscribed.borrow_mut().tenants;
         if limits.is_empty() {
@@ -41,7 +41,7 @@
                 Verdict::Within => return Ok(()),
                 Verdict::Over(after) => {
                     let after = Duration::from_micros(after.0.max(0) as u64);
-                    return Err(Turned::OverLimit(after.min(MAX_RETRY_AFTER)));
+                    return Err(RequestRejection::OverLimit(after.min(MAX_RETRY_AFTER)));
                 }
             }
         }
--- a/crates/sableloom/tests/control/main.rs
+++ b/crates/sableloom/tests/control/main.rs
@@ -11,8 +11,8 @@
 use machine::{Folder, Machine, change, control, pool, route, server};
 use process::{LONG, Process};
 use sableloom_distribution::{
-    Held, MAX_FRAME_BYTES, PROTOCOL_VERSION, Position, ServiceName, SubscriberName, ToControl,
-    encode,
+    MAX_FRAME_BYTES, PROTOCOL_VERSION, Position, ServiceName, ServiceVersion, SubscriberMessage,
+    SubscriberName, encode,
 };
 use sableloom_testkit::{Site, eventually};
 use subscriber::{Options, REFUSED_ID};
@@ -152,10 +152,15 @@
 fn greeting(name: &str, service: &str) -> Vec<u8> {
     let subscriber = SubscriberName::try_from(name).expect("a name");
     let service = ServiceName::try_from(service).expect("a name");
-    let hello = ToControl::Hello { subscriber, position: Position::default() };
-    let add = vec![Held { service, version: 0, digest: 0 }];
-    let scope =
-        ToControl::Scope { generation: 1, add, remove: vec![], rejected: vec![], last: true };
+    let hello = SubscriberMessage::Hello { subscriber, position: Position::default() };
+    let add = vec![ServiceVersion { service, version: 0, digest: 0 }];
+    let scope = SubscriberMessage::Scope {
+        generation: 1,
+        add,
+        remove: vec![],
+        rejected: vec![],
+        last: true,
+    };
     [encode(&hello), encode(&scope)].concat()
 }
 
@@ -210,7 +215,7 @@
     let mut client = TcpStream::connect(machine.address).expect("a connection");
     client.write_all(&greeting("asks", "points")).expect("it takes a greeting");
     let before = machine.process.resident_kb();
-    let ping = encode(&ToControl::Ping { sequence: 0 });
+    let ping = encode(&SubscriberMessage::Ping { sequence: 0 });
     let pings = ping.repeat((64 << 10) / ping.len());
     // More than the system holds for a connection on both sides: the rest was read, and answered in vain.
     for _ in 0..512 {
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use sableloom_distribution::{
-    Change, DisconnectReason, FrameReader, Rejection, Resource, ResourceName, ServiceName,
-    Subscriber, SubscriberEvent, SubscriberName, SubscriberOptions, SubscriberOutput,
-    SubscriberTimes, ToSubscriber, Transaction, encode,
+    Change, DisconnectReason, FrameReader, PublisherMessage, Rejection, Resource, ResourceName,
+    ServiceName, Subscriber, SubscriberEvent, SubscriberName, SubscriberOptions, SubscriberOutput,
+    SubscriberTimes, Transaction, encode,
 };
 use sableloom_types::{Span, Time};
 
@@ -127,14 +127,14 @@
         self.stream = Some(stream);
         self.frames.push(&buffer[..count]);
         while self.stream.is_some() {
-            match self.frames.next::<ToSubscriber>().expect("control sends messages") {
+            match self.frames.next::<PublisherMessage>().expect("control sends messages") {
                 None => return,
                 Some(message) => {
                     match &message {
-                        ToSubscriber::Changes { changes, .. } => {
+                        PublisherMessage::Changes { changes, .. } => {
                             say(&format!("received {} changes", changes.len()));
                         }
-                        ToSubscriber::Current { position, .. } => {
+                        PublisherMessage::Current { position, .. } => {
                             say(&format!("current {position}"))
                         }
                         _ => {}
--- a/crates/sableloom/tests/subscription/strange.rs
+++ b/crates/sableloom/tests/subscription/strange.rs
@@ -4,9 +4,9 @@
 use std::net::{TcpListener, TcpStream};
 
 use sableloom_distribution::{
-    Base, Change, FrameReader, Held, NackReason, Origin, PROTOCOL_VERSION, Position, Rejection,
-    Resource, ResourceName, ServiceBase, ServiceName, ToControl, ToSubscriber, encode,
-    resource_digest,
+    Base, Change, FrameReader, NackReason, Origin, PROTOCOL_VERSION, Position, PublisherMessage,
+    Rejection, Resource, ResourceName, ServiceBase, ServiceName, ServiceVersion, SubscriberMessage,
+    encode, resource_digest,
 };
 use sableloom_resources::{Body, TenantLimit};
 use sableloom_site_config::PoolSettings;
@@ -30,7 +30,10 @@
 }
 
 /// Reads messages up to the first that `wanted` makes something of.
-fn read_until<T>(stream: &mut TcpStream, mut wanted: impl FnMut(ToControl) -> Option<T>) -> T {
+fn read_until<T>(
+    stream: &mut TcpStream,
+    mut wanted: impl FnMut(SubscriberMessage) -> Option<T>,
+) -> T {
     let (mut frames, mut buffer) = (FrameReader::new(), [0; 4096]);
     loop {
         while let Some(message) = frames.next().expect("messages") {
@@ -54,24 +57,26 @@
     let (listener, _folder, process) = subscribe();
     let mut stream = accept(&listener);
     read_until(&mut stream, |said| {
-        matches!(said, ToControl::Scope { last: true, .. }).then_some(())
+        matches!(said, SubscriberMessage::Scope { last: true, .. }).then_some(())
     });
     let position = Position { epoch: 1, number: 1, chain: 1 };
     let digest = resources.iter().map(resource_digest).fold(0, u64::wrapping_add);
-    let held = Held { service: service.clone(), version: 1, digest };
+    let held = ServiceVersion { service: service.clone(), version: 1, digest };
     let base = ServiceBase { service: service.clone(), base: Base::Snapshot };
     let changes = resources.into_iter().map(Change::Set).collect();
     for message in [
-        ToSubscriber::Welcome { position },
-        ToSubscriber::Begin { transfer: 1, generation: 1, services: vec![base] },
-        ToSubscriber::Changes { transfer: 1, changes },
-        ToSubscriber::Commit { transfer: 1, position, services: vec![held] },
+        PublisherMessage::Welcome { position },
+        PublisherMessage::Begin { transfer: 1, generation: 1, services: vec![base] },
+        PublisherMessage::Changes { transfer: 1, changes },
+        PublisherMessage::Commit { transfer: 1, position, services: vec![held] },
     ] {
         stream.write_all(&encode(&message)).expect("it takes bytes");
     }
     let rejections = read_until(&mut stream, |said| match said {
-        ToControl::Nack { reason: NackReason::Rejected(rejections), .. } => Some(rejections),
-        ToControl::Ack { .. } => panic!("it was taken"),
+        SubscriberMessage::Nack { reason: NackReason::Rejected(rejections), .. } => {
+            Some(rejections)
+        }
+        SubscriberMessage::Ack { .. } => panic!("it was taken"),
         _ => None,
     });
     process.says(&["rejected, nothing of it in force: points"]);
@@ -112,7 +117,7 @@
     let (listener, _folder, process) = subscribe();
     let mut stream = accept(&listener);
     let position = Position { epoch: 1, number: 1, chain: 1 };
-    let mut frame = encode(&ToSubscriber::Welcome { position });
+    let mut frame = encode(&PublisherMessage::Welcome { position });
     frame[4] = PROTOCOL_VERSION - 1;
     stream.write_all(&frame).expect("it takes bytes");
     process.says(&["no connection to", "protocol version 1, expected 2"]);
--- a/crates/server-files/src/lib.rs
+++ b/crates/server-files/src/lib.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sableloom_exchange::{Clock, Sink, Source, Task};
+use sableloom_exchange::{Clock, EndpointListener, EndpointSource, Task};
 use sableloom_server_list::{Lists, OfferResult, Spec};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::ListKind;
@@ -49,7 +49,7 @@
     kept: RefCell<Vec<Kept>>,
     /// The problems that were logged last, and the digests of the texts that had them: a problem is logged once.
     logged: RefCell<(Vec<String>, Vec<[u8; 32]>)>,
-    sink: RefCell<Option<Rc<dyn Sink>>>,
+    sink: RefCell<Option<Rc<dyn EndpointListener>>>,
     clock: Clock,
     news: Arc<Notify>,
     /// One reading at a time, so that an older one never comes behind a newer.
@@ -218,8 +218,8 @@
     }
 }
 
-impl Source for ServerFiles {
-    fn subscribe(self: Rc<Self>, sink: Rc<dyn Sink>) {
+impl EndpointSource for ServerFiles {
+    fn subscribe(self: Rc<Self>, sink: Rc<dyn EndpointListener>) {
         if self.stopped.get() {
             return;
         }
--- a/crates/server-files/tests/pools.rs
+++ b/crates/server-files/tests/pools.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sableloom_exchange::{Clock, Sink, Source};
+use sableloom_exchange::{Clock, EndpointListener, EndpointSource};
 use sableloom_server_files::{Files, ServerFiles};
 use sableloom_server_list::Spec;
 use sableloom_types::{ListKind, ListedEndpoint, Span};
@@ -21,7 +21,7 @@
 /// Passes on how many servers each list has.
 struct Counts(UnboundedSender<usize>);
 
-impl Sink for Counts {
+impl EndpointListener for Counts {
     fn listed(self: Rc<Self>, _: ListKind, entries: Vec<ListedEndpoint>) {
         let _ = self.0.send(entries.len());
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -99,7 +99,7 @@
             last: m.last,
             report: self.report(m.metrics.as_ref()),
         };
-        self.balancer.outcome(now, answer, &mut self.actions);
+        self.balancer.attempt_ended(now, answer, &mut self.actions);
         if let Some(job) = self.jobs.get_mut(&handle) {
             job.out = job.out.saturating_sub(1);
             job.over |= m.last;
@@ -146,7 +146,7 @@
             wire::ListKind::Restored => d::ListKind::Restored,
             wire::ListKind::Unavailable => d::ListKind::Unavailable,
         };
-        self.balancer.members(now, kind, &members, &mut self.actions);
+        self.balancer.update_endpoints(now, kind, &members, &mut self.actions);
         self.members = members;
         self.flush(out);
     }
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -7,7 +7,9 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use sableloom_distribution::{CodecError, FrameReader, ToControl, ToSubscriber, encode};
+use sableloom_distribution::{
+    CodecError, FrameReader, PublisherMessage, SubscriberMessage, encode,
+};
 use tokio::net::TcpStream;
 
 /// Bytes read in one turn; between turns requests are served.
@@ -81,14 +83,14 @@
     }
 
     /// Puts a message into the queue. Whether there was room for it.
-    pub(crate) fn send(&mut self, message: &ToControl) -> bool {
+    pub(crate) fn send(&mut self, message: &SubscriberMessage) -> bool {
         let Link::Open(open) = self else { return true };
         open.outgoing.extend_from_slice(&encode(message));
         open.outgoing.len() <= MAX_OUTGOING_BYTES
     }
 
     /// The next whole message that has come.
-    pub(crate) fn message(&mut self) -> Result<Option<ToSubscriber>, CodecError> {
+    pub(crate) fn message(&mut self) -> Result<Option<PublisherMessage>, CodecError> {
         match self {
             Link::Open(open) => open.reader.next(),
             _ => Ok(None),
--- a/crates/subscription/tests/client.rs
+++ b/crates/subscription/tests/client.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use sableloom_distribution::{
-    Base, Change, FrameReader, Held, Origin, Position, Rejection, Resource, ResourceName,
-    ServiceBase, ServiceName, SubscriberName, SubscriberTimes, ToControl, ToSubscriber,
-    Transaction, encode, resource_digest, scope_digest_part,
+    Base, Change, FrameReader, Origin, Position, PublisherMessage, Rejection, Resource,
+    ResourceName, ServiceBase, ServiceName, ServiceVersion, SubscriberMessage, SubscriberName,
+    SubscriberTimes, Transaction, encode, resource_digest, scope_digest_part,
 };
 use sableloom_subscription::{Applier, StateOrigin, Subscription, SubscriptionOptions, read_state};
 use sableloom_testkit::Site;
@@ -120,11 +120,11 @@
     }
 
     /// The next message but pings; none at the end.
-    async fn next(&mut self) -> Option<ToControl> {
+    async fn next(&mut self) -> Option<SubscriberMessage> {
         loop {
             match self.reader.next().expect("a message") {
-                Some(ToControl::Ping { sequence }) => {
-                    self.send(ToSubscriber::Pong { sequence }).await
+                Some(SubscriberMessage::Ping { sequence }) => {
+                    self.send(PublisherMessage::Pong { sequence }).await
                 }
                 Some(message) => return Some(message),
                 None => {
@@ -139,20 +139,22 @@
         }
     }
 
-    async fn send(&mut self, message: ToSubscriber) {
+    async fn send(&mut self, message: PublisherMessage) {
         let _ = self.stream.write_all(&encode(&message)).await;
     }
 
     /// Answers a hello; gives what the subscriber says that it has.
-    async fn greet(&mut self, position: Position) -> Held {
-        assert!(matches!(self.next().await, Some(ToControl::Hello { .. })));
-        let Some(ToControl::Scope { mut add, .. }) = self.next().await else { panic!("no scope") };
-        self.send(ToSubscriber::Welcome { position }).await;
+    async fn greet(&mut self, position: Position) -> ServiceVersion {
+        assert!(matches!(self.next().await, Some(SubscriberMessage::Hello { .. })));
+        let Some(SubscriberMessage::Scope { mut add, .. }) = self.next().await else {
+            panic!("no scope")
+        };
+        self.send(PublisherMessage::Welcome { position }).await;
         add.pop().expect("a service")
     }
 
     /// Sends a snapshot of one resource, and gives the answer and what it comes to.
-    async fn snapshot(&mut self, position: Position) -> (ToControl, Held) {
+    async fn snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
         let resource = Resource {
             name: ResourceName::server(service(), "points-1"),
             version: position.number,
@@ -160,19 +162,20 @@
             body: vec![7].into(),
         };
         let digest = resource_digest(&resource);
-        let held = Held { service: service(), version: position.number, digest };
+        let held = ServiceVersion { service: service(), version: position.number, digest };
         let base = ServiceBase { service: service(), base: Base::Snapshot };
-        self.send(ToSubscriber::Begin { transfer: 1, generation: 1, services: vec![base] }).await;
-        self.send(ToSubscriber::Changes { transfer: 1, changes: vec![Change::Set(resource)] })
+        self.send(PublisherMessage::Begin { transfer: 1, generation: 1, services: vec![base] })
+            .await;
+        self.send(PublisherMessage::Changes { transfer: 1, changes: vec![Change::Set(resource)] })
             .await;
         let services = vec![held.clone()];
-        self.send(ToSubscriber::Commit { transfer: 1, position, services }).await;
+        self.send(PublisherMessage::Commit { transfer: 1, position, services }).await;
         (self.next().await.expect("an answer"), held)
     }
 
-    async fn current(&mut self, position: Position, held: &Held) {
+    async fn current(&mut self, position: Position, held: &ServiceVersion) {
         let digest = scope_digest_part(&held.service, held.version, held.digest);
-        self.send(ToSubscriber::Current { position, generation: 1, digest }).await;
+        self.send(PublisherMessage::Current { position, generation: 1, digest }).await;
     }
 }
 
@@ -192,7 +195,7 @@
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.greet(POSITION).await.version, 0);
         let (answer, held) = session.snapshot(POSITION).await;
-        assert!(matches!(answer, ToControl::Ack { transfer: 1 }), "{answer:?}");
+        assert!(matches!(answer, SubscriberMessage::Ack { transfer: 1 }), "{answer:?}");
         assert!(first.applied.recv().await.expect("a transaction").services[0].snapshot);
         session.current(POSITION, &held).await;
         assert_eq!(first.subscription.state().await, StateOrigin::Control);
@@ -221,7 +224,7 @@
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.greet(POSITION).await.version, 0);
         let (answer, _) = session.snapshot(POSITION).await;
-        assert!(matches!(answer, ToControl::Nack { transfer: 1, .. }), "{answer:?}");
+        assert!(matches!(answer, SubscriberMessage::Nack { transfer: 1, .. }), "{answer:?}");
         assert_eq!(third.subscription.status().subscriber.rejected, [service()]);
         drop(third.recorder);
     });
@@ -233,7 +236,7 @@
         let folder = Site::new("");
         let (listener, address) = listener().await;
         let mut subscribed = subscribe(vec![address], &folder, Vec::new());
-        let frame = encode(&ToSubscriber::Welcome { position: POSITION });
+        let frame = encode(&PublisherMessage::Welcome { position: POSITION });
         let too_long = [&[0xff; 4][..], &frame[4..]].concat();
         let mut malformed = frame.clone();
         malformed[5] = 0xee;
--- a/crates/traffic-mirror/src/lib.rs
+++ b/crates/traffic-mirror/src/lib.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sableloom_exchange::{Answer, Asked, Clock, Fields, Message};
+use sableloom_exchange::{Answer, Clock, Fields, Message, RequestContext};
 use sableloom_server_files::Files;
 use sableloom_shadow::{Bounds, Changes, Copied, Counts, End, Gate, Rules};
 use sableloom_toml_diagnostics::Problem;
@@ -110,7 +110,7 @@
 
 impl CapturedRequest {
     /// Shares the buffers of the live request.
-    fn of(asked: &Asked, message: &Message, taken: Time) -> Self {
+    fn of(asked: &RequestContext, message: &Message, taken: Time) -> Self {
         Self {
             class: asked.class,
             tenant: asked.tenant,
--- a/crates/traffic-mirror/src/live.rs
+++ b/crates/traffic-mirror/src/live.rs
@@ -8,7 +8,8 @@
 use bytes::Bytes;
 use rustc_hash::FxHasher;
 use sableloom_exchange::{
-    Answer, Asked, Clock, Exchange, Fields, Message, Reply, Service, Turned, Work,
+    Answer, Clock, Exchange, Fields, Message, Reply, RequestContext, RequestRejection, Service,
+    Work,
 };
 use sableloom_shadow::{Copied, End, Gate};
 use sableloom_types::{Idempotency, Span, Time};
@@ -75,9 +76,9 @@
     pub fn call(
         self: &Rc<Self>,
         pool: &Rc<Exchange>,
-        asked: Asked,
+        asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, Turned> {
+    ) -> Result<Work<Reply>, RequestRejection> {
         if self.jobs.borrow().is_none() {
             return pool.clone().call(asked, message);
         }
@@ -110,9 +111,9 @@
     fn change(
         self: &Rc<Self>,
         pool: &Rc<Exchange>,
-        asked: Asked,
+        asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, Turned> {
+    ) -> Result<Work<Reply>, RequestRejection> {
         let mut change = Change::begin(self, asked.key);
         let work = match pool.clone().call(asked, message) {
             Ok(work) => work,
--- a/crates/traffic-mirror/src/side.rs
+++ b/crates/traffic-mirror/src/side.rs
@@ -12,8 +12,8 @@
 
 use bytes::Bytes;
 use sableloom_exchange::{
-    Answer, Asked, AttemptOutcome, Call, Clock, Exchange, Fields, Message,
-    Options as ExchangeOptions, Reply, Service, Source, Transport, Work,
+    Answer, AttemptContext, AttemptOutcome, Clock, EndpointSource, Exchange, Fields, Message,
+    Options as ExchangeOptions, Reply, RequestContext, Service, Transport, Work,
 };
 use sableloom_http1::{Budget, Upstreams};
 use sableloom_server_files::ServerFiles;
@@ -117,7 +117,7 @@
         let settings = Rc::new(settings);
         let files = ServerFiles::open(group.files.clone(), options.clock).await?;
         let transport = Upstreams::new(Budget::new(options.bounds.in_flight), &settings);
-        let source: Rc<dyn Source> = files.clone();
+        let source: Rc<dyn EndpointSource> = files.clone();
         let exchange = Exchange::start(ExchangeOptions {
             settings,
             seed: u64::from(std::process::id()),
@@ -146,7 +146,7 @@
 struct Seen(Rc<Upstreams>);
 
 impl Transport for Seen {
-    fn attempt(self: Rc<Self>, call: Rc<Call>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
         if let Some(begun) = call.message.hold.as_ref().and_then(|h| h.downcast_ref::<Begun>()) {
             begun.0.set(true);
         }
@@ -301,7 +301,7 @@
     /// Sends a copy; returns its outcome and its duration.
     async fn send(&self, to: &Copies, job: &Job) -> (Sent, Span) {
         let sent = self.clock.now();
-        let asked = Asked {
+        let asked = RequestContext {
             class: job.request.class,
             tenant: job.request.tenant,
             key: job.request.key,
