--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
-use sableloom_policy::decide::Balancer;
+use sableloom_policy::Balancer;
 use sableloom_types::settings::{DeploymentSettings, span, stable_hash, time};
 use sableloom_types::{
     Action, AttemptResult, Endpoint, EndpointStatus, Idempotency, ListKind, ListedEndpoint,
--- a/crates/fleet-sim/examples/decision.rs
+++ b/crates/fleet-sim/examples/decision.rs
@@ -5,7 +5,7 @@
 
 use sableloom_fleet_sim::cases;
 use sableloom_fleet_sim::settings::settings;
-use sableloom_policy::decide::Balancer;
+use sableloom_policy::Balancer;
 use sableloom_types::*;
 
 fn member(i: u32) -> Endpoint {
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -15,7 +15,7 @@
 use event::{Event, Item};
 use oorandom::Rand64;
 use sableloom_emulator::{Completion, Node, kind};
-use sableloom_policy::decide::Balancer;
+use sableloom_policy::Balancer;
 use sableloom_types::*;
 use servers::{capacity_of, profile};
 
--- a/crates/fleet-sim/src/world/balancers.rs
+++ b/crates/fleet-sim/src/world/balancers.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use sableloom_policy::decide::Balancer;
+use sableloom_policy::Balancer;
 use sableloom_types::*;
 
 use super::{Attempt, Chooser, Event, Server, World};
--- /dev/null
+++ b/crates/policy/src/in_flight.rs
@@ -0,0 +1,63 @@
+//! The slots in use. An attempt that timed out keeps its slot until its server may have finished it.
+
+use sableloom_types::{Span, Time};
+
+use crate::server::Server;
+
+/// A timed-out attempt keeps its slot for this many times its timeout: the server may still work on it, and a slot
+/// that is freed at once piles unseen work on the server.
+const ABANDONED_SLOT_TIMEOUTS: f64 = 1.0;
+
+/// A timed-out attempt that may still be running.
+#[derive(Clone, Copy, Debug)]
+struct AbandonedAttempt {
+    /// When its slot is free again.
+    until: Time,
+    /// Index of its server.
+    server: usize,
+}
+
+/// The slots in use, at all servers together and at each.
+#[derive(Debug, Default)]
+pub(crate) struct InFlight {
+    total: usize,
+    abandoned: Vec<AbandonedAttempt>,
+}
+
+impl InFlight {
+    /// Slots in use at all servers together.
+    pub(crate) fn total(&self) -> usize {
+        self.total
+    }
+
+    /// Takes a slot at a server.
+    pub(crate) fn begin(&mut self, server: &mut Server) {
+        self.total += 1;
+        server.in_flight += 1;
+    }
+
+    /// Frees the slot of an attempt that has ended.
+    pub(crate) fn end(&mut self, server: &mut Server) {
+        self.total -= 1;
+        server.in_flight -= 1;
+    }
+
+    /// Keeps the slot of an attempt that timed out after `latency` microseconds.
+    pub(crate) fn abandon(&mut self, now: Time, server: usize, latency: f64) {
+        let kept = Span::from_micros_f64(latency * ABANDONED_SLOT_TIMEOUTS);
+        self.abandoned.push(AbandonedAttempt { until: now.plus(kept), server });
+    }
+
+    /// Frees the slots of timed-out attempts that their servers have had time to finish.
+    pub(crate) fn release_abandoned(&mut self, now: Time, servers: &mut [Server]) {
+        let total = &mut self.total;
+        self.abandoned.retain(|attempt| {
+            if attempt.until > now {
+                return true;
+            }
+            servers[attempt.server].in_flight -= 1;
+            *total -= 1;
+            false
+        });
+    }
+}
--- /dev/null
+++ b/crates/policy/src/retry.rs
@@ -0,0 +1,67 @@
+//! The two places that say whether a request may be forwarded, for the first time or again, and whether it may be
+//! rejected. Both hold the rule that an effect happens once.
+
+use sableloom_types::{AttemptLimits, DedupScope, Idempotency, PolicySettings, RequestClass, Time};
+
+use crate::request::{AttemptState, OpenRequest};
+use crate::server::Server;
+
+/// What the rules on retries depend on.
+#[derive(Clone, Copy)]
+pub(crate) struct RetryRules<'a> {
+    limits: &'a AttemptLimits,
+    classes: &'a [RequestClass],
+    servers: &'a [Server],
+}
+
+impl<'a> RetryRules<'a> {
+    /// The rules of these settings for these servers.
+    pub(crate) fn new(settings: &'a PolicySettings, servers: &'a [Server]) -> Self {
+        Self { limits: &settings.limits, classes: &settings.classes, servers }
+    }
+
+    /// Whether a request may be forwarded to this server now. A keyed request may only go where its earlier
+    /// attempts that may have been executed are recognised, while they are.
+    pub(crate) fn may_forward(&self, now: Time, request: &OpenRequest, server: usize) -> bool {
+        let spent = request.attempts.len() >= self.limits.max_attempts;
+        if request.ended || now >= request.deadline || spent {
+            return false;
+        }
+        if request.in_flight() && !self.limits.hedging {
+            return false;
+        }
+        let class = &self.classes[request.class];
+        let is_recognised = |sent: Time, at: usize| {
+            now.since(sent) < class.dedup_window && self.share_dedup(class.dedup_scope, at, server)
+        };
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => request.never_executed(),
+            Idempotency::Keyed => request
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.state != AttemptState::NotExecuted)
+                .all(|attempt| is_recognised(attempt.sent, attempt.server)),
+        }
+    }
+
+    /// Whether two servers drop each other's repeats.
+    fn share_dedup(&self, scope: DedupScope, one: usize, other: usize) -> bool {
+        let (one, other) = (&self.servers[one], &self.servers[other]);
+        match scope {
+            DedupScope::All => true,
+            DedupScope::Zone => one.zone == other.zone,
+            DedupScope::Cell => one.zone == other.zone && one.cell == other.cell,
+        }
+    }
+
+    /// Whether a request may be rejected: its client may then repeat it.
+    pub(crate) fn may_reject(&self, request: &OpenRequest) -> bool {
+        let class = &self.classes[request.class];
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => request.never_executed(),
+            Idempotency::Keyed => class.dedup_scope == DedupScope::All || request.never_executed(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/selection.rs
@@ -0,0 +1,100 @@
+//! Selection of a server: among those with a free slot, the one that would answer soonest; equals by chance.
+
+use oorandom::Rand64;
+use sableloom_types::{PolicySettings, Time};
+
+use crate::capacity::Capacity;
+use crate::outlier::ZoneOutliers;
+use crate::request::OpenRequest;
+use crate::retry::RetryRules;
+use crate::server::Server;
+use crate::slow_start::SlowStart;
+
+/// A server of a remote zone costs this many times a local one where crossing zones has a price. Failure: with
+/// local ones always first, a zone with more clients than servers was overrun while others were idle.
+const REMOTE_ZONE_COST: f64 = 100.0;
+/// Smallest score of the rendezvous hash; keeps its logarithm finite.
+const MIN_SCORE: f64 = 1e-12;
+
+/// How little a server is wanted; the least is selected. The order of the fields is the order of comparison.
+#[derive(Clone, Copy, PartialEq, PartialOrd)]
+struct Rank {
+    /// Connections to its zone fail.
+    zone_ejected: bool,
+    /// An attempt of the request already failed there.
+    tried: bool,
+    cost: f64,
+}
+
+/// What a selection depends on.
+pub(crate) struct Selection<'a> {
+    pub(crate) now: Time,
+    pub(crate) settings: &'a PolicySettings,
+    pub(crate) servers: &'a [Server],
+    pub(crate) zones: &'a ZoneOutliers,
+    pub(crate) capacity: Capacity<'a>,
+    pub(crate) slow_start: &'a SlowStart,
+    /// Rate of a server that warms up while nothing is known.
+    pub(crate) initial_rate: f64,
+    pub(crate) retry_rules: RetryRules<'a>,
+}
+
+impl Selection<'_> {
+    /// Index of the server that the request is forwarded to; `None` if none has a free slot for it.
+    pub(crate) fn select(&self, request: &OpenRequest, rng: &mut Rand64) -> Option<usize> {
+        let key = request.key.filter(|_| self.settings.warm_keys);
+        let mut best: Option<(usize, Rank)> = None;
+        for (index, server) in self.servers.iter().enumerate() {
+            if !self.is_eligible(request, index, server) {
+                continue;
+            }
+            let score = match key {
+                Some(key) => rendezvous_score(key, server.identity),
+                None => rng.rand_float(),
+            };
+            let rank = Rank {
+                zone_ejected: !self.zones.permits(server.zone, self.now),
+                tried: request.tried(index),
+                cost: self.cost(request.class, server, score),
+            };
+            if best.is_none_or(|(_, least)| rank < least) {
+                best = Some((index, rank));
+            }
+        }
+        best.map(|(index, _)| index)
+    }
+
+    fn is_eligible(&self, request: &OpenRequest, index: usize, server: &Server) -> bool {
+        self.has_slot(server)
+            && server.outliers[request.class].permits(self.now)
+            && self.retry_rules.may_forward(self.now, request, index)
+    }
+
+    fn has_slot(&self, server: &Server) -> bool {
+        server.is_live()
+            && server.in_flight < self.capacity.max_in_flight(server)
+            && server.connect_failures.permits(self.now)
+            && self.slow_start.permits(self.now, server, self.initial_rate)
+    }
+
+    /// Weighted rendezvous hashing: the key, or chance, draws each server's score; its slowness and the requests that
+    /// it has raise the cost. All balancers that observe the same speeds send a key to the same server, and a hot one
+    /// gives way as its server slows.
+    fn cost(&self, class: usize, server: &Server, score: f64) -> f64 {
+        let class_slowness = self.capacity.service_times.class_slowness(class, server.kind);
+        let slowness = server.estimate.slowness() * class_slowness / server.weight;
+        let crosses_zones = server.zone != self.settings.zone;
+        let is_priced = self.settings.cross_zone_price > 0.0 && crosses_zones;
+        let distance = if is_priced { REMOTE_ZONE_COST } else { 1.0 };
+        let load = f64::from(server.in_flight + 1);
+        -score.max(MIN_SCORE).ln() * slowness * slowness * load * distance
+    }
+}
+
+/// A number in [0, 1) that a key and a server have in common at every balancer.
+fn rendezvous_score(key: u64, identity: u64) -> f64 {
+    let mut hash = (key ^ identity.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+    hash ^= hash >> 32;
+    (hash >> 11) as f64 / (1u64 << 53) as f64
+}
--- /dev/null
+++ b/crates/policy/src/service_time.rs
@@ -0,0 +1,311 @@
+//! Estimates of the round-trip time `2*TP` and the service time `TS` by server, machine kind and class.
+//!
+//! Service times are kept as slowness: latency over the mean of all servers for the same class. A server's own
+//! mean is drawn towards that of its kind, the more so the fewer answers it rests on (Buhlmann's credibility, the
+//! variance within servers over that between them). Failure: with one or two answers of a server a day, a quarter
+//! of the attempts at the smallest servers failed.
+
+use sableloom_types::{Outcome, Span};
+
+use crate::mean::Mean;
+use crate::server::Server;
+
+/// Most answers that a server's own mean rests on: about the last eight count.
+const MAX_OWN_ANSWERS: f64 = 8.0;
+/// What is known of a kind, or of all servers, counts as this many answers of the level below it at most.
+const MAX_PRIOR_ANSWERS: f64 = 4.0;
+/// And as this many at least, however far the servers of a kind differ.
+const MIN_PRIOR_ANSWERS: f64 = 0.5;
+/// Answers from which a server's own mean shows how far the servers of its kind differ.
+const MIN_ANSWERS_FOR_SPREAD: f64 = 4.0;
+/// A timeout shows only that the answer would have taken longer: it counts as this many times as long.
+const TIMEOUT_LATENCY_FACTOR: f64 = 2.0;
+/// An attempt that failed counts as this many mean service times at least, or a server that fails quickly would
+/// look like a fast one and earn slots.
+const MIN_FAILURE_SLOWNESS: f64 = 5.0;
+/// One answer counts as this many mean service times at most: one heavy request condemns no server.
+const MAX_SLOWNESS: f64 = 10.0;
+/// A rejection shows the round-trip time only within this share of the mean service time. Failure: servers that
+/// took 95 ms to reject a class seemed far away, and K went from 4 to 39.
+const QUICK_REJECTION_FRACTION: f64 = 0.25;
+/// A server this many times slower than its kind is suspect: its timeouts tell of itself alone.
+const SUSPECT_SLOWNESS: f64 = 2.0;
+/// Weight of a new answer by which the unloaded latency rises again: what was once quick and no longer is
+/// counts for about a thousand answers.
+const UNLOADED_GAIN: f64 = 0.001;
+/// Service time before any answer of any server, as a share of T_QoS.
+const INITIAL_FRACTION_OF_TARGET: f64 = 0.25;
+/// Smallest variance between the servers of a kind; keeps a quotient finite.
+const MIN_VARIANCE: f64 = 1e-9;
+
+/// What the answers of one server showed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ServiceTimeEstimate {
+    /// The shortest round trip of an answer that did no work, in microseconds: `2*TP`.
+    round_trip: Option<f64>,
+    /// Service time, queueing at the server included, over the mean of all servers for the same class, after
+    /// shrinkage towards the server's kind.
+    slowness: f64,
+    /// The same from its own answers alone.
+    own: Mean,
+}
+
+impl ServiceTimeEstimate {
+    /// Before any answer.
+    pub(crate) const UNKNOWN: Self =
+        Self { round_trip: None, slowness: 1.0, own: Mean::assumed(1.0) };
+
+    /// Slowness, 1 for the mean of all servers.
+    pub(crate) fn slowness(&self) -> f64 {
+        self.slowness
+    }
+
+    /// Lets the next answers replace what was observed; the round trip stays.
+    pub(crate) fn forget_observations(&mut self) {
+        self.own.count = 0.0;
+    }
+
+    /// Takes in the end of an attempt, where `mean` is the mean latency of its class at the server's kind.
+    /// Returns how far a served one lay from those before it, squared.
+    fn observe(&mut self, outcome: Outcome, latency: f64, mean: f64) -> Option<f64> {
+        if outcome == Outcome::Rejected && latency < mean * QUICK_REJECTION_FRACTION {
+            self.round_trip = Some(self.round_trip.map_or(latency, |least| least.min(latency)));
+        }
+        let service = (latency - self.round_trip.unwrap_or(0.0)).max(1.0) / mean;
+        let service = match outcome {
+            Outcome::Ok => service,
+            Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(MIN_FAILURE_SLOWNESS),
+            _ => return None,
+        };
+        let deviation = service.min(MAX_SLOWNESS) - self.own.value;
+        let before = self.own.count;
+        self.own.count = (before + 1.0).min(MAX_OWN_ANSWERS);
+        self.own.value += deviation / self.own.count;
+        let shows_noise = outcome == Outcome::Ok && before >= 1.0;
+        // The mean of so few answers is off by chance as well.
+        shows_noise.then_some(deviation * deviation * before / (before + 1.0))
+    }
+
+    /// Draws the server's own mean towards that of its kind.
+    fn shrink(&mut self, prior: Prior) {
+        self.slowness = (prior.slowness * prior.answers + self.own.value * self.own.count)
+            / (prior.answers + self.own.count);
+    }
+}
+
+/// What is known of a server before its own answers.
+#[derive(Clone, Copy, Debug)]
+struct Prior {
+    slowness: f64,
+    /// How many answers of the server it counts for.
+    answers: f64,
+}
+
+/// What the servers of one machine kind showed.
+#[derive(Debug)]
+struct KindEstimate {
+    /// Mean slowness over all requests.
+    slowness: Mean,
+    /// By class: how much slower than over all requests.
+    classes: Vec<Mean>,
+    /// Variance of single answers of one server.
+    noise: Mean,
+    /// How many answers of one server the kind counts for.
+    prior_answers: f64,
+}
+
+impl KindEstimate {
+    fn unknown(classes: usize) -> Self {
+        Self {
+            slowness: Mean::assumed(1.0),
+            classes: vec![Mean::assumed(1.0); classes],
+            noise: Mean::default(),
+            prior_answers: MAX_PRIOR_ANSWERS,
+        }
+    }
+
+    fn prior(&self) -> Prior {
+        Prior { slowness: self.slowness.value, answers: self.prior_answers }
+    }
+}
+
+/// How far the servers of a kind lie from its mean: a sum of squares without the noise, and its summands.
+#[derive(Clone, Copy, Debug, Default)]
+struct Spread {
+    sum: f64,
+    servers: f64,
+}
+
+/// The estimates over all servers; times in microseconds.
+#[derive(Debug)]
+pub(crate) struct ServiceTimes {
+    /// `TS`: mean latency of all classes.
+    overall: Mean,
+    /// By class: mean latency.
+    classes: Vec<Mean>,
+    /// By class: the least that the mean has been, which is what a request takes when it waits for no other; zero
+    /// until enough answers make a mean.
+    unloaded: Vec<f64>,
+    /// By machine kind.
+    kinds: Vec<KindEstimate>,
+    /// Mean round trip of the servers that have shown theirs.
+    round_trip: f64,
+}
+
+impl ServiceTimes {
+    /// Before any answer; `target` is T_QoS in microseconds.
+    pub(crate) fn new(target: f64, classes: usize) -> Self {
+        Self {
+            overall: Mean::assumed(target * INITIAL_FRACTION_OF_TARGET),
+            classes: vec![Mean::default(); classes],
+            unloaded: vec![0.0; classes],
+            kinds: Vec::new(),
+            round_trip: 0.0,
+        }
+    }
+
+    /// Mean service time over all servers and classes.
+    pub(crate) fn overall(&self) -> f64 {
+        self.overall.value
+    }
+
+    /// Whether single answers no longer move the mean service time much.
+    pub(crate) fn is_settled(&self) -> bool {
+        self.overall.is_settled()
+    }
+
+    /// Machine kinds that have shown anything.
+    pub(crate) fn kinds(&self) -> usize {
+        self.kinds.len()
+    }
+
+    /// Mean latency of a class; zero before any answer of it.
+    pub(crate) fn class_mean(&self, class: usize) -> f64 {
+        self.classes[class].value
+    }
+
+    /// Latency of a class when it waits for no other; zero until enough answers have come.
+    pub(crate) fn unloaded(&self, class: usize) -> f64 {
+        self.unloaded[class]
+    }
+
+    /// `TS_i` of a server.
+    pub(crate) fn service_time(&self, server: &Server) -> f64 {
+        self.overall.value * server.estimate.slowness
+    }
+
+    /// `2*TP_i` of a server.
+    pub(crate) fn round_trip(&self, server: &Server) -> f64 {
+        server.estimate.round_trip.unwrap_or(self.round_trip)
+    }
+
+    /// How much slower than at other work the servers of this kind are at this class. Failure: of two classes each
+    /// quick on another kind, either was sent where the other was quick.
+    pub(crate) fn class_slowness(&self, class: usize, kind: u32) -> f64 {
+        self.kinds.get(kind as usize).map_or(1.0, |k| k.classes[class].value)
+    }
+
+    /// Whether a timeout of this server may tell of all servers: it is not much slower than its kind.
+    pub(crate) fn is_typical(&self, server: &Server) -> bool {
+        server.estimate.slowness <= self.prior(server.kind).slowness * SUSPECT_SLOWNESS
+    }
+
+    /// Takes in a timeout of a typical server, after this long.
+    pub(crate) fn observe_timeout(&mut self, class: usize, kind: u32, latency: f64) {
+        self.observe_kind(class, kind, latency * TIMEOUT_LATENCY_FACTOR);
+    }
+
+    /// Takes in the latency of a served request.
+    pub(crate) fn observe_served(&mut self, class: usize, kind: u32, latency: f64) {
+        self.observe_class(class, latency);
+        self.observe_kind(class, kind, latency);
+    }
+
+    /// Takes the end of an attempt into the estimate of its server.
+    pub(crate) fn observe_server(
+        &mut self,
+        server: &mut Server,
+        class: usize,
+        outcome: Outcome,
+        latency: f64,
+    ) {
+        let mean = self.mean_or_overall(class) * self.class_slowness(class, server.kind);
+        let prior = self.prior(server.kind);
+        let noise = server.estimate.observe(outcome, latency, mean);
+        server.estimate.shrink(prior);
+        if let (Some(noise), Some(kind)) = (noise, self.kinds.get_mut(server.kind as usize)) {
+            kind.noise.update(noise, 0.0);
+        }
+    }
+
+    fn observe_class(&mut self, class: usize, latency: f64) {
+        self.overall.update(latency, MAX_PRIOR_ANSWERS);
+        let mean = &mut self.classes[class];
+        mean.update(latency, 0.0);
+        let unloaded = &mut self.unloaded[class];
+        if *unloaded > 0.0 {
+            let risen = *unloaded + (mean.value - *unloaded) * UNLOADED_GAIN;
+            *unloaded = risen.min(mean.value);
+        } else if mean.is_settled() {
+            *unloaded = mean.value;
+        }
+    }
+
+    fn observe_kind(&mut self, class: usize, kind: u32, latency: f64) {
+        let slowness = (latency / self.mean_or_overall(class)).min(MAX_SLOWNESS);
+        let classes = self.classes.len();
+        let known = self.kinds.len().max(kind as usize + 1);
+        self.kinds.resize_with(known, || KindEstimate::unknown(classes));
+        let kind = &mut self.kinds[kind as usize];
+        kind.slowness.update(slowness, MAX_PRIOR_ANSWERS);
+        kind.classes[class].update(slowness / kind.slowness.value, MAX_PRIOR_ANSWERS);
+    }
+
+    /// Mean latency of a class, or of all classes before any answer of it.
+    fn mean_or_overall(&self, class: usize) -> f64 {
+        let mean = self.classes[class].value;
+        if mean > 0.0 { mean } else { self.overall.value }
+    }
+
+    fn prior(&self, kind: u32) -> Prior {
+        let unknown = Prior { slowness: 1.0, answers: MAX_PRIOR_ANSWERS };
+        self.kinds.get(kind as usize).map_or(unknown, KindEstimate::prior)
+    }
+
+    /// Brings what is known of each server together with what is known of its kind. Observations fade over the
+    /// time of a slow start: what a server was that long ago tells little of what it is.
+    pub(crate) fn refresh(&mut self, servers: &mut [Server], elapsed: Span, slow_start: Span) {
+        let remaining = (-elapsed.as_micros_f64() / slow_start.as_micros_f64().max(1.0)).exp();
+        let mut spreads = vec![Spread::default(); self.kinds.len()];
+        for server in servers.iter_mut() {
+            server.estimate.own.count *= remaining;
+            let own = server.estimate.own;
+            let kind = self.kinds.get(server.kind as usize);
+            if let Some(kind) = kind.filter(|_| own.count >= MIN_ANSWERS_FOR_SPREAD) {
+                let spread = &mut spreads[server.kind as usize];
+                let deviation = own.value - kind.slowness.value;
+                spread.sum += deviation.powi(2) - kind.noise.value / own.count;
+                spread.servers += 1.0;
+            }
+        }
+        for (kind, spread) in self.kinds.iter_mut().zip(spreads) {
+            let credible = match spread.servers > 0.0 {
+                true => kind.noise.value / (spread.sum / spread.servers).max(MIN_VARIANCE),
+                false => f64::MAX,
+            };
+            kind.prior_answers = credible.clamp(MIN_PRIOR_ANSWERS, MAX_PRIOR_ANSWERS);
+        }
+        for server in servers {
+            let prior = self.prior(server.kind);
+            server.estimate.shrink(prior);
+        }
+    }
+
+    /// Brings the mean round trip up to date.
+    pub(crate) fn refresh_round_trip(&mut self, servers: &[Server]) {
+        let observed = || servers.iter().filter_map(|server| server.estimate.round_trip);
+        if observed().next().is_some() {
+            self.round_trip = observed().sum::<f64>() / observed().count() as f64;
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/tenant_quota.rs
@@ -0,0 +1,47 @@
+//! Tenant quotas: this balancer's share of the requests that a tenant may send over all balancers.
+
+use sableloom_types::{TenantQuota, Time};
+
+use crate::token_bucket::TokenBucket;
+
+/// Requests within its quota that a tenant may save up, as this many times T_QoS of its rate.
+const BURST_IN_TARGET_TIMES: f64 = 4.0;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// One token bucket a tenant.
+#[derive(Debug)]
+pub(crate) struct TenantQuotas {
+    buckets: Vec<TokenBucket>,
+    /// By tenant, in requests a second over all balancers.
+    rates: Vec<f64>,
+    /// T_QoS in microseconds.
+    target_time: f64,
+}
+
+impl TenantQuotas {
+    pub(crate) fn new(tenants: &[TenantQuota], target_time: f64, now: Time) -> Self {
+        Self {
+            buckets: vec![TokenBucket::holding(1.0, now); tenants.len()],
+            rates: tenants.iter().map(|tenant| tenant.quota_rps).collect(),
+            target_time,
+        }
+    }
+
+    /// Whether a tenant has sent this balancer no more than its share of the quota, rejected requests apart. A
+    /// tenant that the settings don't name has no quota.
+    pub(crate) fn is_within(&mut self, now: Time, tenant: usize, balancers: u32) -> bool {
+        let Some(bucket) = self.buckets.get_mut(tenant) else { return true };
+        let rate = self.rates[tenant] / MICROS_PER_SECOND / f64::from(balancers);
+        let capacity = (rate * self.target_time * BURST_IN_TARGET_TIMES).max(1.0);
+        *bucket = TokenBucket::holding(bucket.available(now, rate, capacity), now);
+        bucket.left() >= 1.0
+    }
+
+    /// Counts a request that was admitted within the quota.
+    pub(crate) fn admitted(&mut self, tenant: usize) {
+        if let Some(bucket) = self.buckets.get_mut(tenant) {
+            bucket.take();
+        }
+    }
+}
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,10 +1,14 @@
-//! Drives one balancer and holds it to the four rules on every action.
+//! Drives one balancer, and checks every action against the safety rules.
 #![allow(dead_code)] // each test file uses its own part
 
 use std::collections::BTreeMap;
 
-use sableloom_policy::decide::Balancer;
-use sableloom_types::*;
+use sableloom_policy::Balancer;
+use sableloom_types::{
+    Action, AttemptLimits, AttemptResult, DedupScope, Endpoint, EndpointStatus, Idempotency,
+    ListKind, LoadReport, Outcome, PolicySettings, Request, RequestClass, RequestId, SafetyRules,
+    ServerId, Span, Time,
+};
 
 pub const MS: i64 = 1000;
 
@@ -53,7 +57,7 @@
     }
 }
 
-pub fn member(id: u32, zone: u32) -> Endpoint {
+pub fn endpoint(id: u32, zone: u32) -> Endpoint {
     Endpoint {
         id: ServerId(id),
         identity: u64::from(id) * 7919,
@@ -67,17 +71,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct TrackedAttempt {
     pub server: ServerId,
     pub sent: Time,
     pub ended: Option<Outcome>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct TrackedRequest {
     pub class: usize,
     pub deadline: Time,
-    pub tries: Vec<Try>,
+    pub attempts: Vec<TrackedAttempt>,
     pub over: bool,
 }
 
@@ -85,8 +89,8 @@
     pub settings: PolicySettings,
     pub balancer: Balancer,
     pub now: Time,
-    pub members: BTreeMap<u32, Endpoint>,
-    pub asked: BTreeMap<u64, Asked>,
+    pub endpoints: BTreeMap<u32, Endpoint>,
+    pub requests: BTreeMap<u64, TrackedRequest>,
     pub timers: Vec<(u64, Time)>,
     pub log: Vec<Action>,
     /// Tenant of the requests to come.
@@ -102,34 +106,34 @@
             settings,
             balancer,
             now,
-            members: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: vec![],
             log: vec![],
             tenant: 0,
             actions: vec![],
         };
         world.balancer.start(now, &mut world.actions);
-        world.obey();
+        world.carry_out();
         world
     }
 
     pub fn with_servers(settings: PolicySettings, n: u32) -> Self {
         let mut world = Self::new(settings);
-        let list: Vec<_> = (0..n).map(|i| member(i, i % 2)).collect();
-        world.list(ListKind::Restored, &list);
+        let list: Vec<_> = (0..n).map(|i| endpoint(i, i % 2)).collect();
+        world.update_list(ListKind::Restored, &list);
         world
     }
 
-    pub fn list(&mut self, kind: ListKind, list: &[Endpoint]) {
+    pub fn update_list(&mut self, kind: ListKind, list: &[Endpoint]) {
         if matches!(kind, ListKind::Full | ListKind::Restored) {
-            self.members.values_mut().for_each(|m| m.status = EndpointStatus::Gone);
+            self.endpoints.values_mut().for_each(|m| m.status = EndpointStatus::Gone);
         }
         if kind != ListKind::Unavailable {
-            self.members.extend(list.iter().map(|m| (m.id.0, *m)));
+            self.endpoints.extend(list.iter().map(|m| (m.id.0, *m)));
         }
         self.balancer.update_endpoints(self.now, kind, list, &mut self.actions);
-        self.obey();
+        self.carry_out();
     }
 
     pub fn request(&mut self, id: u64, class: usize) {
@@ -138,42 +142,44 @@
     }
 
     pub fn request_until(&mut self, id: u64, class: usize, deadline: Time) {
-        let asked = Asked { class, deadline, tries: vec![], over: false };
-        assert!(self.asked.insert(id, asked).is_none(), "ids are not repeated");
+        let tracked = TrackedRequest { class, deadline, attempts: vec![], over: false };
+        assert!(self.requests.insert(id, tracked).is_none(), "ids are not repeated");
         let tenant = self.tenant;
         let request = Request { id: RequestId(id), class, tenant, key: Some(id % 5), deadline };
         self.balancer.request(self.now, request, &mut self.actions);
-        self.obey();
+        self.carry_out();
     }
 
-    /// Ends an attempt that is out; does nothing if there is none such.
+    /// Ends an attempt that is in flight; does nothing if it is not.
     pub fn outcome(&mut self, id: u64, attempt: usize, outcome: Outcome) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        let Some(t) = asked.tries.get_mut(attempt).filter(|t| t.ended.is_none()) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(t) = request.attempts.get_mut(attempt).filter(|t| t.ended.is_none()) else {
+            return;
+        };
         t.ended = Some(outcome);
-        asked.over |= outcome == Outcome::Ok;
+        request.over |= outcome == Outcome::Ok;
         let answer = AttemptResult {
             request: RequestId(id),
             attempt,
             server: t.server,
             outcome,
             latency: self.now.since(t.sent),
-            last: asked.over,
+            last: request.over,
             report: LoadReport::default(),
         };
         self.balancer.attempt_ended(self.now, answer, &mut self.actions);
-        self.obey();
+        self.carry_out();
     }
 
-    pub fn gone(&mut self, id: u64) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.over = true;
+    pub fn client_gone(&mut self, id: u64) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.over = true;
         }
         self.balancer.client_gone(self.now, RequestId(id), &mut self.actions);
-        self.obey();
+        self.carry_out();
     }
 
-    /// Lets time pass, firing timers; attempts end as time-outs at their request's end.
+    /// Lets time pass and fires timers; attempts time out at the deadline of their request.
     pub fn pass(&mut self, span: Span) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1) {
@@ -184,42 +190,46 @@
             self.now = self.now.max(at);
             self.time_out();
             self.balancer.timer(self.now, token, &mut self.actions);
-            self.obey();
+            self.carry_out();
         }
         self.now = end;
         self.time_out();
     }
 
     fn time_out(&mut self) {
-        let due = |a: &Asked| a.deadline <= self.now;
-        let late: Vec<u64> = self.asked.iter().filter(|(_, a)| due(a)).map(|(id, _)| *id).collect();
+        let due = |a: &TrackedRequest| a.deadline <= self.now;
+        let late: Vec<u64> =
+            self.requests.iter().filter(|(_, request)| due(request)).map(|(id, _)| *id).collect();
         for id in late {
-            for attempt in 0..self.asked[&id].tries.len() {
+            for attempt in 0..self.requests[&id].attempts.len() {
                 self.outcome(id, attempt, Outcome::Timeout);
             }
         }
     }
 
-    fn obey(&mut self) {
+    fn carry_out(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             self.log.push(action);
             match action {
                 Action::Forward { request, server, timeout } => {
-                    self.sent(request.0, server, timeout)
+                    self.check_forward(request.0, server, timeout)
                 }
                 Action::Reject { request, .. } => {
-                    let class = &self.settings.classes[self.asked[&request.0].class];
-                    let ran = self.asked[&request.0].tries.iter().any(may_have_run);
+                    let class = &self.settings.classes[self.requests[&request.0].class];
+                    let ran = self.requests[&request.0].attempts.iter().any(may_have_run);
                     let harmless = class.idempotency == Idempotency::Idempotent
                         || (class.idempotency == Idempotency::Keyed
                             && class.dedup_scope == DedupScope::All);
-                    assert!(harmless || !ran, "refused {request:?} that may have run");
+                    assert!(harmless || !ran, "rejected {request:?} that may have run");
                     self.end(request.0);
                 }
                 Action::Fail { request } => self.end(request.0),
                 Action::SetTimer { token, at } => self.timers.push((token, at)),
                 Action::Cancel { request, attempt } => {
-                    assert!(attempt < self.asked[&request.0].tries.len(), "cancels what was sent");
+                    assert!(
+                        attempt < self.requests[&request.0].attempts.len(),
+                        "cancels what was sent"
+                    );
                 }
                 Action::CheckHealth { .. } | Action::Subscribe => {}
             }
@@ -227,32 +237,32 @@
     }
 
     fn end(&mut self, id: u64) {
-        let asked = self.asked.get_mut(&id).expect("a known request");
-        assert!(!asked.over, "a second final answer for {id}");
-        asked.over = true;
+        let request = self.requests.get_mut(&id).expect("a known request");
+        assert!(!request.over, "a second final answer for {id}");
+        request.over = true;
     }
 
-    fn sent(&mut self, id: u64, server: ServerId, timeout: Span) {
-        let asked = &self.asked[&id];
-        assert!(!asked.over, "sent {id} after its end");
-        assert!(self.now < asked.deadline && timeout.0 > 0);
-        assert!(self.now.plus(timeout) <= asked.deadline, "time-out past the client's");
+    fn check_forward(&mut self, id: u64, server: ServerId, timeout: Span) {
+        let request = &self.requests[&id];
+        assert!(!request.over, "sent {id} after its end");
+        assert!(self.now < request.deadline && timeout.0 > 0);
+        assert!(self.now.plus(timeout) <= request.deadline, "timeout past the client's");
         assert_eq!(
-            self.members[&server.0].status,
+            self.endpoints[&server.0].status,
             EndpointStatus::Live,
-            "sent to a drained upstream"
+            "sent to a drained server"
         );
-        assert!(asked.tries.len() < self.settings.limits.max_attempts);
+        assert!(request.attempts.len() < self.settings.limits.max_attempts);
         if !self.settings.limits.hedging {
-            assert!(asked.tries.iter().all(|t| t.ended.is_some()), "two copies out");
+            assert!(request.attempts.iter().all(|t| t.ended.is_some()), "two copies out");
         }
-        let class = &self.settings.classes[asked.class];
-        for before in asked.tries.iter().filter(|t| may_have_run(t)) {
+        let class = &self.settings.classes[request.class];
+        for before in request.attempts.iter().filter(|t| may_have_run(t)) {
             let same = match class.dedup_scope {
                 DedupScope::All => true,
                 DedupScope::Zone => self.zone(before.server) == self.zone(server),
                 DedupScope::Cell => {
-                    self.members[&before.server.0].cell == self.members[&server.0].cell
+                    self.endpoints[&before.server.0].cell == self.endpoints[&server.0].cell
                 }
             };
             let kept = self.now.since(before.sent) < class.dedup_window;
@@ -263,19 +273,19 @@
             };
             assert!(allowed, "effect of {id} may happen twice");
         }
-        let sent = Try { server, sent: self.now, ended: None };
-        self.asked.get_mut(&id).expect("known").tries.push(sent);
+        let attempt = TrackedAttempt { server, sent: self.now, ended: None };
+        self.requests.get_mut(&id).expect("known").attempts.push(attempt);
     }
 
     fn zone(&self, id: ServerId) -> u32 {
-        self.members[&id.0].zone
+        self.endpoints[&id.0].zone
     }
 
-    pub fn out(&self, id: u64) -> Option<ServerId> {
-        self.asked[&id].tries.iter().rev().find(|t| t.ended.is_none()).map(|t| t.server)
+    pub fn server_in_flight(&self, id: u64) -> Option<ServerId> {
+        self.requests[&id].attempts.iter().rev().find(|t| t.ended.is_none()).map(|t| t.server)
     }
 
-    pub fn refused(&self, id: u64) -> bool {
+    pub fn rejected(&self, id: u64) -> bool {
         self.log.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
 
@@ -283,12 +293,12 @@
         self.log.contains(&Action::Fail { request: RequestId(id) })
     }
 
-    pub fn sends_to(&self, server: u32) -> usize {
+    pub fn forwards_to(&self, server: u32) -> usize {
         let to = |a: &&Action| matches!(a, Action::Forward { server: s, .. } if s.0 == server);
         self.log.iter().filter(to).count()
     }
 }
 
-fn may_have_run(t: &Try) -> bool {
+fn may_have_run(t: &TrackedAttempt) -> bool {
     !t.ended.is_some_and(Outcome::not_executed)
 }
--- a/crates/policy/tests/mechanism/concurrency.rs
+++ b/crates/policy/tests/mechanism/concurrency.rs
@@ -1,8 +1,8 @@
 //! How many requests may be out at a server: K_i, its growth, and this balancer's share of it.
 
-use sableloom_types::*;
+use sableloom_types::{Endpoint, ListKind, Outcome, PolicySettings, ServerId, Span};
 
-use crate::common::{MS, World, member, settings};
+use crate::common::{MS, World, endpoint, settings};
 use crate::{serve, serve_together};
 
 #[test]
@@ -10,30 +10,31 @@
     let mut w = World::with_servers(settings(), 1);
     for id in 0..200 {
         w.request(id, 0);
-        if w.out(id).is_none() {
+        if w.server_in_flight(id).is_none() {
             continue;
         }
         serve(&mut w, id, 50);
     }
     // With TP near 0, N_i in a time of 10 TS is ten requests a lane.
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(500 * MS)).unwrap();
+    let gauge = w.balancer.server_gauge(ServerId(0), Span(500 * MS)).unwrap();
+    let (k, n) = (gauge.max_in_flight, gauge.admission_limit);
     assert!(n >= 9.0 && n <= 10.5 * f64::from(k), "N {n} with K {k}");
 }
 
 #[test]
-fn an_upstream_that_never_answered_gets_one_slot_at_least() {
+fn a_server_without_answers_has_one_slot_at_least() {
     let s = PolicySettings { balancers: 50, ..settings() };
     let w = World::with_servers(s, 4);
     for i in 0..4 {
-        assert_eq!(w.balancer.upstream(ServerId(i), Span(MS)).unwrap().1, 1);
+        assert_eq!(w.balancer.server_gauge(ServerId(i), Span(MS)).unwrap().max_in_flight, 1);
     }
 }
 
 #[test]
-fn a_hung_upstream_keeps_its_slots_taken() {
-    // Failure: slots freed by time-outs piled unseen work on an upstream that still ran it.
+fn the_slots_of_a_hung_server_stay_taken() {
+    // Failure: slots freed by timeouts piled unseen work on an server that still ran it.
     let mut w = World::with_servers(settings(), 1);
-    let k = u64::from(w.balancer.upstream(ServerId(0), Span(MS)).unwrap().1);
+    let k = u64::from(w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight);
     for id in 0..k {
         w.request(id, 0);
     }
@@ -41,51 +42,56 @@
         w.pass(Span(10 * MS));
         w.outcome(id, 0, Outcome::Timeout);
     }
-    let out = w.balancer.upstream(ServerId(0), Span(MS)).unwrap().0;
-    assert!(out > 0, "a timed-out attempt may still run");
+    let server_in_flight = w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().in_flight;
+    assert!(server_in_flight > 0, "a timed-out attempt may still run");
     w.pass(Span(2000 * MS));
-    assert_eq!(w.balancer.upstream(ServerId(0), Span(MS)).unwrap().0, 0);
+    assert_eq!(w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().in_flight, 0);
 }
 
 #[test]
-fn a_fleet_that_doubles_brings_its_lanes() {
-    // Failure: a fleet that doubled kept its old lanes, and refused beside idle upstreams.
+fn the_limit_grows_with_the_number_of_servers() {
+    // Failure: a fleet that doubled kept its old limit, and rejected beside idle servers.
     let mut w = World::with_servers(settings(), 2);
     (0..100).for_each(|id| w.request(id, 0));
-    let out = |w: &World| w.asked.keys().filter(|&&id| w.out(id).is_some()).count();
-    let before = out(&w);
-    w.list(ListKind::Update, &[member(2, 0), member(3, 1)]);
+    let server_in_flight =
+        |w: &World| w.requests.keys().filter(|&&id| w.server_in_flight(id).is_some()).count();
+    let before = server_in_flight(&w);
+    w.update_list(ListKind::Update, &[endpoint(2, 0), endpoint(3, 1)]);
     (100..200).for_each(|id| w.request(id, 0));
-    assert!(before < 100 && out(&w) >= 2 * before, "{} out after {before}", out(&w));
+    assert!(
+        before < 100 && server_in_flight(&w) >= 2 * before,
+        "{} out after {before}",
+        server_in_flight(&w)
+    );
 }
 
 #[test]
-fn many_lanes_grow_slower_than_few() {
-    // Failure: grown in proportion, lanes stayed with whoever had them: of three proxies one
-    // refused at its floor beside one with half of its lanes unused.
+fn a_high_limit_grows_more_slowly_than_a_low_one() {
+    // Failure: grown in proportion, limit stayed with whoever had them: of three balancers one
+    // rejected at its floor beside one with half of its limit unused.
     let mut w = World::with_servers(settings(), 1);
     let mut id = 0;
     let mut k_after = |w: &mut World, answers: usize| {
-        let target = w.sends_to(0) + answers;
-        while w.sends_to(0) < target {
+        let target = w.forwards_to(0) + answers;
+        while w.forwards_to(0) < target {
             (0..20).for_each(|i| w.request(id + i, 0));
             w.pass(Span(2 * MS));
             (id.saturating_sub(200)..id + 20).for_each(|i| w.outcome(i, 0, Outcome::Ok));
             id += 20;
         }
-        f64::from(w.balancer.upstream(ServerId(0), Span(MS)).unwrap().1)
+        f64::from(w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight)
     };
     let few = k_after(&mut w, 1);
     let more = k_after(&mut w, 400);
     let most = k_after(&mut w, 400);
-    assert!(more > few, "unused room wins lanes: {few} {more}");
+    assert!(more > few, "unused room wins limit: {few} {more}");
     assert!(most - more < 0.8 * (more - few), "{few}, {more}, {most}");
 }
 
 #[test]
-fn work_that_is_long_even_alone_does_not_take_the_lanes() {
-    // Failure: a class that takes over half its aim even alone kept the lanes at their floor, and
-    // half of it was refused beside idle cores.
+fn work_that_is_slow_without_load_does_not_lower_the_limit() {
+    // Failure: a class that takes over half its latency objective even alone kept the limit at their floor, and
+    // half of it was rejected beside idle cores.
     let out_after = |latencies: &[i64]| {
         let mut w = World::with_servers(settings(), 2);
         let mut id = 0;
@@ -94,21 +100,21 @@
             id += 20;
         }
         (id..id + 100).for_each(|i| w.request(i, 0));
-        (id..id + 100).filter(|&i| w.out(i).is_some()).count()
+        (id..id + 100).filter(|&i| w.server_in_flight(i).is_some()).count()
     };
     let (alone, crowded) = (out_after(&[120]), out_after(&[20, 120]));
-    assert_eq!(crowded, 12, "six lanes an upstream, the floor, once waiting shows");
+    assert_eq!(crowded, 12, "six limit an server, the floor, once waiting shows");
     assert!(alone > crowded, "{alone} out where nothing shows waiting, {crowded} where it does");
 }
 
 #[test]
-fn a_slow_turn_away_does_not_earn_slots() {
+fn a_slow_rejection_does_not_raise_k() {
     let mut w = World::with_servers(settings(), 1);
     for id in 0..200 {
         w.request(id, 0);
         serve(&mut w, id, 10);
     }
-    let k = |w: &World| w.balancer.upstream(ServerId(0), Span(MS)).unwrap().1;
+    let k = |w: &World| w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight;
     let before = k(&w);
     w.request(300, 0);
     w.pass(Span(95 * MS));
@@ -118,16 +124,16 @@
 }
 
 #[test]
-fn lanes_follow_what_is_there_of_the_fleet() {
-    // Failure: when most of a fleet was new and cold, the lanes meant for all went to the rest, which
+fn the_limit_follows_the_capacity_that_is_present() {
+    // Failure: when most of a fleet was new and cold, the limit meant for all went to the rest, which
     // then answered hardly anything in time.
-    let out_with = |young: u32| {
+    let out_with = |cold: u32| {
         let mut w = World::with_servers(PolicySettings { balancers: 40, ..settings() }, 100);
-        let new = |i| Endpoint { started: Some(w.now), ..member(i, i % 2) };
-        let list: Vec<_> = (0..young).map(new).collect();
-        w.list(ListKind::Update, &list);
+        let new = |i| Endpoint { started: Some(w.now), ..endpoint(i, i % 2) };
+        let list: Vec<_> = (0..cold).map(new).collect();
+        w.update_list(ListKind::Update, &list);
         (0..200).for_each(|id| w.request(id, 0));
-        (0..200).filter(|&id| w.out(id).is_some_and(|server| server.0 >= young)).count()
+        (0..200).filter(|&id| w.server_in_flight(id).is_some_and(|server| server.0 >= cold)).count()
     };
     let (all, with_most_young) = (out_with(0), out_with(80));
     // A fifth is warm, and the rest has a fifth of what it will have.
@@ -135,36 +141,36 @@
     assert!(with_most_young * 100 >= all * 15, "{with_most_young} at the warm, of {all} before");
 }
 
-/// Sent and not refused of a flood at once.
-fn lanes(w: &mut World, ids: std::ops::Range<u64>) -> usize {
+/// Sent and not rejected of a flood at once.
+fn in_flight_of_flood(w: &mut World, ids: std::ops::Range<u64>) -> usize {
     ids.clone().for_each(|id| w.request(id, 0));
-    let out = ids.clone().filter(|id| w.out(*id).is_some()).count();
+    let server_in_flight = ids.clone().filter(|id| w.server_in_flight(*id).is_some()).count();
     w.pass(Span(50 * MS));
     ids.for_each(|id| w.outcome(id, 0, Outcome::Ok));
-    out
+    server_in_flight
 }
 
 #[test]
-fn a_part_that_shrinks_is_given_up_at_once_and_one_that_grows_is_a_start() {
+fn a_limit_share_shrinks_at_once_and_grows_to_an_initial_one() {
     let mut w = World::with_servers(PolicySettings { balancers: 4, ..settings() }, 16);
-    let quarter = lanes(&mut w, 0..400);
+    let quarter = in_flight_of_flood(&mut w, 0..400);
     w.balancer.set_balancers(16);
-    let sixteenth = lanes(&mut w, 400..800);
+    let sixteenth = in_flight_of_flood(&mut w, 400..800);
     assert!(sixteenth > 0 && sixteenth * 2 < quarter, "{sixteenth} of {quarter}");
     w.balancer.set_balancers(4);
-    let again = lanes(&mut w, 800..1200);
+    let again = in_flight_of_flood(&mut w, 800..1200);
     assert!(again > sixteenth && again <= quarter + 16, "{sixteenth}, then {again} of {quarter}");
     // One that was told a multitude before it had a part begins as one that knew at its start.
     let mut w = World::new(PolicySettings { balancers: 4, ..settings() });
     w.balancer.set_balancers(10_000);
-    let list: Vec<_> = (0..16).map(|i| member(i, i % 2)).collect();
-    w.list(ListKind::Restored, &list);
+    let list: Vec<_> = (0..16).map(|i| endpoint(i, i % 2)).collect();
+    w.update_list(ListKind::Restored, &list);
     w.balancer.set_balancers(4);
     // N is reckoned anew at the next sweep.
     w.pass(Span(20 * MS));
-    let told = lanes(&mut w, 0..400);
+    let told = in_flight_of_flood(&mut w, 0..400);
     assert!(told <= quarter + 16 && told * 2 > quarter, "{told} of {quarter}");
     // A number of none is taken for one.
     w.balancer.set_balancers(0);
-    assert!(lanes(&mut w, 400..800) >= told);
+    assert!(in_flight_of_flood(&mut w, 400..800) >= told);
 }
--- a/crates/policy/tests/mechanism/endpoints_and_settings.rs
+++ b/crates/policy/tests/mechanism/endpoints_and_settings.rs
@@ -1,45 +1,47 @@
 //! What the decisions start from: lists of servers that are empty or missing, and settings that make no sense.
 
-use sableloom_policy::decide::Balancer;
-use sableloom_types::*;
+use sableloom_policy::Balancer;
+use sableloom_types::{
+    Action, ListKind, PolicySettings, PolicySettingsError, ServerId, Span, Time,
+};
 
-use crate::common::{MS, World, member, settings};
+use crate::common::{MS, World, endpoint, settings};
 
 #[test]
-fn an_empty_list_holds_until_an_upstream_appears() {
+fn with_an_empty_list_requests_are_queued_until_a_server_is_listed() {
     let mut w = World::new(settings());
     w.request(1, 2);
-    assert!(w.out(1).is_none() && !w.refused(1));
-    w.list(ListKind::Full, &[member(0, 0)]);
-    assert_eq!(w.out(1), Some(ServerId(0)));
+    assert!(w.server_in_flight(1).is_none() && !w.rejected(1));
+    w.update_list(ListKind::Full, &[endpoint(0, 0)]);
+    assert_eq!(w.server_in_flight(1), Some(ServerId(0)));
 }
 
 #[test]
-fn an_empty_list_refuses_while_it_is_harmless() {
+fn with_an_empty_list_a_request_is_rejected_before_its_objective() {
     let mut w = World::new(settings());
     w.request(1, 2);
     w.pass(Span(200 * MS));
-    assert!(w.refused(1), "refused before the aim is lost");
+    assert!(w.rejected(1), "rejected before the latency objective is lost");
 }
 
 #[test]
-fn asks_for_the_list_again_after_a_break() {
+fn the_list_is_polled_again_after_the_subscription_breaks() {
     let mut w = World::new(PolicySettings { polls: true, ..settings() });
-    let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
+    let polls = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
     w.pass(Span(2000 * MS));
-    assert_eq!(asked(&w), 1);
-    w.list(ListKind::Full, &[member(0, 0)]);
+    assert_eq!(polls(&w), 1);
+    w.update_list(ListKind::Full, &[endpoint(0, 0)]);
     w.pass(Span(30_000 * MS));
-    assert_eq!(asked(&w), 1, "a subscription stands");
-    w.list(ListKind::Unavailable, &[]);
+    assert_eq!(polls(&w), 1, "a subscription stands");
+    w.update_list(ListKind::Unavailable, &[]);
     w.pass(Span(3000 * MS));
-    assert_eq!(asked(&w), 2);
+    assert_eq!(polls(&w), 2);
     w.pass(Span(10_000 * MS));
-    assert!(asked(&w) > 2, "silence is asked again within AskEvery");
+    assert!(polls(&w) > 2, "silence is asked again within AskEvery");
 }
 
 #[test]
-fn nonsense_settings_are_refused_or_made_safe() {
+fn unusable_settings_are_an_error_or_replaced_by_safe_values() {
     let none = PolicySettings { classes: vec![], ..settings() };
     assert_eq!(Balancer::new(none, 1, Time(0)).err(), Some(PolicySettingsError::NoClasses));
     let mut bad = settings();
@@ -52,5 +54,5 @@
     odd.rules.slow_start_initial_share = 0.0;
     let mut w = World::with_servers(odd, 1);
     w.request(1, 0);
-    assert!(w.out(1).is_some());
+    assert!(w.server_in_flight(1).is_some());
 }
--- a/crates/policy/tests/mechanism/main.rs
+++ b/crates/policy/tests/mechanism/main.rs
@@ -3,14 +3,14 @@
 #[path = "../common/mod.rs"]
 mod common;
 
-mod choice;
-mod cold_start;
-mod inputs;
+mod concurrency;
+mod endpoints_and_settings;
 mod queue;
-mod slots;
+mod selection;
+mod slow_start;
 
 use common::{MS, World};
-use sableloom_types::*;
+use sableloom_types::{Outcome, Span};
 
 fn serve(w: &mut World, id: u64, ms: i64) {
     w.pass(Span(ms * MS));
@@ -24,9 +24,9 @@
     ids.for_each(|id| w.outcome(id, 0, Outcome::Ok));
 }
 
-/// How many of two hundred requests that come at once with so long to wait are not refused.
+/// How many of two hundred requests that come at once with so long to wait are not rejected.
 fn admitted_of_flood(w: &mut World, wait_ms: i64) -> usize {
     let until = w.now.plus(Span(wait_ms * MS));
     (200..400).for_each(|id| w.request_until(id, 0, until));
-    (200..400).filter(|&id| !w.refused(id)).count()
+    (200..400).filter(|&id| !w.rejected(id)).count()
 }
--- a/crates/policy/tests/mechanism/queue.rs
+++ b/crates/policy/tests/mechanism/queue.rs
@@ -1,45 +1,49 @@
-//! What is held, in which order, and what is refused at once.
+//! What is held, in which order, and what is rejected at once.
 
-use sableloom_types::*;
+use sableloom_types::{Action, Idempotency, Outcome, PolicySettings, ServerId, Span, TenantQuota};
 
 use crate::common::{self, MS, World, settings};
 use crate::{admitted_of_flood, serve};
 
 #[test]
-fn holds_when_every_slot_is_taken_and_keeps_arrival_order() {
+fn requests_are_queued_when_every_slot_is_taken_and_leave_in_order_of_arrival() {
     let mut w = World::with_servers(settings(), 1);
-    let (_, k, _) = w.balancer.upstream(ServerId(0), Span(MS)).unwrap();
+    let k = w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight;
     let k = u64::from(k);
     for id in 0..k + 2 {
         w.request(id, 0);
     }
-    assert!((0..k).all(|id| w.out(id).is_some()), "K_i requests are out");
-    assert_eq!((w.out(k), w.out(k + 1)), (None, None), "the rest is held");
+    assert!((0..k).all(|id| w.server_in_flight(id).is_some()), "K_i requests are out");
+    assert_eq!(
+        (w.server_in_flight(k), w.server_in_flight(k + 1)),
+        (None, None),
+        "the rest is held"
+    );
     w.pass(Span(10 * MS));
     w.outcome(0, 0, Outcome::Ok);
-    assert!(w.out(k).is_some(), "the head of the queue goes first");
-    let sent = |a: &Action| match a {
+    assert!(w.server_in_flight(k).is_some(), "the head of the queue goes first");
+    let check_forward = |a: &Action| match a {
         Action::Forward { request, .. } => Some(request.0),
         _ => None,
     };
-    let order: Vec<u64> = w.log.iter().filter_map(sent).collect();
+    let order: Vec<u64> = w.log.iter().filter_map(check_forward).collect();
     assert!(order.is_sorted(), "first come, first served: {order:?}");
 }
 
 #[test]
-fn refuses_at_once_when_queued_and_in_flight_reach_the_sum_of_n() {
+fn rejects_at_once_when_queued_and_in_flight_reach_the_sum_of_n() {
     let mut w = World::with_servers(settings(), 2);
     for id in 0..500 {
         w.request(id, 0);
     }
-    let refused = (0..500).filter(|&id| w.refused(id)).count();
-    assert!(refused > 300, "only {refused} of 500 refused");
-    assert!(!w.refused(0) && w.refused(499));
+    let rejected = (0..500).filter(|&id| w.rejected(id)).count();
+    assert!(rejected > 300, "only {rejected} of 500 rejected");
+    assert!(!w.rejected(0) && w.rejected(499));
 }
 
 #[test]
-fn a_class_with_a_long_aim_does_not_starve_a_short_one() {
-    // Failure: the queue filled with requests of long aims until no short one could be held.
+fn a_class_with_a_long_latency_objective_does_not_starve_a_short_one() {
+    // Failure: the queue filled with requests of long latency objectives until no short one could be held.
     let mut s = settings();
     s.classes[0].latency_objective = Span(2000 * MS);
     s.classes[0].deadline = Span(4000 * MS);
@@ -52,33 +56,37 @@
         w.outcome(id, 0, Outcome::Ok);
     }
     w.request(1000, 2);
-    assert!(!w.refused(1000));
+    assert!(!w.rejected(1000));
 }
 
 #[test]
-fn a_request_with_too_little_time_left_is_not_sent() {
-    // Failure: repeats came with what was left of their first try's time, waited, and were sent
-    // too late to be answered: a sixth of all attempts timed out, evenly over the upstreams.
+fn a_request_with_too_little_time_left_is_rejected() {
+    // Failure: retries came with what was left of their first try's time, waited, and were sent
+    // too late to be answered: a sixth of all attempts timed out, evenly over the servers.
     let mut w = World::with_servers(settings(), 1);
     for id in 0..40 {
         w.request(id, 0);
         serve(&mut w, id, 60);
     }
     w.request_until(100, 0, w.now.plus(Span(45 * MS)));
-    assert_eq!((w.asked[&100].tries.len(), w.asked[&100].over), (0, true), "refused while early");
+    assert_eq!(
+        (w.requests[&100].attempts.len(), w.requests[&100].over),
+        (0, true),
+        "rejected while early"
+    );
     w.request_until(101, 0, w.now.plus(Span(90 * MS)));
-    assert_eq!(w.asked[&101].tries.len(), 1, "there is time for this one");
+    assert_eq!(w.requests[&101].attempts.len(), 1, "there is time for this one");
 }
 
 #[test]
-fn a_tenant_past_its_quota_leaves_room_for_the_others() {
+fn a_tenant_beyond_its_quota_leaves_capacity_for_the_others() {
     // Failure: in overload a tenant past its quota, worth little there, took the slots of the others.
     let quota = |quota_rps| TenantQuota { quota_rps };
     let tenants = vec![quota(5.0), quota(1000.0)];
     let classes = vec![common::class(Idempotency::Idempotent)];
     let mut w = World::with_servers(PolicySettings { tenants, classes, ..settings() }, 2);
     w.pass(Span(500 * MS));
-    let held = |w: &World, ids: std::ops::Range<u64>| ids.filter(|id| !w.asked[id].over).count();
+    let held = |w: &World, ids: std::ops::Range<u64>| ids.filter(|id| !w.requests[id].over).count();
     (0..100).for_each(|id| w.request(id, 0));
     let past = held(&w, 0..100);
     w.tenant = 1;
@@ -95,8 +103,8 @@
 }
 
 #[test]
-fn repeats_past_the_aim_of_their_first_try_get_the_least_room() {
-    // Failure: in overload, repeats past their aim took the slots; most answers came late.
+fn retries_past_the_objective_of_their_first_try_get_the_smallest_share() {
+    // Failure: in overload, retries past their latency objective took the slots; most answers came late.
     let admitted = |left_ms: i64| {
         let mut w = World::with_servers(settings(), 4);
         for id in 0..200 {
@@ -112,8 +120,8 @@
 }
 
 #[test]
-fn last_tries_that_wait_to_the_end_do_not_make_first_tries_late() {
-    // Failure: by the longest wait seen, all others looked like repeats past their aim.
+fn retries_with_a_long_timeout_do_not_make_first_tries_look_late() {
+    // Failure: by the longest wait seen, all others looked like retries past their latency objective.
     let admitted = |longer_every: u64| {
         let mut w = World::with_servers(settings(), 4);
         for id in 0..200 {
@@ -129,8 +137,8 @@
 }
 
 #[test]
-fn where_nothing_can_be_reached_a_flood_is_still_refused() {
-    // Failure: with no upstream counted as there, N was zero, and all that came was held.
+fn excess_requests_are_rejected_where_no_server_can_be_reached() {
+    // Failure: with no server counted as there, N was zero, and all that came was held.
     let mut w = World::with_servers(settings(), 4);
     for id in 0..40 {
         w.request(id, 0);
@@ -138,6 +146,6 @@
         w.pass(Span(10 * MS));
     }
     (1000..1500).for_each(|id| w.request(id, 0));
-    let refused = (1000..1500).filter(|&id| w.refused(id)).count();
-    assert!(refused > 300, "{refused} of 500 refused at once");
+    let rejected = (1000..1500).filter(|&id| w.rejected(id)).count();
+    assert!(rejected > 300, "{rejected} of 500 rejected at once");
 }
--- a/crates/policy/tests/mechanism/slow_start.rs
+++ b/crates/policy/tests/mechanism/slow_start.rs
@@ -1,39 +1,40 @@
 //! Servers that have just started: how fast they get work.
 
-use sableloom_types::*;
+use sableloom_types::{Endpoint, ListKind, Outcome, Span};
 
-use crate::common::{MS, World, member, settings};
+use crate::common::{MS, World, endpoint, settings};
 use crate::{serve, serve_together};
 
 #[test]
-fn a_young_upstream_is_paced() {
+fn a_server_that_warms_up_gets_few_requests() {
     let mut w = World::with_servers(settings(), 3);
     for id in 0..200 {
         w.request(id, 0);
         serve(&mut w, id, 5);
     }
-    let young = Endpoint { started: Some(w.now), ..member(9, 0) };
-    w.list(ListKind::Update, &[young]);
+    let cold = Endpoint { started: Some(w.now), ..endpoint(9, 0) };
+    w.update_list(ListKind::Update, &[cold]);
     for id in 200..400 {
         w.request(id, 0);
         serve(&mut w, id, 5);
     }
-    let (cold, warm) = (w.sends_to(9), (w.sends_to(0) + w.sends_to(1) + w.sends_to(2)) / 6);
+    let (cold, warm) =
+        (w.forwards_to(9), (w.forwards_to(0) + w.forwards_to(1) + w.forwards_to(2)) / 6);
     assert!(cold > 0, "it must get some work");
     assert!(cold * 2 < warm, "{cold} sends while a warm one had {warm}");
 }
 
 #[test]
-fn a_fleet_that_is_young_as_a_whole_gets_work() {
-    // Failure: the pace came from warm upstreams alone, and there was none.
+fn a_fleet_in_which_every_server_warms_up_gets_requests() {
+    // Failure: the pace came from warm servers alone, and there was none.
     let mut w = World::new(settings());
-    let young = |i| Endpoint { started: Some(w.now), ..member(i, 0) };
-    let list: Vec<_> = (0..4).map(young).collect();
-    w.list(ListKind::Full, &list);
+    let cold = |i| Endpoint { started: Some(w.now), ..endpoint(i, 0) };
+    let list: Vec<_> = (0..4).map(cold).collect();
+    w.update_list(ListKind::Full, &list);
     let mut served = 0;
     for id in 0..400 {
         w.request(id, 0);
-        served += usize::from(w.out(id).is_some());
+        served += usize::from(w.server_in_flight(id).is_some());
         serve(&mut w, id, 10);
     }
     assert!(served > 20, "only {served} of 400 were sent");
@@ -41,12 +42,12 @@
 }
 
 #[test]
-fn young_upstreams_are_not_held_back_when_the_warm_ones_slow_down() {
-    // Failure: after growth the old upstreams slowed, and the pace of the new ones fell with them.
+fn servers_that_warm_up_are_not_held_back_when_the_warm_ones_slow_down() {
+    // Failure: after growth the old servers slowed, and the pace of the new ones fell with them.
     let mut w = World::with_servers(settings(), 2);
     let mut id = 0;
     let mut young_sends = |w: &mut World, rounds: i64, warm_every: i64| {
-        let before = w.sends_to(2);
+        let before = w.forwards_to(2);
         for round in 0..rounds {
             for _ in 0..4 {
                 w.request(id, 0);
@@ -54,25 +55,25 @@
             }
             w.pass(Span(20 * MS));
             for old in id.saturating_sub(40)..id {
-                let warm = w.out(old).is_some_and(|s| s.0 < 2);
+                let warm = w.server_in_flight(old).is_some_and(|s| s.0 < 2);
                 if !warm || round % warm_every == 0 {
                     w.outcome(old, 0, Outcome::Ok);
                 }
             }
         }
-        w.sends_to(2) - before
+        w.forwards_to(2) - before
     };
     young_sends(&mut w, 100, 1);
-    w.list(ListKind::Update, &[Endpoint { started: Some(w.now), ..member(2, 0) }]);
+    w.update_list(ListKind::Update, &[Endpoint { started: Some(w.now), ..endpoint(2, 0) }]);
     let quick = young_sends(&mut w, 100, 1);
     young_sends(&mut w, 100, 25);
     let slow = young_sends(&mut w, 100, 25);
     assert!(quick > 5 && slow >= quick, "{slow} sends after {quick}");
 }
 
-/// Sends to upstream `young`, which restarts in a fleet of `n`, in the two seconds after a list
-/// of all `n` tells of it; until then the proxy knew the first `known` alone.
-fn sends_after_restart(young: u32, known: u32, n: u32) -> usize {
+/// Sends to server `cold`, which restarts in a fleet of `n`, in the two seconds after a list
+/// of all `n` tells of it; until then the balancer knew the first `known` alone.
+fn forwards_after_restart(cold: u32, known: u32, n: u32) -> usize {
     let mut w = World::with_servers(settings(), known);
     let mut id = 0;
     let mut run = |w: &mut World| {
@@ -82,47 +83,47 @@
         }
     };
     run(&mut w);
-    let started = |i| (i == young).then_some(w.now);
+    let started = |i| (i == cold).then_some(w.now);
     let list: Vec<_> =
-        (0..n).map(|i| Endpoint { started: started(i), ..member(i, i % 2) }).collect();
-    let before = w.sends_to(young);
-    w.list(ListKind::Full, &list);
+        (0..n).map(|i| Endpoint { started: started(i), ..endpoint(i, i % 2) }).collect();
+    let before = w.forwards_to(cold);
+    w.update_list(ListKind::Full, &list);
     run(&mut w);
-    w.sends_to(young) - before
+    w.forwards_to(cold) - before
 }
 
 #[test]
-fn the_first_young_upstream_of_a_list_is_paced_like_the_last() {
+fn the_first_cold_server_of_a_list_gets_no_more_than_the_last() {
     // Failure: it earned its sends by sums still half made, had the whole fleet's rate, fell over.
-    let (first, last) = (sends_after_restart(0, 20, 20), sends_after_restart(19, 20, 20));
+    let (first, last) = (forwards_after_restart(0, 20, 20), forwards_after_restart(19, 20, 20));
     assert!(last > 0 && first > 0 && first <= 2 * last, "{first} sends against {last}");
 }
 
 #[test]
-fn a_stale_list_put_right_does_not_push_young_upstreams() {
-    // Failure: the rate of the few upstreams on a stale list paced the young of the whole fleet.
-    let (stale, usual) = (sends_after_restart(39, 2, 40), sends_after_restart(39, 40, 40));
+fn an_update_of_a_stale_list_does_not_overload_cold_servers() {
+    // Failure: the rate of the few servers on a stale list paced the cold of the whole fleet.
+    let (stale, usual) = (forwards_after_restart(39, 2, 40), forwards_after_restart(39, 40, 40));
     assert!(usual > 0 && stale > 0 && stale <= 2 * usual, "{stale} sends against {usual}");
 }
 
 #[test]
-fn a_fleet_that_restarts_but_for_one_is_not_pushed() {
-    // Failure: what many upstreams had served was taken for the rate of the one still warm.
+fn a_fleet_that_restarts_but_for_one_server_is_not_overloaded() {
+    // Failure: what many servers had served was taken for the rate of the one still warm.
     let mut w = World::with_servers(settings(), 40);
     let mut id = 0;
     let mut run = |w: &mut World, rounds: u32| {
-        let young = |w: &World| (1..40).map(|i| w.sends_to(i)).sum::<usize>();
-        let before = young(w);
+        let cold = |w: &World| (1..40).map(|i| w.forwards_to(i)).sum::<usize>();
+        let before = cold(w);
         for _ in 0..rounds {
             serve_together(w, id..id + 8, 20);
             id += 8;
         }
-        young(w) - before
+        cold(w) - before
     };
     let warm = run(&mut w, 100) / 20;
-    let young = |i| Endpoint { started: (i > 0).then_some(w.now), ..member(i, i % 2) };
-    let list: Vec<_> = (0..40).map(young).collect();
-    w.list(ListKind::Full, &list);
+    let cold = |i| Endpoint { started: (i > 0).then_some(w.now), ..endpoint(i, i % 2) };
+    let list: Vec<_> = (0..40).map(cold).collect();
+    w.update_list(ListKind::Full, &list);
     // At a fifth of the capacity, twice that for chance; before it is known what one can serve.
     let cold = run(&mut w, 5);
     assert!(cold > 0 && cold <= 2 * warm / 5, "{cold} sends in 0.1 s, {warm} when warm");
--- a/crates/policy/tests/safety_rules.rs
+++ b/crates/policy/tests/safety_rules.rs
@@ -2,31 +2,31 @@
 
 mod common;
 
-use common::{MS, World, member, settings};
+use common::{MS, World, endpoint, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use sableloom_types::*;
+use sableloom_types::{Endpoint, EndpointStatus, ListKind, Outcome, Span, TenantQuota};
 
 const SAFE: usize = 0;
 const KEYED: usize = 1;
 const UNSAFE: usize = 2;
 
-/// What becomes of a request whose first attempt ended this way: sent again, refused or failed.
+/// What becomes of a request whose first attempt ended this way: sent again, rejected or failed.
 fn after(class: usize, outcome: Outcome) -> &'static str {
     let mut w = World::with_servers(settings(), 4);
     w.request(1, class);
     w.pass(Span(5 * MS));
     w.outcome(1, 0, outcome);
-    match (w.out(1).is_some(), w.refused(1), w.failed(1)) {
+    match (w.server_in_flight(1).is_some(), w.rejected(1), w.failed(1)) {
         (true, false, false) => "again",
-        (false, true, false) => "refused",
+        (false, true, false) => "rejected",
         (false, false, true) => "failed",
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn what_follows_an_outcome_depends_on_effect_and_outcome() {
+fn what_follows_an_outcome_depends_on_idempotency_and_outcome() {
     let may_run = [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled];
     let not_executed = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Superseded];
     for o in not_executed.into_iter().chain(may_run) {
@@ -38,41 +38,41 @@
 }
 
 #[test]
-fn a_keyed_repeat_outside_its_group_is_failed_not_refused() {
+fn a_keyed_retry_outside_its_dedup_scope_fails_and_is_not_rejected() {
     let mut w = World::new(settings());
-    w.list(ListKind::Full, &[member(0, 0), member(1, 1)]);
+    w.update_list(ListKind::Full, &[endpoint(0, 0), endpoint(1, 1)]);
     w.request(1, KEYED);
-    let first = w.out(1).unwrap();
-    let other = member(1 - first.0, 1 - first.0);
-    w.list(ListKind::Full, &[other]);
+    let first = w.server_in_flight(1).unwrap();
+    let other = endpoint(1 - first.0, 1 - first.0);
+    w.update_list(ListKind::Full, &[other]);
     w.outcome(1, 0, Outcome::Error);
-    assert!(w.failed(1), "no live upstream would drop the repeat");
+    assert!(w.failed(1), "no live server would drop the repeat");
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_answered_at_once() {
+fn a_timeout_at_the_deadline_is_answered_at_once() {
     let mut w = World::with_servers(settings(), 2);
     w.request(1, UNSAFE);
     w.request(2, SAFE);
     w.pass(Span(601 * MS));
-    assert!(w.failed(1) && w.asked[&2].over);
+    assert!(w.failed(1) && w.requests[&2].over);
 }
 
 #[test]
-fn held_requests_leave_a_drained_upstream() {
+fn queued_requests_are_not_forwarded_to_a_draining_server() {
     let mut w = World::with_servers(settings(), 2);
     for id in 0..30 {
         w.request(id, SAFE);
     }
-    let draining = Endpoint { status: EndpointStatus::Draining, ..member(0, 0) };
-    w.list(ListKind::Update, &[draining]);
-    let before = w.sends_to(0);
+    let draining = Endpoint { status: EndpointStatus::Draining, ..endpoint(0, 0) };
+    w.update_list(ListKind::Update, &[draining]);
+    let before = w.forwards_to(0);
     for id in 0..30 {
         w.pass(Span(MS));
         w.outcome(id, 0, Outcome::Ok);
     }
-    assert_eq!(w.sends_to(0), before);
-    assert!(w.sends_to(1) > 0);
+    assert_eq!(w.forwards_to(0), before);
+    assert!(w.forwards_to(1) > 0);
 }
 
 #[derive(Clone, Debug)]
@@ -81,8 +81,8 @@
     Outcome { id: u64, attempt: usize, outcome: Outcome },
     Pass { ms: i64 },
     Gone { id: u64 },
-    EndpointStatus { id: u32, status: EndpointStatus, young: bool },
-    Whole { count: u32 },
+    List { id: u32, status: EndpointStatus, cold: bool },
+    FullList { count: u32 },
     Unavailable,
     StrayTimer { token: u64 },
 }
@@ -113,8 +113,8 @@
         6 => (0..80i64).prop_map(|ms| Event::Pass { ms }),
         1 => (0..60u64).prop_map(|id| Event::Gone { id }),
         2 => (0..8u32, status, any::<bool>())
-            .prop_map(|(id, status, young)| Event::EndpointStatus { id, status, young }),
-        1 => (0..8u32).prop_map(|count| Event::Whole { count }),
+            .prop_map(|(id, status, cold)| Event::List { id, status, cold }),
+        1 => (0..8u32).prop_map(|count| Event::FullList { count }),
         1 => Just(Event::Unavailable),
         1 => (0..9u64).prop_map(|token| Event::StrayTimer { token }),
     ]
@@ -130,34 +130,37 @@
             }
             Event::Outcome { id, attempt, outcome } => w.outcome(id, attempt, outcome),
             Event::Pass { ms } => w.pass(Span(ms * MS)),
-            Event::Gone { id } => w.gone(id),
-            Event::EndpointStatus { id, status, young } => {
-                let started = young.then_some(w.now);
-                w.list(ListKind::Update, &[Endpoint { status, started, ..member(id, id % 2) }]);
+            Event::Gone { id } => w.client_gone(id),
+            Event::List { id, status, cold } => {
+                let started = cold.then_some(w.now);
+                w.update_list(
+                    ListKind::Update,
+                    &[Endpoint { status, started, ..endpoint(id, id % 2) }],
+                );
             }
-            Event::Whole { count } => {
-                let list: Vec<_> = (0..count).map(|i| member(i, i % 2)).collect();
-                w.list(ListKind::Full, &list);
+            Event::FullList { count } => {
+                let list: Vec<_> = (0..count).map(|i| endpoint(i, i % 2)).collect();
+                w.update_list(ListKind::Full, &list);
             }
-            Event::Unavailable => w.list(ListKind::Unavailable, &[]),
+            Event::Unavailable => w.update_list(ListKind::Unavailable, &[]),
             Event::StrayTimer { token } => {
-                let mut out = vec![];
-                w.balancer.timer(w.now, token + 1000, &mut out);
-                assert!(out.is_empty());
+                let mut server_in_flight = vec![];
+                w.balancer.timer(w.now, token + 1000, &mut server_in_flight);
+                assert!(server_in_flight.is_empty());
             }
         }
     }
 }
 
 #[test]
-fn the_four_rules_hold_over_any_order_of_events() {
+fn the_safety_rules_hold_over_any_order_of_events() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let input = (any::<[bool; 3]>(), prop::collection::vec(events(), 1..250));
-    let result = runner.run(&input, |([copies, ask, keys], events)| {
+    let result = runner.run(&input, |([copies, polls, keys], events)| {
         let mut s = settings();
-        (s.limits.hedging, s.polls, s.warm_keys) = (copies, ask, keys);
+        (s.limits.hedging, s.polls, s.warm_keys) = (copies, polls, keys);
         if copies {
             s.tenants = vec![TenantQuota { quota_rps: 5.0 }];
         }
@@ -165,7 +168,7 @@
         play(&mut w, events);
         // Whatever happened, every client has one answer once its time is up.
         w.pass(Span(2000 * MS));
-        let owed: Vec<_> = w.asked.iter().filter(|(_, a)| !a.over).map(|(id, _)| id).collect();
+        let owed: Vec<_> = w.requests.iter().filter(|(_, a)| !a.over).map(|(id, _)| id).collect();
         prop_assert!(owed.is_empty(), "no final answer for {:?}", owed);
         Ok(())
     });
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -1,24 +1,24 @@
-//! Requests after a time in which answers were slower than the aim: a balancer that refuses all of them learns of no
-//! quicker answer, and refuses for good.
+//! Requests after a time in which answers were slower than the latency objective: a balancer that rejects all of them learns of no
+//! quicker answer, and rejects for good.
 
 mod common;
 
 use common::{MS, World, settings};
-use sableloom_types::*;
+use sableloom_types::{Outcome, Span};
 
-/// Requests that are refused of so many, 100 ms apart and each answered within 1 ms if it is sent.
-fn refused_of(w: &mut World, ids: std::ops::Range<u64>) -> usize {
-    let mut refused = 0;
+/// Requests that are rejected of so many, 100 ms apart and each answered within 1 ms if it is sent.
+fn rejected_of(w: &mut World, ids: std::ops::Range<u64>) -> usize {
+    let mut rejected = 0;
     for id in ids {
         w.pass(Span(100 * MS));
         w.request(id, 0);
-        if w.refused(id) {
-            refused += 1;
+        if w.rejected(id) {
+            rejected += 1;
         } else {
             answer(w, id, 1);
         }
     }
-    refused
+    rejected
 }
 
 fn answer(w: &mut World, id: u64, ms: i64) {
@@ -27,46 +27,46 @@
 }
 
 #[test]
-fn a_slow_first_answer_does_not_refuse_all_later_requests() {
+fn a_slow_first_answer_does_not_reject_all_later_requests() {
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
-    // The aim is 200 ms.
+    // The latency objective is 200 ms.
     answer(&mut w, 0, 300);
-    assert_eq!(refused_of(&mut w, 1..1000), 0, "of 999, while servers answer within 1 ms");
+    assert_eq!(rejected_of(&mut w, 1..1000), 0, "of 999, while servers answer within 1 ms");
 }
 
 #[test]
-fn slow_answers_for_a_while_do_not_refuse_all_later_requests() {
+fn slow_answers_for_a_while_do_not_reject_all_later_requests() {
     let mut w = World::with_servers(settings(), 4);
-    assert_eq!(refused_of(&mut w, 0..200), 0);
+    assert_eq!(rejected_of(&mut w, 0..200), 0);
     for id in 2000..2100 {
         w.pass(Span(10 * MS));
         w.request(id, 0);
-        if !w.refused(id) {
+        if !w.rejected(id) {
             answer(&mut w, id, 300);
         }
     }
-    // The first of them may be turned away: nothing tells yet that servers are quick again.
-    refused_of(&mut w, 3000..3100);
-    assert_eq!(refused_of(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
+    // The first of them may be rejected: nothing tells yet that servers are quick again.
+    rejected_of(&mut w, 3000..3100);
+    assert_eq!(rejected_of(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
 }
 
 #[test]
-fn a_slow_answer_does_not_refuse_for_good_who_brings_less_time_than_the_aim() {
+fn a_slow_answer_does_not_reject_for_good_requests_with_less_time_than_the_objective() {
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
-    // Quicker than the aim, and slower than what later clients wait for.
+    // Quicker than the latency objective, and slower than what later clients wait for.
     answer(&mut w, 0, 100);
-    let mut refused = Vec::new();
+    let mut rejected = Vec::new();
     for id in 1..2000 {
         w.pass(Span(100 * MS));
         w.request_until(id, 0, w.now.plus(Span(90 * MS)));
-        if w.refused(id) {
-            refused.push(id);
+        if w.rejected(id) {
+            rejected.push(id);
         } else {
             answer(&mut w, id, 1);
         }
     }
     // It takes some requests to tell that this is what they usually bring.
-    assert!(refused.iter().all(|id| *id < 1000), "{:?} of 2,000", refused.last());
+    assert!(rejected.iter().all(|id| *id < 1000), "{:?} of 2,000", rejected.last());
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! One balancer of the fleet and the names its handles stand for.
 
 use rustc_hash::FxHashMap;
-use sableloom_policy::decide::Balancer;
+use sableloom_policy::Balancer;
 use sableloom_types::settings::{Stats, key_hash, span, stable_hash, time};
 use sableloom_types::{self as d, Action, LoadReport, RequestId, ServerId, Time};
 
--- a/crates/types/tests/settings_keys.rs
+++ b/crates/types/tests/settings_keys.rs
@@ -41,14 +41,19 @@
 }
 
 #[test]
-fn every_key_of_the_settings_json_arrives_in_its_field() {
-    let facts = every_key();
-    assert_eq!((facts.balancers, facts.position, facts.zone), (7, 3, 1));
-    assert_eq!(facts.zones, ["east", "west"]);
-    assert_eq!(facts.machine_types, ["small", "large"]);
-    assert_eq!(facts.tick, 2.5);
-    assert_eq!(facts.registry_mode, RegistryMode::Subscribe);
-    let [balance, redeem, transfer] = &facts.services[..] else { panic!("three classes") };
+fn every_key_of_the_deployment_arrives_in_its_field() {
+    let settings = every_key();
+    assert_eq!((settings.balancers, settings.position, settings.zone), (7, 3, 1));
+    assert_eq!(settings.zones, ["east", "west"]);
+    assert_eq!(settings.machine_types, ["small", "large"]);
+    assert_eq!(settings.tick, 2.5);
+    assert_eq!(settings.registry_mode, RegistryMode::Subscribe);
+}
+
+#[test]
+fn every_key_of_a_class_arrives_in_its_field() {
+    let settings = every_key();
+    let [balance, redeem, transfer] = &settings.services[..] else { panic!("three classes") };
     assert_eq!(
         (&balance.name[..], &redeem.name[..], &transfer.name[..]),
         ("balance", "redeem", "transfer")
@@ -78,21 +83,26 @@
         (balance.dedup_window, redeem.dedup_window, transfer.dedup_window),
         (5001.0, 5002.0, 5003.0)
     );
-    let [tenant] = &facts.tenants[..] else { panic!("one tenant") };
+}
+
+#[test]
+fn every_key_of_the_limits_and_rules_arrives_in_its_field() {
+    let settings = every_key();
+    let [tenant] = &settings.tenants[..] else { panic!("one tenant") };
     assert_eq!((&tenant.name[..], tenant.quota_rps), ("tills", 11.5));
-    let limits = &facts.policy_limits;
+    let limits = &settings.policy_limits;
     assert_eq!((limits.max_attempts, limits.max_open), (5, 1234));
     assert_eq!((limits.connect_timeout, limits.keepalive), (251.0, 15_001.0));
     assert!(limits.hedging && limits.cancelling && limits.health_checks && limits.retry_after);
     assert_eq!(limits.max_retry_after, 1001.0);
-    let safety = &facts.safety;
+    let safety = &settings.safety;
     assert_eq!((safety.poll_interval, safety.drain_grace), (10_001.0, 1002.0));
     assert_eq!((safety.slow_start, safety.slow_start_initial_share), (15_003.0, 0.35));
     assert_eq!((safety.overload_factor, safety.overload_window), (2.5, 2004.0));
-    assert_eq!(facts.prices.cross_zone, 0.02);
-    assert_eq!(facts.stats.how, LoadReportSource::Pull);
-    assert_eq!(facts.stats.names, ["inflight", "latency_ms"]);
-    assert!(facts.family_info.warm_keys);
+    assert_eq!(settings.prices.cross_zone, 0.02);
+    assert_eq!(settings.stats.how, LoadReportSource::Pull);
+    assert_eq!(settings.stats.names, ["inflight", "latency_ms"]);
+    assert!(settings.family_info.warm_keys);
 }
 
 #[test]
