--- a/crates/sableloom/src/serve/plan.rs
+++ b/crates/sableloom/src/serve/plan.rs
@@ -10,7 +10,9 @@
 };
 use sableloom_resources::{Body, RouteRule, ServerEntry, ServerState, TenantLimit};
 use sableloom_routes::{IndexedRoute, MAX_PAIRS_PER_ROUTE, RouteOrder, Rule};
-use sableloom_server_list::{MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer};
+use sableloom_server_list::{
+    MAX_CLOCK_DIFFERENCE_MS, MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer,
+};
 use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
 use sableloom_toml_diagnostics::instead;
@@ -19,9 +21,6 @@
 use super::feed::ServerFeed;
 use super::pools::ServerSource;
 
-/// How far clocks may differ: a server that starts later than that would be cold for good.
-const MAX_CLOCK_DIFFERENCE_MS: f64 = 3_600_000.0;
-
 /// A service's update while it is checked.
 pub(super) struct Planning<'a> {
     applier: &'a ControlApplier,
--- a/crates/server-list/src/lib.rs
+++ b/crates/server-list/src/lib.rs
@@ -23,8 +23,9 @@
 };
 pub use roster::{Roster, RosterChange, RosterServer};
 
-/// How far clocks may differ: a server that starts later than that would be cold for good.
-const FUTURE_MS: f64 = 3_600_000.0;
+/// How far the clocks of two machines may differ, in milliseconds. A start time that is further ahead than that is
+/// rejected: the server would be warming up for good.
+pub const MAX_CLOCK_DIFFERENCE_MS: f64 = 3_600_000.0;
 
 /// What an operator has set for a pool's lists.
 #[derive(Clone, Debug, PartialEq)]
@@ -310,7 +311,7 @@
                 server.address.to_string(),
                 addresses.insert(server.address, file),
             );
-            if server.started_ms.is_some_and(|at| at > unix_ms(now) + FUTURE_MS) {
+            if server.started_ms.is_some_and(|at| at > unix_ms(now) + MAX_CLOCK_DIFFERENCE_MS) {
                 let message = "more than an hour ahead of this machine's clock".to_string();
                 problems.push(server.problem(file, "started", message));
             }
