--- a/crates/testkit/examples/trace_digest/main.rs
+++ b/crates/testkit/examples/trace_digest/main.rs
@@ -10,9 +10,12 @@
 //! Actions are written to the digest by number and value, never by the name of a type, so that a rename does not
 //! show.
 
+mod fleet;
 mod policy;
 mod trace;
 
 fn main() {
     println!("policy        {}", policy::digest());
+    println!("membership    {}", fleet::membership_digest());
+    println!("capacity share  {}", fleet::capacity_share_digest());
 }
