--- a/crates/fleet/src/ask/tests.rs
+++ b/crates/fleet/src/ask/tests.rs
@@ -29,3 +29,32 @@
         assert_eq!(read(other), None);
     }
 }
+
+/// Queries and answers as commit c6abd24 has written them: an operator's tool of another version asks.
+const RECORDED: &str = include_str!("../../tests/data/operator_queries.txt");
+
+fn recorded(name: &str) -> Vec<u8> {
+    let digits = RECORDED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let byte = |pair: &[u8]| {
+        let digits = std::str::from_utf8(pair).expect("digits");
+        u8::from_str_radix(digits, 16).expect("two hexadecimal digits")
+    };
+    digits.expect("a recorded name").as_bytes().chunks(2).map(byte).collect()
+}
+
+#[test]
+fn recorded_queries_and_answers_are_read_and_written_unchanged() {
+    for page in [0, 1, 258] {
+        assert_eq!(asked(&recorded(&format!("query_{page}"))), Some(page));
+    }
+    let text: Vec<u8> = (0..600usize).map(|i| (i % 251) as u8).collect();
+    let mut whole: Vec<u8> = Vec::new();
+    for page in 0..3 {
+        let bytes = recorded(&format!("answer_{page}"));
+        assert_eq!(answer(&text, page), Some(bytes.clone()));
+        let (number, count, part) = read(&bytes).expect("an answer");
+        assert_eq!((number, count), (page, 3));
+        whole.extend(part);
+    }
+    assert_eq!(whole, text);
+}
