--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,7 +1,6 @@
 //! The facade of the policy: takes in what happened, asks the parts in order, and returns the actions.
 
 use oorandom::Rand64;
-use rustc_hash::FxHashMap;
 use sableloom_types::{
     Action, AttemptResult, Endpoint, ListKind, LoadReport, Outcome, PolicySettings,
     PolicySettingsError, Request, RequestId, ServerId, Span, Time,
@@ -10,12 +9,14 @@
 use crate::admission::Admission;
 use crate::capacity::{Capacity, ServerGauge};
 use crate::concurrency_limit::{ConcurrencyLimit, LatencySample};
+use crate::deadlines::Deadlines;
 use crate::endpoints::ServerTable;
 use crate::in_flight::InFlight;
 use crate::list_polling::ListPolling;
 use crate::outlier::ZoneOutliers;
+use crate::presence;
 use crate::queue::RequestQueue;
-use crate::request::{Attempt, AttemptState, OpenRequest};
+use crate::request::{Attempt, AttemptState, EndedAttempt, OpenRequest, OpenRequests};
 use crate::retry::RetryRules;
 use crate::selection::Selection;
 use crate::server::Server;
@@ -26,10 +27,6 @@
 
 /// Token of the housekeeping timer.
 const HOUSEKEEPING: u64 = 1;
-/// A queued request is rejected this many housekeeping intervals before its objective, while a rejection is still
-/// of use to its client.
-const REJECTION_LEAD_IN_INTERVALS: i64 = 2;
-
 /// The decisions of one balancer for one pool of servers. Times that are passed in must not go back.
 #[derive(Debug)]
 pub struct Balancer {
@@ -37,7 +34,7 @@
     rng: Rand64,
     servers: ServerTable,
     zones: ZoneOutliers,
-    requests: FxHashMap<RequestId, OpenRequest>,
+    requests: OpenRequests,
     queue: RequestQueue,
     in_flight: InFlight,
     service_times: ServiceTimes,
@@ -50,14 +47,6 @@
     refreshed: Time,
 }
 
-/// An attempt whose result has come.
-struct EndedAttempt {
-    class: usize,
-    /// Index of its server.
-    server: usize,
-    sent: Time,
-}
-
 impl Balancer {
     /// A balancer that knows its settings and nothing else yet; the seed decides what is drawn by chance.
     ///
@@ -77,7 +66,7 @@
             rng: Rand64::new(u128::from(seed)),
             servers: ServerTable::default(),
             zones: ZoneOutliers::default(),
-            requests: FxHashMap::default(),
+            requests: OpenRequests::default(),
             queue: RequestQueue::new(classes),
             in_flight: InFlight::default(),
             limit: ConcurrencyLimit::new(classes),
@@ -124,17 +113,17 @@
             out.push(Action::Reject { request: request.id, retry_after: Span(0) });
             return;
         }
-        if self.requests.contains_key(&request.id) {
+        if self.requests.contains(request.id) {
             return;
         }
-        let open = self.open_request(now, &request);
-        let queue_deadline = open.queue_deadline;
-        self.requests.insert(request.id, open);
+        let class_mean = self.service_times.class_mean(request.class);
+        let deadlines = Deadlines::new(now, &request, &self.settings, class_mean);
+        self.requests.insert(request.id, OpenRequest::new(&request, &deadlines));
         let within_quota = self.quotas.is_within(now, request.tenant, self.settings.balancers);
         let class = &self.settings.classes[request.class];
-        let class_mean = self.service_times.class_mean(request.class);
         let misses = self.admission.cannot_meet_objective(now, &request, class, class_mean);
-        let in_vain = now >= queue_deadline && !self.is_worth_a_trial(now, &request);
+        let in_vain =
+            deadlines.is_too_late(now) && !self.is_worth_a_trial(now, &request, &deadlines);
         if !self.admits(request.class, within_quota && !misses) || in_vain {
             self.reject(request.id, out);
             return;
@@ -146,52 +135,14 @@
         self.dispatch(now, out);
     }
 
-    /// The state of a request that has just arrived.
-    fn open_request(&self, now: Time, request: &Request) -> OpenRequest {
-        let class = &self.settings.classes[request.class];
-        let objective = self.objective_of(now, request);
-        let valuable_until =
-            if class.late_priority_weight > 0.0 { request.deadline } else { objective };
-        // Also where a late answer keeps some weight a request is queued only while its objective can be met: else,
-        // in lasting overload, the whole queue is served late. Failure: retries with what was left of their first
-        // try's time were forwarded too late; a sixth of all timed out.
-        let shortest = Span::from_micros_f64(self.service_times.class_mean(request.class));
-        let latest = objective.0 - shortest.0;
-        OpenRequest {
-            class: request.class,
-            key: request.key,
-            deadline: request.deadline,
-            valuable_until,
-            queue_deadline: Time(self.rejection_time(objective).0.min(latest)),
-            queued: false,
-            ended: false,
-            attempts: Vec::new(),
-        }
-    }
-
-    /// When the latency objective of a request that arrives now is over, or its deadline if that is earlier.
-    fn objective_of(&self, now: Time, request: &Request) -> Time {
-        let objective = self.settings.classes[request.class].latency_objective;
-        request.deadline.min(now.plus(objective))
-    }
-
-    /// The last moment at which a rejection is still of use before this objective.
-    fn rejection_time(&self, objective: Time) -> Time {
-        let interval = settings::housekeeping_interval(&self.settings).0;
-        Time(objective.0 - REJECTION_LEAD_IN_INTERVALS * interval)
-    }
-
     /// Whether a request that seems to come too late for its objective is tried all the same: one of a class at a
     /// time, where none of the class has time enough, or no answer would ever show otherwise. Failure: after answers
     /// slower than its objective a class was rejected for good, by idle servers.
-    fn is_worth_a_trial(&self, now: Time, request: &Request) -> bool {
+    fn is_worth_a_trial(&self, now: Time, request: &Request, deadlines: &Deadlines) -> bool {
         let class = request.class;
-        let rejection_time = self.rejection_time(self.objective_of(now, request));
-        let shortest = Span::from_micros_f64(self.service_times.class_mean(class));
         let objective = self.settings.classes[class].latency_objective;
-        let usual = objective.min(self.admission.usual_timeout(class));
-        let on_trial = |open: &OpenRequest| open.class == class && open.in_flight();
-        now < rejection_time && shortest >= usual && !self.requests.values().any(on_trial)
+        let usually = objective.min(self.admission.usual_timeout(class));
+        deadlines.rests_on_latency_alone(now, usually) && !self.requests.has_class_in_flight(class)
     }
 
     fn admits(&self, class: usize, full_share: bool) -> bool {
@@ -201,7 +152,7 @@
 
     /// An attempt has ended.
     pub fn attempt_ended(&mut self, now: Time, result: AttemptResult, out: &mut Vec<Action>) {
-        let Some(attempt) = self.close_attempt(&result) else { return };
+        let Some(attempt) = self.requests.close_attempt(&result) else { return };
         self.learn(now, &attempt, &result);
         if result.last || result.outcome == Outcome::Ok {
             self.end(result.request);
@@ -211,21 +162,6 @@
         self.dispatch(now, out);
     }
 
-    /// Notes the outcome in the request; `None` if the attempt is unknown or has ended before.
-    fn close_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
-        let request = self.requests.get_mut(&result.request)?;
-        let attempt = request.attempts.get_mut(result.attempt)?;
-        if attempt.state != AttemptState::InFlight {
-            return None;
-        }
-        attempt.state = if result.outcome.not_executed() {
-            AttemptState::NotExecuted
-        } else {
-            AttemptState::MayHaveExecuted
-        };
-        Some(EndedAttempt { class: request.class, server: attempt.server, sent: attempt.sent })
-    }
-
     /// Takes the result of an attempt into every estimate, and frees its slot.
     fn learn(&mut self, now: Time, attempt: &EndedAttempt, result: &AttemptResult) {
         let latency = result.latency.as_micros_f64();
@@ -286,7 +222,7 @@
 
     /// After an attempt that did not serve the request: queues it for a retry, or answers it.
     fn retry_or_finish(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         if request.ended {
             return self.end(id);
         }
@@ -306,7 +242,7 @@
 
     /// Answers a request that is not served: with a rejection where it may safely be repeated.
     fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         if self.retry_rules().may_reject(request) {
             self.reject(id, out);
         } else {
@@ -316,7 +252,7 @@
     }
 
     fn reject(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let class = self.requests.get(&id).map_or(0, |request| request.class);
+        let class = self.requests.get(id).map_or(0, |request| request.class);
         let open = self.queue.len() + self.in_flight.total();
         let service_time = self.service_times.overall();
         let limits = &self.settings.limits;
@@ -337,20 +273,20 @@
 
     /// Notes that a request has its final answer; it is forgotten once no attempt of it is in flight.
     fn end(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.ended = true;
         if std::mem::take(&mut request.queued) {
             self.queue.left(request.class);
         }
         if !request.in_flight() {
-            self.requests.remove(&id);
+            self.requests.remove(id);
         }
     }
 
     /// Answers requests that were queued for too long.
     fn abandon_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |request: &OpenRequest| request.queued && now >= request.queue_deadline;
-        let is_overdue = |id: &RequestId| self.requests.get(id).is_some_and(overdue);
+        let is_overdue = |id: &RequestId| self.requests.get(*id).is_some_and(overdue);
         let ids: Vec<RequestId> = self.queue.entries().filter(is_overdue).collect();
         for id in ids {
             self.abandon(id, out);
@@ -358,13 +294,13 @@
     }
 
     fn enqueue(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.queued = true;
         self.queue.push(id, request.class);
     }
 
     fn enqueue_retry(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.queued = true;
         self.queue.push_retry(id, request.class);
     }
@@ -378,7 +314,7 @@
             if self.in_flight.total() as f64 >= self.limit.limit().max(1.0) {
                 break;
             }
-            let Some(request) = self.requests.get(&id).filter(|request| request.queued) else {
+            let Some(request) = self.requests.get(id).filter(|request| request.queued) else {
                 self.queue.remove_at(position);
                 continue;
             };
@@ -403,7 +339,7 @@
 
     fn select(&mut self, now: Time, id: RequestId) -> Option<usize> {
         let initial_rate = self.initial_rate();
-        let request = self.requests.get(&id)?;
+        let request = self.requests.get(id)?;
         let selection = Selection {
             now,
             settings: &self.settings,
@@ -421,7 +357,7 @@
         let initial_rate = self.initial_rate();
         let server = &mut self.servers.all_mut()[index];
         self.slow_start.forwarded(now, server, initial_rate);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.queued = false;
         self.queue.left(request.class);
         request.attempts.push(Attempt { server: index, sent: now, state: AttemptState::InFlight });
@@ -470,47 +406,25 @@
         self.refresh(now);
         self.dispatch(now, out);
         let requests = &self.requests;
-        self.servers.forget_gone(|server| requests.values().any(|request| request.tried(server)));
+        self.servers.forget_gone(|server| requests.any_tried(server));
     }
 
     /// Brings up to date what is summed over all servers.
     fn refresh(&mut self, now: Time) {
         for class in 0..self.settings.classes.len() {
-            let mut live = self.servers.live().peekable();
-            let any = live.peek().is_some();
-            let ejected = any && live.all(|server| server.outliers[class].ejects(now));
+            let ejected = self.servers.eject_everywhere(class, now);
             self.queue.set_ejected_everywhere(class, ejected);
         }
         let elapsed = now.since(self.refreshed);
         let slow_start = self.settings.rules.slow_start;
         self.service_times.refresh(self.servers.all_mut(), elapsed, slow_start);
-        self.refresh_presence(now);
+        presence::refresh(self.servers.all_mut(), &self.zones, &self.slow_start, now);
         let initial_rate = self.initial_rate();
         self.slow_start.refresh(now, elapsed, self.servers.all_mut(), initial_rate);
         self.refreshed = now;
         self.refresh_capacity();
     }
 
-    /// How much of each server can be used: one that warms up counts by its share, one that can't be reached not at
-    /// all. Failure: when most servers were new or gone, the limit meant for all went to what was left, which then
-    /// answered hardly anything in time.
-    fn refresh_presence(&mut self, now: Time) {
-        for server in self.servers.all_mut() {
-            let reachable = server.connect_failures.is_reachable();
-            let usable = server.is_live() && reachable && !self.zones.seems_cut_off(server.zone);
-            server.presence = match usable {
-                true => self.slow_start.share(now, server).unwrap_or(1.0),
-                false => 0.0,
-            };
-        }
-        if self.servers.all().iter().all(|server| server.presence == 0.0) {
-            // Nothing tells one from another, and the sum of N must not be zero.
-            for server in self.servers.all_mut() {
-                server.presence = f64::from(u8::from(server.is_live()));
-            }
-        }
-    }
-
     fn refresh_capacity(&mut self) {
         let servers = self.servers.all();
         self.service_times.refresh_round_trip(servers);
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -4,7 +4,7 @@
 use sableloom_types::{Endpoint, EndpointStatus, ServerId, Time};
 
 use crate::server::Server;
-use crate::service_time::ServiceTimeEstimate;
+use crate::service_time_estimate::ServiceTimeEstimate;
 
 /// Servers by index. Indices of servers that were forgotten are used again.
 #[derive(Debug, Default)]
@@ -31,6 +31,12 @@
         self.servers.iter().filter(|server| server.is_live())
     }
 
+    /// Whether there are live servers, and all of them are ejected for a class.
+    pub(crate) fn eject_everywhere(&self, class: usize, now: Time) -> bool {
+        let mut live = self.live().peekable();
+        live.peek().is_some() && live.all(|server| server.outliers[class].ejects(now))
+    }
+
     /// A server by its id, while it is known.
     pub(crate) fn by_id(&self, id: ServerId) -> Option<&Server> {
         Some(&self.servers[*self.by_id.get(&id)?])
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -16,13 +16,16 @@
 //! | `queue` | who is next; which classes are held up |
 //! | `selection` | the server, among those with a free slot |
 //! | `capacity` | `K_i` and `N_i` of a server |
-//! | `service_time` | the estimates of `TP_i` and `TS_i` by server, machine kind and class |
+//! | `service_time`, `service_time_estimate` | the estimates of `TP_i` and `TS_i` by server, machine kind and class |
 //! | `concurrency_limit` | the adaptive limit, raised and lowered by the latency of answers |
 //! | `admission` | the limit on queued plus in flight, priority shares, Retry-After |
+//! | `deadlines` | until when a request is worth queueing |
 //! | `retry` | whether a request may be forwarded again, and whether it may be rejected |
 //! | `outlier` | consecutive failures by server, class and zone; ejection |
+//! | `presence` | how much of each server can be used |
 //! | `slow_start` | the tokens of a server that warms up |
 //! | `tenant_quota` | whether a tenant is within its quota |
+//! | `request` | the state of open requests and of their attempts |
 //! | `in_flight` | the slots in use, also by attempts that timed out |
 //! | `endpoints`, `list_polling` | the servers of the list in force; when the list is polled |
 //!
@@ -51,17 +54,20 @@
 mod balancer;
 mod capacity;
 mod concurrency_limit;
+mod deadlines;
 mod endpoints;
 mod in_flight;
 mod list_polling;
 mod mean;
 mod outlier;
+mod presence;
 mod queue;
 mod request;
 mod retry;
 mod selection;
 mod server;
 mod service_time;
+mod service_time_estimate;
 mod settings;
 mod slow_start;
 mod tenant_quota;
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,6 +1,9 @@
-//! State of an open request and of its attempts.
+//! State of open requests and of their attempts.
 
-use sableloom_types::Time;
+use rustc_hash::FxHashMap;
+use sableloom_types::{AttemptResult, Request, RequestId, Time};
+
+use crate::deadlines::Deadlines;
 
 /// What is known of whether an attempt was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,6 +43,20 @@
 }
 
 impl OpenRequest {
+    /// A request that has just arrived.
+    pub(crate) fn new(request: &Request, deadlines: &Deadlines) -> Self {
+        Self {
+            class: request.class,
+            key: request.key,
+            deadline: request.deadline,
+            valuable_until: deadlines.valuable_until,
+            queue_deadline: deadlines.queue_deadline,
+            queued: false,
+            ended: false,
+            attempts: Vec::new(),
+        }
+    }
+
     /// Whether an attempt of it is in flight.
     pub(crate) fn in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
@@ -55,3 +72,64 @@
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
 }
+
+/// An attempt whose result has come.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EndedAttempt {
+    pub(crate) class: usize,
+    /// Index of its server.
+    pub(crate) server: usize,
+    pub(crate) sent: Time,
+}
+
+/// The open requests by their ids.
+#[derive(Debug, Default)]
+pub(crate) struct OpenRequests {
+    by_id: FxHashMap<RequestId, OpenRequest>,
+}
+
+impl OpenRequests {
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
+        self.by_id.contains_key(&id)
+    }
+
+    pub(crate) fn insert(&mut self, id: RequestId, request: OpenRequest) {
+        self.by_id.insert(id, request);
+    }
+
+    pub(crate) fn remove(&mut self, id: RequestId) {
+        self.by_id.remove(&id);
+    }
+
+    pub(crate) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.by_id.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// Whether an attempt of a request of this class is in flight.
+    pub(crate) fn has_class_in_flight(&self, class: usize) -> bool {
+        self.by_id.values().any(|request| request.class == class && request.in_flight())
+    }
+
+    /// Whether a request that is open was forwarded to this server.
+    pub(crate) fn any_tried(&self, server: usize) -> bool {
+        self.by_id.values().any(|request| request.tried(server))
+    }
+
+    /// Notes the result of an attempt; `None` if the attempt is unknown or has ended before.
+    pub(crate) fn close_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
+        let request = self.by_id.get_mut(&result.request)?;
+        let attempt = request.attempts.get_mut(result.attempt)?;
+        if attempt.state != AttemptState::InFlight {
+            return None;
+        }
+        attempt.state = match result.outcome.not_executed() {
+            true => AttemptState::NotExecuted,
+            false => AttemptState::MayHaveExecuted,
+        };
+        Some(EndedAttempt { class: request.class, server: attempt.server, sent: attempt.sent })
+    }
+}
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -3,7 +3,7 @@
 use sableloom_types::{Endpoint, EndpointStatus, ServerId, Time};
 
 use crate::outlier::{ConnectFailures, OutlierState};
-use crate::service_time::ServiceTimeEstimate;
+use crate::service_time_estimate::ServiceTimeEstimate;
 use crate::token_bucket::TokenBucket;
 
 /// Highest machine kind that is told apart; guards against a table that grows with a wrong index.
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -9,9 +9,8 @@
 
 use crate::mean::Mean;
 use crate::server::Server;
+use crate::service_time_estimate::{MAX_SLOWNESS, Prior};
 
-/// Most answers that a server's own mean rests on: about the last eight count.
-const MAX_OWN_ANSWERS: f64 = 8.0;
 /// What is known of a kind, or of all servers, counts as this many answers of the level below it at most.
 const MAX_PRIOR_ANSWERS: f64 = 4.0;
 /// And as this many at least, however far the servers of a kind differ.
@@ -20,14 +19,6 @@
 const MIN_ANSWERS_FOR_SPREAD: f64 = 4.0;
 /// A timeout shows only that the answer would have taken longer: it counts as this many times as long.
 const TIMEOUT_LATENCY_FACTOR: f64 = 2.0;
-/// An attempt that failed counts as this many mean service times at least, or a server that fails quickly would
-/// look like a fast one and earn slots.
-const MIN_FAILURE_SLOWNESS: f64 = 5.0;
-/// One answer counts as this many mean service times at most: one heavy request condemns no server.
-const MAX_SLOWNESS: f64 = 10.0;
-/// A rejection shows the round-trip time only within this share of the mean service time. Failure: servers that
-/// took 95 ms to reject a class seemed far away, and K went from 4 to 39.
-const QUICK_REJECTION_FRACTION: f64 = 0.25;
 /// A server this many times slower than its kind is suspect: its timeouts tell of itself alone.
 const SUSPECT_SLOWNESS: f64 = 2.0;
 /// Weight of a new answer by which the unloaded latency rises again: what was once quick and no longer is
@@ -38,69 +29,6 @@
 /// Smallest variance between the servers of a kind; keeps a quotient finite.
 const MIN_VARIANCE: f64 = 1e-9;
 
-/// What the answers of one server showed.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct ServiceTimeEstimate {
-    /// The shortest round trip of an answer that did no work, in microseconds: `2*TP`.
-    round_trip: Option<f64>,
-    /// Service time, queueing at the server included, over the mean of all servers for the same class, after
-    /// shrinkage towards the server's kind.
-    slowness: f64,
-    /// The same from its own answers alone.
-    own: Mean,
-}
-
-impl ServiceTimeEstimate {
-    /// Before any answer.
-    pub(crate) const UNKNOWN: Self =
-        Self { round_trip: None, slowness: 1.0, own: Mean::assumed(1.0) };
-
-    /// Slowness, 1 for the mean of all servers.
-    pub(crate) fn slowness(&self) -> f64 {
-        self.slowness
-    }
-
-    /// Lets the next answers replace what was observed; the round trip stays.
-    pub(crate) fn forget_observations(&mut self) {
-        self.own.count = 0.0;
-    }
-
-    /// Takes in the end of an attempt, where `mean` is the mean latency of its class at the server's kind.
-    /// Returns how far a served one lay from those before it, squared.
-    fn observe(&mut self, outcome: Outcome, latency: f64, mean: f64) -> Option<f64> {
-        if outcome == Outcome::Rejected && latency < mean * QUICK_REJECTION_FRACTION {
-            self.round_trip = Some(self.round_trip.map_or(latency, |least| least.min(latency)));
-        }
-        let service = (latency - self.round_trip.unwrap_or(0.0)).max(1.0) / mean;
-        let service = match outcome {
-            Outcome::Ok => service,
-            Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(MIN_FAILURE_SLOWNESS),
-            _ => return None,
-        };
-        let deviation = service.min(MAX_SLOWNESS) - self.own.value;
-        let before = self.own.count;
-        self.own.count = (before + 1.0).min(MAX_OWN_ANSWERS);
-        self.own.value += deviation / self.own.count;
-        let shows_noise = outcome == Outcome::Ok && before >= 1.0;
-        // The mean of so few answers is off by chance as well.
-        shows_noise.then_some(deviation * deviation * before / (before + 1.0))
-    }
-
-    /// Draws the server's own mean towards that of its kind.
-    fn shrink(&mut self, prior: Prior) {
-        self.slowness = (prior.slowness * prior.answers + self.own.value * self.own.count)
-            / (prior.answers + self.own.count);
-    }
-}
-
-/// What is known of a server before its own answers.
-#[derive(Clone, Copy, Debug)]
-struct Prior {
-    slowness: f64,
-    /// How many answers of the server it counts for.
-    answers: f64,
-}
-
 /// What the servers of one machine kind showed.
 #[derive(Debug)]
 struct KindEstimate {
@@ -191,12 +119,12 @@
 
     /// `TS_i` of a server.
     pub(crate) fn service_time(&self, server: &Server) -> f64 {
-        self.overall.value * server.estimate.slowness
+        self.overall.value * server.estimate.slowness()
     }
 
     /// `2*TP_i` of a server.
     pub(crate) fn round_trip(&self, server: &Server) -> f64 {
-        server.estimate.round_trip.unwrap_or(self.round_trip)
+        server.estimate.round_trip().unwrap_or(self.round_trip)
     }
 
     /// How much slower than at other work the servers of this kind are at this class. Failure: of two classes each
@@ -207,7 +135,7 @@
 
     /// Whether a timeout of this server may tell of all servers: it is not much slower than its kind.
     pub(crate) fn is_typical(&self, server: &Server) -> bool {
-        server.estimate.slowness <= self.prior(server.kind).slowness * SUSPECT_SLOWNESS
+        server.estimate.slowness() <= self.prior(server.kind).slowness * SUSPECT_SLOWNESS
     }
 
     /// Takes in a timeout of a typical server, after this long.
@@ -278,8 +206,8 @@
         let remaining = (-elapsed.as_micros_f64() / slow_start.as_micros_f64().max(1.0)).exp();
         let mut spreads = vec![Spread::default(); self.kinds.len()];
         for server in servers.iter_mut() {
-            server.estimate.own.count *= remaining;
-            let own = server.estimate.own;
+            server.estimate.fade(remaining);
+            let own = server.estimate.own();
             let kind = self.kinds.get(server.kind as usize);
             if let Some(kind) = kind.filter(|_| own.count >= MIN_ANSWERS_FOR_SPREAD) {
                 let spread = &mut spreads[server.kind as usize];
@@ -303,7 +231,7 @@
 
     /// Brings the mean round trip up to date.
     pub(crate) fn refresh_round_trip(&mut self, servers: &[Server]) {
-        let observed = || servers.iter().filter_map(|server| server.estimate.round_trip);
+        let observed = || servers.iter().filter_map(|server| server.estimate.round_trip());
         if observed().next().is_some() {
             self.round_trip = observed().sum::<f64>() / observed().count() as f64;
         }
