--- a/crates/fleet-sim/examples/decision.rs
+++ b/crates/fleet-sim/examples/decision.rs
@@ -6,7 +6,10 @@
 use sableloom_fleet_sim::cases;
 use sableloom_fleet_sim::settings::settings;
 use sableloom_policy::Balancer;
-use sableloom_types::*;
+use sableloom_types::{
+    Action, AttemptResult, Endpoint, EndpointStatus, ListKind, LoadReport, Outcome, Request,
+    RequestId, ServerId, Span, Time,
+};
 
 fn member(i: u32) -> Endpoint {
     Endpoint {
--- a/crates/fleet-sim/src/settings.rs
+++ b/crates/fleet-sim/src/settings.rs
@@ -1,6 +1,8 @@
 //! The settings of the simulated balancers (classes, limits and rules), and the work of a request.
 
-use sableloom_types::*;
+use sableloom_types::{
+    AttemptLimits, DedupScope, Idempotency, PolicySettings, RequestClass, SafetyRules, Span,
+};
 
 use crate::case::{Case, MS, S};
 
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -16,7 +16,9 @@
 use oorandom::Rand64;
 use sableloom_emulator::{Completion, Node, kind};
 use sableloom_policy::Balancer;
-use sableloom_types::*;
+use sableloom_types::{
+    Action, Endpoint, EndpointStatus, ListKind, Outcome, PolicySettings, Span, Time,
+};
 use servers::{capacity_of, profile};
 
 use crate::case::{Case, MS, S};
--- a/crates/fleet-sim/src/world/attempts.rs
+++ b/crates/fleet-sim/src/world/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts on the network: over a new or an idle connection, to the server and back.
 
 use sableloom_emulator::{NodeRequest, Phase, noise};
-use sableloom_types::*;
+use sableloom_types::{AttemptResult, LoadReport, Outcome, RequestId, ServerId, Span};
 
 use super::{Attempt, Chooser, DELAY_ACROSS_ZONES, DELAY_WITHIN_ZONE, Event, World};
 use crate::case::{MS, S};
--- a/crates/fleet-sim/src/world/balancers.rs
+++ b/crates/fleet-sim/src/world/balancers.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 
 use sableloom_policy::Balancer;
-use sableloom_types::*;
+use sableloom_types::{
+    Action, Endpoint, EndpointStatus, ListKind, Outcome, PolicySettings, ServerId, Time,
+};
 
 use super::{Attempt, Chooser, Event, Server, World};
 use crate::case::MS;
--- a/crates/fleet-sim/src/world/requests.rs
+++ b/crates/fleet-sim/src/world/requests.rs
@@ -1,7 +1,7 @@
 //! Requests: their arrivals, the baselines that choose servers for them, their ends and retries.
 
 use sableloom_emulator::{Phase, noise};
-use sableloom_types::*;
+use sableloom_types::{EndpointStatus, Request, RequestId, Span, Time};
 
 use super::{BalancerSlot, Chooser, DELAY_ACROSS_ZONES, Event, RequestState, World};
 use crate::case::{Clients, MS};
--- a/crates/fleet-sim/src/world/servers.rs
+++ b/crates/fleet-sim/src/world/servers.rs
@@ -4,7 +4,7 @@
 use sableloom_emulator::{
     AttemptOutcome, Completion, KINDS, Node, NodeCapacity, NodeProfile, Phase, kind,
 };
-use sableloom_types::*;
+use sableloom_types::{Outcome, PolicySettings, Time};
 
 use super::{DELAY_WITHIN_ZONE, Event, World};
 use crate::case::Case;
--- a/crates/testkit/examples/trace_digest/policy.rs
+++ b/crates/testkit/examples/trace_digest/policy.rs
@@ -103,6 +103,10 @@
     actions: Vec<Action>,
     /// Requests a thousand steps, about.
     load: u64,
+    /// Factor on the latency of all servers.
+    slowness: f64,
+    /// Whether some servers can't be reached at all.
+    has_dead_servers: bool,
 }
 
 impl History {
@@ -124,6 +128,8 @@
             timers: Vec::new(),
             actions: Vec::new(),
             load,
+            slowness: [1.0, 0.1, 5.0][(seed / 3) as usize % 3],
+            has_dead_servers: seed % 4 == 2,
         }
     }
 
@@ -134,7 +140,10 @@
     fn play(mut self, trace: &mut Trace) {
         self.policy.start(self.now, &mut self.actions);
         self.list(ListKind::Restored, trace);
-        for _ in 0..STEPS {
+        for step in 0..STEPS {
+            if step == STEPS / 2 {
+                self.slowness *= 2.0;
+            }
             self.now = self.now.plus(Span(self.rng.rand_range(0..2 * MILLISECOND as u64) as i64));
             self.end_due_attempts(trace);
             self.fire_timers(trace);
@@ -281,7 +290,9 @@
             6 => Outcome::Superseded,
             _ => Outcome::Ok,
         };
-        let mean = if server.0 % 2 == 1 { 25.0 } else { 10.0 };
+        let is_dead = self.has_dead_servers && server.0 % 6 == 4;
+        let outcome = if is_dead { Outcome::ConnectFailed } else { outcome };
+        let mean = if server.0 % 2 == 1 { 25.0 } else { 10.0 } * self.slowness;
         let takes = -self.rng.rand_float().max(1e-9).ln() * mean * MILLISECOND as f64;
         let takes = match outcome {
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::Superseded => takes / 20.0,
