--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,24 +1,34 @@
-//! One balancer of the fleet and the names its handles stand for.
+//! One balancer, and the names on the wire that its handles stand for.
 
 use rustc_hash::FxHashMap;
 use sableloom_policy::Balancer;
 use sableloom_types::settings::{Stats, key_hash, span, stable_hash, time};
-use sableloom_types::{self as d, Action, LoadReport, RequestId, ServerId, Time};
+use sableloom_types::{
+    self as types, Action, AttemptResult, Endpoint, EndpointStatus, LoadReport, Outcome,
+    PolicySettingsError, Request, RequestId, ServerId, Time,
+};
 
+use crate::error::MessageError;
 use crate::wire::{self, Command};
 
-fn ms(us: i64) -> f64 {
-    us as f64 / 1000.0
+/// The result code of a health check that was answered.
+const HEALTHY: u16 = 200;
+
+fn milliseconds(micros: i64) -> f64 {
+    micros as f64 / 1000.0
 }
 
 /// A request that may still be named on the wire.
-struct Job {
+struct OpenRequest {
     name: Box<str>,
-    out: usize,
-    over: bool,
+    /// Attempts in flight.
+    in_flight: usize,
+    /// Its final answer is given, or its client has left.
+    ended: bool,
 }
 
-pub struct Instance {
+/// One balancer.
+pub(crate) struct Instance {
     who: u64,
     balancer: Balancer,
     classes: usize,
@@ -26,18 +36,19 @@
     servers: FxHashMap<Box<str>, ServerId>,
     server_names: Vec<Box<str>>,
     by_name: FxHashMap<Box<str>, u64>,
-    jobs: FxHashMap<u64, Job>,
-    next_job: u64,
+    requests: FxHashMap<u64, OpenRequest>,
+    next_request: u64,
     actions: Vec<Action>,
-    members: Vec<d::Endpoint>,
+    endpoints: Vec<Endpoint>,
 }
 
 impl Instance {
-    pub fn new(
+    /// Starts the balancer of an instance.
+    pub(crate) fn new(
         now: Time,
         init: &wire::Init,
         out: &mut Vec<u8>,
-    ) -> Result<Self, d::PolicySettingsError> {
+    ) -> Result<Self, PolicySettingsError> {
         let settings = &init.settings;
         let mut instance = Self {
             who: init.who,
@@ -47,111 +58,128 @@
             servers: FxHashMap::default(),
             server_names: Vec::new(),
             by_name: FxHashMap::default(),
-            jobs: FxHashMap::default(),
-            next_job: 0,
+            requests: FxHashMap::default(),
+            next_request: 0,
             actions: Vec::new(),
-            members: Vec::new(),
+            endpoints: Vec::new(),
         };
         instance.balancer.start(now, &mut instance.actions);
         instance.flush(out);
         Ok(instance)
     }
 
-    pub fn order(&mut self, now: Time, m: &wire::Order, out: &mut Vec<u8>) -> Result<(), String> {
-        if m.tier_class >= self.classes {
-            return Err(format!("field `TierClass`: no class {}", m.tier_class));
+    /// A client has sent a request.
+    pub(crate) fn order(
+        &mut self,
+        now: Time,
+        message: &wire::Order,
+        out: &mut Vec<u8>,
+    ) -> Result<(), MessageError> {
+        if message.tier_class >= self.classes {
+            return Err(MessageError::UnknownClass(message.tier_class));
         }
-        let key = m.object.as_deref();
-        let request = d::Request {
-            id: RequestId(self.next_job),
-            class: m.tier_class,
-            tenant: m.party,
+        let key = message.object.as_deref();
+        let request = Request {
+            id: RequestId(self.next_request),
+            class: message.tier_class,
+            tenant: message.party,
             key: key.map(key_hash),
-            deadline: time(m.deadline),
+            deadline: time(message.deadline),
         };
-        let name: Box<str> = m.job.as_ref().into();
-        self.by_name.insert(name.clone(), self.next_job);
-        self.jobs.insert(self.next_job, Job { name, out: 0, over: false });
-        self.next_job += 1;
+        let name: Box<str> = message.job.as_ref().into();
+        self.by_name.insert(name.clone(), self.next_request);
+        self.requests.insert(self.next_request, OpenRequest { name, in_flight: 0, ended: false });
+        self.next_request += 1;
         self.balancer.request(now, request, &mut self.actions);
         self.flush(out);
         Ok(())
     }
 
-    pub fn result(
+    /// An attempt has ended. One of a request or server that is not known is ignored.
+    pub(crate) fn result(
         &mut self,
         now: Time,
-        m: &wire::Outcome,
+        message: &wire::Outcome,
         out: &mut Vec<u8>,
-    ) -> Result<(), String> {
-        let outcome = outcome(m.rc)?;
+    ) -> Result<(), MessageError> {
+        let outcome = outcome(message.rc)?;
         let (Some(&handle), Some(&server)) =
-            (self.by_name.get(m.job.as_ref()), self.servers.get(m.upstream.as_ref()))
+            (self.by_name.get(message.job.as_ref()), self.servers.get(message.upstream.as_ref()))
         else {
             return Ok(());
         };
-        let answer = d::AttemptResult {
+        let answer = AttemptResult {
             request: RequestId(handle),
-            attempt: m.go,
+            attempt: message.go,
             server,
             outcome,
-            latency: span(m.latency),
-            last: m.last,
-            report: self.report(m.metrics.as_ref()),
+            latency: span(message.latency),
+            last: message.last,
+            report: self.report(message.metrics.as_ref()),
         };
         self.balancer.attempt_ended(now, answer, &mut self.actions);
-        if let Some(job) = self.jobs.get_mut(&handle) {
-            job.out = job.out.saturating_sub(1);
-            job.over |= m.last;
+        if let Some(open) = self.requests.get_mut(&handle) {
+            open.in_flight = open.in_flight.saturating_sub(1);
+            open.ended |= message.last;
         }
         self.flush(out);
         self.forget(handle);
         Ok(())
     }
 
-    pub fn left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
+    /// A client has left.
+    pub(crate) fn client_left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
         let Some(&handle) = self.by_name.get(job) else { return };
         self.balancer.client_gone(now, RequestId(handle), &mut self.actions);
-        self.jobs.entry(handle).and_modify(|j| j.over = true);
+        self.requests.entry(handle).and_modify(|request| request.ended = true);
         self.flush(out);
         self.forget(handle);
     }
 
-    pub fn established(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
+    /// An answer has begun to stream.
+    pub(crate) fn stream_started(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
         let Some(&handle) = self.by_name.get(job) else { return };
         self.balancer.stream_started(now, RequestId(handle), &mut self.actions);
         self.flush(out);
     }
 
-    pub fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
+    /// A timer is due.
+    pub(crate) fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
         self.balancer.timer(now, token, &mut self.actions);
         self.flush(out);
     }
 
-    pub fn sampled(&mut self, m: &wire::Sampled, out: &mut Vec<u8>) {
-        let Some(&server) = self.servers.get(m.upstream.as_ref()) else { return };
-        let report = self.report(m.metrics.as_ref());
-        let ok = m.rc == 200;
-        self.balancer.health_checked(server, ok, span(m.latency), report);
+    /// A health check was answered.
+    pub(crate) fn health_checked(&mut self, message: &wire::Sampled, out: &mut Vec<u8>) {
+        let Some(&server) = self.servers.get(message.upstream.as_ref()) else { return };
+        let report = self.report(message.metrics.as_ref());
+        let healthy = message.rc == HEALTHY;
+        self.balancer.health_checked(server, healthy, span(message.latency), report);
         self.flush(out);
     }
 
-    pub fn membership(&mut self, now: Time, m: &wire::Membership, out: &mut Vec<u8>) {
-        let mut members = std::mem::take(&mut self.members);
-        members.clear();
-        members.extend(m.lines.iter().map(|line| self.member(line)));
-        let kind = match m.kind {
-            wire::ListKind::Update => d::ListKind::Update,
-            wire::ListKind::Replace => d::ListKind::Full,
-            wire::ListKind::Restored => d::ListKind::Restored,
-            wire::ListKind::Unavailable => d::ListKind::Unavailable,
+    /// An endpoint list has come, or a change to it.
+    pub(crate) fn list_changed(
+        &mut self,
+        now: Time,
+        message: &wire::Membership,
+        out: &mut Vec<u8>,
+    ) {
+        let mut endpoints = std::mem::take(&mut self.endpoints);
+        endpoints.clear();
+        endpoints.extend(message.lines.iter().map(|line| self.endpoint(line)));
+        let kind = match message.kind {
+            wire::ListKind::Update => types::ListKind::Update,
+            wire::ListKind::Replace => types::ListKind::Full,
+            wire::ListKind::Restored => types::ListKind::Restored,
+            wire::ListKind::Unavailable => types::ListKind::Unavailable,
         };
-        self.balancer.update_endpoints(now, kind, &members, &mut self.actions);
-        self.members = members;
+        self.balancer.update_endpoints(now, kind, &endpoints, &mut self.actions);
+        self.endpoints = endpoints;
         self.flush(out);
     }
 
-    fn member(&mut self, line: &wire::Line) -> d::Endpoint {
+    fn endpoint(&mut self, line: &wire::Line) -> Endpoint {
         let name = line.upstream.as_ref();
         let id = self.servers.get(name).copied().unwrap_or_else(|| {
             let id = ServerId(self.server_names.len() as u32);
@@ -159,16 +187,16 @@
             self.servers.insert(name.into(), id);
             id
         });
-        d::Endpoint {
+        Endpoint {
             id,
             identity: stable_hash(name),
             zone: line.az,
             kind: line.kind,
             cell: line.pack,
             status: match line.status {
-                wire::Status::Live => d::EndpointStatus::Live,
-                wire::Status::Quiescing => d::EndpointStatus::Draining,
-                wire::Status::Dead => d::EndpointStatus::Gone,
+                wire::Status::Live => EndpointStatus::Live,
+                wire::Status::Quiescing => EndpointStatus::Draining,
+                wire::Status::Dead => EndpointStatus::Gone,
             },
             weight: line.capacity_hint,
             started: (line.online_since > 0.0).then(|| time(line.online_since)),
@@ -180,38 +208,38 @@
         self.stats.report(self.stats.names.iter().map(String::as_str).zip(values.copied()))
     }
 
-    /// Writes the module's actions in its order, each with a comma behind it.
+    /// Writes the actions of the policy in order, each with a comma behind it.
     fn flush(&mut self, out: &mut Vec<u8>) {
         let who = self.who;
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
                 Action::Forward { request, server, timeout } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.out += 1;
+                    let Some(open) = self.requests.get_mut(&request.0) else { continue };
+                    open.in_flight += 1;
                     let upstream = &self.server_names[server.0 as usize];
-                    let allow_for = ms(timeout.0);
-                    write(out, &Command::Relay { who, job: &job.name, upstream, allow_for });
+                    let allow_for = milliseconds(timeout.0);
+                    write(out, &Command::Relay { who, job: &open.name, upstream, allow_for });
                 }
                 Action::Reject { request, retry_after } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.over = true;
-                    let cool_down = ms(retry_after.0);
-                    write(out, &Command::NotNow { who, job: &job.name, cool_down });
+                    let Some(open) = self.requests.get_mut(&request.0) else { continue };
+                    open.ended = true;
+                    let cool_down = milliseconds(retry_after.0);
+                    write(out, &Command::NotNow { who, job: &open.name, cool_down });
                     self.forget(request.0);
                 }
                 Action::Fail { request } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.over = true;
-                    write(out, &Command::FinishError { who, job: &job.name });
+                    let Some(open) = self.requests.get_mut(&request.0) else { continue };
+                    open.ended = true;
+                    write(out, &Command::FinishError { who, job: &open.name });
                     self.forget(request.0);
                 }
                 Action::Cancel { request, attempt } => {
-                    let Some(job) = self.jobs.get(&request.0) else { continue };
-                    write(out, &Command::Retract { who, job: &job.name, go: attempt });
+                    let Some(open) = self.requests.get(&request.0) else { continue };
+                    write(out, &Command::Retract { who, job: &open.name, go: attempt });
                 }
                 Action::SetTimer { token, at } => {
-                    write(out, &Command::Arm { who, token, instant: ms(at.0) });
+                    write(out, &Command::Arm { who, token, instant: milliseconds(at.0) });
                 }
                 Action::CheckHealth { server } => {
                     let upstream = &self.server_names[server.0 as usize];
@@ -223,12 +251,12 @@
         self.actions = actions;
     }
 
-    /// Drops the name of a request that is over and has nothing out.
+    /// Forgets the name of a request that has ended and has no attempt in flight.
     fn forget(&mut self, handle: u64) {
-        if self.jobs.get(&handle).is_some_and(|j| j.over && j.out == 0)
-            && let Some(job) = self.jobs.remove(&handle)
+        if self.requests.get(&handle).is_some_and(|request| request.ended && request.in_flight == 0)
+            && let Some(open) = self.requests.remove(&handle)
         {
-            self.by_name.remove(&job.name);
+            self.by_name.remove(&open.name);
         }
     }
 }
@@ -239,16 +267,17 @@
     out.push(b',');
 }
 
-fn outcome(rc: u16) -> Result<d::Outcome, String> {
-    Ok(match rc {
-        200 => d::Outcome::Ok,
-        500 => d::Outcome::Error,
-        503 => d::Outcome::Rejected,
-        504 => d::Outcome::Timeout,
-        502 => d::Outcome::ConnectFailed,
-        598 => d::Outcome::Reset,
-        499 => d::Outcome::Cancelled,
-        410 => d::Outcome::Superseded,
-        _ => return Err(format!("field `Rc`: no outcome {rc}")),
+/// The outcome that a result code stands for.
+fn outcome(code: u16) -> Result<Outcome, MessageError> {
+    Ok(match code {
+        200 => Outcome::Ok,
+        500 => Outcome::Error,
+        503 => Outcome::Rejected,
+        504 => Outcome::Timeout,
+        502 => Outcome::ConnectFailed,
+        598 => Outcome::Reset,
+        499 => Outcome::Cancelled,
+        410 => Outcome::Superseded,
+        _ => return Err(MessageError::UnknownOutcome(code)),
     })
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The wire's messages, borrowed from the input line.
+//! The messages of the simulator's wire, borrowed from the input line. Types and fields are named as on the wire; times
+//! are in milliseconds.
 
 use std::borrow::Cow;
 
@@ -6,25 +7,28 @@
 use sableloom_types::settings::DeploymentSettings;
 use serde::{Deserialize, Serialize};
 
-pub type Text<'a> = Cow<'a, str>;
+/// A text that is copied only if it contains escapes.
+pub(crate) type Text<'a> = Cow<'a, str>;
 
+/// Messages that were delivered at one time.
 #[derive(Deserialize)]
-pub struct Batch<'a> {
+pub(crate) struct Batch<'a> {
     #[serde(rename = "Ts")]
-    pub ts: f64,
-    pub batch: u64,
+    pub(crate) ts: f64,
+    pub(crate) batch: u64,
     #[serde(borrow)]
-    pub msgs: Vec<Event<'a>>,
+    pub(crate) msgs: Vec<Event<'a>>,
 }
 
 /// Only the number of a batch that could not be read whole.
 #[derive(Deserialize)]
-pub struct BatchNumber {
-    pub batch: u64,
+pub(crate) struct BatchNumber {
+    pub(crate) batch: u64,
 }
 
+/// A message to an instance.
 #[derive(Deserialize)]
-pub enum Event<'a> {
+pub(crate) enum Event<'a> {
     #[serde(borrow)]
     Order(Order<'a>),
     #[serde(borrow)]
@@ -43,146 +47,178 @@
     Down(Down),
 }
 
+impl Event<'_> {
+    /// The number of the instance that the message goes to; `None` for one that starts or ends an instance.
+    pub(crate) fn instance(&self) -> Option<u64> {
+        match self {
+            Event::Order(message) => Some(message.who),
+            Event::Result(message) => Some(message.who),
+            Event::TimeoutFired(message) => Some(message.who),
+            Event::Left(message) => Some(message.who),
+            Event::Membership(message) => Some(message.who),
+            Event::Sampled(message) => Some(message.who),
+            Event::Established(message) => Some(message.who),
+            Event::Memo(message) => Some(message.who),
+            Event::Init(_) | Event::Down(_) => None,
+        }
+    }
+}
+
+/// A client's request.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Order<'a> {
-    pub who: u64,
+pub(crate) struct Order<'a> {
+    pub(crate) who: u64,
     #[serde(borrow)]
-    pub job: Text<'a>,
-    pub tier_class: usize,
+    pub(crate) job: Text<'a>,
+    pub(crate) tier_class: usize,
     #[serde(default)]
-    pub party: usize,
+    pub(crate) party: usize,
     #[serde(borrow, default)]
-    pub object: Option<Text<'a>>,
+    pub(crate) object: Option<Text<'a>>,
     #[serde(rename = "DropDead")]
-    pub deadline: f64,
+    pub(crate) deadline: f64,
 }
 
-pub type Row = ArrayVec<f64, 4>;
+/// Values of a load report, in the order of the settings.
+pub(crate) type Row = ArrayVec<f64, 4>;
 
+/// The end of an attempt.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Outcome<'a> {
-    pub who: u64,
+pub(crate) struct Outcome<'a> {
+    pub(crate) who: u64,
     #[serde(borrow)]
-    pub job: Text<'a>,
-    pub go: usize,
+    pub(crate) job: Text<'a>,
+    pub(crate) go: usize,
     #[serde(borrow)]
-    pub upstream: Text<'a>,
-    pub rc: u16,
-    pub latency: f64,
+    pub(crate) upstream: Text<'a>,
+    pub(crate) rc: u16,
+    pub(crate) latency: f64,
     #[serde(default)]
-    pub last: bool,
+    pub(crate) last: bool,
     #[serde(default)]
-    pub metrics: Option<Row>,
+    pub(crate) metrics: Option<Row>,
 }
 
+/// A timer is due.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct TimeoutFired {
-    pub who: u64,
-    pub token: u64,
+pub(crate) struct TimeoutFired {
+    pub(crate) who: u64,
+    pub(crate) token: u64,
 }
 
+/// A client has left.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Left<'a> {
-    pub who: u64,
+pub(crate) struct Left<'a> {
+    pub(crate) who: u64,
     #[serde(borrow)]
-    pub job: Text<'a>,
+    pub(crate) job: Text<'a>,
 }
 
+/// An answer has begun to stream.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Established<'a> {
-    pub who: u64,
+pub(crate) struct Established<'a> {
+    pub(crate) who: u64,
     #[serde(borrow)]
-    pub job: Text<'a>,
+    pub(crate) job: Text<'a>,
 }
 
+/// A health check was answered.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Sampled<'a> {
-    pub who: u64,
-    pub rc: u16,
-    pub latency: f64,
+pub(crate) struct Sampled<'a> {
+    pub(crate) who: u64,
+    pub(crate) rc: u16,
+    pub(crate) latency: f64,
     #[serde(borrow)]
-    pub upstream: Text<'a>,
+    pub(crate) upstream: Text<'a>,
     #[serde(default)]
-    pub metrics: Option<Row>,
+    pub(crate) metrics: Option<Row>,
 }
 
+/// A message of another instance, which is ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Memo {
-    pub who: u64,
+pub(crate) struct Memo {
+    pub(crate) who: u64,
 }
 
+/// An instance is killed.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Down {
-    pub who: u64,
+pub(crate) struct Down {
+    pub(crate) who: u64,
 }
 
+/// An endpoint list, or a change to it.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Membership<'a> {
-    pub who: u64,
-    pub kind: ListKind,
+pub(crate) struct Membership<'a> {
+    pub(crate) who: u64,
+    pub(crate) kind: ListKind,
     #[serde(borrow, default)]
-    pub lines: Vec<Line<'a>>,
+    pub(crate) lines: Vec<Line<'a>>,
 }
 
+/// What a list contains.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListKind {
+pub(crate) enum ListKind {
     Update,
     Replace,
     Restored,
     Unavailable,
 }
 
+/// An endpoint of a list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Line<'a> {
+pub(crate) struct Line<'a> {
     #[serde(borrow)]
-    pub upstream: Text<'a>,
+    pub(crate) upstream: Text<'a>,
     #[serde(default)]
-    pub az: u32,
+    pub(crate) az: u32,
     #[serde(default, rename = "Type")]
-    pub kind: u32,
+    pub(crate) kind: u32,
     #[serde(default)]
-    pub pack: u32,
-    pub status: Status,
-    #[serde(default = "one")]
-    pub capacity_hint: f64,
+    pub(crate) pack: u32,
+    pub(crate) status: Status,
+    #[serde(default = "unknown_capacity")]
+    pub(crate) capacity_hint: f64,
     #[serde(default)]
-    pub online_since: f64,
+    pub(crate) online_since: f64,
 }
 
-fn one() -> f64 {
+fn unknown_capacity() -> f64 {
     1.0
 }
 
+/// State of an endpoint.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Status {
+pub(crate) enum Status {
     Live,
     Quiescing,
     Dead,
 }
 
+/// An instance starts.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Init {
-    pub who: u64,
-    pub entropy: u64,
+pub(crate) struct Init {
+    pub(crate) who: u64,
+    pub(crate) entropy: u64,
     #[serde(rename = "Facts")]
-    pub settings: DeploymentSettings,
+    pub(crate) settings: DeploymentSettings,
 }
 
+/// An action of an instance.
 #[derive(Serialize)]
-pub enum Command<'a> {
+pub(crate) enum Command<'a> {
     #[serde(rename_all = "PascalCase")]
     Relay { who: u64, job: &'a str, upstream: &'a str, allow_for: f64 },
     #[serde(rename_all = "PascalCase")]
