--- a/crates/msgpack-rpc/src/call.rs
+++ b/crates/msgpack-rpc/src/call.rs
@@ -69,6 +69,10 @@
     }
 
     /// Reads params of the form `[meta, body]`; with `bare`, params of any form are the body.
+    ///
+    /// # Errors
+    ///
+    /// If the params are no array of a map and a body.
     pub fn read(params: &Raw, bare: bool) -> Result<Self, Wrong> {
         let Some(parts) = params.array() else { return wrong("params are no array") };
         if bare {
@@ -143,6 +147,10 @@
 
 impl Served {
     /// Reads a result of the form `[meta, body]`; with `bare`, a result of any form is the body.
+    ///
+    /// # Errors
+    ///
+    /// If the result is no array of a map and a body.
     pub fn read(result: &Raw, bare: bool) -> Result<Self, Wrong> {
         if bare {
             return Ok(Self { fields: Vec::new(), body: Body::Value(result.clone()) });
@@ -214,6 +222,10 @@
 
 impl Failure {
     /// Reads an error of the form `[code, text, may_try_again, come_back_ms]`.
+    ///
+    /// # Errors
+    ///
+    /// If the error is no array of a code, a text, a flag and a delay.
     pub fn read(error: &Raw) -> Result<Self, Wrong> {
         let parts = error.array().unwrap_or_default();
         let [code, text, again, back] = parts.as_slice() else {
--- a/crates/msgpack-rpc/src/decoder.rs
+++ b/crates/msgpack-rpc/src/decoder.rs
@@ -82,6 +82,10 @@
 
     /// The next whole message; `None` if more bytes are needed. After an error the rest of the
     /// connection means nothing, and the error is told again.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no message, or exceed a limit.
     pub fn message(&mut self) -> Result<Option<Message>, Error> {
         if let Some(failed) = self.failed {
             return Err(failed);
--- a/crates/msgpack-rpc/src/raw.rs
+++ b/crates/msgpack-rpc/src/raw.rs
@@ -16,6 +16,10 @@
     }
 
     /// One whole value and nothing behind it.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no value, exceed a limit, or something follows the value.
     pub fn read(bytes: Bytes, limits: &Limits) -> Result<Self, Error> {
         match length(&bytes, limits)? {
             Some(end) if end == bytes.len() => Ok(Self(bytes)),
--- a/crates/msgpack-rpc/tests/codec.rs
+++ b/crates/msgpack-rpc/tests/codec.rs
@@ -63,31 +63,51 @@
     }
 }
 
-#[test]
-fn every_format_has_its_length() {
-    // Each first byte of the specification's table, at its least and, where it has one, more.
+/// Formats of a fixed length: the first byte, and how many bytes follow it.
+const FIXED_LENGTH: [(u8, usize); 15] = [
+    (0xca, 4),
+    (0xcb, 8),
+    (0xcc, 1),
+    (0xcd, 2),
+    (0xce, 4),
+    (0xcf, 8),
+    (0xd0, 1),
+    (0xd1, 2),
+    (0xd2, 4),
+    (0xd3, 8),
+    (0xd4, 2),
+    (0xd5, 3),
+    (0xd6, 5),
+    (0xd7, 9),
+    (0xd8, 17),
+];
+
+/// Formats that state their length: the first byte, the bytes of the length, the bytes of one unit of it, and the
+/// bytes beyond it.
+const STATED_LENGTH: [(u8, usize, usize, usize); 13] = [
+    (0xc4, 1, 1, 0),
+    (0xc5, 2, 1, 0),
+    (0xc6, 4, 1, 0),
+    (0xc7, 1, 1, 1),
+    (0xc8, 2, 1, 1),
+    (0xc9, 4, 1, 1),
+    (0xd9, 1, 1, 0),
+    (0xda, 2, 1, 0),
+    (0xdb, 4, 1, 0),
+    (0xdc, 2, 1, 0),
+    (0xdd, 4, 1, 0),
+    (0xde, 2, 2, 0),
+    (0xdf, 4, 2, 0),
+];
+
+/// A value of each first byte of the specification's table, at its least length and, where it has one, at greater ones.
+fn values_of_every_format() -> Vec<Vec<u8>> {
     let fill = |n: usize| vec![0x61; n];
     let mut values: Vec<Vec<u8>> = Vec::new();
     for small in (0x00..=0x7f).chain([0xc0, 0xc2, 0xc3]).chain(0xe0..=0xff) {
         values.push(vec![small]);
     }
-    for (first, behind) in [
-        (0xca, 4),
-        (0xcb, 8),
-        (0xcc, 1),
-        (0xcd, 2),
-        (0xce, 4),
-        (0xcf, 8),
-        (0xd0, 1),
-        (0xd1, 2),
-        (0xd2, 4),
-        (0xd3, 8),
-        (0xd4, 2),
-        (0xd5, 3),
-        (0xd6, 5),
-        (0xd7, 9),
-        (0xd8, 17),
-    ] {
+    for (first, behind) in FIXED_LENGTH {
         values.push([vec![first], fill(behind)].concat());
     }
     for n in 0..32 {
@@ -97,27 +117,18 @@
         values.push([vec![0x90 + n as u8], fill(n)].concat());
         values.push([vec![0x80 + n as u8], fill(2 * n)].concat());
     }
-    for (first, width, unit, extra) in [
-        (0xc4, 1, 1, 0),
-        (0xc5, 2, 1, 0),
-        (0xc6, 4, 1, 0),
-        (0xc7, 1, 1, 1),
-        (0xc8, 2, 1, 1),
-        (0xc9, 4, 1, 1),
-        (0xd9, 1, 1, 0),
-        (0xda, 2, 1, 0),
-        (0xdb, 4, 1, 0),
-        (0xdc, 2, 1, 0),
-        (0xdd, 4, 1, 0),
-        (0xde, 2, 2, 0),
-        (0xdf, 4, 2, 0),
-    ] {
+    for (first, width, unit, extra) in STATED_LENGTH {
         for n in [0usize, 1, 100] {
             let length = &(n as u32).to_be_bytes()[4 - width..];
             values.push([&[first], length, &fill(n * unit + extra)].concat());
         }
     }
-    for value in &values {
+    values
+}
+
+#[test]
+fn every_format_has_its_length() {
+    for value in &values_of_every_format() {
         let read = Raw::read(Bytes::copy_from_slice(value), &small());
         assert_eq!(read.map(|r| r.bytes().to_vec()), Ok(value.clone()), "{value:02x?}");
         // rmpv reads the same bytes as one value.
--- a/crates/scale-test/src/child.rs
+++ b/crates/scale-test/src/child.rs
@@ -28,6 +28,10 @@
 
 impl LoggedProcess {
     /// Starts a command and waits until it logs where it listens and then a line with all of these in it.
+    ///
+    /// # Errors
+    ///
+    /// If it can't be started, or ends before it is ready.
     pub fn start(command: &mut Command, ready: &[&str]) -> io::Result<Self> {
         let mut process = Self::spawn(command)?;
         process.await_ready(ready)?;
@@ -35,6 +39,10 @@
     }
 
     /// Starts a command, and waits for nothing.
+    ///
+    /// # Errors
+    ///
+    /// If it can't be started.
     pub fn spawn(command: &mut Command) -> io::Result<Self> {
         let started = Instant::now();
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
@@ -51,6 +59,10 @@
     }
 
     /// Waits until it logs where it listens, and a line with all of these in it.
+    ///
+    /// # Errors
+    ///
+    /// If it ends before, or logs no such line in time.
     pub fn await_ready(&mut self, ready: &[&str]) -> io::Result<()> {
         let (mut seen, mut listening, mut is_ready) = (Vec::new(), None, ready.is_empty());
         while listening.is_none() || !is_ready {
--- a/crates/scale-test/src/client.rs
+++ b/crates/scale-test/src/client.rs
@@ -66,6 +66,10 @@
     }
 
     /// One request with its answer.
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails, or the answer is not a success.
     pub async fn request(&self, path: &str, number: usize) -> Result<(), RequestFailure> {
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: scale.test\r\nX-Trace-Id: {number}\r\n\
--- a/crates/scale-test/src/control.rs
+++ b/crates/scale-test/src/control.rs
@@ -23,6 +23,10 @@
 
 impl ControlMachines {
     /// So many over this folder, all started at once; each has read the folder to its end when this returns.
+    ///
+    /// # Errors
+    ///
+    /// If one can't be started.
     pub fn start(sableloom: &Path, folder: &Path, count: usize) -> io::Result<Self> {
         let spawned = (0..count).map(|number| spawn(sableloom, folder, number));
         let mut each = spawned.collect::<io::Result<Vec<_>>>()?;
--- a/crates/scale-test/src/data_path.rs
+++ b/crates/scale-test/src/data_path.rs
@@ -27,6 +27,10 @@
 }
 
 /// Plays it and adds what it finds to the report.
+///
+/// # Errors
+///
+/// If a process or the traffic can't be started.
 pub fn run(
     sableloom: &Path,
     options: &DataPathOptions,
--- a/crates/scale-test/src/distribution.rs
+++ b/crates/scale-test/src/distribution.rs
@@ -106,6 +106,10 @@
 ];
 
 /// Plays it and adds what it finds to the report. `program` is this program, `sableloom` the one under test.
+///
+/// # Errors
+///
+/// If the source, a process or the report can't be started, read or written.
 pub fn run(
     program: &Path,
     sableloom: &Path,
--- a/crates/scale-test/src/lateness.rs
+++ b/crates/scale-test/src/lateness.rs
@@ -37,6 +37,10 @@
 
 impl LatenessProbe {
     /// Starts on the `LocalSet` that it is called on.
+    ///
+    /// # Panics
+    ///
+    /// Outside of a `LocalSet`.
     pub fn start() -> Self {
         let histogram =
             Histogram::new(3).expect("three digits are within the bounds of a histogram");
--- a/crates/scale-test/src/membership.rs
+++ b/crates/scale-test/src/membership.rs
@@ -64,6 +64,10 @@
 }
 
 /// Plays it and adds what it finds to the report.
+///
+/// # Errors
+///
+/// If a process can't be started, or does not answer.
 pub fn run(
     program: &Path,
     options: &MembershipOptions,
--- a/crates/scale-test/src/play.rs
+++ b/crates/scale-test/src/play.rs
@@ -68,6 +68,10 @@
 
 /// Plays all of it. The table is printed and the JSON written after each size, so that a run that is ended shows what
 /// it had reached. An error is one of writing: what could not be played is named in the result.
+///
+/// # Errors
+///
+/// If the result can't be written.
 pub fn run(options: &PlayOptions) -> io::Result<()> {
     let mut play = Play { options, begun: Instant::now(), report: RunReport::default() };
     play.descriptors_suffice();
@@ -85,6 +89,10 @@
 }
 
 /// Plays the data path alone.
+///
+/// # Errors
+///
+/// If the result can't be written.
 pub fn run_data_path(options: &PlayOptions) -> io::Result<()> {
     let mut play = Play { options, begun: Instant::now(), report: RunReport::default() };
     play.data_path();
--- a/crates/scale-test/src/processes.rs
+++ b/crates/scale-test/src/processes.rs
@@ -55,6 +55,10 @@
 
 impl Worker {
     /// Starts this program's worker command.
+    ///
+    /// # Errors
+    ///
+    /// If it can't be started.
     pub fn start(program: &Path) -> Result<Self, WorkerError> {
         let mut command = Command::new(program);
         command.arg("worker").stdin(Stdio::piped()).stdout(Stdio::piped());
@@ -88,6 +92,10 @@
     }
 
     /// Gives it an order.
+    ///
+    /// # Errors
+    ///
+    /// If the worker does not take it.
     pub fn send(&mut self, order: &Order) -> Result<(), WorkerError> {
         let mut line = serde_json::to_vec(order).map_err(io::Error::other)?;
         line.push(b'\n');
@@ -95,6 +103,10 @@
     }
 
     /// Its answer to the first order that has none yet.
+    ///
+    /// # Errors
+    ///
+    /// If it does not answer in time, or answers with an error.
     pub fn receive(&mut self) -> Result<Report, WorkerError> {
         let report = self.reports.recv_timeout(ANSWERS_WITHIN).map_err(|_| WorkerError::Silent)?;
         match report.reply {
@@ -120,6 +132,10 @@
 
 impl Workers {
     /// So many workers of this program.
+    ///
+    /// # Errors
+    ///
+    /// If a worker can't be started.
     pub fn start(program: &Path, count: usize) -> Result<Self, WorkerError> {
         let each = (0..count).map(|_| Worker::start(program)).collect::<Result<_, _>>()?;
         Ok(Self { each, program: program.to_path_buf() })
@@ -131,6 +147,10 @@
     }
 
     /// One worker more.
+    ///
+    /// # Errors
+    ///
+    /// If it can't be started.
     pub fn add(&mut self) -> Result<&mut Worker, WorkerError> {
         let worker = Worker::start(&self.program)?;
         self.each.push(worker);
@@ -138,6 +158,10 @@
     }
 
     /// Gives all the same order, and then waits for all.
+    ///
+    /// # Errors
+    ///
+    /// If a worker does not take the order, or does not answer it in time.
     pub fn ask(&mut self, order: &Order) -> Result<Vec<Report>, WorkerError> {
         self.each.iter_mut().try_for_each(|worker| worker.send(order))?;
         self.each.iter_mut().map(Worker::receive).collect()
--- a/crates/scale-test/src/real.rs
+++ b/crates/scale-test/src/real.rs
@@ -78,6 +78,10 @@
 
 impl RealBalancers {
     /// Starts so many, each with a scope of its own beside the real service.
+    ///
+    /// # Errors
+    ///
+    /// If one can't be started or does not become ready.
     pub fn start(
         sableloom: &Path,
         folder: &Path,
--- a/crates/scale-test/src/requests.rs
+++ b/crates/scale-test/src/requests.rs
@@ -23,6 +23,10 @@
 
 impl RequestRun {
     /// Starts requests through each of the balancers, and as many directly.
+    ///
+    /// # Errors
+    ///
+    /// If the traffic can't be started.
     pub fn start(real: &RealBalancers, servers: &RealServers, seed: u64) -> std::io::Result<Self> {
         let mut streams = real.through();
         streams.extend((0..real.count()).map(|_| servers.direct()));
--- a/crates/scale-test/src/source.rs
+++ b/crates/scale-test/src/source.rs
@@ -98,6 +98,10 @@
     }
 
     /// Writes change files that set everything into a folder; the number of the last one.
+    ///
+    /// # Errors
+    ///
+    /// If a file can't be written.
     pub fn write_base(&self, folder: &Path) -> io::Result<u64> {
         let mut number = 0;
         for first in (0..self.services).step_by(SERVICES_A_FILE) {
@@ -214,6 +218,10 @@
     }
 
     /// Puts it into the folder whole: written aside and renamed.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be written or renamed.
     pub fn write(mut self, folder: &Path) -> io::Result<()> {
         let entries = self.entries;
         let _ = writeln!(self.text, "[end]\nchanges = {entries}");
@@ -229,6 +237,10 @@
 
 impl Folder {
     /// A new one beside other temporary files.
+    ///
+    /// # Errors
+    ///
+    /// If the folder can't be created.
     pub fn new(name: &str) -> io::Result<Self> {
         let path =
             std::env::temp_dir().join(format!("sableloom-scale-{}-{name}", std::process::id()));
@@ -249,6 +261,10 @@
 }
 
 /// Writes a site with all of it, for `serve` without control machines: the way before distribution.
+///
+/// # Errors
+///
+/// If a file can't be written.
 pub fn write_site(source: &Source, folder: &Path, listen: &str) -> io::Result<PathBuf> {
     let mut site = format!(
         "[limits]\nsockets = 4096\nmemory_mb = 1024\n[[listener]]\naddress = \"{listen}\"\n\
--- a/crates/scale-test/src/traffic.rs
+++ b/crates/scale-test/src/traffic.rs
@@ -98,6 +98,10 @@
 
 impl Traffic {
     /// Starts these streams.
+    ///
+    /// # Errors
+    ///
+    /// If the runtime of the streams can't be created.
     pub fn start(streams: Vec<Stream>, seed: u64) -> io::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -15,6 +15,10 @@
 use crate::usage::Usage;
 
 /// Runs until the standard input ends.
+///
+/// # Errors
+///
+/// If the runtime can't be created, or an order can't be read or answered.
 pub fn run() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(orders()))
--- a/crates/stand-ins/src/agent.rs
+++ b/crates/stand-ins/src/agent.rs
@@ -72,6 +72,10 @@
     }
 
     /// Starts an agent on a free loopback port, with this list.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start(members: &[Member]) -> io::Result<(Rc<Self>, SocketAddr)> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
@@ -127,6 +131,10 @@
 }
 
 /// Starts an agent that lists these servers, in one zone, on a thread of its own.
+///
+/// # Errors
+///
+/// If no port can be bound.
 pub fn agent(servers: Vec<(String, SocketAddr)>) -> io::Result<SocketAddr> {
     let member = |(id, address): (String, SocketAddr)| {
         let zone = "a".to_string();
--- a/crates/stand-ins/src/node.rs
+++ b/crates/stand-ins/src/node.rs
@@ -25,6 +25,10 @@
 
 impl Node {
     /// Starts a node on a free loopback port.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start(options: Options) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
--- a/crates/stand-ins/src/shell.rs
+++ b/crates/stand-ins/src/shell.rs
@@ -436,7 +436,7 @@
 }
 
 /// Serves all connections of a listener, as from one sender, until accepting fails.
-pub async fn accept(shell: Rc<Shell>, listener: tokio::net::TcpListener) -> io::Result<()> {
+pub(crate) async fn accept(shell: Rc<Shell>, listener: tokio::net::TcpListener) -> io::Result<()> {
     loop {
         let (stream, _) = listener.accept().await?;
         // Without this, small answers wait for an acknowledgement of the other end.
