--- a/crates/testkit/examples/trace_digest/main.rs
+++ b/crates/testkit/examples/trace_digest/main.rs
@@ -10,9 +10,11 @@
 //! Actions are written to the digest by number and value, never by the name of a type, so that a rename does not
 //! show.
 
+mod distribution;
 mod policy;
 mod trace;
 
 fn main() {
+    println!("distribution  {}", distribution::digest());
     println!("policy        {}", policy::digest());
 }
--- a/crates/testkit/examples/trace_digest/trace.rs
+++ b/crates/testkit/examples/trace_digest/trace.rs
@@ -20,7 +20,6 @@
     }
 
     /// Adds bytes with their length.
-    #[allow(dead_code)] // used by the histories whose actions are encoded messages
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.integer(bytes.len() as i64);
         self.hash.update(bytes);
