--- /dev/null
+++ b/crates/distribution/tests/frames/main.rs
@@ -0,0 +1,53 @@
+//! Frames and the saved state of earlier programs, recorded byte by byte, are read and written as they were.
+
+mod messages;
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+use messages::{publisher_messages, saved_state, subscriber_messages};
+use sableloom_distribution::{FrameReader, Message, SavedState, encode};
+
+/// Lines of a name and of bytes in hexadecimal digits.
+fn recorded(text: &'static str) -> BTreeMap<&'static str, Vec<u8>> {
+    let line = |line: &'static str| {
+        let (name, digits) = line.split_once(' ').expect("a name and digits");
+        let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits");
+        (name, (0..digits.len()).step_by(2).map(byte).collect())
+    };
+    text.lines().map(line).collect()
+}
+
+fn check<M: Message + PartialEq + Debug + Clone>(
+    messages: Vec<(&'static str, M)>,
+    mut recorded: BTreeMap<&'static str, Vec<u8>>,
+) {
+    for (name, message) in messages {
+        let frame = recorded.remove(name).unwrap_or_else(|| panic!("{name} is not recorded"));
+        let mut reader = FrameReader::new();
+        reader.push(&frame);
+        assert_eq!(reader.next(), Ok(Some(message.clone())), "{name} is decoded");
+        assert_eq!(reader.buffered(), 0, "{name} is decoded to its end");
+        assert_eq!(encode(&message), frame, "{name} is encoded");
+    }
+    assert!(recorded.is_empty(), "recorded and not compared: {:?}", recorded.keys());
+}
+
+#[test]
+fn recorded_frames_of_subscribers_decode_and_encode_to_the_same_bytes() {
+    check(subscriber_messages(), recorded(include_str!("../data/subscriber-frames.hex")));
+}
+
+#[test]
+fn recorded_frames_of_publishers_decode_and_encode_to_the_same_bytes() {
+    check(publisher_messages(), recorded(include_str!("../data/publisher-frames.hex")));
+}
+
+#[test]
+fn the_recorded_saved_state_decodes_and_encodes_to_the_same_bytes() {
+    let recorded = recorded(include_str!("../data/saved-state.hex"));
+    let bytes = &recorded["saved-state"];
+    let decoded: SavedState = postcard::from_bytes(bytes).expect("a saved state");
+    assert_eq!(decoded, saved_state());
+    assert_eq!(postcard::to_extend(&saved_state(), Vec::new()).expect("it encodes"), *bytes);
+}
