--- a/crates/testkit/examples/trace_digest/main.rs
+++ b/crates/testkit/examples/trace_digest/main.rs
@@ -11,10 +11,13 @@
 //! show.
 
 mod distribution;
+mod fleet;
 mod policy;
 mod trace;
 
 fn main() {
-    println!("distribution  {}", distribution::digest());
-    println!("policy        {}", policy::digest());
+    println!("policy          {}", policy::digest());
+    println!("membership      {}", fleet::membership_digest());
+    println!("capacity share  {}", fleet::capacity_share_digest());
+    println!("distribution    {}", distribution::digest());
 }
