--- /dev/null
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -0,0 +1,235 @@
+//! The state machine: what is heard of other members in, this process's share out.
+
+use sableloom_types::Time;
+
+use crate::absence_queries::{AbsenceQueries, QueryBudget};
+use crate::member::{Key, NEVER};
+use crate::member_table::MemberTable;
+use crate::probes::ProbeBudget;
+use crate::share::{Share, ShareReason};
+use crate::timing::Timing;
+
+/// One process's share of the servers' capacity, among the members of a list.
+#[derive(Clone, Debug)]
+pub struct CapacityShare {
+    timing: Timing,
+    started: Time,
+    members: MemberTable,
+    resumed: bool,
+    duplicate_identity: bool,
+    queries: QueryBudget,
+    probes: ProbeBudget,
+    /// The key of the member, or the one before the member, that is queried next.
+    next_queried: Key,
+}
+
+impl CapacityShare {
+    /// The share of a process that has just taken its address. `others` are all members of the list but itself.
+    pub fn new(now: Time, others: impl IntoIterator<Item = Key>, timing: Timing) -> Self {
+        let mut members = MemberTable::default();
+        members.update(others);
+        Self {
+            timing,
+            started: now,
+            members,
+            resumed: false,
+            duplicate_identity: false,
+            queries: QueryBudget::new(timing.lease, timing.max_queries),
+            probes: ProbeBudget::new(timing.probe_interval),
+            next_queried: 0,
+        }
+    }
+
+    /// Replaces the list of the other members. What is known of those that stay is kept.
+    pub fn update_members(&mut self, others: impl IntoIterator<Item = Key>) {
+        self.members.update(others);
+    }
+
+    /// Whether a proof of absence that was queried at this time has expired.
+    fn is_expired(&self, now: Time, queried: Time) -> bool {
+        now >= queried.plus(self.timing.lease)
+    }
+
+    /// When the start wait ends.
+    fn wait_ends(&self) -> Time {
+        self.started.plus(self.timing.start_wait())
+    }
+
+    /// How many members this process still waits for.
+    fn waiting_for(&self, now: Time) -> usize {
+        if now >= self.wait_ends() { 0 } else { self.members.unconfirmed() }
+    }
+
+    /// A datagram has come from a member's address, whatever it says. That proves nothing, and only ever makes the
+    /// share smaller: a proof of absence that is older has ended.
+    pub fn heard(&mut self, now: Time, key: Key) {
+        self.members.change(key, |member| {
+            member.last_heard = now;
+            member.absent_since = NEVER;
+        });
+    }
+
+    /// A member has acknowledged this very process, and stated the length of its list.
+    pub fn acknowledged(&mut self, now: Time, key: Key, list_length: u16) {
+        self.heard(now, key);
+        self.members.change(key, |member| {
+            member.cannot_hold_stale_proof = true;
+            member.list_length = list_length;
+        });
+    }
+
+    /// A member's system has answered the query of this time that no process holds its address. Returns whether that
+    /// is new: no proof against this member held before.
+    pub fn proved_absent(&mut self, key: Key, queried: Time) -> bool {
+        let started = self.started;
+        let changed = self.members.change(key, |member| {
+            let before = member.absent_since;
+            member.cannot_hold_stale_proof |= queried >= started;
+            // A datagram that came since is from a process that has started since.
+            if member.last_heard < queried {
+                member.absent_since = before.max(queried);
+                member.list_length = 0;
+            }
+            (before, member.absent_since)
+        });
+        changed.is_some_and(|(before, after)| after != NEVER && self.is_expired(queried, before))
+    }
+
+    /// Whether this process was suspended and has heard too few members since. Proofs from before it was suspended
+    /// are dropped: the members may have started in the meantime.
+    pub fn set_resumed(&mut self, resumed: bool) {
+        self.resumed = resumed;
+        if resumed {
+            self.members.forget_proofs();
+        }
+    }
+
+    /// Another process acts under this one's name.
+    pub fn set_duplicate_identity(&mut self) {
+        self.duplicate_identity = true;
+    }
+
+    /// Queries begin at this key. Processes that began at the same one would all query the same few members.
+    pub fn start_queries_at(&mut self, key: Key) {
+        self.next_queried = key;
+    }
+
+    /// The key from which members are queried next: where there are too many to query, each has its turn.
+    pub fn next_queried(&self) -> Key {
+        self.next_queried
+    }
+
+    /// The other members in the order in which they are queried.
+    pub fn query_order(&self) -> impl Iterator<Item = Key> {
+        self.members.round_from(self.next_queried).map(|member| member.key)
+    }
+
+    /// The absence queries to send now: about the first of these candidates that may be queried, `max` at most.
+    pub fn query_absence(
+        &mut self,
+        now: Time,
+        max: usize,
+        candidates: impl IntoIterator<Item = Key>,
+    ) -> AbsenceQueries {
+        let interval = self.timing.query_interval;
+        self.queries.expire(now);
+        let mut queries = AbsenceQueries { to: Vec::new(), retry_at: now.plus(interval) };
+        let paced = self.queries.remaining_this_second(now, self.members.is_short());
+        let max = paced.min(max);
+        for key in candidates {
+            if self.queries.is_spent() || queries.to.len() == max {
+                break;
+            }
+            let Some(last) = self.members.get(key).map(|member| member.last_queried) else {
+                continue;
+            };
+            if now.since(last) < interval {
+                queries.retry_at = queries.retry_at.min(last.plus(interval));
+                continue;
+            }
+            self.members.change(key, |member| member.last_queried = now);
+            self.queries.spend(now);
+            queries.to.push(key);
+            self.next_queried = key.wrapping_add(1);
+        }
+        if self.queries.is_spent()
+            && let Some(frees_at) = self.queries.frees_at()
+        {
+            queries.retry_at = queries.retry_at.max(frees_at);
+        }
+        queries
+    }
+
+    /// The members to probe now: those that have not acknowledged this process, as long as it waits for them.
+    pub fn due_probes(&mut self, now: Time) -> Vec<Key> {
+        let lease = self.timing.lease;
+        self.members.discard_proofs(|queried| now >= queried.plus(lease));
+        if self.waiting_for(now) == 0 {
+            return Vec::new();
+        }
+        let interval = self.timing.probe_interval;
+        let max = self.probes.remaining(now);
+        let due = self.members.probe_order().take_while(|(last, _)| now.since(*last) >= interval);
+        let probed: Vec<Key> = due.take(max).map(|(_, key)| key).collect();
+        self.probes.spend(probed.len());
+        for key in &probed {
+            self.members.change(*key, |member| member.last_probed = now);
+        }
+        probed
+    }
+
+    /// When the first proof that holds will expire.
+    fn first_expiry(&self, now: Time) -> Option<Time> {
+        let mut valid =
+            self.members.proof_times().filter(|queried| !self.is_expired(now, *queried));
+        valid.next().map(|queried| queried.plus(self.timing.lease))
+    }
+
+    /// How many members are proved absent.
+    pub fn absent_members(&self, now: Time) -> usize {
+        let expired =
+            self.members.proof_times().take_while(|queried| self.is_expired(now, *queried));
+        self.members.proof_count() - expired.count()
+    }
+
+    /// The length of the longest list that this process knows of, its own included: where lists differ, the longer
+    /// one holds, as the members that a shorter one lacks act too.
+    pub fn longest_list(&self) -> u32 {
+        let own = self.members.len() as u32 + 1;
+        own.max(u32::from(self.members.longest_list()))
+    }
+
+    /// The share now.
+    pub fn share(&self, now: Time) -> Share {
+        let factor = if self.duplicate_identity { 2 } else { 1 };
+        let longest = self.longest_list();
+        let balancers_after = longest * factor;
+        let waiting_for = self.waiting_for(now);
+        if waiting_for > 0 {
+            let (until, reason) = (Some(self.wait_ends()), ShareReason::Waiting(waiting_for));
+            return Share { balancers: 0, until, balancers_after, reason };
+        }
+        let acting = longest.saturating_sub(self.absent_members(now) as u32).max(1);
+        let reason = match (self.duplicate_identity, self.resumed) {
+            (true, _) => ShareReason::DuplicateIdentity,
+            (_, true) => ShareReason::Resumed,
+            _ => ShareReason::Sharing,
+        };
+        let until = self.first_expiry(now);
+        Share { balancers: acting * factor, until, balancers_after, reason }
+    }
+
+    /// When the share may change by itself, or a member may be queried or probed again, if nothing happens before.
+    pub fn next_wakeup(&self, now: Time) -> Time {
+        let waits = self.waiting_for(now) > 0;
+        let wait_ends = waits.then(|| self.wait_ends());
+        let first =
+            self.first_expiry(now).into_iter().chain(wait_ends).filter(|at| *at > now).min();
+        let interval = if waits { self.timing.probe_interval } else { self.timing.query_interval };
+        let again = now.plus(interval);
+        first.map_or(again, |at| at.min(again))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/capacity-share/src/capacity_share/tests.rs
@@ -0,0 +1,78 @@
+use std::collections::BTreeSet;
+
+use oorandom::Rand64;
+use sableloom_types::Span;
+
+use super::*;
+use crate::member::Member;
+
+/// What the indexes say is what a look at all members says.
+fn check_indexes(share: &CapacityShare, now: Time, seed: u128) {
+    let members = || share.members.iter();
+    let is_absent = |member: &&Member| !share.is_expired(now, member.absent_since);
+    assert_eq!(share.absent_members(now), members().filter(is_absent).count(), "seed {seed}");
+    let unconfirmed: BTreeSet<(Time, Key)> = members().filter_map(Member::unconfirmed).collect();
+    assert_eq!(
+        (share.members.unconfirmed(), share.members.probe_order().collect::<BTreeSet<_>>()),
+        (unconfirmed.len(), unconfirmed),
+        "seed {seed}"
+    );
+    let own = share.members.len() as u32 + 1;
+    let longest = members().map(|member| u32::from(member.list_length)).fold(own, u32::max);
+    assert_eq!(share.longest_list(), longest, "seed {seed}");
+    let first = members().filter(is_absent).map(|member| member.absent_since).min();
+    if share.waiting_for(now) == 0 {
+        let until = first.map(|queried| queried.plus(share.timing.lease));
+        assert_eq!(share.share(now).until, until, "seed {seed}");
+    }
+}
+
+#[test]
+fn indexes_agree_with_a_look_at_all_members() {
+    for seed in 0..200u128 {
+        let mut rng = Rand64::new(seed);
+        let mut share = CapacityShare::new(Time(0), 1..30, Timing::default());
+        let mut now = Time(0);
+        for _ in 0..300 {
+            now = now.plus(Span(rng.rand_range(0..300_000) as i64));
+            let key = rng.rand_range(0..32) as u32;
+            match rng.rand_range(0..16) {
+                0 => share.set_resumed(true),
+                1 => share.set_resumed(false),
+                2 => {
+                    let first = rng.rand_range(0..10) as u32;
+                    share.update_members(first..first + 20);
+                }
+                3 | 4 => {
+                    share.due_probes(now);
+                }
+                5 | 6 => share.heard(now, key),
+                7 | 8 => share.acknowledged(now, key, rng.rand_range(0..40) as u16),
+                _ => {
+                    share.proved_absent(key, Time(now.0 - rng.rand_range(0..2_500_000) as i64));
+                }
+            }
+            check_indexes(&share, now, seed);
+        }
+    }
+}
+
+/// A process that starts sends no more probes than these, however many members are on its list and however often it is
+/// called; with a list that is too long to probe all members in time, it probes none.
+#[test]
+fn probes_are_bounded_for_every_list_length() {
+    let timing = Timing::default();
+    for (others, most) in [(47, 47), (512, 64), (513, 0), (7599, 0)] {
+        let mut share = CapacityShare::new(Time(0), 1..=others, timing);
+        for interval in 0..20 {
+            let mut probes = 0;
+            for event in 0..50 {
+                let now = Time(interval * timing.probe_interval.0 + event * 1000);
+                probes += share.due_probes(now).len();
+            }
+            assert_eq!(probes, most, "{others} others");
+        }
+        // It acts all the same, once no proof against it can hold any more.
+        assert_eq!(share.share(Time(timing.start_wait().0)).balancers, others + 1);
+    }
+}
--- /dev/null
+++ b/crates/capacity-share/src/member_table.rs
@@ -0,0 +1,166 @@
+//! The other members of the list, with indexes: no call goes over all of them but an update of the list.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use sableloom_types::Time;
+
+use crate::member::{Key, Member, NEVER};
+
+/// The longest list whose members are all probed by a process that waits, and whose absence queries are not paced.
+/// A wait ends early only if all members have acknowledged the process; of more than this, not all can be probed
+/// twice within it, and the probes would be wasted.
+const MAX_PROBED_MEMBERS: usize = 512;
+
+/// The other members of the list.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct MemberTable {
+    /// In the order of their keys.
+    members: Vec<Member>,
+    /// How many may hold a stale proof.
+    unconfirmed: usize,
+    /// Those of them that are probed, by the time of the last probe. Empty in a long list.
+    probe_order: BTreeSet<(Time, Key)>,
+    /// Proofs of absence by the time of their queries. Expired ones stay until they are discarded.
+    proofs: BTreeSet<(Time, Key)>,
+    /// How many members say that their lists have this length.
+    list_lengths: BTreeMap<u16, usize>,
+}
+
+impl MemberTable {
+    /// Replaces the list. What is known of members that stay is kept.
+    pub(crate) fn update(&mut self, keys: impl IntoIterator<Item = Key>) {
+        let before = std::mem::take(&mut self.members);
+        let before: HashMap<Key, Member> =
+            before.into_iter().map(|member| (member.key, member)).collect();
+        let known = |key: Key| before.get(&key).copied().unwrap_or(Member::new(key));
+        self.members = keys.into_iter().map(known).collect();
+        self.members.sort_unstable_by_key(|member| member.key);
+        self.members.dedup_by_key(|member| member.key);
+        self.rebuild_indexes();
+    }
+
+    fn rebuild_indexes(&mut self) {
+        let unconfirmed = self.members.iter().filter_map(Member::unconfirmed);
+        self.unconfirmed = unconfirmed.clone().count();
+        self.probe_order = if self.is_short() { unconfirmed.collect() } else { BTreeSet::new() };
+        self.proofs = self.members.iter().filter_map(Member::proof).collect();
+        self.list_lengths.clear();
+        for member in &self.members {
+            *self.list_lengths.entry(member.list_length).or_default() += 1;
+        }
+    }
+
+    /// Whether the list is short enough for all members to be probed.
+    pub(crate) fn is_short(&self) -> bool {
+        self.members.len() <= MAX_PROBED_MEMBERS
+    }
+
+    /// How many there are.
+    pub(crate) fn len(&self) -> usize {
+        self.members.len()
+    }
+
+    fn position(&self, key: Key) -> Option<usize> {
+        self.members.binary_search_by_key(&key, |member| member.key).ok()
+    }
+
+    /// A member, if it is on the list.
+    pub(crate) fn get(&self, key: Key) -> Option<&Member> {
+        self.position(key).map(|position| &self.members[position])
+    }
+
+    /// Changes what is known of a member, if it is on the list.
+    pub(crate) fn change<R>(
+        &mut self,
+        key: Key,
+        change: impl FnOnce(&mut Member) -> R,
+    ) -> Option<R> {
+        let position = self.position(key)?;
+        let member = &mut self.members[position];
+        let before = *member;
+        let result = change(member);
+        let after = *member;
+        self.update_indexes(&before, &after);
+        Some(result)
+    }
+
+    fn update_indexes(&mut self, before: &Member, after: &Member) {
+        if before.unconfirmed() != after.unconfirmed() {
+            self.unconfirmed += usize::from(!after.cannot_hold_stale_proof);
+            self.unconfirmed -= usize::from(!before.cannot_hold_stale_proof);
+            before.unconfirmed().map(|entry| self.probe_order.remove(&entry));
+            self.probe_order.extend(after.unconfirmed().filter(|_| self.is_short()));
+        }
+        if before.absent_since != after.absent_since {
+            before.proof().map(|entry| self.proofs.remove(&entry));
+            self.proofs.extend(after.proof());
+        }
+        if before.list_length != after.list_length {
+            if let Some(count) = self.list_lengths.get_mut(&before.list_length) {
+                *count -= 1;
+                if *count == 0 {
+                    self.list_lengths.remove(&before.list_length);
+                }
+            }
+            *self.list_lengths.entry(after.list_length).or_default() += 1;
+        }
+    }
+
+    /// How many may hold a stale proof.
+    pub(crate) fn unconfirmed(&self) -> usize {
+        self.unconfirmed
+    }
+
+    /// Members that are probed, the one whose last probe is longest ago first.
+    pub(crate) fn probe_order(&self) -> impl Iterator<Item = (Time, Key)> {
+        self.probe_order.iter().copied()
+    }
+
+    /// When the proofs of absence were queried, the oldest first. Expired ones may be among them.
+    pub(crate) fn proof_times(&self) -> impl Iterator<Item = Time> {
+        self.proofs.iter().map(|(queried, _)| *queried)
+    }
+
+    /// How many proofs of absence there are. Expired ones may be among them.
+    pub(crate) fn proof_count(&self) -> usize {
+        self.proofs.len()
+    }
+
+    /// Discards proofs from the oldest on, as long as they have expired.
+    pub(crate) fn discard_proofs(&mut self, is_expired: impl Fn(Time) -> bool) {
+        while let Some((queried, _)) = self.proofs.first()
+            && is_expired(*queried)
+        {
+            self.proofs.pop_first();
+        }
+    }
+
+    /// Forgets all proofs.
+    pub(crate) fn forget_proofs(&mut self) {
+        // Proofs that were discarded before are no longer in the index. They have expired and hold nothing.
+        let proofs = std::mem::take(&mut self.proofs);
+        for (_, key) in proofs {
+            if let Some(position) = self.position(key) {
+                self.members[position].absent_since = NEVER;
+            }
+        }
+    }
+
+    /// The greatest length of a list that any member states; 0 if there are no members.
+    pub(crate) fn longest_list(&self) -> u16 {
+        self.list_lengths.last_key_value().map_or(0, |(length, _)| *length)
+    }
+
+    /// All members, in the order of their keys.
+    #[cfg(test)]
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Member> {
+        self.members.iter()
+    }
+
+    /// All members from this key on, in the order of their keys, and then those before it.
+    pub(crate) fn round_from(&self, key: Key) -> impl Iterator<Item = &Member> {
+        let first = self.members.partition_point(|member| member.key < key);
+        let (before, from) = self.members.split_at(first);
+        from.iter().chain(before)
+    }
+}
--- a/crates/capacity-share/tests/rules.rs
+++ b/crates/capacity-share/tests/rules.rs
@@ -1,7 +1,7 @@
-//! The rules of parts, one by one. That the parts add up whatever happens is shown in simulation by the
-//! crate that joins them with the members' talk.
+//! The rules of shares, one by one. That shares add up to one at most in every schedule is shown in simulation by
+//! the crate `fleet`, which joins them with the membership protocol.
 
-use sableloom_capacity_share::{Part, Standing, Times, Why};
+use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_types::{Span, Time};
 
 const S: i64 = 1_000_000;
@@ -10,193 +10,204 @@
     Time((seconds * S as f64) as i64)
 }
 
-/// One of `n`, which all others have spoken to.
-fn known(n: u16) -> Standing {
-    let mut standing = Standing::new(at(0.0), 1..u32::from(n), Times::default());
-    (1..n).for_each(|key| standing.spoke(at(0.1), key.into(), n));
-    standing
+/// The share of one of `n` members, which all others have acknowledged.
+fn acknowledged_by_all(n: u16) -> CapacityShare {
+    let mut share = CapacityShare::new(at(0.0), 1..u32::from(n), Timing::default());
+    (1..n).for_each(|key| share.acknowledged(at(0.1), key.into(), n));
+    share
 }
 
-fn number(standing: &Standing, now: f64) -> (u32, Why) {
-    let part = standing.part(at(now));
-    (part.balancers, part.why)
+fn balancers_and_reason(share: &CapacityShare, now: f64) -> (u32, ShareReason) {
+    let current = share.share(at(now));
+    (current.balancers, current.reason)
 }
 
-/// Whom it asks of these, all of whom are to be asked after.
-fn ask(standing: &mut Standing, now: f64, which: impl Fn(u32) -> bool) -> Vec<u32> {
-    let of: Vec<u32> = standing.in_turn().filter(|key| which(*key)).collect();
-    standing.ask(at(now), usize::MAX, of).to
+/// The members that are queried, of those that are candidates.
+fn query(share: &mut CapacityShare, now: f64, is_candidate: impl Fn(u32) -> bool) -> Vec<u32> {
+    let candidates: Vec<u32> = share.query_order().filter(|key| is_candidate(*key)).collect();
+    share.query_absence(at(now), usize::MAX, candidates).to
 }
 
 #[test]
-fn alone_on_the_list_it_has_all() {
-    let alone = Standing::new(at(0.0), [], Times::default());
-    assert_eq!(number(&alone, 0.0), (1, Why::Shares));
+fn a_member_alone_on_its_list_has_all_capacity() {
+    let alone = CapacityShare::new(at(0.0), [], Timing::default());
+    assert_eq!(balancers_and_reason(&alone, 0.0), (1, ShareReason::Sharing));
 }
 
 #[test]
-fn it_has_no_part_until_all_have_spoken_or_their_proofs_are_over() {
-    let times = Times::default();
-    let mut standing = Standing::new(at(0.0), 1..4, times);
-    assert_eq!(number(&standing, 0.0), (0, Why::Waits(3)));
-    standing.spoke(at(0.1), 1, 4);
-    standing.sign(at(0.1), 2);
-    assert_eq!(number(&standing, 0.1), (0, Why::Waits(2)), "a sign of life is no word to it");
-    standing.spoke(at(0.2), 2, 4);
-    assert_eq!(number(&standing, 0.2), (0, Why::Waits(1)));
-    let wait = times.wait().as_micros_f64() / 1e6;
+fn no_share_until_all_have_acknowledged_or_the_start_wait_is_over() {
+    let timing = Timing::default();
+    let mut share = CapacityShare::new(at(0.0), 1..4, timing);
+    assert_eq!(balancers_and_reason(&share, 0.0), (0, ShareReason::Waiting(3)));
+    share.acknowledged(at(0.1), 1, 4);
+    share.heard(at(0.1), 2);
+    assert_eq!(
+        balancers_and_reason(&share, 0.1),
+        (0, ShareReason::Waiting(2)),
+        "a datagram that acknowledges nothing"
+    );
+    share.acknowledged(at(0.2), 2, 4);
+    assert_eq!(balancers_and_reason(&share, 0.2), (0, ShareReason::Waiting(1)));
+    let wait = timing.start_wait().as_micros_f64() / 1e6;
     assert!(
-        wait > times.claim.as_micros_f64() / 1e6 * 1.2,
+        wait > timing.lease.as_micros_f64() / 1e6 * 1.2,
         "a clock 10% slow against one 10% fast: {wait}"
     );
-    assert_eq!(number(&standing, wait - 0.001).0, 0);
-    assert_eq!(number(&standing, wait), (4, Why::Shares));
-    // One that is proved not to act holds no proofs.
-    let mut standing = Standing::new(at(0.0), 1..3, times);
-    standing.spoke(at(0.1), 1, 3);
-    standing.refused(2, at(0.05));
-    assert_eq!(number(&standing, 0.1), (2, Why::Shares));
+    assert_eq!(balancers_and_reason(&share, wait - 0.001).0, 0);
+    assert_eq!(balancers_and_reason(&share, wait), (4, ShareReason::Sharing));
+    // A member that is proved absent holds no proofs.
+    let mut share = CapacityShare::new(at(0.0), 1..3, timing);
+    share.acknowledged(at(0.1), 1, 3);
+    share.proved_absent(2, at(0.05));
+    assert_eq!(balancers_and_reason(&share, 0.1), (2, ShareReason::Sharing));
 }
 
 #[test]
-fn a_proof_makes_the_part_larger_for_as_long_as_it_holds() {
-    let mut standing = known(4);
-    assert_eq!(number(&standing, 0.2), (4, Why::Shares));
-    assert!(standing.refused(2, at(0.3)), "it is news");
-    let part = standing.part(at(0.4));
-    assert_eq!((part.balancers, part.until, part.after), (3, Some(at(2.3)), 4));
-    // Whoever does not look again in time has the part of all.
-    assert_eq!((part.share(at(2.29)), part.share(at(2.3))), (1.0 / 3.0, 0.25));
-    assert!(!standing.refused(2, at(0.9)), "it was known");
-    assert_eq!(number(&standing, 2.8).0, 3, "it was renewed");
-    // An answer that comes late is as old as its question.
-    standing.refused(3, at(0.5));
-    assert_eq!(number(&standing, 2.8).0, 3);
-    assert_eq!(number(&standing, 2.9).0, 4);
+fn a_proof_of_absence_makes_the_share_larger_for_one_lease() {
+    let mut share = acknowledged_by_all(4);
+    assert_eq!(balancers_and_reason(&share, 0.2), (4, ShareReason::Sharing));
+    assert!(share.proved_absent(2, at(0.3)), "the proof is new");
+    let current = share.share(at(0.4));
+    assert_eq!((current.balancers, current.until, current.balancers_after), (3, Some(at(2.3)), 4));
+    // A process that does not look again in time shares with all members.
+    assert_eq!((current.fraction(at(2.29)), current.fraction(at(2.3))), (1.0 / 3.0, 0.25));
+    assert!(!share.proved_absent(2, at(0.9)), "it was known before");
+    assert_eq!(balancers_and_reason(&share, 2.8).0, 3, "it was renewed");
+    // An answer that comes late is as old as its query.
+    share.proved_absent(3, at(0.5));
+    assert_eq!(balancers_and_reason(&share, 2.8).0, 3);
+    assert_eq!(balancers_and_reason(&share, 2.9).0, 4);
 }
 
 #[test]
-fn whoever_shows_itself_has_its_part_back_at_once() {
-    let mut standing = known(4);
-    standing.refused(2, at(0.3));
-    standing.sign(at(0.5), 2);
-    assert_eq!(number(&standing, 0.5).0, 4);
-    // A question from before it showed itself is not answered by it.
-    standing.refused(2, at(0.45));
-    standing.refused(2, at(0.5));
-    assert_eq!(number(&standing, 0.6).0, 4);
-    standing.refused(2, at(0.7));
-    assert_eq!(number(&standing, 0.8).0, 3, "it is gone again");
+fn a_datagram_ends_the_proof_of_absence_at_once() {
+    let mut share = acknowledged_by_all(4);
+    share.proved_absent(2, at(0.3));
+    share.heard(at(0.5), 2);
+    assert_eq!(balancers_and_reason(&share, 0.5).0, 4);
+    // An answer to a query from before the datagram proves nothing.
+    share.proved_absent(2, at(0.45));
+    share.proved_absent(2, at(0.5));
+    assert_eq!(balancers_and_reason(&share, 0.6).0, 4);
+    share.proved_absent(2, at(0.7));
+    assert_eq!(balancers_and_reason(&share, 0.8).0, 3, "it is absent again");
 }
 
 #[test]
-fn one_that_woke_believes_nothing_that_it_believed() {
-    let mut standing = known(4);
-    standing.refused(2, at(0.3));
-    standing.woke(true);
-    assert_eq!(number(&standing, 0.5), (4, Why::Woken));
-    standing.woke(false);
-    assert_eq!(number(&standing, 0.5), (4, Why::Shares));
+fn a_resumed_process_drops_its_proofs() {
+    let mut share = acknowledged_by_all(4);
+    share.proved_absent(2, at(0.3));
+    share.set_resumed(true);
+    assert_eq!(balancers_and_reason(&share, 0.5), (4, ShareReason::Resumed));
+    share.set_resumed(false);
+    assert_eq!(balancers_and_reason(&share, 0.5), (4, ShareReason::Sharing));
 }
 
 #[test]
-fn a_twin_has_half() {
-    let mut standing = known(4);
-    standing.twin();
-    assert_eq!(number(&standing, 0.5), (8, Why::Twin));
+fn a_duplicate_identity_halves_the_share() {
+    let mut share = acknowledged_by_all(4);
+    share.set_duplicate_identity();
+    assert_eq!(balancers_and_reason(&share, 0.5), (8, ShareReason::DuplicateIdentity));
 }
 
 #[test]
-fn where_lists_differ_the_longer_holds() {
-    let mut standing = known(3);
-    standing.spoke(at(0.3), 1, 7);
-    assert_eq!(number(&standing, 0.3).0, 7);
-    // Of one that is gone nothing counts, neither its part nor what it said.
-    standing.refused(1, at(0.4));
-    assert_eq!(number(&standing, 0.5).0, 2);
-    // Who is added takes its part at once.
-    standing.refused(1, at(5.0));
-    standing.list(1..10);
-    let part = standing.part(at(5.1));
-    assert_eq!((part.balancers, part.after), (9, 10));
-    standing.list([5]);
-    assert_eq!(number(&standing, 5.2).0, 2, "who is removed for good leaves it");
-    // Whoever is added to the list of one that has just started may hold a proof against it.
-    let mut standing = known(2);
-    standing.list(1..3);
-    assert_eq!(number(&standing, 0.3), (0, Why::Waits(1)));
+fn the_longest_list_counts_where_lists_differ() {
+    let mut share = acknowledged_by_all(3);
+    share.acknowledged(at(0.3), 1, 7);
+    assert_eq!(balancers_and_reason(&share, 0.3).0, 7);
+    // An absent member counts for nothing, and neither does the list length that it stated.
+    share.proved_absent(1, at(0.4));
+    assert_eq!(balancers_and_reason(&share, 0.5).0, 2);
+    // A member that is added takes its share at once.
+    share.proved_absent(1, at(5.0));
+    share.update_members(1..10);
+    let current = share.share(at(5.1));
+    assert_eq!((current.balancers, current.balancers_after), (9, 10));
+    share.update_members([5]);
+    assert_eq!(
+        balancers_and_reason(&share, 5.2).0,
+        2,
+        "members that are removed leave their shares"
+    );
+    // A member that is added within the start wait may hold a proof against this process.
+    let mut share = acknowledged_by_all(2);
+    share.update_members(1..3);
+    assert_eq!(balancers_and_reason(&share, 0.3), (0, ShareReason::Waiting(1)));
 }
 
 #[test]
-fn questions_are_few_and_everyone_has_a_turn() {
-    let times = Times { questions: 10, ..Times::default() };
-    let mut standing = Standing::new(at(0.0), 1..31, times);
-    assert_eq!(ask(&mut standing, 0.0, |key| key % 2 == 0).len(), 10);
-    assert_eq!(ask(&mut standing, 1.9, |key| key % 2 == 0), Vec::<u32>::new(), "none is left");
-    let mut asked: Vec<u32> = Vec::new();
+fn queries_stay_within_their_budget_and_reach_every_member() {
+    let timing = Timing { max_queries: 10, ..Timing::default() };
+    let mut share = CapacityShare::new(at(0.0), 1..31, timing);
+    assert_eq!(query(&mut share, 0.0, |key| key % 2 == 0).len(), 10);
+    assert_eq!(query(&mut share, 1.9, |key| key % 2 == 0), Vec::<u32>::new(), "none is left");
+    let mut queried: Vec<u32> = Vec::new();
     let mut now = 0.0;
     for _ in 0..2 {
         now += 2.0;
-        asked.extend(ask(&mut standing, now, |key| key % 2 == 0));
+        queried.extend(query(&mut share, now, |key| key % 2 == 0));
     }
-    asked.sort_unstable();
-    asked.dedup();
-    assert_eq!(asked.len(), 15, "{asked:?}");
-    // The same one not before its time.
-    let mut standing = known(3);
-    assert_eq!(ask(&mut standing, 1.0, |_| true), [1, 2]);
-    assert_eq!(ask(&mut standing, 1.49, |_| true), Vec::<u32>::new());
-    assert_eq!(ask(&mut standing, 1.5, |_| true), [1, 2]);
+    queried.sort_unstable();
+    queried.dedup();
+    assert_eq!(queried.len(), 15, "{queried:?}");
+    // One member is queried again only after the interval.
+    let mut share = acknowledged_by_all(3);
+    assert_eq!(query(&mut share, 1.0, |_| true), [1, 2]);
+    assert_eq!(query(&mut share, 1.49, |_| true), Vec::<u32>::new());
+    assert_eq!(query(&mut share, 1.5, |_| true), [1, 2]);
 }
 
-/// Of a long list few are asked in any second, and each has its turn; of a short one all at once.
+/// About a long list few queries are sent in any second, and each member has its turn; about a short one all at once.
 #[test]
-fn questions_about_a_long_list_are_paced() {
-    let times = Times { claim: Span(60 * S), ..Times::default() };
-    let mut standing = Standing::new(at(0.0), 1..7600, times);
-    let mut asked: Vec<(f64, u32)> = Vec::new();
+fn queries_about_a_long_list_are_paced() {
+    let timing = Timing { lease: Span(60 * S), ..Timing::default() };
+    let mut share = CapacityShare::new(at(0.0), 1..7600, timing);
+    let mut queried: Vec<(f64, u32)> = Vec::new();
     for step in 0..1000 {
         let now = f64::from(step) / 50.0;
-        asked
-            .extend(ask(&mut standing, now, |key| key % 19 == 0).into_iter().map(|key| (now, key)));
+        queried
+            .extend(query(&mut share, now, |key| key % 19 == 0).into_iter().map(|key| (now, key)));
     }
-    for (from, _) in &asked {
-        let within = asked.iter().filter(|(now, _)| now >= from && *now < from + 1.0).count();
+    for (from, _) in &queried {
+        let within = queried.iter().filter(|(now, _)| now >= from && *now < from + 1.0).count();
         assert!(within <= 32, "{within} from {from} on");
     }
-    let mut who: Vec<u32> = asked.iter().map(|(_, key)| *key).collect();
-    who.sort_unstable();
-    who.dedup();
-    assert_eq!(who.len(), 399, "each that is missing had its turn");
-    let mut standing = Standing::new(at(0.0), 1..512, Times::default());
-    assert_eq!(ask(&mut standing, 0.0, |_| true).len(), 511);
+    let mut distinct: Vec<u32> = queried.iter().map(|(_, key)| *key).collect();
+    distinct.sort_unstable();
+    distinct.dedup();
+    assert_eq!(distinct.len(), 399, "each missing member had its turn");
+    let mut share = CapacityShare::new(at(0.0), 1..512, Timing::default());
+    assert_eq!(query(&mut share, 0.0, |_| true).len(), 511);
 }
 
-/// Parts of lists of any length never overflow, and are never more than all.
+/// Shares of lists of any length never overflow, and are never more than all.
 #[test]
-fn a_part_is_never_more_than_all() {
+fn a_share_is_never_more_than_all_capacity() {
     let mut rng = oorandom::Rand64::new(5);
     for _ in 0..2000 {
         let n = 1 + rng.rand_range(0..40) as u32;
-        let mut standing =
-            Standing::new(Time(0), 1..n, Times { claim: Span(S), ..Times::default() });
+        let mut share =
+            CapacityShare::new(Time(0), 1..n, Timing { lease: Span(S), ..Timing::default() });
         let mut now = Time(0);
         for _ in 0..60 {
             now = now.plus(Span(rng.rand_range(0..400_000) as i64));
             let key = rng.rand_range(0..45) as u32;
             match rng.rand_range(0..5) {
-                0 => standing.sign(now, key),
-                1 => standing.spoke(now, key, rng.rand_range(0..65_536) as u16),
-                2 => standing.woke(rng.rand_range(0..2) == 0),
+                0 => share.heard(now, key),
+                1 => share.acknowledged(now, key, rng.rand_range(0..65_536) as u16),
+                2 => share.set_resumed(rng.rand_range(0..2) == 0),
                 _ => {
-                    standing.refused(key, Time(now.0 - rng.rand_range(0..1_500_000) as i64));
+                    share.proved_absent(key, Time(now.0 - rng.rand_range(0..1_500_000) as i64));
                 }
             }
-            let Part { balancers, until, after, why } = standing.part(now);
-            assert!(after >= n && (balancers <= after), "{balancers} {after}");
-            assert!(balancers > 0 || matches!(why, Why::Waits(_)));
+            let Share { balancers, until, balancers_after, reason } = share.share(now);
+            assert!(
+                balancers_after >= n && (balancers <= balancers_after),
+                "{balancers} {balancers_after}"
+            );
+            assert!(balancers > 0 || matches!(reason, ShareReason::Waiting(_)));
             assert!(until.is_none_or(|until| until > now), "an end in the past");
-            assert!(standing.next(now) > now, "it would be called for ever");
+            assert!(share.next_wakeup(now) > now, "its timer would fire for ever");
         }
     }
 }
--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -85,7 +85,7 @@
             fleet: "points".to_string(),
             own: name(i),
             talk: Default::default(),
-            part: Default::default(),
+            share: Default::default(),
         };
         let core = Core::new(&setup, life, listed.clone(), seed, now);
         Member { core, time: Duration::ZERO, events: 0, received: 0 }
@@ -107,7 +107,7 @@
         fleet: "points".to_string(),
         own: name(i),
         talk: Default::default(),
-        part: Default::default(),
+        share: Default::default(),
     };
     let before = resident_bytes();
     let members: Vec<Core> =
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use sableloom_capacity_share::{Part, Standing};
+use sableloom_capacity_share::{CapacityShare, Share, Timing};
 use sableloom_membership::{Change, Fleet, Key, MemberList, Out as Said, Standing as Place};
 use sableloom_types::{Span, Time};
 
@@ -26,8 +26,8 @@
     pub own: String,
     /// Times of the talk.
     pub talk: sableloom_membership::Times,
-    /// Times of the part.
-    pub part: sableloom_capacity_share::Times,
+    /// Intervals of capacity shares.
+    pub share: Timing,
 }
 
 /// What is to be done.
@@ -48,8 +48,8 @@
 #[derive(Debug)]
 pub struct Core {
     members: Fleet,
-    standing: Standing,
-    part: Part,
+    capacity_share: CapacityShare,
+    share: Share,
     now: Time,
     pace: QuestionPace,
     /// Nobody of uncertain life can be asked after before, unless the view changes.
@@ -60,13 +60,14 @@
     /// A member whose process has just taken its address. `life` is greater than that of the process before.
     /// Whether the list names it itself makes no difference; members of one process may share it.
     pub fn new(setup: &Setup, life: u32, list: Arc<MemberList>, seed: u64, now: Time) -> Self {
-        let Setup { fleet, own, talk, part } = setup;
+        let Setup { fleet, own, talk, share } = setup;
         let members = Fleet::new(fleet, own, life, list, *talk, seed, now);
-        let mut standing = Standing::new(now, members.peers().map(|peer| peer.key), *part);
-        standing.first_asked(seed as Key);
+        let mut capacity_share =
+            CapacityShare::new(now, members.peers().map(|peer| peer.key), *share);
+        capacity_share.start_queries_at(seed as Key);
         let pace = QuestionPace::new(now, seed);
-        let part = standing.part(now);
-        Self { members, standing, part, now, pace, questions_due: now }
+        let share = capacity_share.share(now);
+        Self { members, capacity_share, share, now, pace, questions_due: now }
     }
 
     /// It begins: all are called and, where nobody answers, their systems are asked.
@@ -79,7 +80,7 @@
     pub fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut Out) {
         let whose = self.members.at(from);
         if let Some(key) = whose {
-            self.standing.sign(now, key);
+            self.capacity_share.heard(now, key);
         }
         self.talk(now, out, |members, said| members.datagram(now, from, bytes, said));
         let counted = |key: &Key| {
@@ -87,21 +88,21 @@
             (peer.heard == Some(now)).then_some((peer.key, peer.listed))
         };
         if let Some((key, listed)) = whose.as_ref().and_then(counted) {
-            self.standing.spoke(now, key, listed);
-            self.part = self.standing.part(now);
+            self.capacity_share.acknowledged(now, key, listed);
+            self.share = self.capacity_share.share(now);
         }
     }
 
     /// A member's system has said that no process holds its address; it was asked at this time.
     pub fn refused(&mut self, now: Time, of: Key, asked: Time, out: &mut Out) {
-        let news = self.standing.refused(of, asked);
+        let news = self.capacity_share.proved_absent(of, asked);
         self.talk(now, out, |members, said| members.refused(now, of, asked, said));
         if news {
             // Who is gone is seldom gone alone. Without this half of a fleet that died in one moment was
             // found out one by one, at the pace of probes that doubt of oneself had made slow.
             let members = &self.members;
             let heard = |key: &Key| members.known(*key).and_then(|peer| peer.heard);
-            let in_turn = self.standing.in_turn().take(LOOKED_AT);
+            let in_turn = self.capacity_share.query_order().take(LOOKED_AT);
             let silent = in_turn.filter(|key| heard(key).is_none_or(|heard| heard < asked));
             let silent: Vec<Key> = silent.collect();
             self.ask(now, ALSO, silent, out);
@@ -116,12 +117,13 @@
     /// The operators' list is this from now on.
     pub fn list(&mut self, now: Time, list: Arc<MemberList>, out: &mut Out) {
         let own = self.members.own();
-        self.standing.list(list.members().iter().map(|(key, _)| *key).filter(|key| *key != own));
+        self.capacity_share
+            .update_members(list.members().iter().map(|(key, _)| *key).filter(|key| *key != own));
         self.talk(now, out, |members, said| {
             members.list(now, list, said);
             members.greet(now, said);
         });
-        self.part = self.standing.part(now);
+        self.share = self.capacity_share.share(now);
     }
 
     /// The digest of the lists of servers that are in force here from now on.
@@ -140,9 +142,9 @@
         let mut said = Said::default();
         what(&mut self.members, &mut said);
         if said.changes.contains(&Change::DuplicateIdentity) {
-            self.standing.twin();
+            self.capacity_share.set_duplicate_identity();
         }
-        self.standing.woke(self.members.standing() == Place::JustWoken);
+        self.capacity_share.set_resumed(self.members.standing() == Place::JustWoken);
         out.datagrams.append(&mut said.datagrams);
         if !said.changes.is_empty() {
             self.questions_due = now;
@@ -150,18 +152,19 @@
         let doubted = self.doubted_by_itself(&said.changes);
         out.changes.append(&mut said.changes);
         let mut called = Said::default();
-        let calls = self.standing.call(now);
+        let calls = self.capacity_share.due_probes(now);
         calls.into_iter().for_each(|key| self.members.call(key, &mut called));
         out.datagrams.append(&mut called.datagrams);
         if !doubted.is_empty() {
             self.put(now, usize::MAX, doubted, out);
         }
         if now >= self.questions_due {
-            let unsure = self.members.unsure_from(self.standing.next_asked()).take(MAX_UNSURE);
+            let unsure =
+                self.members.unsure_from(self.capacity_share.next_queried()).take(MAX_UNSURE);
             let unsure: Vec<Key> = unsure.collect();
             self.questions_due = self.ask(now, usize::MAX, unsure, out);
         }
-        self.part = self.standing.part(now);
+        self.share = self.capacity_share.share(now);
     }
 
     /// Those whom this member is the first to doubt, as its own probe failed. It asks after them whatever the pace:
@@ -193,22 +196,22 @@
     }
 
     fn put(&mut self, now: Time, most: usize, of: Vec<Key>, out: &mut Out) -> Time {
-        let asked = self.standing.ask(now, most, of);
+        let asked = self.capacity_share.query_absence(now, most, of);
         self.members.questioned(now, asked.to.len());
         let members = &self.members;
         let at = asked.to.into_iter().filter_map(|key| Some((key, members.listed(key)?.address)));
         out.knocks.extend(at);
-        asked.again_at
+        asked.retry_at
     }
 
     /// When it has to be called next.
     pub fn next(&self) -> Time {
-        self.members.next().min(self.standing.next(self.now))
+        self.members.next().min(self.capacity_share.next_wakeup(self.now))
     }
 
-    /// The part, as it was when it was last called. [`Part::share`] says what is left of it at a time.
-    pub fn part(&self) -> Part {
-        self.part
+    /// The part, as it was when it was last called. [`Share::fraction`] says what is left of it at a time.
+    pub fn share(&self) -> Share {
+        self.share
     }
 
     /// The members' talk.
@@ -217,8 +220,8 @@
     }
 
     /// What the part is made of.
-    pub fn standing(&self) -> &Standing {
-        &self.standing
+    pub fn capacity_share(&self) -> &CapacityShare {
+        &self.capacity_share
     }
 
     /// A member's name.
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sableloom_capacity_share::{Part, Why};
+use sableloom_capacity_share::{Share, ShareReason};
 use sableloom_exchange::{Clock, Task};
 use sableloom_membership::{Change, KNOCK, Key, Listed, MAX_PAGE, MemberList, Standing as Place};
 use sableloom_types::Time;
@@ -51,7 +51,7 @@
 /// What is told as it happens.
 pub trait Told {
     /// The part has changed.
-    fn part(&self, part: Part);
+    fn share(&self, share: Share);
     /// Something for the log.
     fn line(&self, line: &str);
 }
@@ -84,7 +84,7 @@
     setup: Setup,
     clock: Clock,
     told: Rc<dyn Told>,
-    last: RefCell<Part>,
+    last: RefCell<Share>,
     changed: Notify,
     questions: Semaphore,
     /// A place for each that is out or waits.
@@ -102,8 +102,8 @@
         let Options { setup, address, operator, list, life, seed, clock, told } = options;
         let socket = UdpSocket::bind(address).await?;
         let core = Core::new(&setup, life, list, seed, clock.now());
-        let part = core.part();
-        told.part(part);
+        let share = core.share();
+        told.share(share);
         let running = Rc::new(Self {
             core: RefCell::new(core),
             socket,
@@ -111,7 +111,7 @@
             setup,
             clock,
             told,
-            last: RefCell::new(part),
+            last: RefCell::new(share),
             changed: Notify::new(),
             questions: Semaphore::new(QUESTIONS_OUT),
             questions_waiting: Semaphore::new(QUESTIONS_OUT + QUESTIONS_WAITING),
@@ -131,8 +131,8 @@
         self.address
     }
 
-    /// Its part now.
-    pub fn part(&self) -> Part {
+    /// Its share now.
+    pub fn share(&self) -> Share {
         *self.last.borrow()
     }
 
@@ -207,18 +207,18 @@
 
     fn call(self: &Rc<Self>, what: impl FnOnce(&mut Core, Time, &mut Out)) {
         let mut out = Out::default();
-        let part = {
+        let share = {
             let mut core = self.core.borrow_mut();
             what(&mut core, self.clock.now(), &mut out);
-            core.part()
+            core.share()
         };
         self.say(&out.changes);
-        let before = self.last.replace(part);
-        if before != part {
-            if (before.balancers, before.why) != (part.balancers, part.why) {
-                self.told.line(&format!("part: {}", told(part)));
+        let before = self.last.replace(share);
+        if before != share {
+            if (before.balancers, before.reason) != (share.balancers, share.reason) {
+                self.told.line(&format!("part: {}", told(share)));
             }
-            self.told.part(part);
+            self.told.share(share);
         }
         // Only now: whoever is answered that it is known may act on that at once.
         for (to, bytes) in &out.datagrams {
@@ -302,11 +302,13 @@
     }
 }
 
-fn told(part: Part) -> String {
-    match (part.balancers, part.why) {
-        (0, Why::Waits(n)) => format!("none until {n} others have spoken or their proofs are over"),
-        (n, Why::Woken) => format!("1 of {n}, having woken"),
-        (n, Why::Twin) => format!("1 of {n}, beside a twin"),
+fn told(share: Share) -> String {
+    match (share.balancers, share.reason) {
+        (0, ShareReason::Waiting(n)) => {
+            format!("none until {n} others have spoken or their proofs are over")
+        }
+        (n, ShareReason::Resumed) => format!("1 of {n}, having woken"),
+        (n, ShareReason::DuplicateIdentity) => format!("1 of {n}, beside a twin"),
         (n, _) => format!("1 of {n}"),
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,6 +1,6 @@
 //! What a member says of itself and of the fleet, for operators and for tests.
 
-use sableloom_capacity_share::Why;
+use sableloom_capacity_share::ShareReason;
 use sableloom_membership::{Health, Refused, Standing as Place};
 use sableloom_types::Time;
 use serde::{Deserialize, Serialize};
@@ -103,7 +103,7 @@
     /// A member's status now.
     pub fn of(core: &Core, fleet: &str, own: &str, now: Time) -> Self {
         let members = core.members();
-        let part = core.part();
+        let share = core.share();
         let there = members.count_there() + 1;
         let left = members.count_left();
         let ago = |at: Time| now.since(at).0 / 1000;
@@ -148,14 +148,14 @@
             of: members.count() + 1 - left,
             doubt: members.doubt(),
             part: PartStatus {
-                balancers: part.balancers,
-                listed: core.standing().listed(),
-                absent: core.standing().absent(now),
-                why: match part.why {
-                    Why::Waits(_) => "waits",
-                    Why::Shares => "shares",
-                    Why::Woken => "woken",
-                    Why::Twin => "twin",
+                balancers: share.balancers,
+                listed: core.capacity_share().longest_list(),
+                absent: core.capacity_share().absent_members(now),
+                why: match share.reason {
+                    ShareReason::Waiting(_) => "waits",
+                    ShareReason::Sharing => "shares",
+                    ShareReason::Resumed => "woken",
+                    ShareReason::DuplicateIdentity => "twin",
                 }
                 .to_string(),
             },
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use sableloom_capacity_share::Times;
+use sableloom_capacity_share::Timing;
 use sableloom_fleet::{Core, Out, Setup};
 use sableloom_membership::{
     Body, Change, Listed, MAX_BYTES_A_SECOND, MemberList, Times as Talk, decode, key_of,
@@ -81,7 +81,7 @@
             fleet: "points".to_string(),
             own: name(i),
             talk: Talk::default(),
-            part: Times::default(),
+            share: Timing::default(),
         };
         let core = Core::new(&setup, life, list.clone(), seed, now);
         Member { core, kinds: BTreeMap::new() }
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 use std::hash::{DefaultHasher, Hasher};
 
-use sableloom_capacity_share::{Part, Standing, Times};
+use sableloom_capacity_share::{CapacityShare, Share, Timing};
 use sableloom_types::{Span, Time};
 
 const N: usize = 3;
@@ -14,16 +14,22 @@
 const ON_THE_WAY: usize = 3;
 
 /// A proof holds for two steps of time, and one that starts waits for three.
-fn times() -> Times {
-    let times = Times { claim: Span(2), again: Span(0), call: Span(0), questions: 100, drift: 0.2 };
-    assert_eq!(times.wait(), Span(3));
+fn times() -> Timing {
+    let times = Timing {
+        lease: Span(2),
+        query_interval: Span(0),
+        probe_interval: Span(0),
+        max_queries: 100,
+        clock_drift: 0.2,
+    };
+    assert_eq!(times.start_wait(), Span(3));
     times
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    standing: Standing,
-    told: Part,
+    standing: CapacityShare,
+    told: Share,
     life: u32,
 }
 
@@ -67,18 +73,18 @@
     fn starts(&mut self, i: usize) {
         self.lives += 1;
         let others = (0..N as u32).filter(|k| *k != i as u32);
-        let standing = Standing::new(self.now(), others, times());
-        let told = standing.part(self.now());
+        let standing = CapacityShare::new(self.now(), others, times());
+        let told = standing.share(self.now());
         self.members[i] = Some(Member { standing, told, life: self.lives });
     }
 
     /// The process of this life, if it still runs, is called and looks at its part.
-    fn with(&mut self, i: usize, life: Option<u32>, what: impl FnOnce(&mut Standing, Time)) {
+    fn with(&mut self, i: usize, life: Option<u32>, what: impl FnOnce(&mut CapacityShare, Time)) {
         let now = self.now();
         let member = self.members[i].as_mut();
         if let Some(member) = member.filter(|m| life.is_none_or(|life| m.life == life)) {
             what(&mut member.standing, now);
-            member.told = member.standing.part(now);
+            member.told = member.standing.share(now);
         }
     }
 
@@ -88,7 +94,7 @@
                 if self.members[to].is_some() {
                     self.with(to, None, |standing, now| {
                         if without != Without::Signs {
-                            standing.sign(now, from as u32);
+                            standing.heard(now, from as u32);
                         }
                     });
                     self.way.push(Datagram::Word { from: to, to: from, meant: life });
@@ -96,8 +102,10 @@
             }
             Datagram::Word { from, to, meant } => {
                 let n = N as u16;
-                self.with(to, Some(meant), |standing, now| standing.spoke(now, from as u32, n));
-                self.with(to, None, |standing, now| standing.sign(now, from as u32));
+                self.with(to, Some(meant), |standing, now| {
+                    standing.acknowledged(now, from as u32, n)
+                });
+                self.with(to, None, |standing, now| standing.heard(now, from as u32));
             }
             Datagram::Knock { from, life, to, asked } => {
                 if self.members[to].is_none() {
@@ -107,7 +115,7 @@
             Datagram::Refused { to, life, of, asked } => {
                 let asked = Time(asked);
                 self.with(to, Some(life), |standing, _| {
-                    standing.refused(of as u32, asked);
+                    standing.proved_absent(of as u32, asked);
                 });
             }
         }
@@ -154,9 +162,11 @@
 
     fn sum(&self, without: Without) -> f64 {
         let share = |member: &Member| match without {
-            Without::Ends => Part { until: None, ..member.told }.share(self.now()),
-            Without::Waiting if member.told.balancers == 0 => 1.0 / f64::from(member.told.after),
-            _ => member.told.share(self.now()),
+            Without::Ends => Share { until: None, ..member.told }.fraction(self.now()),
+            Without::Waiting if member.told.balancers == 0 => {
+                1.0 / f64::from(member.told.balancers_after)
+            }
+            _ => member.told.fraction(self.now()),
         };
         self.members.iter().flatten().map(share).sum()
     }
@@ -181,7 +191,7 @@
     (0..N).for_each(|i| state.starts(i));
     state.now = 10;
     for (i, k) in (0..N * N).map(|ik| (ik / N, ik % N)).filter(|(i, k)| i != k) {
-        state.with(i, None, |standing, now| standing.spoke(now, k as u32, N as u16));
+        state.with(i, None, |standing, now| standing.acknowledged(now, k as u32, N as u16));
     }
     assert!((state.sum(Without::Nothing) - 1.0).abs() < 1e-9);
     state
@@ -194,7 +204,7 @@
     state.now += 1;
     let asked = state.now();
     for i in 0..2 {
-        state.with(i, None, |standing, _| assert!(standing.refused(2, asked)));
+        state.with(i, None, |standing, _| assert!(standing.proved_absent(2, asked)));
     }
     assert!((state.sum(Without::Nothing) - 1.0).abs() < 1e-9, "two share");
     state
--- a/crates/fleet/tests/parts.rs
+++ b/crates/fleet/tests/parts.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_capacity_share::{Part, Times, Why};
+use sableloom_capacity_share::{Share, ShareReason, Timing};
 use sableloom_fleet::{Core, Out, Setup};
 use sableloom_membership::{Change, Key, Listed, MemberList, Times as Talk, key_of};
 use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, on_all_cores, place};
@@ -13,14 +13,14 @@
 /// A member and its part, as the shell holds it between two calls.
 struct Member {
     core: Core,
-    part: Part,
+    part: Share,
 }
 
 impl Member {
     fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut Core, &mut Out)) {
         let mut out = Out::default();
         what(&mut self.core, &mut out);
-        self.part = self.core.part();
+        self.part = self.core.share();
         sent.datagrams.extend(out.datagrams);
         sent.knocks.extend(out.knocks.into_iter().map(|(_, at)| at));
         sent.changes.extend(out.changes);
@@ -62,10 +62,10 @@
             fleet: "points".to_string(),
             own: format!("b{}", i + 1),
             talk: Talk::default(),
-            part: Times::default(),
+            share: Timing::default(),
         };
         let core = Core::new(&setup, life, MemberList::new(listed(of)), seed, now);
-        Member { part: core.part(), core }
+        Member { part: core.share(), core }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
 }
@@ -73,13 +73,13 @@
 /// What all that run have together, each by its own clock.
 fn sum(net: &Net<Member>) -> f64 {
     let running = net.places.iter().enumerate();
-    let parts = running.filter_map(|(i, p)| Some(p.process.as_ref()?.part.share(net.local(i))));
+    let parts = running.filter_map(|(i, p)| Some(p.process.as_ref()?.part.fraction(net.local(i))));
     parts.sum()
 }
 
-fn numbers(net: &Net<Member>) -> Vec<Option<(u32, Why)>> {
+fn numbers(net: &Net<Member>) -> Vec<Option<(u32, ShareReason)>> {
     let part = |p: &sableloom_simulated_network::Place<Member>| p.process.as_ref().map(|m| m.part);
-    net.places.iter().map(|p| part(p).map(|part| (part.balancers, part.why))).collect()
+    net.places.iter().map(|p| part(p).map(|part| (part.balancers, part.reason))).collect()
 }
 
 fn run(net: &mut Net<Member>, until: i64, seed: u64) {
@@ -101,7 +101,7 @@
     while net.now < from + most {
         let next = net.now + 50 * MS;
         run(net, next, seed);
-        if numbers(net).iter().flatten().all(|n| *n == (running, Why::Shares)) {
+        if numbers(net).iter().flatten().all(|n| *n == (running, ShareReason::Sharing)) {
             return Some(net.now - from);
         }
     }
@@ -215,7 +215,10 @@
             let until = net.now + 500 * MS;
             run(&mut net, until, seed);
             let all = numbers(&net);
-            assert!(all.iter().flatten().all(|n| *n == (10, Why::Shares)), "seed {seed}: {all:?}");
+            assert!(
+                all.iter().flatten().all(|n| *n == (10, ShareReason::Sharing)),
+                "seed {seed}: {all:?}"
+            );
         }
         let dead = |c: &(i64, Change)| matches!(c.1, Change::Died(..));
         assert!(net.places.iter().all(|p| p.changes.iter().any(dead)), "they never missed anybody");
@@ -267,6 +270,7 @@
 /// The bound that docs/design/members.md states: what is kept of a member, its name apart.
 #[test]
 fn what_is_kept_of_a_member_is_bounded() {
-    let bytes = size_of::<sableloom_membership::Peer>() + sableloom_capacity_share::BYTES_EACH;
+    let bytes =
+        size_of::<sableloom_membership::Peer>() + sableloom_capacity_share::BYTES_PER_MEMBER;
     assert!(bytes < 200, "{bytes}");
 }
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_capacity_share::Times as ShareTimes;
+use sableloom_capacity_share::Timing;
 use sableloom_fleet::{Core, Out, Setup, Status};
 use sableloom_membership::{
     Body, Listed, MAX_PAGE, MemberList, MemberState, Message, Times as MemberTimes, Update, decode,
@@ -38,7 +38,7 @@
             fleet: "points".to_string(),
             own: "a".to_string(),
             talk: MemberTimes::default(),
-            part: ShareTimes::default(),
+            share: Timing::default(),
         };
         let mut core = Core::new(&setup, LIFE, list, 42, Time(0));
         let mut out = Out::default();
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sableloom_capacity_share::{Part, Times};
+use sableloom_capacity_share::{Share, Timing};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told};
 use sableloom_membership::{Listed, MemberList, Times as Talk};
@@ -20,7 +20,7 @@
 struct Nobody;
 
 impl Told for Nobody {
-    fn part(&self, _: Part) {}
+    fn share(&self, _: Share) {}
     fn line(&self, _: &str) {}
 }
 
@@ -34,7 +34,7 @@
             fleet: "fleet".to_string(),
             own: "own".to_string(),
             talk: Talk::default(),
-            part: Times::default(),
+            share: Timing::default(),
         },
         address,
         operator: None,
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use comfy_table::{Table, presets};
-use sableloom_capacity_share::Times;
+use sableloom_capacity_share::Timing;
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Status, Told, status_of};
 use sableloom_membership::{Listed, MemberList, Times as Talk};
@@ -20,6 +20,9 @@
 /// Lives are tenths of seconds since this one of Unix time, the first of 2025: they fit 32 bits for 13 years.
 const LIVES_FROM: i64 = 1_735_689_600;
 
+/// Queries about an absent member within one lease: a proof of absence is renewed although three of them are lost.
+const QUERIES_PER_LEASE: f64 = 4.0;
+
 /// What to show.
 #[derive(clap::Subcommand)]
 pub enum Command {
@@ -73,8 +76,7 @@
     // Of the time as well: its nonce must not be that of an earlier process with the same number.
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(40);
-    let claim = span(fleet.claim_ms);
-    let questions = Times::default();
+    let lease = span(fleet.claim_ms);
     let setup = Setup {
         fleet: fleet.name.clone(),
         own: fleet.own.clone(),
@@ -83,7 +85,11 @@
             answer: span(fleet.answer_ms),
             ..Talk::default()
         },
-        part: Times { claim, again: span(fleet.claim_ms / 4.0), ..questions },
+        share: Timing {
+            lease,
+            query_interval: span(fleet.claim_ms / QUERIES_PER_LEASE),
+            ..Timing::default()
+        },
     };
     let options = Options {
         setup,
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -262,7 +262,7 @@
         if let (Some(running), Some(fleet)) = (&fleet, &routing.site.fleet) {
             running.list(&fleet::others(fleet));
             // Pools that are new have not been told.
-            router.shared_by(running.part());
+            router.shared_by(running.share());
         }
         if let (Some(running), Some(control)) = (&control, &routing.site.control) {
             running.set_scope(control);
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use sableloom_capacity_share::Part;
+use sableloom_capacity_share::Share;
 use sableloom_distribution::ServiceName;
 use sableloom_exchange::{Clock, Message, Reply, RequestContext, RequestRejection, Service, Work};
 use sableloom_fleet::{Running as Fleet, Told};
@@ -41,7 +41,7 @@
     /// Pools that are no longer in force and have requests open.
     pub(super) ending: RefCell<Vec<Rc<RunningPool>>>,
     /// The part of the servers that the pools have been told last.
-    part: Cell<Option<Part>>,
+    part: Cell<Option<Share>>,
     pub(super) clock: Clock,
 }
 
@@ -126,12 +126,12 @@
     }
 
     /// This balancer's part of the fleet, once it has been told.
-    pub(super) fn part(&self) -> Option<Part> {
+    pub(super) fn part(&self) -> Option<Share> {
         self.part.get()
     }
 
     /// All pools share their servers with so many.
-    pub(super) fn shared_by(&self, part: Part) {
+    pub(super) fn shared_by(&self, part: Share) {
         self.part.set(Some(part));
         self.pools().iter().for_each(|pool| self.share_with(pool));
     }
@@ -141,7 +141,7 @@
         let Some(part) = self.part.get() else { return };
         // A part of nothing is told as one of a multitude: the module keeps one lane whatever it is told.
         let told = |n: u32| if n == 0 { MULTITUDE } else { n };
-        let ends = part.until.map(|until| (until, told(part.after)));
+        let ends = part.until.map(|until| (until, told(part.balancers_after)));
         pool.exchange.shared_by(told(part.balancers), ends);
     }
 
@@ -199,8 +199,8 @@
 pub(super) struct ToPools(pub(super) Rc<Router>);
 
 impl Told for ToPools {
-    fn part(&self, part: Part) {
-        self.0.shared_by(part);
+    fn share(&self, share: Share) {
+        self.0.shared_by(share);
     }
 
     fn line(&self, line: &str) {
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -52,7 +52,7 @@
     fn tenant_share(&self, site: &Site, now: Time) -> Share {
         match (&site.fleet, self.part()) {
             (None, _) => Share::new(1.0 / f64::from(site.locality.balancers.max(1))),
-            (Some(_), Some(part)) => Share::new(part.share(now)),
+            (Some(_), Some(part)) => Share::new(part.fraction(now)),
             // The fleet has not said yet.
             (Some(_), None) => Share::NONE,
         }
--- a/crates/scale-test/src/members.rs
+++ b/crates/scale-test/src/members.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sableloom_capacity_share::{Part, Times as ShareTimes, Why};
+use sableloom_capacity_share::{Share, ShareReason, Timing};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told, Traffic};
 use sableloom_membership::{Listed, MemberList, Times as ProbeTimes};
@@ -141,8 +141,8 @@
 }
 
 impl Told for Observer {
-    fn part(&self, part: Part) {
-        if part.balancers > 0 && self.to_share.get().is_none() {
+    fn share(&self, share: Share) {
+        if share.balancers > 0 && self.to_share.get().is_none() {
             self.to_share.set(Some(self.started.elapsed()));
         }
     }
@@ -193,7 +193,7 @@
                 fleet: FLEET.to_string(),
                 own: name(number),
                 talk: ProbeTimes::default(),
-                part: ShareTimes::default(),
+                share: Timing::default(),
             },
             address: address(number, set.port),
             operator: None,
@@ -235,7 +235,7 @@
             report.add_traffic(traffic);
             let load = load.borrow_mut().rate(now, MemberLoad::of(&traffic));
             report.most_loaded = report.most_loaded.worse(load);
-            report.add_share(running.part());
+            report.add_share(running.share());
             let took = observer.to_share.get().unwrap_or_default().as_millis() as u64;
             report.longest_to_share_ms = report.longest_to_share_ms.max(took);
             let digest = running.view_digest();
@@ -260,13 +260,13 @@
         self.probes_of_absence += traffic.probes_of_absence;
     }
 
-    fn add_share(&mut self, part: Part) {
-        if part.balancers == 0 {
+    fn add_share(&mut self, share: Share) {
+        if share.balancers == 0 {
             return;
         }
-        self.sharing += usize::from(part.why == Why::Shares);
-        let (least, most) = self.share_of.unwrap_or((part.balancers, part.balancers));
-        self.share_of = Some((least.min(part.balancers), most.max(part.balancers)));
+        self.sharing += usize::from(share.reason == ShareReason::Sharing);
+        let (least, most) = self.share_of.unwrap_or((share.balancers, share.balancers));
+        self.share_of = Some((least.min(share.balancers), most.max(share.balancers)));
     }
 
     /// Adds another worker's.
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use sableloom_capacity_share::{Part, Standing, Times as ShareTimes, Why};
+use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_fleet::{Core, Out, Setup};
 use sableloom_membership::{
     Change, Health, Key, Listed, MemberList, Refused, Standing as Place, Times as MemberTimes,
@@ -52,18 +52,21 @@
     }
 }
 
-fn record_part(trace: &mut Trace, part: Part, now: Time) {
-    let (why, detail) = match part.why {
-        Why::Waits(waits) => (0, waits as i64),
-        Why::Shares => (1, 0),
-        Why::Woken => (2, 0),
-        Why::Twin => (3, 0),
+fn record_share(trace: &mut Trace, share: Share, now: Time) {
+    let (reason, detail) = match share.reason {
+        ShareReason::Waiting(members) => (0, members as i64),
+        ShareReason::Sharing => (1, 0),
+        ShareReason::Resumed => (2, 0),
+        ShareReason::DuplicateIdentity => (3, 0),
     };
-    let until = part.until.map_or(-1, |until| until.0);
-    integers(trace, &[i64::from(part.balancers), until, i64::from(part.after), why, detail]);
-    trace.float(part.share(now));
-    if let Some(until) = part.until {
-        trace.float(part.share(until));
+    let until = share.until.map_or(-1, |until| until.0);
+    integers(
+        trace,
+        &[i64::from(share.balancers), until, i64::from(share.balancers_after), reason, detail],
+    );
+    trace.float(share.fraction(now));
+    if let Some(until) = share.until {
+        trace.float(share.fraction(until));
     }
 }
 
@@ -74,49 +77,49 @@
         29 => LONG_SHARE_LIST,
         _ => rng.rand_range(0..40) as u32,
     };
-    let times = ShareTimes {
-        claim: Span(SECOND + rng.rand_range(0..3) as i64 * SECOND),
-        questions: [10, 1024][seed as usize % 2],
-        ..ShareTimes::default()
+    let timing = Timing {
+        lease: Span(SECOND + rng.rand_range(0..3) as i64 * SECOND),
+        max_queries: [10, 1024][seed as usize % 2],
+        ..Timing::default()
     };
-    trace.integer(times.wait().0);
+    trace.integer(timing.start_wait().0);
     let mut now = Time(SECOND);
-    let mut standing = Standing::new(now, 1..=others, times);
-    standing.first_asked(rng.rand_range(0..40) as u32);
+    let mut share = CapacityShare::new(now, 1..=others, timing);
+    share.start_queries_at(rng.rand_range(0..40) as u32);
     for _ in 0..if others == LONG_SHARE_LIST { 400 } else { 300 } {
         now = now.plus(Span(rng.rand_range(0..300_000) as i64));
         let key = 1 + rng.rand_range(0..u64::from(others) + 3) as u32;
         match rng.rand_range(0..20) {
-            0 => standing.woke(true),
-            1 => standing.woke(false),
+            0 => share.set_resumed(true),
+            1 => share.set_resumed(false),
             2 if rng.rand_range(0..4) == 0 => {
                 let first = rng.rand_range(0..10) as u32;
-                standing.list(first..first + others);
+                share.update_members(first..first + others);
             }
-            3 if rng.rand_range(0..40) == 0 => standing.twin(),
+            3 if rng.rand_range(0..40) == 0 => share.set_duplicate_identity(),
             4..=6 => {
-                let called = standing.call(now);
-                trace.integer(called.len() as i64);
-                called.iter().for_each(|key| trace.integer(i64::from(*key)));
+                let probed = share.due_probes(now);
+                trace.integer(probed.len() as i64);
+                probed.iter().for_each(|key| trace.integer(i64::from(*key)));
             }
-            7 | 8 => standing.sign(now, key),
-            9..=12 => standing.spoke(now, key, rng.rand_range(0..48) as u16),
+            7 | 8 => share.heard(now, key),
+            9..=12 => share.acknowledged(now, key, rng.rand_range(0..48) as u16),
             13..=15 => {
                 let most = [3, usize::MAX][rng.rand_range(0..2) as usize];
                 let wanted: Vec<Key> =
-                    standing.in_turn().filter(|key| !key.is_multiple_of(3)).collect();
-                let asked = standing.ask(now, most, wanted);
+                    share.query_order().filter(|key| !key.is_multiple_of(3)).collect();
+                let asked = share.query_absence(now, most, wanted);
                 asked.to.iter().for_each(|key| trace.integer(i64::from(*key)));
-                integers(trace, &[asked.again_at.0, i64::from(standing.next_asked())]);
+                integers(trace, &[asked.retry_at.0, i64::from(share.next_queried())]);
             }
             _ => {
                 let asked = Time(now.0 - rng.rand_range(0..2_500_000) as i64);
-                trace.integer(i64::from(standing.refused(key, asked)));
+                trace.integer(i64::from(share.proved_absent(key, asked)));
             }
         }
-        record_part(trace, standing.part(now), now);
-        let absent = standing.absent(now) as i64;
-        integers(trace, &[standing.next(now).0, i64::from(standing.listed()), absent]);
+        record_share(trace, share.share(now), now);
+        let absent = share.absent_members(now) as i64;
+        integers(trace, &[share.next_wakeup(now).0, i64::from(share.longest_list()), absent]);
     }
 }
 
@@ -157,7 +160,7 @@
     next_event: u64,
     list: Arc<MemberList>,
     member_times: MemberTimes,
-    share_times: ShareTimes,
+    share_timing: Timing,
     /// Datagrams that are lost, in a thousand.
     loss: u64,
     /// Directions in which nothing passes.
@@ -210,7 +213,7 @@
             next_event: 0,
             list: list(0..members),
             member_times,
-            share_times: ShareTimes::default(),
+            share_timing: Timing::default(),
             cuts: Vec::new(),
             replay: None,
         };
@@ -310,7 +313,7 @@
             fleet: "points".to_string(),
             own: name(member),
             talk: self.member_times,
-            part: self.share_times,
+            share: self.share_timing,
         };
         let seed = self.rng.rand_u64();
         // Some processes start with the number of an earlier one, as after a clock was set back.
@@ -406,7 +409,7 @@
         for change in &out.changes {
             record_change(trace, *change);
         }
-        record_part(trace, core.part(), now);
+        record_share(trace, core.share(), now);
         let members = core.members();
         integers(trace, &[core.next().0, members.number() as i64, i64::from(members.digest())]);
         let tick_at = (core.next().0 - clock_ahead).max(self.now + 1);
