--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use sableloom_distribution::{Change, LogEntry, Position, Store, StoreLimits};
-use sableloom_resources::{is_finished, read_change};
+use sableloom_resources::{is_complete, read_change};
 use sableloom_toml_diagnostics::Problem;
 
 use crate::folder::{NameKind, Notice, ReadError, check_number, file_name, numbers, read_bytes};
@@ -105,7 +105,7 @@
         let wrong = |cause: String| vec![Problem::of_file(name, cause)];
         let bytes = read_bytes(&folder.join(name)).map_err(|error| wrong(read_error(error)))?;
         let change = read_change(name, &bytes)?;
-        if !is_finished(&bytes) {
+        if !is_complete(&bytes) {
             return Err(wrong("its last table is not [end], with a line end after it".to_string()));
         }
         check_number(&change, number)?;
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 
 use sableloom_distribution::{LogEntry, LogStatus, hash_bytes};
-use sableloom_resources::{ChangeFile, Inventory, is_finished, read_change};
+use sableloom_resources::{ChangeFile, Inventory, is_complete, read_change};
 use sableloom_toml_diagnostics::Problem;
 
 /// Largest change file, in bytes. Parsing takes some ten times as much memory for a moment; more goes into
@@ -209,8 +209,8 @@
     /// How reading goes: what is next, and why it waits.
     pub fn status(&self) -> LogStatus {
         let notice = self.reported.as_ref().map(Notice::to_string).unwrap_or_default();
-        let waits_for = notice.lines().next().unwrap_or_default().into();
-        LogStatus { next: self.next, latest: self.latest, waits_for }
+        let blocked_reason = notice.lines().next().unwrap_or_default().into();
+        LogStatus { next: self.next, latest: self.latest, blocked_reason }
     }
 
     /// Lists the folder, and notes which numbers there are.
@@ -277,7 +277,7 @@
         let next = self.next;
         let name = file_name(next);
         let notice = match read_bytes(&self.path.join(&name)) {
-            Ok(bytes) if !is_finished(&bytes) => Some(Notice::Unfinished { file: name }),
+            Ok(bytes) if !is_complete(&bytes) => Some(Notice::Unfinished { file: name }),
             Ok(bytes) => match judge(&name, next, &bytes, inventory) {
                 Ok(entry) => return Next::Change(entry),
                 Err(problems) => Some(Notice::Wrong(problems)),
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sableloom_distribution::{PublisherOptions, StoreLimits};
-use sableloom_resources::MAX_NUMBER;
+use sableloom_resources::MAX_CHANGE_NUMBER;
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 use sableloom_types::Span;
 
@@ -38,7 +38,7 @@
     if let Some(changes) = changes.as_ref().filter(|changes| changes.value.is_empty()) {
         root.wrong(changes, "a folder has a name", None);
     }
-    let first = root.whole("first", 1..=MAX_NUMBER, "").map_or(1, |first| first.value);
+    let first = root.whole("first", 1..=MAX_CHANGE_NUMBER, "").map_or(1, |first| first.value);
     let mut settings = Settings {
         listen: listen?.value,
         changes: changes?.value,
--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -195,7 +195,7 @@
         }
         let applied: Vec<u64> = out.iter().filter_map(transfer).collect();
         for transfer in applied {
-            end.subscriber.applied(Time(self.now), transfer, Ok(()), &mut out);
+            end.subscriber.apply_finished(Time(self.now), transfer, Ok(()), &mut out);
         }
         let ended = processor_us();
         self.subscriber_us += ended - started;
--- a/crates/distribution/src/digest.rs
+++ b/crates/distribution/src/digest.rs
@@ -43,7 +43,7 @@
 }
 
 /// A service's part of the digest over all that a subscriber has.
-pub fn scope_digest_part(service: &ServiceName, version: u64, digest: u64) -> u64 {
+pub fn scope_digest_term(service: &ServiceName, version: u64, digest: u64) -> u64 {
     let mut hash = fnv(FNV_OFFSET, service.as_str().as_bytes());
     hash = fnv(hash, &version.to_le_bytes());
     hash = fnv(hash, &digest.to_le_bytes());
@@ -51,7 +51,7 @@
 }
 
 /// The running hash over a history with one more change file.
-pub fn chain_next(chain: u64, epoch: u32, number: u64, hash: u64) -> u64 {
+pub fn next_chain_hash(chain: u64, epoch: u32, number: u64, hash: u64) -> u64 {
     let mut next = fnv(FNV_OFFSET, &chain.to_le_bytes());
     next = fnv(next, &epoch.to_le_bytes());
     next = fnv(next, &number.to_le_bytes());
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -23,7 +23,7 @@
     CodecError, FRAME_HEADER_BYTES, FrameReader, MAX_BUFFERED_BYTES, MAX_FRAME_BYTES, Message,
     PROTOCOL_VERSION, encode,
 };
-pub use digest::{chain_next, hash_bytes, resource_digest, scope_digest_part};
+pub use digest::{hash_bytes, next_chain_hash, resource_digest, scope_digest_term};
 pub use message::{
     Base, MAX_CHANGES_PER_MESSAGE, MAX_REJECTIONS, MAX_SERVICES_PER_MESSAGE, NackReason,
     PublisherMessage, Refusal, ServiceBase, StatusQuery, SubscriberMessage,
@@ -45,7 +45,7 @@
 };
 pub use store::{AppendError, Appended, Store, StoreLimits};
 pub use subscriber::{
-    Connection, DisconnectReason, SavedService, SavedState, ServiceUpdate, Subscriber,
+    ConnectionState, DisconnectReason, SavedService, SavedState, ServiceUpdate, Subscriber,
     SubscriberCounters, SubscriberEvent, SubscriberOptions, SubscriberOutput, SubscriberStatus,
-    SubscriberTimes, Transaction,
+    SubscriberTiming, Transaction,
 };
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -125,7 +125,7 @@
         position: Position,
         /// The last scope message that was taken in.
         generation: u32,
-        /// The sum of [`crate::scope_digest_part`] over the scope, as the control machine knows it.
+        /// The sum of [`crate::scope_digest_term`] over the scope, as the control machine knows it.
         digest: u64,
     },
     /// The answer to a ping.
--- a/crates/distribution/src/name.rs
+++ b/crates/distribution/src/name.rs
@@ -154,7 +154,7 @@
     }
 
     /// Bytes that it takes in a message, about.
-    pub fn bytes(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         self.service.as_str().len() + self.key.len() + 5
     }
 }
--- a/crates/distribution/src/publisher/answers.rs
+++ b/crates/distribution/src/publisher/answers.rs
@@ -73,7 +73,7 @@
         let judged = if self.sessions.len() > self.options.max_sessions + SPARE_CONNECTIONS {
             Err(Refusal::Full)
         } else {
-            self.store.judge(seen)
+            self.store.check_resume(seen)
         };
         if let Err(refusal) = judged {
             return self.refuse(now, session, refusal, out);
@@ -263,7 +263,7 @@
     }
 
     pub(super) fn lags(&self, service: &ServiceName, store: &Store) -> bool {
-        let current = store.held(service);
+        let current = store.service_version(service);
         self.services
             .get(service)
             .is_some_and(|s| (s.version, s.digest) != (current.version, current.digest))
--- a/crates/distribution/src/publisher/sending.rs
+++ b/crates/distribution/src/publisher/sending.rs
@@ -314,9 +314,9 @@
             );
             transfer.snapshot |= base == Base::Snapshot;
             transfer.bases.push(ServiceBase { service: service.clone(), base });
-            transfer.bytes += changes.iter().map(Change::bytes).sum::<usize>();
+            transfer.bytes += changes.iter().map(Change::encoded_size).sum::<usize>();
             transfer.changes.extend(changes);
-            let held = store.held(service);
+            let held = store.service_version(service);
             transfer.targets.push(Target { held, generation: subscription.generation });
         }
         transfer
@@ -337,7 +337,7 @@
             }
             changes.extend(latest);
         }
-        let bytes: usize = changes.iter().map(Change::bytes).sum();
+        let bytes: usize = changes.iter().map(Change::encoded_size).sum();
         if !self.can_absorb(services, bytes, max_bytes) {
             return false;
         }
@@ -348,7 +348,7 @@
         open.changes.extend(changes);
         for target in &mut open.targets {
             if services.contains(&target.held.service) {
-                target.held = store.held(&target.held.service);
+                target.held = store.service_version(&target.held.service);
             }
         }
         true
@@ -419,7 +419,7 @@
 ) -> (Base, Vec<Change>) {
     if has_base {
         let changes = store.delta(service, from);
-        let bytes: usize = changes.iter().map(Change::bytes).sum();
+        let bytes: usize = changes.iter().map(Change::encoded_size).sum();
         if bytes <= store.service_bytes(service) || changes.len() <= 1 {
             return (Base::Delta { from }, changes);
         }
@@ -431,7 +431,7 @@
     let mut chunk = Vec::new();
     let mut bytes = 0;
     while let Some(change) = changes.front() {
-        bytes += change.bytes();
+        bytes += change.encoded_size();
         if !chunk.is_empty() && (bytes > max_bytes || chunk.len() >= MAX_CHANGES_PER_MESSAGE) {
             break;
         }
--- a/crates/distribution/src/publisher/session.rs
+++ b/crates/distribution/src/publisher/session.rs
@@ -8,7 +8,7 @@
 use sableloom_types::Time;
 
 use super::options::SessionId;
-use crate::digest::scope_digest_part;
+use crate::digest::scope_digest_term;
 use crate::message::ServiceBase;
 use crate::name::{ServiceName, SubscriberName};
 use crate::resource::{Change, Position, Rejection, ServiceVersion};
@@ -126,7 +126,7 @@
     pub(super) heard: Time,
     /// The earliest time at which its timer is set.
     pub(super) timer: Option<Time>,
-    /// Sum of [`scope_digest_part`] over what the subscriber has.
+    /// Sum of [`scope_digest_term`] over what the subscriber has.
     pub(super) digest: u64,
     /// The last bookmark.
     pub(super) bookmark: Position,
@@ -167,7 +167,7 @@
     pub(super) fn subscribe(&mut self, held: ServiceVersion) {
         self.unsubscribe(&held.service);
         self.digest =
-            self.digest.wrapping_add(scope_digest_part(&held.service, held.version, held.digest));
+            self.digest.wrapping_add(scope_digest_term(&held.service, held.version, held.digest));
         let subscription = Subscription {
             generation: self.generation,
             version: held.version,
@@ -206,7 +206,7 @@
         let Some(subscription) = self.services.remove(service) else {
             return false;
         };
-        let part = scope_digest_part(service, subscription.version, subscription.digest);
+        let part = scope_digest_term(service, subscription.version, subscription.digest);
         self.digest = self.digest.wrapping_sub(part);
         if let Some(id) = subscription.group {
             self.leave_group(id, service);
@@ -219,8 +219,8 @@
         let Some(subscription) = self.services.get_mut(&held.service) else {
             return;
         };
-        let before = scope_digest_part(&held.service, subscription.version, subscription.digest);
-        let after = scope_digest_part(&held.service, held.version, held.digest);
+        let before = scope_digest_term(&held.service, subscription.version, subscription.digest);
+        let after = scope_digest_term(&held.service, held.version, held.digest);
         self.digest = self.digest.wrapping_sub(before).wrapping_add(after);
         subscription.version = held.version;
         subscription.digest = held.digest;
@@ -268,7 +268,7 @@
             return;
         };
         let refused = |service: &ServiceName| {
-            let current = store.held(service);
+            let current = store.service_version(service);
             self.told_refused.contains(&current)
         };
         if !group.services.iter().all(refused) {
@@ -277,7 +277,7 @@
         let services = self.remove_group(id);
         for service in &services {
             if let Some(subscription) = self.services.get_mut(service) {
-                let version = store.held(service).version;
+                let version = store.service_version(service).version;
                 subscription.refused = Some(Refused { version, problem: None });
             }
         }
--- a/crates/distribution/src/publisher/status.rs
+++ b/crates/distribution/src/publisher/status.rs
@@ -126,8 +126,8 @@
 ) -> LagStatus {
     LagStatus {
         service: service.clone(),
-        has: subscription.version,
-        wants: store.held(service).version,
+        applied_version: subscription.version,
+        latest_version: store.service_version(service).version,
         behind_ms: behind_ms(now, subscription),
     }
 }
@@ -140,8 +140,8 @@
     let refused = subscription.refused.as_ref()?;
     Some(RejectionStatus {
         service: service.clone(),
-        has: subscription.version,
-        refused: refused.version,
+        applied_version: subscription.version,
+        rejected_version: refused.version,
         behind_ms: behind_ms(now, subscription),
         problem: refused.problem.clone(),
     })
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -99,8 +99,8 @@
 
 impl Resource {
     /// Bytes that it takes in a message, about; never too few.
-    pub fn bytes(&self) -> usize {
-        self.name.bytes() + self.body.len() + self.origin.file.len() + 24
+    pub fn encoded_size(&self) -> usize {
+        self.name.encoded_size() + self.body.len() + self.origin.file.len() + 24
     }
 }
 
@@ -144,10 +144,10 @@
     }
 
     /// Bytes that it takes in a message, about; never too few.
-    pub fn bytes(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         match self {
-            Change::Set(resource) => resource.bytes() + 1,
-            Change::Remove { name, .. } => name.bytes() + 11,
+            Change::Set(resource) => resource.encoded_size() + 1,
+            Change::Remove { name, .. } => name.encoded_size() + 11,
             Change::RemoveService { service, .. } => service.as_str().len() + 12,
         }
     }
--- a/crates/distribution/src/service.rs
+++ b/crates/distribution/src/service.rs
@@ -36,7 +36,7 @@
         match change {
             Change::Set(resource) => {
                 self.digest = self.digest.wrapping_add(resource_digest(&resource));
-                self.bytes += resource.bytes();
+                self.bytes += resource.encoded_size();
                 self.tenants += usize::from(resource.name.kind == ResourceKind::Tenant);
                 let before = self.resources.insert(key_of(&resource.name), resource);
                 self.forget(before);
@@ -64,7 +64,7 @@
     fn forget(&mut self, before: Option<Resource>) {
         if let Some(resource) = before {
             self.digest = self.digest.wrapping_sub(resource_digest(&resource));
-            self.bytes -= resource.bytes();
+            self.bytes -= resource.encoded_size();
             self.tenants -= usize::from(resource.name.kind == ResourceKind::Tenant);
         }
     }
--- a/crates/distribution/src/status.rs
+++ b/crates/distribution/src/status.rs
@@ -69,7 +69,7 @@
     /// Why the next change can't be taken; empty if there is none or nothing is wrong. At most
     /// [`crate::MAX_TEXT_BYTES`].
     #[serde(with = "crate::resource::shared_text")]
-    pub waits_for: Arc<str>,
+    pub blocked_reason: Arc<str>,
 }
 
 /// What a control machine has and does.
@@ -144,9 +144,9 @@
     /// Which.
     pub service: ServiceName,
     /// The version in force at the subscriber.
-    pub has: u64,
+    pub applied_version: u64,
     /// The version of the control machine.
-    pub wants: u64,
+    pub latest_version: u64,
     /// Milliseconds since the control machine has had more, or since the session began.
     pub behind_ms: u64,
 }
@@ -157,9 +157,9 @@
     /// Which.
     pub service: ServiceName,
     /// The version that stays in force at the subscriber.
-    pub has: u64,
+    pub applied_version: u64,
     /// The version that it refused.
-    pub refused: u64,
+    pub rejected_version: u64,
     /// Milliseconds since the control machine has had more, or since the session began.
     pub behind_ms: u64,
     /// The first problem, if it has told one on this connection.
--- a/crates/distribution/src/store.rs
+++ b/crates/distribution/src/store.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::digest::chain_next;
+use crate::digest::next_chain_hash;
 use crate::message::Refusal;
 use crate::name::{MAX_KEY_BYTES, ResourceName, ServiceName};
 use crate::resource::{Change, LogEntry, MAX_BODY_BYTES, Position, Resource, ServiceVersion};
@@ -46,7 +46,7 @@
 pub enum AppendError {
     /// Its number does not follow.
     #[error("change {found} does not follow, expected {expected}")]
-    NotNext {
+    OutOfSequence {
         /// The number that follows.
         expected: u64,
         /// Its number.
@@ -54,7 +54,7 @@
     },
     /// Its epoch is below the one of the change before.
     #[error("epoch {found} is below {current}")]
-    EpochBack {
+    EpochRegression {
         /// Of the change before.
         current: u32,
         /// Its own.
@@ -62,7 +62,7 @@
     },
     /// A change within it has another number than the entry.
     #[error("version {found} in change {number}")]
-    WrongVersion {
+    VersionMismatch {
         /// The entry's number.
         number: u64,
         /// The version found.
@@ -70,7 +70,7 @@
     },
     /// It names a resource twice, or removes a service that it also changes.
     #[error("{0} is changed twice")]
-    Twice(ResourceName),
+    DuplicateChange(ResourceName),
     /// It removes a resource that is not there.
     #[error("{0} is removed and was not there")]
     UnknownResource(ResourceName),
@@ -184,7 +184,7 @@
     }
 
     /// What is there of a service; version 0 and digest 0 if it has never been.
-    pub fn held(&self, service: &ServiceName) -> ServiceVersion {
+    pub fn service_version(&self, service: &ServiceName) -> ServiceVersion {
         let (version, digest) = self
             .services
             .get(service)
@@ -240,7 +240,7 @@
 
     /// Whether a subscriber that has seen a position may be served from here. An unknown chain, older than all that
     /// is kept, is let pass: digests decide then.
-    pub fn judge(&self, seen: Position) -> Result<(), Refusal> {
+    pub fn check_resume(&self, seen: Position) -> Result<(), Refusal> {
         if self.position.number == 0 || self.position.is_before(seen) {
             return Err(Refusal::Behind { position: self.position });
         }
@@ -338,10 +338,10 @@
         let expected = self.position.number + 1;
         let first = self.position.number == 0 && entry.number > 0;
         if entry.number != expected && !first {
-            return Err(AppendError::NotNext { expected, found: entry.number });
+            return Err(AppendError::OutOfSequence { expected, found: entry.number });
         }
         if entry.epoch < self.position.epoch {
-            return Err(AppendError::EpochBack {
+            return Err(AppendError::EpochRegression {
                 current: self.position.epoch,
                 found: entry.epoch,
             });
@@ -358,7 +358,7 @@
         let mut seen = BTreeSet::new();
         for change in &entry.changes {
             if change.version() != entry.number {
-                return Err(AppendError::WrongVersion {
+                return Err(AppendError::VersionMismatch {
                     number: entry.number,
                     found: change.version(),
                 });
@@ -410,7 +410,7 @@
             Change::RemoveService { .. } => return Ok(()),
         };
         if !seen.insert(name.clone()) {
-            return Err(AppendError::Twice(name.clone()));
+            return Err(AppendError::DuplicateChange(name.clone()));
         }
         Ok(())
     }
@@ -424,7 +424,7 @@
         for (service, changes) in by_service {
             let stored = self.services.get(service);
             new_services += usize::from(stored.is_none());
-            let added: usize = changes.iter().map(Change::bytes).sum();
+            let added: usize = changes.iter().map(Change::encoded_size).sum();
             total += added;
             let bytes = size_after(stored.map(|stored| &stored.service), changes);
             if bytes > self.limits.service_bytes {
@@ -465,7 +465,7 @@
     }
 
     fn advance(&mut self, entry: &LogEntry, logged: Entry) {
-        let chain = chain_next(self.position.chain, entry.epoch, entry.number, entry.hash);
+        let chain = next_chain_hash(self.position.chain, entry.epoch, entry.number, entry.hash);
         self.position = Position { epoch: entry.epoch, number: entry.number, chain };
         self.chains.push_back(chain);
         if self.chains.len() > self.limits.chain_entries {
@@ -511,12 +511,12 @@
 
 fn size_after(service: Option<&Service>, changes: &[Change]) -> usize {
     let resource_bytes = |key: &Key| {
-        service.and_then(|service| service.resources.get(key)).map_or(0, Resource::bytes)
+        service.and_then(|service| service.resources.get(key)).map_or(0, Resource::encoded_size)
     };
     let mut bytes = service.map_or(0, |service| service.bytes);
     for change in changes {
         if let Change::Set(resource) = change {
-            bytes += resource.bytes();
+            bytes += resource.encoded_size();
         }
         if let Some(key) = change_key(change) {
             bytes -= resource_bytes(&key);
--- a/crates/distribution/src/subscriber/connection.rs
+++ b/crates/distribution/src/subscriber/connection.rs
@@ -4,7 +4,7 @@
 use sableloom_types::{Span, Time};
 
 use super::options::{
-    Connection, DisconnectReason, SubscriberEvent, SubscriberOutput, SubscriberTimes,
+    ConnectionState, DisconnectReason, SubscriberEvent, SubscriberOutput, SubscriberTiming,
 };
 use super::{Subscriber, SubscriberCounters};
 use crate::message::{MAX_SERVICES_PER_MESSAGE, Refusal, SubscriberMessage};
@@ -59,27 +59,27 @@
         }
     }
 
-    pub(super) fn due(&self, times: &SubscriberTimes) -> Option<Time> {
+    pub(super) fn due(&self, timing: &SubscriberTiming) -> Option<Time> {
         match *self {
             Link::Idle => None,
             Link::Waiting { until } => Some(until),
             Link::Connecting { since, .. } | Link::Greeting { since, .. } => {
-                Some(since.plus(times.silence_timeout))
+                Some(since.plus(timing.silence_timeout))
             }
             Link::Open { heard, next_ping, .. } => {
-                Some(heard.plus(times.silence_timeout).min(next_ping))
+                Some(heard.plus(timing.silence_timeout).min(next_ping))
             }
         }
     }
 
-    pub(super) fn connection(&self) -> Connection {
+    pub(super) fn connection(&self) -> ConnectionState {
         match *self {
-            Link::Idle => Connection::Idle,
-            Link::Waiting { until } => Connection::Waiting { until },
-            Link::Connecting { control, .. } => Connection::Connecting { control },
-            Link::Greeting { control, .. } => Connection::Greeting { control },
-            Link::Open { control, current: false, .. } => Connection::Syncing { control },
-            Link::Open { control, current: true, .. } => Connection::Current { control },
+            Link::Idle => ConnectionState::Idle,
+            Link::Waiting { until } => ConnectionState::Waiting { until },
+            Link::Connecting { control, .. } => ConnectionState::Connecting { control },
+            Link::Greeting { control, .. } => ConnectionState::Greeting { control },
+            Link::Open { control, current: false, .. } => ConnectionState::Syncing { control },
+            Link::Open { control, current: true, .. } => ConnectionState::Current { control },
         }
     }
 }
@@ -119,9 +119,9 @@
 
     /// Full jitter: a random time up to a limit that doubles with each failure. Guards against all subscribers of a
     /// dead control machine, or of a region that comes back, coming at once.
-    fn backoff(&mut self, times: &SubscriberTimes) -> Span {
+    fn backoff(&mut self, timing: &SubscriberTiming) -> Span {
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
-        let limit = (times.backoff_base.0 << doublings).min(times.backoff_max.0);
+        let limit = (timing.backoff_base.0 << doublings).min(timing.backoff_max.0);
         self.within(Span(limit))
     }
 
@@ -153,7 +153,7 @@
 
 impl Subscriber {
     pub(super) fn tick_connection(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
-        let silence = self.times.silence_timeout;
+        let silence = self.timing.silence_timeout;
         match self.link {
             Link::Waiting { until } if until <= now => self.connect(now, out),
             Link::Connecting { since, .. } | Link::Greeting { since, .. }
@@ -173,7 +173,7 @@
         if let Link::Open { next_ping, sequence, .. } = &mut self.link
             && *next_ping <= now
         {
-            *next_ping = now.plus(self.times.ping_every);
+            *next_ping = now.plus(self.timing.ping_interval);
             *sequence = sequence.wrapping_add(1);
             out.push(SubscriberOutput::Send(SubscriberMessage::Ping { sequence: *sequence }));
         }
@@ -267,9 +267,9 @@
         };
         self.see(now, control, position, out)?;
         self.counters.sessions += 1;
-        let next_ping = now.plus(self.choice.within(self.times.ping_every));
+        let next_ping = now.plus(self.choice.within(self.timing.ping_interval));
         self.link = Link::Open { control, heard: now, next_ping, sequence: 0, current: false };
-        out.push(SubscriberOutput::Changed(SubscriberEvent::Connected { control, position }));
+        out.push(SubscriberOutput::Event(SubscriberEvent::Connected { control, position }));
         Ok(())
     }
 
@@ -324,7 +324,7 @@
         let SubscriberCounters { diverged, .. } = &mut self.counters;
         *diverged += 1;
         let event = SubscriberEvent::Diverged { control, seen: self.seen, other };
-        out.push(SubscriberOutput::Changed(event));
+        out.push(SubscriberOutput::Event(event));
         DisconnectReason::Diverged(other)
     }
 
@@ -350,15 +350,15 @@
     ) {
         if let Some(control) = self.link.control() {
             let event = SubscriberEvent::Disconnected { control, reason };
-            out.push(SubscriberOutput::Changed(event));
+            out.push(SubscriberOutput::Event(event));
         }
         self.staging = None;
         self.choice.failures = self.choice.failures.saturating_add(1);
         let enough = UNREACHABLE_AFTER.min(self.choice.avoided_until.len() as u32);
         if self.choice.failures >= enough && !self.choice.unreachable_said {
             self.choice.unreachable_said = true;
-            out.push(SubscriberOutput::Changed(SubscriberEvent::Unreachable));
+            out.push(SubscriberOutput::Event(SubscriberEvent::Unreachable));
         }
-        self.link = Link::Waiting { until: now.plus(self.choice.backoff(&self.times)) };
+        self.link = Link::Waiting { until: now.plus(self.choice.backoff(&self.timing)) };
     }
 }
--- a/crates/distribution/src/subscriber/holding.rs
+++ b/crates/distribution/src/subscriber/holding.rs
@@ -5,7 +5,7 @@
 
 use super::options::{SavedService, SavedState};
 use super::transfer::Part;
-use crate::digest::scope_digest_part;
+use crate::digest::scope_digest_term;
 use crate::name::ServiceName;
 use crate::resource::{Change, Resource, ResourceBody, ServiceVersion};
 use crate::service::Service;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct Holding {
     services: BTreeMap<ServiceName, HeldService>,
-    /// Sum of [`scope_digest_part`].
+    /// Sum of [`scope_digest_term`].
     digest: u64,
     scrubbed: Option<ServiceName>,
 }
@@ -223,5 +223,5 @@
 }
 
 fn digest_part(held: &ServiceVersion) -> u64 {
-    scope_digest_part(&held.service, held.version, held.digest)
+    scope_digest_term(&held.service, held.version, held.digest)
 }
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -6,8 +6,8 @@
 mod transfer;
 
 pub use options::{
-    Connection, DisconnectReason, SavedService, SavedState, ServiceUpdate, SubscriberCounters,
-    SubscriberEvent, SubscriberOptions, SubscriberOutput, SubscriberStatus, SubscriberTimes,
+    ConnectionState, DisconnectReason, SavedService, SavedState, ServiceUpdate, SubscriberCounters,
+    SubscriberEvent, SubscriberOptions, SubscriberOutput, SubscriberStatus, SubscriberTiming,
     Transaction,
 };
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Subscriber {
     name: SubscriberName,
-    times: SubscriberTimes,
+    timing: SubscriberTiming,
     max_transaction_bytes: usize,
     choice: Choice,
     link: Link,
@@ -57,7 +57,7 @@
         let damaged = options.restored.map_or(Vec::new(), |saved| holding.restore(saved));
         Subscriber {
             name: options.name,
-            times: options.times,
+            timing: options.timing,
             max_transaction_bytes: options.max_transaction_bytes,
             choice: Choice::new(options.control_machines, options.seed),
             link: Link::Idle,
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Starts: the first connection is ordered at a random time within [`SubscriberTimes::first_delay`].
+    /// Starts: the first connection is ordered at a random time within [`SubscriberTiming::first_delay`].
     pub fn start(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         for service in std::mem::take(&mut self.damaged) {
-            out.push(SubscriberOutput::Changed(SubscriberEvent::SavedStateDamaged { service }));
+            out.push(SubscriberOutput::Event(SubscriberEvent::SavedStateDamaged { service }));
         }
-        let until = now.plus(self.choice.within(self.times.first_delay));
+        let until = now.plus(self.choice.within(self.timing.first_delay));
         self.link = Link::Waiting { until };
-        self.next_scrub = Some(now.plus(self.times.scrub_every));
+        self.next_scrub = Some(now.plus(self.timing.scrub_interval));
     }
 
     /// The ordered connection is there.
@@ -131,7 +131,7 @@
 
     /// The shell has applied a transaction whole, or nothing of it for these reasons. Transactions are answered in the
     /// order in which they were handed out, also when the connection has ended since.
-    pub fn applied(
+    pub fn apply_finished(
         &mut self,
         _now: Time,
         transfer: u64,
@@ -172,14 +172,14 @@
     pub fn tick(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         self.tick_connection(now, out);
         if self.next_scrub.is_some_and(|at| at <= now) {
-            self.next_scrub = Some(now.plus(self.times.scrub_every));
+            self.next_scrub = Some(now.plus(self.timing.scrub_interval));
             self.scrub(out);
         }
     }
 
     /// When [`Self::tick`] is to be called; to be asked again after every other call.
     pub fn due(&self) -> Option<Time> {
-        [self.link.due(&self.times), self.next_scrub].into_iter().flatten().min()
+        [self.link.due(&self.timing), self.next_scrub].into_iter().flatten().min()
     }
 
     /// How it is. Work by the number of services.
@@ -188,9 +188,9 @@
             connection: self.link.connection(),
             position: self.seen,
             current: self.current,
-            age: self.last_contact.map(|at| now.since(at)),
+            last_contact_age: self.last_contact.map(|at| now.since(at)),
             services: self.holding.len(),
-            services_held: self.holding.held().filter(|held| held.version > 0).count(),
+            services_applied: self.holding.held().filter(|held| held.version > 0).count(),
             resources: self.holding.resource_count(),
             tenants: self.holding.tenant_count(),
             bytes: self.holding.bytes(),
@@ -200,7 +200,7 @@
     }
 
     /// What it has of the services of its scope, in order.
-    pub fn held(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
+    pub fn service_versions(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
         self.holding.held()
     }
 
@@ -281,7 +281,7 @@
         self.current = position;
         self.choice.succeeded();
         if self.link.becomes_current() {
-            out.push(SubscriberOutput::Changed(SubscriberEvent::Current { position }));
+            out.push(SubscriberOutput::Event(SubscriberEvent::Current { position }));
         }
         Ok(())
     }
@@ -294,7 +294,7 @@
             return;
         };
         self.counters.drifts += 1;
-        out.push(SubscriberOutput::Changed(SubscriberEvent::Drift { service: service.clone() }));
+        out.push(SubscriberOutput::Event(SubscriberEvent::Drift { service: service.clone() }));
         if self.link.greeted() {
             self.send_scope(vec![service], Vec::new(), out);
         }
@@ -329,7 +329,7 @@
             self.holding.note_rejected(part);
         }
         let event = SubscriberEvent::Rejected { services, rejections: rejections.clone() };
-        out.push(SubscriberOutput::Changed(event));
+        out.push(SubscriberOutput::Event(event));
         let reason = NackReason::Rejected(rejections);
         self.link.greeted().then_some(SubscriberMessage::Nack { transfer, reason })
     }
--- a/crates/distribution/src/subscriber/options.rs
+++ b/crates/distribution/src/subscriber/options.rs
@@ -21,7 +21,7 @@
     /// What was saved before, if anything. A service whose digest does not fit or that is out of scope is dropped.
     pub restored: Option<SavedState>,
     /// Times.
-    pub times: SubscriberTimes,
+    pub timing: SubscriberTiming,
     /// Bytes of one transaction that are buffered at most, about. Default 5 MiB, above the publisher's 4 MiB.
     pub max_transaction_bytes: usize,
 }
@@ -40,7 +40,7 @@
             scope,
             seed,
             restored: None,
-            times: SubscriberTimes::default(),
+            timing: SubscriberTiming::default(),
             max_transaction_bytes: 5 << 20,
         }
     }
@@ -48,7 +48,7 @@
 
 /// The times of a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SubscriberTimes {
+pub struct SubscriberTiming {
     /// The first connection comes at a random time within this. Default 0.2 s.
     pub first_delay: Span,
     /// After a first failure it reconnects at a random time within this. Default 1 s.
@@ -57,22 +57,22 @@
     /// in which a change is to be in force once control can be reached again.
     pub backoff_max: Span,
     /// A ping is sent so often. Default 1 s.
-    pub ping_every: Span,
+    pub ping_interval: Span,
     /// Without a message for so long the connection is given up. Default 4 s.
     pub silence_timeout: Span,
     /// One service's digest is counted anew so often, one service after the other. Default 1 s.
-    pub scrub_every: Span,
+    pub scrub_interval: Span,
 }
 
-impl Default for SubscriberTimes {
+impl Default for SubscriberTiming {
     fn default() -> Self {
-        SubscriberTimes {
+        SubscriberTiming {
             first_delay: Span(200_000),
             backoff_base: Span(1_000_000),
             backoff_max: Span(4_000_000),
-            ping_every: Span(1_000_000),
+            ping_interval: Span(1_000_000),
             silence_timeout: Span(4_000_000),
-            scrub_every: Span(1_000_000),
+            scrub_interval: Span(1_000_000),
         }
     }
 }
@@ -146,7 +146,7 @@
     /// Check and apply a transaction and answer with `applied`.
     Apply(Transaction),
     /// Something to log.
-    Changed(SubscriberEvent),
+    Event(SubscriberEvent),
     /// What [`crate::Subscriber::saved_state`] gives has changed. The shell saves as often as it likes.
     Save,
 }
@@ -241,7 +241,7 @@
 
 /// What a subscriber's connection is at.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Connection {
+pub enum ConnectionState {
     /// Not started.
     #[default]
     Idle,
@@ -276,17 +276,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberStatus {
     /// Its connection.
-    pub connection: Connection,
+    pub connection: ConnectionState,
     /// The furthest position that it has seen.
     pub position: Position,
     /// The position up to which all of its scope was in force, by the last bookmark.
     pub current: Position,
     /// Time since the last message of a control machine; none if there has been none.
-    pub age: Option<Span>,
+    pub last_contact_age: Option<Span>,
     /// Services in its scope.
     pub services: usize,
     /// Services of its scope of which it has something.
-    pub services_held: usize,
+    pub services_applied: usize,
     /// Resources in force.
     pub resources: usize,
     /// Of these, limits of tenants.
--- a/crates/distribution/src/subscriber/transfer.rs
+++ b/crates/distribution/src/subscriber/transfer.rs
@@ -85,7 +85,7 @@
         let staging = self.staging.as_mut().filter(|staging| staging.transfer == transfer);
         let staging = staging.ok_or_else(|| violation("changes of no transaction"))?;
         for change in changes {
-            staging.bytes += change.bytes();
+            staging.bytes += change.encoded_size();
             let part = staging.parts.get_mut(change.service());
             let part = part
                 .ok_or_else(|| violation("a change of a service that is not in the transaction"))?;
@@ -120,7 +120,7 @@
             .collect();
         if !wrong.is_empty() {
             out.push(SubscriberOutput::Send(self.mismatch(transfer, &wrong)));
-            out.push(SubscriberOutput::Changed(SubscriberEvent::Mismatch { services: wrong }));
+            out.push(SubscriberOutput::Event(SubscriberEvent::Mismatch { services: wrong }));
             return Ok(());
         }
         if parts.is_empty() {
--- a/crates/distribution/tests/frames/messages.rs
+++ b/crates/distribution/tests/frames/messages.rs
@@ -166,11 +166,16 @@
 }
 
 fn session_rows() -> StatusRows {
-    let lag = LagStatus { service: service("points"), has: 301, wants: 302, behind_ms: 303 };
+    let lag = LagStatus {
+        service: service("points"),
+        applied_version: 301,
+        latest_version: 302,
+        behind_ms: 303,
+    };
     let refusal = |problem| RejectionStatus {
         service: service("points"),
-        has: 304,
-        refused: 305,
+        applied_version: 304,
+        rejected_version: 305,
         behind_ms: 306,
         problem,
     };
@@ -196,7 +201,7 @@
 
 fn machine_rows() -> StatusRows {
     StatusRows::Machine(MachineStatus {
-        log: LogStatus { next: 501, latest: 502, waits_for: "00000501.toml is cut".into() },
+        log: LogStatus { next: 501, latest: 502, blocked_reason: "00000501.toml is cut".into() },
         refused: 503,
         stalled: 504,
         unacknowledged: 505,
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -115,7 +115,7 @@
     }
 
     fn held(&self, of: &str) -> ServiceVersion {
-        self.publisher.store().held(&service(of))
+        self.publisher.store().service_version(&service(of))
     }
 }
 
@@ -266,7 +266,11 @@
         panic!("no sessions");
     };
     assert_eq!(
-        (sessions[0].lagging, sessions[0].lags[0].has, sessions[0].lags[0].wants),
+        (
+            sessions[0].lagging,
+            sessions[0].lags[0].applied_version,
+            sessions[0].lags[0].latest_version
+        ),
         (1, 1, 1_001)
     );
     assert!(sessions[0].queued_bytes < 300, "{} bytes", sessions[0].queued_bytes);
@@ -335,7 +339,10 @@
         .iter()
         .find(|rejection| rejection.service == service("points"))
         .unwrap();
-    assert_eq!((told.has, told.refused, told.problem.as_ref()), (1, 3, Some(&rejection)));
+    assert_eq!(
+        (told.applied_version, told.rejected_version, told.problem.as_ref()),
+        (1, 3, Some(&rejection))
+    );
     // Only one of the two changes, and both come.
     control.touch("other", "c");
     let said = control.said(3);
@@ -632,7 +639,7 @@
     control.now += SECOND;
     assert_eq!(behind(&control), [1_000], "since it fell behind anew");
 
-    let log = LogStatus { next: 4, latest: 6, waits_for: "00000004.toml: missing".into() };
+    let log = LogStatus { next: 4, latest: 6, blocked_reason: "00000004.toml: missing".into() };
     control.publisher.set_log_status(log.clone());
     control.publisher.malformed(
         Time(control.now),
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -4,7 +4,7 @@
 
 use sableloom_distribution::{
     Position, Rejection, ServiceName, Subscriber, SubscriberOptions, SubscriberOutput,
-    SubscriberTimes, encode,
+    SubscriberTiming, encode,
 };
 use sableloom_types::{Span, Time};
 
@@ -28,8 +28,8 @@
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
         options.restored = balancer.saved.clone();
         options.max_transaction_bytes = 10_000;
-        options.times =
-            SubscriberTimes { backoff_max: Span(3 * SECOND), ..SubscriberTimes::default() };
+        options.timing =
+            SubscriberTiming { backoff_max: Span(3 * SECOND), ..SubscriberTiming::default() };
         balancer.subscriber = Some(Subscriber::new(options));
         let scope = balancer.scope.clone();
         balancer.shell.restore(&balancer.saved.clone().unwrap_or_default());
@@ -38,7 +38,7 @@
         let balancer = &mut self.balancers[index];
         if let Some(subscriber) = &balancer.subscriber {
             let held: BTreeSet<ServiceName> = subscriber
-                .held()
+                .service_versions()
                 .filter(|held| held.version > 0)
                 .map(|held| held.service)
                 .collect();
@@ -126,7 +126,7 @@
                 let incarnation = balancer.incarnation;
                 self.at(at, Event::Apply { subscriber: index, incarnation });
             }
-            SubscriberOutput::Changed(event) => self.count(event_name(&event)),
+            SubscriberOutput::Event(event) => self.count(event_name(&event)),
             SubscriberOutput::Save => {
                 let balancer = &mut self.balancers[index];
                 balancer.saved = balancer.subscriber.as_ref().map(Subscriber::saved_state);
@@ -146,7 +146,7 @@
         let result: Result<(), Vec<Rejection>> =
             balancer.shell.apply(&transaction, &self.histories, whole);
         self.with_subscriber(index, |subscriber, now, out| {
-            subscriber.applied(now, transaction.transfer, result, out);
+            subscriber.apply_finished(now, transaction.transfer, result, out);
         });
         let balancer = &self.balancers[index];
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
--- a/crates/distribution/tests/sim/history.rs
+++ b/crates/distribution/tests/sim/history.rs
@@ -4,7 +4,7 @@
 
 use oorandom::Rand64;
 use sableloom_distribution::{
-    Change, LogEntry, Origin, Resource, ResourceName, ServiceName, StoreLimits, chain_next,
+    Change, LogEntry, Origin, Resource, ResourceName, ServiceName, StoreLimits, next_chain_hash,
     resource_digest,
 };
 
@@ -82,7 +82,7 @@
             self.was.insert((service.clone(), version), contents);
         }
         self.before_last = touched.into_iter().collect();
-        self.chain = chain_next(self.chain, self.epoch, number, hash);
+        self.chain = next_chain_hash(self.chain, self.epoch, number, hash);
         self.chains.insert(self.chain);
         self.entries.push(LogEntry { number, epoch: self.epoch, changes, hash });
     }
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -5,7 +5,7 @@
 
 use oorandom::Rand64;
 use sableloom_distribution::{
-    Connection as LinkState, Position, Publisher, PublisherCounters, PublisherOptions, SavedState,
+    ConnectionState, Position, Publisher, PublisherCounters, PublisherOptions, SavedState,
     ServiceName, StoreLimits, Subscriber, SubscriberName, Transaction,
 };
 use sableloom_types::Time;
@@ -259,7 +259,7 @@
             .as_ref()
             .map(|subscriber| subscriber.status(Time(self.now)));
         status.is_some_and(|status| {
-            matches!(status.connection, LinkState::Current { .. })
+            matches!(status.connection, ConnectionState::Current { .. })
                 && status.current.number == self.histories[self.canon].number()
         })
     }
--- a/crates/distribution/tests/store.rs
+++ b/crates/distribution/tests/store.rs
@@ -34,21 +34,22 @@
 fn a_change_is_taken_whole_or_not_at_all() {
     let mut store =
         store_with(3, StoreLimits { service_bytes: 300, services: 2, ..StoreLimits::default() });
-    let before = (store.position(), store.held(&service("points")), store.resource_count());
+    let before =
+        (store.position(), store.service_version(&service("points")), store.resource_count());
     let good = || set(server("b"), 4, b"y");
     let gone = |name| Change::Remove { name, version: 4 };
     let refused = [
-        (entry(6, vec![good()]), AppendError::NotNext { expected: 4, found: 6 }),
-        (entry(3, vec![good()]), AppendError::NotNext { expected: 4, found: 3 }),
+        (entry(6, vec![good()]), AppendError::OutOfSequence { expected: 4, found: 6 }),
+        (entry(3, vec![good()]), AppendError::OutOfSequence { expected: 4, found: 3 }),
         (
             LogEntry { epoch: 0, ..entry(4, vec![good()]) },
-            AppendError::EpochBack { current: 1, found: 0 },
+            AppendError::EpochRegression { current: 1, found: 0 },
         ),
         (
             entry(4, vec![good(), set(server("c"), 5, b"")]),
-            AppendError::WrongVersion { number: 4, found: 5 },
+            AppendError::VersionMismatch { number: 4, found: 5 },
         ),
-        (entry(4, vec![good(), good()]), AppendError::Twice(server("b"))),
+        (entry(4, vec![good(), good()]), AppendError::DuplicateChange(server("b"))),
         (entry(4, vec![good(), gone(server("z"))]), AppendError::UnknownResource(server("z"))),
         (
             entry(4, vec![good(), Change::RemoveService { service: service("none"), version: 4 }]),
@@ -62,7 +63,7 @@
                     Change::RemoveService { service: service("points"), version: 4 },
                 ],
             ),
-            AppendError::Twice(server("a")),
+            AppendError::DuplicateChange(server("a")),
         ),
         (
             entry(4, vec![good(), set(server("c"), 4, &[0; 61_441])]),
@@ -82,7 +83,7 @@
     for (change, error) in refused {
         assert_eq!(store.append(change), Err(error));
         assert_eq!(
-            (store.position(), store.held(&service("points")), store.resource_count()),
+            (store.position(), store.service_version(&service("points")), store.resource_count()),
             before
         );
     }
@@ -104,7 +105,7 @@
         .append(entry(3, vec![Change::RemoveService { service: service("points"), version: 3 }]))
         .unwrap();
     assert_eq!(
-        store.held(&service("points")),
+        store.service_version(&service("points")),
         ServiceVersion { service: service("points"), version: 3, digest: 0 }
     );
     assert_eq!((store.resources(&service("points")).count(), store.resource_count()), (0, 1));
@@ -119,11 +120,11 @@
     one.append(entry(1, vec![set(server("a"), 1, b"1"), set(server("b"), 1, b"2")])).unwrap();
     let mut other = Store::new(StoreLimits::default());
     other.append(entry(1, vec![set(server("b"), 1, b"2"), set(server("a"), 1, b"1")])).unwrap();
-    let digest = one.held(&service("points")).digest;
-    assert_eq!(digest, other.held(&service("points")).digest);
+    let digest = one.service_version(&service("points")).digest;
+    assert_eq!(digest, other.service_version(&service("points")).digest);
     one.append(entry(2, vec![set(server("c"), 2, b"3")])).unwrap();
     one.append(entry(3, vec![Change::Remove { name: server("c"), version: 3 }])).unwrap();
-    assert_eq!(one.held(&service("points")).digest, digest, "a change and its reversal");
+    assert_eq!(one.service_version(&service("points")).digest, digest, "a change and its reversal");
 }
 
 #[test]
@@ -138,31 +139,31 @@
 fn a_subscriber_is_refused_by_who_is_behind_or_has_read_otherwise() {
     let empty = Store::new(StoreLimits::default());
     assert!(
-        matches!(empty.judge(Position::default()), Err(Refusal::Behind { .. })),
+        matches!(empty.check_resume(Position::default()), Err(Refusal::Behind { .. })),
         "nothing has been read yet"
     );
     let store =
         store_with(10, StoreLimits { log_entries: 2, chain_entries: 5, ..StoreLimits::default() });
     let now = store.position();
     let at = |number| store_with(number, StoreLimits::default()).position();
-    assert_eq!(store.judge(Position::default()), Ok(()));
-    assert_eq!(store.judge(at(6)), Ok(()));
+    assert_eq!(store.check_resume(Position::default()), Ok(()));
+    assert_eq!(store.check_resume(at(6)), Ok(()));
     assert_eq!(
-        store.judge(Position { chain: 1, ..at(6) }),
+        store.check_resume(Position { chain: 1, ..at(6) }),
         Err(Refusal::Diverged { position: at(6) })
     );
     assert_eq!(
-        store.judge(Position { chain: 1, ..at(5) }),
+        store.check_resume(Position { chain: 1, ..at(5) }),
         Ok(()),
         "older than all chains that are kept"
     );
-    assert_eq!(store.judge(at(11)), Err(Refusal::Behind { position: now }));
+    assert_eq!(store.check_resume(at(11)), Err(Refusal::Behind { position: now }));
     assert_eq!(
-        store.judge(Position { epoch: 2, number: 1, chain: 0 }),
+        store.check_resume(Position { epoch: 2, number: 1, chain: 0 }),
         Err(Refusal::Behind { position: now })
     );
     assert_eq!(
-        store.judge(Position { epoch: 0, number: 99, chain: 1 }),
+        store.check_resume(Position { epoch: 0, number: 99, chain: 1 }),
         Ok(()),
         "a lower epoch is history"
     );
@@ -171,7 +172,7 @@
 #[test]
 fn tenants_are_counted_collapse_into_a_delta_and_go_with_their_service() {
     let tenant = |name: &str| ResourceName::tenant(service("points"), name);
-    let digest = |store: &Store| store.held(&service("points")).digest;
+    let digest = |store: &Store| store.service_version(&service("points")).digest;
     let mut store = store_with(1, StoreLimits::default());
     let without = digest(&store);
     store
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use sableloom_distribution::{
-    Base, Change, Connection, DisconnectReason, NackReason, Origin, Position, PublisherMessage,
-    Refusal, Rejection, Resource, ResourceName, SavedState, ServiceBase, ServiceName,
-    ServiceVersion, Subscriber, SubscriberEvent, SubscriberMessage, SubscriberName,
+    Base, Change, ConnectionState, DisconnectReason, NackReason, Origin, Position,
+    PublisherMessage, Refusal, Rejection, Resource, ResourceName, SavedState, ServiceBase,
+    ServiceName, ServiceVersion, Subscriber, SubscriberEvent, SubscriberMessage, SubscriberName,
     SubscriberOptions, SubscriberOutput, Transaction, resource_digest,
 };
 use sableloom_types::Time;
@@ -112,7 +112,7 @@
             vec![Change::Set(resource.clone())],
             held,
         );
-        self.subscriber.applied(Time(self.now), version, Ok(()), &mut self.out);
+        self.subscriber.apply_finished(Time(self.now), version, Ok(()), &mut self.out);
         assert_eq!(self.sent(), [SubscriberMessage::Ack { transfer: version }]);
         resource
     }
@@ -136,7 +136,7 @@
 
     fn events(&mut self) -> Vec<SubscriberEvent> {
         self.take(|output| match output {
-            SubscriberOutput::Changed(event) => Ok(event),
+            SubscriberOutput::Event(event) => Ok(event),
             output => Err(output),
         })
     }
@@ -242,7 +242,7 @@
         field: "address".into(),
         problem: "no address".into(),
     };
-    balancer.subscriber.applied(Time(0), 9, Err(vec![problem.clone()]), &mut balancer.out);
+    balancer.subscriber.apply_finished(Time(0), 9, Err(vec![problem.clone()]), &mut balancer.out);
     let reason = NackReason::Rejected(vec![problem]);
     assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transfer: 9, reason }]);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
@@ -308,7 +308,7 @@
     balancer.lost();
     balancer.connects();
     assert_eq!(balancer.connected(), []);
-    balancer.subscriber.applied(Time(balancer.now), 9, Ok(()), &mut balancer.out);
+    balancer.subscriber.apply_finished(Time(balancer.now), 9, Ok(()), &mut balancer.out);
     let sent = balancer.sent();
     let [SubscriberMessage::Hello { .. }, SubscriberMessage::Scope { add, .. }] = &sent[..] else {
         panic!("{sent:?}")
@@ -428,8 +428,11 @@
     balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], held);
     balancer.subscriber.set_scope(Time(0), vec![], &mut balancer.out);
     balancer.subscriber.set_scope(Time(0), vec![service("points")], &mut balancer.out);
-    balancer.subscriber.applied(Time(0), 9, Ok(()), &mut balancer.out);
-    assert_eq!(balancer.subscriber.held().map(|held| held.version).collect::<Vec<_>>(), [0]);
+    balancer.subscriber.apply_finished(Time(0), 9, Ok(()), &mut balancer.out);
+    assert_eq!(
+        balancer.subscriber.service_versions().map(|held| held.version).collect::<Vec<_>>(),
+        [0]
+    );
 }
 
 #[test]
@@ -459,8 +462,8 @@
     // A backoff of 2 s in the mean: 1,800 in an hour.
     assert!((900..4_500).contains(&connects), "{connects} in an hour");
     let status = balancer.subscriber.status(Time(balancer.now));
-    assert_eq!(status.age.map(|age| age.0), Some(balancer.now - heard));
-    assert!(matches!(status.connection, Connection::Waiting { .. }));
+    assert_eq!(status.last_contact_age.map(|age| age.0), Some(balancer.now - heard));
+    assert!(matches!(status.connection, ConnectionState::Waiting { .. }));
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
 }
 
@@ -496,9 +499,9 @@
         Balancer::new(SubscriberOptions { restored: Some(saved.clone()), ..options(1, scope, 2) })
     };
     let again = restored(&saved, &["points", "partners"]);
-    assert!(again.subscriber.held().eq(balancer.subscriber.held()));
+    assert!(again.subscriber.service_versions().eq(balancer.subscriber.service_versions()));
     assert_eq!(again.subscriber.saved_state(), saved);
-    assert_eq!(restored(&saved, &["points"]).subscriber.status(Time(0)).services_held, 1);
+    assert_eq!(restored(&saved, &["points"]).subscriber.status(Time(0)).services_applied, 1);
     saved.services[1].resources[0].body = b"flip".as_slice().into();
     let mut damaged = restored(&saved, &["points", "partners"]);
     assert_eq!(
@@ -507,8 +510,8 @@
     );
     assert_eq!(damaged.subscriber.resources(&service("points")).count(), 0);
     // What comes after a bookmark that fits is worth a line once.
-    let digest = balancer.subscriber.held().fold(0u64, |sum, held| {
-        sum.wrapping_add(sableloom_distribution::scope_digest_part(
+    let digest = balancer.subscriber.service_versions().fold(0u64, |sum, held| {
+        sum.wrapping_add(sableloom_distribution::scope_digest_term(
             &held.service,
             held.version,
             held.digest,
--- a/crates/resources/src/body.rs
+++ b/crates/resources/src/body.rs
@@ -71,13 +71,13 @@
     /// Names of classes; none for all. A balancer's site says which there are.
     pub classes: Vec<String>,
     /// Refuses what the route takes with this status of HTTP; otherwise it leads to the service's pool.
-    pub refuse: Option<u16>,
+    pub refusal_status: Option<u16>,
 }
 
 impl RouteRule {
     /// The rule as routes are compiled from it; `classes` are those of the balancer's site in their order.
     /// Fails with the first class that is not among them.
-    pub fn rule(&self, classes: &[&str]) -> Result<Rule, UnknownClass> {
+    pub fn to_rule(&self, classes: &[&str]) -> Result<Rule, UnknownClass> {
         let index = |name: &String| {
             let position = classes.iter().position(|class| class == name);
             position.ok_or_else(|| UnknownClass(name.clone()))
@@ -115,7 +115,7 @@
 pub enum BodyError {
     /// There is nothing.
     #[error("an empty body")]
-    Empty,
+    EmptyInventory,
     /// It is in a version of the encoding that this program does not know.
     #[error("a body in version {0} of the encoding; this program knows {FORMAT_VERSION}")]
     Version(u8),
@@ -153,7 +153,7 @@
 
     /// The body of a resource of this kind.
     pub fn decode(kind: ResourceKind, bytes: &[u8]) -> Result<Self, BodyError> {
-        let (version, rest) = bytes.split_first().ok_or(BodyError::Empty)?;
+        let (version, rest) = bytes.split_first().ok_or(BodyError::EmptyInventory)?;
         if *version != FORMAT_VERSION {
             return Err(BodyError::Version(*version));
         }
--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -12,7 +12,7 @@
 /// Most entries of one change file: as many as a megabyte's worth of the shortest ones.
 pub const MAX_ENTRIES: usize = 100_000;
 /// Largest number of a change file: the largest whole number that TOML readers agree on.
-pub const MAX_NUMBER: usize = 1 << 53;
+pub const MAX_CHANGE_NUMBER: usize = 1 << 53;
 
 /// What one entry of a change file does.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,7 +42,7 @@
 
 /// An entry of a change file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ChangeEntry {
     /// What it does.
     pub edit: Edit,
     /// The line that it begins in, from 1.
@@ -62,14 +62,14 @@
     /// The epoch of the log that it belongs to.
     pub epoch: u32,
     /// What it does, in its order.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ChangeEntry>,
     /// A hash of its bytes, the same in every process.
     pub hash: u64,
 }
 
 /// Whether a change file was written to its end: its last table is `[end]`, and the line of its `changes` is
 /// complete. A file for which this is false is still being written, or was cut.
-pub fn is_finished(text: &[u8]) -> bool {
+pub fn is_complete(text: &[u8]) -> bool {
     if text.last() != Some(&b'\n') {
         return false;
     }
@@ -94,7 +94,7 @@
 }
 
 fn change(file: &str, root: &Table<'_>) -> Option<ChangeFile> {
-    let number = need_whole(root, "number", MAX_NUMBER);
+    let number = need_whole(root, "number", MAX_CHANGE_NUMBER);
     let epoch = need_whole(root, "epoch", u32::MAX as usize);
     let mut entries = Entries::default();
     entries.read(root, "pool", pool);
@@ -135,7 +135,7 @@
 /// The entries read so far.
 #[derive(Default)]
 struct Entries {
-    entries: Vec<Entry>,
+    entries: Vec<ChangeEntry>,
     /// Tables read, wrong ones included.
     tables: usize,
     /// The table that named a resource first.
@@ -163,7 +163,7 @@
             let field = table.here().field;
             self.check_unique(&table, &edit, &field);
             check_size(&table, &edit);
-            self.entries.push(Entry { edit, line: table.line() as u32, field });
+            self.entries.push(ChangeEntry { edit, line: table.line() as u32, field });
         }
     }
 
@@ -239,7 +239,7 @@
         table.missing("rank", "the route's place among all routes, lower first");
     }
     let rank = table.whole("rank", 0..=u32::MAX as usize, "");
-    let refuse = read_refusal(table).map(|status| status.value);
+    let refusal_status = read_refusal(table).map(|status| status.value);
     let conditions = read_conditions(table);
     let classes = table.texts("class").into_iter().map(|class| class.value).collect();
     let rule = RouteRule {
@@ -249,7 +249,7 @@
         methods: conditions.methods,
         headers: conditions.headers,
         classes,
-        refuse,
+        refusal_status,
     };
     Some(set(service?, &name?.value, Body::Route(rule)))
 }
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -14,7 +14,9 @@
 pub use body::{
     Body, BodyError, FORMAT_VERSION, RouteRule, ServerEntry, ServerState, UnknownClass,
 };
-pub use change::{ChangeFile, Edit, Entry, MAX_ENTRIES, MAX_NUMBER, is_finished, read_change};
+pub use change::{
+    ChangeEntry, ChangeFile, Edit, MAX_CHANGE_NUMBER, MAX_ENTRIES, is_complete, read_change,
+};
 pub use listing::{ListedServer, listing};
-pub use resolve::{Empty, Inventory};
-pub use tenant::{BURST, LimitError, MAX_TENANTS, REQUESTS_PER_SECOND, TenantLimit};
+pub use resolve::{EmptyInventory, Inventory};
+pub use tenant::{BURST_RANGE, LimitError, MAX_TENANTS, REQUESTS_PER_SECOND_RANGE, TenantLimit};
--- a/crates/resources/src/resolve.rs
+++ b/crates/resources/src/resolve.rs
@@ -12,7 +12,7 @@
 use sableloom_toml_diagnostics::{Problem, instead};
 
 use crate::body::{Body, ServerEntry};
-use crate::change::{ChangeFile, Edit, Entry};
+use crate::change::{ChangeEntry, ChangeFile, Edit};
 use crate::tenant::MAX_TENANTS;
 
 /// The resources that are there before a change. Only services that the change touches are asked for, so that
@@ -23,9 +23,9 @@
 }
 
 /// Nothing is there.
-pub struct Empty;
+pub struct EmptyInventory;
 
-impl Inventory for Empty {
+impl Inventory for EmptyInventory {
     fn visit(&self, _: &ServiceName, _: &mut dyn FnMut(&Resource)) {}
 }
 
@@ -33,7 +33,7 @@
     /// Judges the file against what is there, and makes of it an entry of the log. All that is wrong is found
     /// at once.
     pub fn resolve(&self, inventory: &dyn Inventory) -> Result<LogEntry, Vec<Problem>> {
-        let mut by_service: BTreeMap<&ServiceName, Vec<&Entry>> = BTreeMap::new();
+        let mut by_service: BTreeMap<&ServiceName, Vec<&ChangeEntry>> = BTreeMap::new();
         for entry in &self.entries {
             by_service.entry(entry.edit.service()).or_default().push(entry);
         }
@@ -71,7 +71,12 @@
 }
 
 impl Resolution<'_> {
-    fn service(&mut self, service: &ServiceName, entries: &[&Entry], inventory: &dyn Inventory) {
+    fn service(
+        &mut self,
+        service: &ServiceName,
+        entries: &[&ChangeEntry],
+        inventory: &dyn Inventory,
+    ) {
         let mut held = Names::new();
         inventory.visit(service, &mut |resource| {
             held.insert(resource.name.clone());
@@ -97,7 +102,12 @@
 
     /// The names that the service has after the change. What the file sets stays, also where it removes the
     /// service: that replaces it.
-    fn names_after(&mut self, service: &ServiceName, held: &Names, entries: &[&Entry]) -> Names {
+    fn names_after(
+        &mut self,
+        service: &ServiceName,
+        held: &Names,
+        entries: &[&ChangeEntry],
+    ) -> Names {
         let mut next = held.clone();
         for entry in entries {
             match &entry.edit {
@@ -120,7 +130,7 @@
         next
     }
 
-    fn unknown(&mut self, entry: &Entry, name: &ResourceName, held: &Names) {
+    fn unknown(&mut self, entry: &ChangeEntry, name: &ResourceName, held: &Names) {
         let known = held.iter().filter(|other| other.kind == name.kind).map(|other| &*other.key);
         let help = instead(&name.key, known);
         let what = match name.kind {
@@ -134,7 +144,7 @@
     }
 
     /// A service that has anything has settings of its pool.
-    fn check_pool(&mut self, service: &ServiceName, next: &Names, entries: &[&Entry]) {
+    fn check_pool(&mut self, service: &ServiceName, next: &Names, entries: &[&ChangeEntry]) {
         let has_pool = next.iter().any(|name| name.kind == ResourceKind::Pool);
         let set = entries.iter().find(|entry| matches!(entry.edit, Edit::Set { .. }));
         if let Some(entry) = set.filter(|_| !has_pool) {
@@ -148,10 +158,10 @@
         &mut self,
         service: &ServiceName,
         next: &Names,
-        entries: &[&Entry],
+        entries: &[&ChangeEntry],
         inventory: &dyn Inventory,
     ) {
-        let set: Vec<(&Entry, &ResourceName, &ServerEntry)> =
+        let set: Vec<(&ChangeEntry, &ResourceName, &ServerEntry)> =
             entries.iter().filter_map(|entry| server_of(entry)).collect();
         let Some((last, ..)) = set.last() else { return };
         let replaced: BTreeSet<&ResourceName> = set.iter().map(|(_, name, _)| *name).collect();
@@ -191,8 +201,8 @@
     }
 
     /// A service has no more tenants than it may.
-    fn check_tenants(&mut self, next: &Names, entries: &[&Entry]) {
-        let is_tenant = |entry: &&&Entry| match &entry.edit {
+    fn check_tenants(&mut self, next: &Names, entries: &[&ChangeEntry]) {
+        let is_tenant = |entry: &&&ChangeEntry| match &entry.edit {
             Edit::Set { name, .. } => name.kind == ResourceKind::Tenant,
             _ => false,
         };
@@ -204,7 +214,7 @@
         }
     }
 
-    fn wrong(&mut self, entry: &Entry, message: String, help: Option<String>) {
+    fn wrong(&mut self, entry: &ChangeEntry, message: String, help: Option<String>) {
         self.problems.push(Problem {
             file: self.file.file.clone(),
             span: 0..0,
@@ -217,7 +227,7 @@
     }
 }
 
-fn server_of(entry: &Entry) -> Option<(&Entry, &ResourceName, &ServerEntry)> {
+fn server_of(entry: &ChangeEntry) -> Option<(&ChangeEntry, &ResourceName, &ServerEntry)> {
     match &entry.edit {
         Edit::Set { name, body } => match &**body {
             Body::Server(server) => Some((entry, name, server)),
--- a/crates/resources/tests/change.rs
+++ b/crates/resources/tests/change.rs
@@ -4,8 +4,8 @@
 
 use sableloom_distribution::{Change, LogEntry, Resource, ResourceKind, ResourceName, ServiceName};
 use sableloom_resources::{
-    Body, BodyError, Empty, FORMAT_VERSION, Inventory, ListedServer, ServerState, is_finished,
-    listing, read_change,
+    Body, BodyError, EmptyInventory, FORMAT_VERSION, Inventory, ListedServer, ServerState,
+    is_complete, listing, read_change,
 };
 use sableloom_site_config::{Class, ClassDefaults};
 
@@ -52,7 +52,7 @@
 impl Kept {
     fn with(text: &str) -> Self {
         let mut kept = Kept::default();
-        kept.apply(entry(text, &Empty).expect("a good change"));
+        kept.apply(entry(text, &EmptyInventory).expect("a good change"));
         kept
     }
 
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_change_becomes_what_a_sites_file_would_have_said() {
-    let entry = entry(FIRST, &Empty).expect("a good change");
+    let entry = entry(FIRST, &EmptyInventory).expect("a good change");
     assert_eq!((entry.number, entry.epoch, entry.changes.len()), (1, 1, 5));
 
     let (pool, Body::Pool(settings)) = body(&entry, ResourceKind::Pool, "") else {
@@ -140,13 +140,13 @@
     let (_, Body::Route(route)) = body(&entry, ResourceKind::Route, "balance") else {
         panic!("a route")
     };
-    assert_eq!(route.rule(&["redeem", "balance"]).expect("a rule").classes, [1]);
-    let unknown = route.rule(&["redeem"]).expect_err("no such class");
+    assert_eq!(route.to_rule(&["redeem", "balance"]).expect("a rule").classes, [1]);
+    let unknown = route.to_rule(&["redeem"]).expect_err("no such class");
     assert_eq!(unknown.to_string(), "no class \"balance\"");
     let (_, Body::Route(route)) = body(&entry, ResourceKind::Route, "retired") else {
         panic!("a route")
     };
-    assert_eq!((route.rank, route.refuse), (90, Some(410)));
+    assert_eq!((route.rank, route.refusal_status), (90, Some(410)));
 }
 
 #[test]
@@ -172,7 +172,7 @@
 [end]
 changes = 5
 "#;
-    let told = problems(text, &Empty);
+    let told = problems(text, &EmptyInventory);
     for (line, field, what) in [
         (2, "epoch", "expected 1 to"),
         (4, "pool[0].service", "expected 1 to 128"),
@@ -280,7 +280,7 @@
 [end]
 changes = 3
 "#;
-    let told = problems(text, &Empty);
+    let told = problems(text, &EmptyInventory);
     assert!(told[0].contains(":9:1: field `server[1]`: server[0] names the same"), "{told:?}");
     let text = text.replace(
         "id = \"points-1\"\naddress = \"127.0.0.1:9002\"",
@@ -288,23 +288,23 @@
     );
     let text =
         text.replace("address = \"127.0.0.1:9001\"", "address = \"127.0.0.1:9001\"\nweight = 0");
-    let told = problems(&text, &Empty);
+    let told = problems(&text, &EmptyInventory);
     assert!(told[0].contains("every server of the service has weight 0"), "{told:?}");
 }
 
 #[test]
 fn a_file_cut_anywhere_is_not_finished() {
-    assert!(is_finished(FIRST.as_bytes()));
-    assert!(is_finished(format!("{FIRST}\n# a last remark\n\n").as_bytes()));
+    assert!(is_complete(FIRST.as_bytes()));
+    assert!(is_complete(format!("{FIRST}\n# a last remark\n\n").as_bytes()));
     for cut in 0..FIRST.len() {
-        assert!(!is_finished(&FIRST.as_bytes()[..cut]), "cut at {cut}");
+        assert!(!is_complete(&FIRST.as_bytes()[..cut]), "cut at {cut}");
     }
-    assert!(!is_finished(format!("{FIRST}[[remove]]\nservice = \"points\"\n").as_bytes()));
+    assert!(!is_complete(format!("{FIRST}[[remove]]\nservice = \"points\"\n").as_bytes()));
 }
 
 #[test]
 fn a_body_that_is_foreign_cut_or_too_long_is_refused() {
-    let entry = entry(FIRST, &Empty).expect("a good change");
+    let entry = entry(FIRST, &EmptyInventory).expect("a good change");
     for change in &entry.changes {
         let Change::Set(resource) = change else { continue };
         let (kind, bytes) = (resource.name.kind, resource.body.as_slice());
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -161,9 +161,9 @@
 }
 
 fn machine(text: &mut String, machine: &MachineStatus) {
-    let LogStatus { next, latest, waits_for } = &machine.log;
-    if !waits_for.is_empty() {
-        _ = writeln!(text, "changes from {next} to {latest} wait: {waits_for}");
+    let LogStatus { next, latest, blocked_reason } = &machine.log;
+    if !blocked_reason.is_empty() {
+        _ = writeln!(text, "changes from {next} to {latest} wait: {blocked_reason}");
     }
     _ = writeln!(
         text,
@@ -201,20 +201,25 @@
 }
 
 fn lags(text: &mut String, session: &SessionStatus) {
-    for LagStatus { service, has, wants, behind_ms } in &session.lags {
+    for LagStatus { service, applied_version, latest_version, behind_ms } in &session.lags {
         let (subscriber, time) = (&session.subscriber, seconds(*behind_ms));
         _ = writeln!(
             text,
-            "{subscriber} lags in {service} for {time}: has {has}, is to have {wants}"
+            "{subscriber} lags in {service} for {time}: has {applied_version}, is to have {latest_version}"
         );
     }
     more(text, session, "lags in", session.lagging, session.lags.len());
 }
 
 fn refusals(text: &mut String, session: &SessionStatus) {
-    for RejectionStatus { service, has, refused, behind_ms, problem } in &session.rejections {
+    for RejectionStatus { service, applied_version, rejected_version, behind_ms, problem } in
+        &session.rejections
+    {
         let (subscriber, time) = (&session.subscriber, seconds(*behind_ms));
-        _ = write!(text, "{subscriber} refused {service} {refused} {time} ago and keeps {has}");
+        _ = write!(
+            text,
+            "{subscriber} refused {service} {rejected_version} {time} ago and keeps {applied_version}"
+        );
         match problem {
             Some(problem) => _ = writeln!(text, ": {problem}"),
             None => text.push('\n'),
@@ -244,7 +249,7 @@
         "log": { "changes": status.log_entries, "bytes": status.log_bytes },
         "next": report.machine.log.next,
         "latest": report.machine.log.latest,
-        "waits_for": &*report.machine.log.waits_for,
+        "waits_for": &*report.machine.log.blocked_reason,
         "sessions": report.sessions.iter().map(session_json).collect::<Vec<_>>(),
         "lagging": status.lagging,
         "rejecting": status.rejecting,
@@ -289,14 +294,14 @@
 }
 
 fn lag_json(lag: &LagStatus) -> Value {
-    json!({ "service": lag.service.as_str(), "has": lag.has, "wants": lag.wants, "behind_ms": lag.behind_ms })
+    json!({ "service": lag.service.as_str(), "has": lag.applied_version, "wants": lag.latest_version, "behind_ms": lag.behind_ms })
 }
 
 fn rejection_json(rejection: &RejectionStatus) -> Value {
     json!({
         "service": rejection.service.as_str(),
-        "has": rejection.has,
-        "refused": rejection.refused,
+        "has": rejection.applied_version,
+        "refused": rejection.rejected_version,
         "behind_ms": rejection.behind_ms,
         "problem": rejection.problem.as_ref().map(|problem| json!({
             "file": &*problem.origin.file,
--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use sableloom_distribution::SubscriberTimes;
+use sableloom_distribution::SubscriberTiming;
 use sableloom_site_config::Control;
 use sableloom_subscription::{StateOrigin, Subscription, SubscriptionOptions};
 use sableloom_types::settings::stable_hash;
@@ -40,7 +40,7 @@
             scope: control.services.clone(),
             state: control.state.as_ref().map(|file| folder.join(file)),
             seed: stable_hash(control.own.as_str()) ^ u64::from(std::process::id()).rotate_left(32),
-            times: SubscriberTimes::default(),
+            times: SubscriberTiming::default(),
         };
         let subscription = Subscription::start(options, applier.clone());
         Self { subscription, applier }
@@ -78,13 +78,13 @@
             "seen": subscriber.position.to_string(),
             "in_force": subscriber.current.to_string(),
             "number": subscriber.current.number,
-            "age_ms": subscriber.age.map(|age| age.0 / 1000),
+            "age_ms": subscriber.last_contact_age.map(|age| age.0 / 1000),
             "from": status.origin.map(|origin| match origin {
                 StateOrigin::File => "file",
                 StateOrigin::Control => "control",
             }),
             "services": subscriber.services,
-            "services_held": subscriber.services_held,
+            "services_held": subscriber.services_applied,
             "resources": subscriber.resources,
             "tenants": subscriber.tenants,
             "bytes": subscriber.bytes,
@@ -100,14 +100,14 @@
     }
 }
 
-fn connection_word(connection: &sableloom_distribution::Connection) -> &'static str {
-    use sableloom_distribution::Connection;
+fn connection_word(connection: &sableloom_distribution::ConnectionState) -> &'static str {
+    use sableloom_distribution::ConnectionState;
     match connection {
-        Connection::Idle => "idle",
-        Connection::Waiting { .. } => "waiting",
-        Connection::Connecting { .. } => "connecting",
-        Connection::Greeting { .. } => "greeting",
-        Connection::Syncing { .. } => "syncing",
-        Connection::Current { .. } => "current",
+        ConnectionState::Idle => "idle",
+        ConnectionState::Waiting { .. } => "waiting",
+        ConnectionState::Connecting { .. } => "connecting",
+        ConnectionState::Greeting { .. } => "greeting",
+        ConnectionState::Syncing { .. } => "syncing",
+        ConnectionState::Current { .. } => "current",
     }
 }
--- a/crates/sableloom/src/serve/plan.rs
+++ b/crates/sableloom/src/serve/plan.rs
@@ -154,7 +154,7 @@
 
     fn set_route(&mut self, resource: &'a Resource, route: &RouteRule) {
         let classes: Vec<&str> = self.site.classes.iter().map(|class| &*class.name).collect();
-        let rule = match route.rule(&classes) {
+        let rule = match route.to_rule(&classes) {
             Ok(rule) => rule,
             Err(unknown) => {
                 let help = instead(&unknown.0, classes.iter().copied());
@@ -173,7 +173,7 @@
             service: self.update.service.as_str().into(),
             name: (*resource.name.key).into(),
         };
-        self.routes.push(IndexedRoute { order, rule, target: route.refuse });
+        self.routes.push(IndexedRoute { order, rule, target: route.refusal_status });
     }
 
     fn set_tenant(&mut self, resource: &'a Resource, limit: &TenantLimit) {
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -12,7 +12,7 @@
 use sableloom_distribution::{
     Change, DisconnectReason, FrameReader, PublisherMessage, Rejection, Resource, ResourceName,
     ServiceName, Subscriber, SubscriberEvent, SubscriberName, SubscriberOptions, SubscriberOutput,
-    SubscriberTimes, Transaction, encode,
+    SubscriberTiming, Transaction, encode,
 };
 use sableloom_types::{Span, Time};
 
@@ -70,11 +70,11 @@
         let name = SubscriberName::try_from("balancer-1").expect("a name");
         let seed = u64::from(std::process::id());
         let mut options = SubscriberOptions::new(name, machines.len(), scope, seed);
-        options.times = SubscriberTimes {
+        options.timing = SubscriberTiming {
             first_delay: Span(1_000),
             backoff_base: Span(20_000),
             backoff_max: Span(100_000),
-            ..SubscriberTimes::default()
+            ..SubscriberTiming::default()
         };
         Self {
             machines,
@@ -161,7 +161,7 @@
             }
             SubscriberOutput::Close { .. } => self.stream = None,
             SubscriberOutput::Apply(transaction) => self.apply(transaction),
-            SubscriberOutput::Changed(event) => say_event(&event),
+            SubscriberOutput::Event(event) => say_event(&event),
             SubscriberOutput::Save => {}
         }
     }
@@ -202,11 +202,11 @@
                 ));
             }
             self.decide(|subscriber, now, out| {
-                subscriber.applied(now, transaction.transfer, Ok(()), out);
+                subscriber.apply_finished(now, transaction.transfer, Ok(()), out);
             });
         } else {
             self.decide(|subscriber, now, out| {
-                subscriber.applied(now, transaction.transfer, Err(rejections), out);
+                subscriber.apply_finished(now, transaction.transfer, Err(rejections), out);
             });
         }
     }
--- a/crates/scale-test/src/subscribers.rs
+++ b/crates/scale-test/src/subscribers.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sableloom_distribution::{
-    Connection, Rejection, ServiceName, SubscriberName, SubscriberTimes, Transaction,
+    ConnectionState, Rejection, ServiceName, SubscriberName, SubscriberTiming, Transaction,
 };
 use sableloom_subscription::{Applier, Subscription, SubscriptionOptions};
 use serde::{Deserialize, Serialize};
@@ -154,7 +154,7 @@
             scope: scope.ok()?,
             state: set.state.clone(),
             seed: number as u64,
-            times: SubscriberTimes::default(),
+            times: SubscriberTiming::default(),
         };
         let recorder = Recorder { subscriber: number, in_force: self.in_force.clone() };
         Some(Subscription::start(options, Rc::new(recorder)))
@@ -184,7 +184,7 @@
             let status = subscription.status().subscriber;
             let traffic = subscription.traffic();
             let counters = status.counters;
-            let is_current = matches!(status.connection, Connection::Current { .. });
+            let is_current = matches!(status.connection, ConnectionState::Current { .. });
             report.current += usize::from(is_current);
             report.lowest = report.lowest.min(status.current.number);
             report.received_bytes += traffic.received_bytes;
--- a/crates/subscription/src/client.rs
+++ b/crates/subscription/src/client.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use sableloom_distribution::{
-    Change, Connection, DisconnectReason, Rejection, SavedService, SavedState, ServiceName,
+    Change, ConnectionState, DisconnectReason, Rejection, SavedService, SavedState, ServiceName,
     ServiceUpdate, Subscriber, SubscriberEvent, SubscriberName, SubscriberOptions,
-    SubscriberOutput, SubscriberStatus, SubscriberTimes, Transaction,
+    SubscriberOutput, SubscriberStatus, SubscriberTiming, Transaction,
 };
 use sableloom_types::Time;
 use tokio::sync::Notify;
@@ -46,7 +46,7 @@
     /// Of its random times; different at every balancer.
     pub seed: u64,
     /// Times.
-    pub times: SubscriberTimes,
+    pub times: SubscriberTiming,
 }
 
 /// Where the state that is in force at first has come from.
@@ -109,7 +109,7 @@
         let origin = restored.as_ref().map(|_| StateOrigin::File);
         let mut subscriber = Subscriber::new(SubscriberOptions {
             restored,
-            times: options.times,
+            timing: options.times,
             ..SubscriberOptions::new(
                 options.name.clone(),
                 options.machines.len(),
@@ -163,11 +163,11 @@
     pub fn status(&self) -> SubscriptionStatus {
         let subscriber = self.subscriber.borrow().status(self.now());
         let control = match subscriber.connection {
-            Connection::Idle | Connection::Waiting { .. } => None,
-            Connection::Connecting { control }
-            | Connection::Greeting { control }
-            | Connection::Syncing { control }
-            | Connection::Current { control } => Some(control),
+            ConnectionState::Idle | ConnectionState::Waiting { .. } => None,
+            ConnectionState::Connecting { control }
+            | ConnectionState::Greeting { control }
+            | ConnectionState::Syncing { control }
+            | ConnectionState::Current { control } => Some(control),
         };
         SubscriptionStatus {
             machine: control.and_then(|control| self.machines.get(control).copied()),
@@ -379,10 +379,10 @@
                 SubscriberOutput::Apply(transaction) => {
                     let result = subscription.applier.apply(&transaction);
                     queue.extend(subscription.call(|subscriber, now, out| {
-                        subscriber.applied(now, transaction.transfer, result, out);
+                        subscriber.apply_finished(now, transaction.transfer, result, out);
                     }));
                 }
-                SubscriberOutput::Changed(event) => subscription.event(&event),
+                SubscriberOutput::Event(event) => subscription.event(&event),
                 SubscriberOutput::Save => {
                     if let Some(saver) = &mut self.saver {
                         saver.changed(Instant::now());
--- a/crates/subscription/tests/client.rs
+++ b/crates/subscription/tests/client.rs
@@ -7,7 +7,7 @@
 use sableloom_distribution::{
     Base, Change, FrameReader, Origin, Position, PublisherMessage, Rejection, Resource,
     ResourceName, ServiceBase, ServiceName, ServiceVersion, SubscriberMessage, SubscriberName,
-    SubscriberTimes, Transaction, encode, resource_digest, scope_digest_part,
+    SubscriberTiming, Transaction, encode, resource_digest, scope_digest_term,
 };
 use sableloom_subscription::{Applier, StateOrigin, Subscription, SubscriptionOptions, read_state};
 use sableloom_testkit::Site;
@@ -75,13 +75,13 @@
 }
 
 /// Tries again at once, and gives a silent machine up after 2 s.
-fn times() -> SubscriberTimes {
-    SubscriberTimes {
+fn times() -> SubscriberTiming {
+    SubscriberTiming {
         first_delay: Span(0),
         backoff_base: Span(1000),
         backoff_max: Span(1000),
         silence_timeout: Span(2_000_000),
-        ..SubscriberTimes::default()
+        ..SubscriberTiming::default()
     }
 }
 
@@ -174,7 +174,7 @@
     }
 
     async fn current(&mut self, position: Position, held: &ServiceVersion) {
-        let digest = scope_digest_part(&held.service, held.version, held.digest);
+        let digest = scope_digest_term(&held.service, held.version, held.digest);
         self.send(PublisherMessage::Current { position, generation: 1, digest }).await;
     }
 }
--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -12,7 +12,7 @@
 use sableloom_distribution::{
     Change, DisconnectReason, Publisher, PublisherMessage, PublisherOptions, PublisherOutput,
     Rejection, SavedState, ServiceName, SessionId, Store, StoreLimits, Subscriber,
-    SubscriberMessage, SubscriberName, SubscriberOptions, SubscriberOutput, SubscriberTimes,
+    SubscriberMessage, SubscriberName, SubscriberOptions, SubscriberOutput, SubscriberTiming,
     encode,
 };
 use sableloom_types::{Span, Time};
@@ -159,8 +159,8 @@
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
         options.restored = Some(balancer.saved.clone());
         options.max_transaction_bytes = 9_000;
-        options.times =
-            SubscriberTimes { backoff_max: Span(2 * SECOND), ..SubscriberTimes::default() };
+        options.timing =
+            SubscriberTiming { backoff_max: Span(2 * SECOND), ..SubscriberTiming::default() };
         balancer.subscriber = Subscriber::new(options);
         self.with_subscriber(index, trace, |subscriber, now, out| subscriber.start(now, out));
     }
@@ -387,7 +387,7 @@
                     break;
                 }
                 self.with_subscriber(index, trace, |subscriber, now, out| {
-                    subscriber.applied(now, transfer, result, out);
+                    subscriber.apply_finished(now, transfer, result, out);
                 });
             }
         }
--- a/crates/testkit/examples/trace_digest/distribution/record.rs
+++ b/crates/testkit/examples/trace_digest/distribution/record.rs
@@ -1,7 +1,7 @@
 //! Writes outputs and statuses to a trace: messages as encoded bytes, everything else by number and value.
 
 use sableloom_distribution::{
-    AppendError, Change, CloseReason, CodecError, Connection, DisconnectReason, NackReason,
+    AppendError, Change, CloseReason, CodecError, ConnectionState, DisconnectReason, NackReason,
     Position, Publisher, PublisherMessage, PublisherOutput, Refusal, Rejection, ServiceName,
     StatusQuery, Subscriber, SubscriberCounters, SubscriberEvent, SubscriberMessage,
     SubscriberOutput, Transaction, encode,
@@ -43,7 +43,7 @@
             trace.integer(6);
             self::transaction(trace, transaction);
         }
-        SubscriberOutput::Changed(event) => {
+        SubscriberOutput::Event(event) => {
             trace.integer(7);
             self::event(trace, event);
         }
@@ -58,10 +58,10 @@
 
 pub fn append_error(error: &AppendError) -> i64 {
     match error {
-        AppendError::NotNext { .. } => 1,
-        AppendError::EpochBack { .. } => 2,
-        AppendError::WrongVersion { .. } => 3,
-        AppendError::Twice(_) => 4,
+        AppendError::OutOfSequence { .. } => 1,
+        AppendError::EpochRegression { .. } => 2,
+        AppendError::VersionMismatch { .. } => 3,
+        AppendError::DuplicateChange(_) => 4,
         AppendError::UnknownResource(_) => 5,
         AppendError::UnknownService(_) => 6,
         AppendError::ResourceTooLarge(_) => 7,
@@ -110,10 +110,10 @@
     connection(trace, &status.connection);
     position(trace, status.position);
     position(trace, status.current);
-    trace.integer(status.age.map_or(-1, |age| age.0));
+    trace.integer(status.last_contact_age.map_or(-1, |age| age.0));
     for count in [
         status.services,
-        status.services_held,
+        status.services_applied,
         status.resources,
         status.tenants,
         status.bytes,
@@ -273,14 +273,14 @@
     }
 }
 
-fn connection(trace: &mut Trace, connection: &Connection) {
+fn connection(trace: &mut Trace, connection: &ConnectionState) {
     let (number, value) = match connection {
-        Connection::Idle => (1, 0),
-        Connection::Waiting { until } => (2, until.0),
-        Connection::Connecting { control } => (3, *control as i64),
-        Connection::Greeting { control } => (4, *control as i64),
-        Connection::Syncing { control } => (5, *control as i64),
-        Connection::Current { control } => (6, *control as i64),
+        ConnectionState::Idle => (1, 0),
+        ConnectionState::Waiting { until } => (2, until.0),
+        ConnectionState::Connecting { control } => (3, *control as i64),
+        ConnectionState::Greeting { control } => (4, *control as i64),
+        ConnectionState::Syncing { control } => (5, *control as i64),
+        ConnectionState::Current { control } => (6, *control as i64),
     };
     trace.integer(number);
     trace.integer(value);
