--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
 use sableloom_discovery_schedule::Times;
-use sableloom_exchange::{Task, Work, micros};
+use sableloom_exchange::{LocalFuture, Task, duration_of};
 use sableloom_types::Span;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
@@ -27,7 +27,7 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
 /// How discovery is reached.
-pub type Dial = Rc<dyn Fn(SocketAddr) -> Work<io::Result<Box<dyn Stream>>>>;
+pub type Dial = Rc<dyn Fn(SocketAddr) -> LocalFuture<io::Result<Box<dyn Stream>>>>;
 
 /// Reached over TCP.
 pub fn over_tcp() -> Dial {
@@ -112,7 +112,7 @@
         return Err(Short::Broke("it turned the call away"));
     }
     // Once it speaks it has it all: a stall inside an answer must not hide a drain in what came.
-    let pause = micros(asked.times.pause);
+    let pause = duration_of(asked.times.pause);
     let end = Instant::now() + pause * 4;
     loop {
         let frame = timeout_at(end, timeout(pause, answer.body_mut().frame())).await;
@@ -129,7 +129,7 @@
 }
 
 async fn connect(asked: &Asked<'_>) -> Result<Line, &'static str> {
-    let end = Instant::now() + micros(asked.times.connect);
+    let end = Instant::now() + duration_of(asked.times.connect);
     let stream = timeout_at(end, (asked.dial)(asked.at)).await;
     let stream = stream.map_err(|_| "no connection came up")?.map_err(|_| "no connection")?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| "no HTTP")?;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -92,7 +92,7 @@
             let now = self.clock.now();
             let due = self.watch.borrow().due(now);
             if due > now {
-                sleep_until(self.clock.instant(due)).await;
+                sleep_until(self.clock.instant_of(due)).await;
             }
             let ended = match self.ask(kept.take()).await {
                 Call::Whole(snapshot, line) => {
@@ -104,7 +104,7 @@
                     // again.
                     let leaving = list::leaving(&text);
                     if !leaving.is_empty() {
-                        sink.clone().listed(ListKind::Update, leaving);
+                        sink.clone().endpoints_updated(ListKind::Update, leaving);
                     }
                     self.say(Some(why));
                     Ended::Failed
@@ -133,16 +133,16 @@
             at: self.at.get(),
             after: self.revision.get().filter(|_| next.wait.is_some()),
             wait: next.wait,
-            until: self.clock.instant(next.until),
+            until: self.clock.instant_of(next.until),
             times: &times,
         };
         let mut first = pin!(call(kept, &asked));
         let Some(hedge) = next.hedge else { return first.await };
         tokio::select! {
             came = &mut first => return came,
-            () = sleep_until(self.clock.instant(hedge)) => {}
+            () = sleep_until(self.clock.instant_of(hedge)) => {}
         }
-        let until = self.clock.instant(self.clock.now().plus(times.timeout));
+        let until = self.clock.instant_of(self.clock.now().plus(times.timeout));
         let again = Asked { until, ..asked };
         let mut second = pin!(call(None, &again));
         // Whichever has a list; one that fails leaves the other its time.
@@ -168,7 +168,7 @@
         let entries = snapshot.entries();
         let news = news || !entries.is_empty();
         if kind == ListKind::Full || !entries.is_empty() {
-            sink.clone().listed(kind, entries);
+            sink.clone().endpoints_updated(kind, entries);
         }
         self.say(None);
         Ended::Answered { news }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -12,7 +12,7 @@
 
 use sableloom_discovery::{Dial, Discovery, Options, Stream};
 use sableloom_discovery_schedule::{self as watch, Times, Watch};
-use sableloom_exchange::{Clock, EndpointListener, EndpointSource, ListedEndpoint, Work};
+use sableloom_exchange::{Clock, EndpointListener, EndpointSource, ListedEndpoint, LocalFuture};
 use sableloom_types::{EndpointStatus, ListKind, Span};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{Mutex, Notify};
@@ -80,7 +80,7 @@
 
     fn dial(self: &Rc<Self>) -> Dial {
         let service = self.clone();
-        Rc::new(move |_| -> Work<io::Result<Box<dyn Stream>>> {
+        Rc::new(move |_| -> LocalFuture<io::Result<Box<dyn Stream>>> {
             let (ours, theirs) = duplex(1 << 20);
             spawn_local(service.clone().serve(theirs));
             Box::pin(async move { Ok(Box::new(ours) as Box<dyn Stream>) })
@@ -207,7 +207,7 @@
 }
 
 impl EndpointListener for Heard {
-    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
+    fn endpoints_updated(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
         self.lists.set(self.lists.get() + usize::from(kind == ListKind::Full));
         for entry in entries {
             if entry.status == EndpointStatus::Live {
@@ -239,7 +239,7 @@
     };
     let discovery = Discovery::new(Options {
         at: at(1),
-        clock: Clock::anchored(1_796_000_000_000_000 + began),
+        clock: Clock::anchored_at(1_796_000_000_000_000 + began),
         dial,
         revision: Some(1),
         watch: Watch::new(Times::of(&options), u64::from(position), false),
--- /dev/null
+++ b/crates/exchange/src/address_book.rs
@@ -0,0 +1,116 @@
+//! The ids and addresses of the servers that the endpoint lists name.
+
+use std::net::SocketAddr;
+
+use rustc_hash::FxHashMap;
+use sableloom_types::settings::{DeploymentSettings, stable_hash, time};
+use sableloom_types::{Endpoint, EndpointStatus, ListedEndpoint, ServerId};
+
+use crate::attempt_context::DispatchAddress;
+
+/// A server that a list named.
+struct KnownServer {
+    name: Box<str>,
+    address: SocketAddr,
+    /// Its address while it accepts new attempts.
+    dispatch_address: DispatchAddress,
+    /// Whether the list in force has it, live or draining.
+    listed: bool,
+}
+
+/// Maps the servers' names to ids, which stay the same for as long as a server is known, and holds their
+/// addresses.
+#[derive(Default)]
+pub(crate) struct AddressBook {
+    servers: FxHashMap<ServerId, KnownServer>,
+    ids_by_name: FxHashMap<Box<str>, ServerId>,
+    next_id: u32,
+}
+
+/// What an entry of a list changed.
+pub(crate) struct RecordedEndpoint {
+    /// The server as the policy is told of it.
+    pub(crate) endpoint: Endpoint,
+    pub(crate) address_changed: bool,
+}
+
+impl AddressBook {
+    pub(crate) fn address(&self, server: ServerId) -> Option<SocketAddr> {
+        self.servers.get(&server).map(|known| known.address)
+    }
+
+    pub(crate) fn dispatch_address(&self, server: ServerId) -> Option<&DispatchAddress> {
+        self.servers.get(&server).map(|known| &known.dispatch_address)
+    }
+
+    /// A full list follows: only what it names is listed.
+    pub(crate) fn begin_full_list(&mut self) {
+        self.servers.values_mut().for_each(|known| known.listed = false);
+    }
+
+    /// Takes in one entry of a list.
+    pub(crate) fn record(
+        &mut self,
+        settings: &DeploymentSettings,
+        entry: &ListedEndpoint,
+    ) -> RecordedEndpoint {
+        let fresh = ServerId(self.next_id);
+        let id = *self.ids_by_name.entry(entry.id.clone()).or_insert(fresh);
+        if id == fresh {
+            self.next_id += 1;
+        }
+        let known = self.servers.entry(id).or_insert_with(|| KnownServer {
+            name: entry.id.clone(),
+            address: entry.address,
+            dispatch_address: DispatchAddress::default(),
+            listed: true,
+        });
+        known.listed = entry.status != EndpointStatus::Gone;
+        known.dispatch_address.set((entry.status == EndpointStatus::Live).then_some(entry.address));
+        let address_changed = known.address != entry.address;
+        known.address = entry.address;
+        let endpoint = Endpoint {
+            id,
+            // Not of the address, which differs from one balancer to the next.
+            identity: stable_hash(&known.name),
+            zone: index_of(&settings.zones, &entry.zone),
+            kind: index_of(&settings.machine_types, &entry.kind),
+            cell: entry.cell,
+            status: entry.status,
+            weight: entry.size,
+            started: (entry.up_since_ms > 0.0).then(|| time(entry.up_since_ms)),
+        };
+        RecordedEndpoint { endpoint, address_changed }
+    }
+
+    /// Withdraws the dispatch addresses of the servers that no list in force has, and returns their ids.
+    pub(crate) fn withdraw_unlisted(&self) -> Vec<ServerId> {
+        let unlisted = self.servers.iter().filter(|(_, known)| !known.listed);
+        unlisted
+            .map(|(id, known)| {
+                known.dispatch_address.set(None);
+                *id
+            })
+            .collect()
+    }
+
+    /// Forgets the servers that are neither listed nor `in_use`, and returns their ids. Guards against growth:
+    /// over a long run there are ever new servers.
+    pub(crate) fn forget_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
+        let mut forgotten = Vec::new();
+        self.servers.retain(|id, known| {
+            let keep = known.listed || in_use(*id);
+            if !keep {
+                self.ids_by_name.remove(&known.name);
+                forgotten.push(*id);
+            }
+            keep
+        });
+        forgotten
+    }
+}
+
+/// The index of a name, or the number of names if it is not among them.
+fn index_of(names: &[String], name: &str) -> u32 {
+    names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
+}
--- /dev/null
+++ b/crates/exchange/src/attempt_run.rs
@@ -0,0 +1,78 @@
+//! The run of one attempt, from its first step to the one outcome that the policy is told.
+
+use std::future::pending;
+use std::rc::Rc;
+
+use tokio::time::sleep_until;
+
+use crate::attempt::Attempt;
+use crate::fate::AttemptEnd;
+use crate::open_requests::OpenRequest;
+use crate::ports::{AttemptOutcome, Transport};
+
+/// An attempt that owes its one outcome to `report`. If its task panics it reports a lost connection: unless
+/// the request was not written completely, it may have been executed.
+pub(crate) struct PendingAttempt<R>
+where
+    R: FnOnce(&OpenRequest, &Attempt, AttemptOutcome),
+{
+    request: Rc<OpenRequest>,
+    attempt: Rc<Attempt>,
+    /// Taken when the outcome is reported.
+    report: Option<R>,
+}
+
+impl<R> PendingAttempt<R>
+where
+    R: FnOnce(&OpenRequest, &Attempt, AttemptOutcome),
+{
+    pub(crate) fn new(request: Rc<OpenRequest>, attempt: Rc<Attempt>, report: R) -> Self {
+        Self { request, attempt, report: Some(report) }
+    }
+
+    /// Runs the attempt to its end, if it is within the number of attempts, and reports its outcome.
+    pub(crate) async fn run_attempt(mut self, transport: Rc<dyn Transport>, max_attempts: usize) {
+        let outcome = self.outcome(transport, max_attempts).await;
+        self.report_once(outcome);
+    }
+
+    /// Waits for whichever ends the attempt first: the end of its request, the transport, the policy's
+    /// cancellation, the deadline.
+    async fn outcome(&self, transport: Rc<dyn Transport>, max_attempts: usize) -> AttemptOutcome {
+        let Self { request, attempt, .. } = self;
+        let allowed = attempt.number < max_attempts;
+        let Some(context) = attempt.context.as_ref().filter(|_| allowed) else {
+            return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
+        };
+        let request_finished = async {
+            request.finish_signal.notified().await;
+            if context.fully_written() {
+                pending::<()>().await;
+            }
+        };
+        tokio::select! {
+            biased;
+            // First of all, as the transport may be about to write in this very turn: no byte is sent after
+            // the final answer, and a request that is written in part stays so.
+            () = request_finished => AttemptOutcome::without_answer(AttemptEnd::RequestFinished),
+            outcome = transport.attempt(context.clone()) => outcome,
+            () = attempt.cancel.notified() => AttemptOutcome::without_answer(AttemptEnd::Cancelled),
+            () = sleep_until(context.deadline) => AttemptOutcome::without_answer(AttemptEnd::TimedOut),
+        }
+    }
+
+    fn report_once(&mut self, outcome: AttemptOutcome) {
+        if let Some(report) = self.report.take() {
+            report(&self.request, &self.attempt, outcome);
+        }
+    }
+}
+
+impl<R> Drop for PendingAttempt<R>
+where
+    R: FnOnce(&OpenRequest, &Attempt, AttemptOutcome),
+{
+    fn drop(&mut self) {
+        self.report_once(AttemptOutcome::without_answer(AttemptEnd::ConnectionLost));
+    }
+}
--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -16,37 +16,37 @@
     /// A clock that is anchored now.
     #[allow(clippy::new_without_default, reason = "two clocks would differ")]
     pub fn new() -> Self {
-        Self::off_by(0)
+        Self::with_offset_ms(0)
     }
 
     /// A clock that is anchored to a Unix time so many milliseconds ahead of the system's.
-    pub fn off_by(ms: i64) -> Self {
+    pub fn with_offset_ms(ms: i64) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self::anchored(unix.as_micros() as i64 + ms * 1000)
+        Self::anchored_at(unix.as_micros() as i64 + ms * 1000)
     }
 
     /// A clock that is anchored to this Unix time in microseconds, whatever the system's is.
-    pub fn anchored(unix_us: i64) -> Self {
+    pub fn anchored_at(unix_us: i64) -> Self {
         Self { start: Instant::now(), unix_us }
     }
 
     /// The time now.
     pub fn now(&self) -> Time {
-        self.at(Instant::now())
+        self.time_of(Instant::now())
     }
 
     /// An instant as a time.
-    pub fn at(&self, instant: Instant) -> Time {
+    pub fn time_of(&self, instant: Instant) -> Time {
         Time(self.unix_us + instant.duration_since(self.start).as_micros() as i64)
     }
 
     /// A time as an instant; the clock's start for any before it.
-    pub fn instant(&self, time: Time) -> Instant {
-        self.start + micros(Span(time.0 - self.unix_us))
+    pub fn instant_of(&self, time: Time) -> Instant {
+        self.start + duration_of(Span(time.0 - self.unix_us))
     }
 }
 
 /// A span as a duration; none for a negative one.
-pub fn micros(span: Span) -> Duration {
+pub fn duration_of(span: Span) -> Duration {
     Duration::from_micros(span.0.max(0) as u64)
 }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,17 +1,14 @@
-//! The balancer's one mind: the sole owner of the decision module. What happens becomes its calls,
-//! and its actions are carried out here. Nothing is decided here.
+//! The facade of a pool: the only owner of its policy. It tells the policy what happens, and carries out the actions
+//! that the policy returns. It makes no decision itself.
 
 use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use bytes::Bytes;
-use rustc_hash::{FxHashMap, FxHashSet};
 use sableloom_policy::Balancer;
-use sableloom_types::settings::{DeploymentSettings, span, stable_hash, time};
+use sableloom_types::settings::{DeploymentSettings, span};
 use sableloom_types::{
     Action, AttemptResult, Endpoint, EndpointStatus, Idempotency, ListKind, ListedEndpoint,
     LoadReport, Outcome, PolicySettingsError, Request, RequestId, ServerId, Span, Time,
@@ -20,220 +17,171 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use crate::clock::{Clock, micros};
-use crate::fate::{self, Ended};
+use crate::address_book::AddressBook;
+use crate::attempt::Attempt;
+use crate::attempt_context::AttemptContext;
+use crate::attempt_run::PendingAttempt;
+use crate::clock::{Clock, duration_of};
+use crate::fate::{self, AttemptEnd};
 use crate::idle::{IdleState, Timer};
 use crate::message::{Message, Reply, RequestContext, RequestRejection};
+use crate::open_requests::{OpenRequest, OpenRequests};
 use crate::ports::{
-    AttemptContext, AttemptOutcome, DispatchAddress, EndpointListener, EndpointSource, Service,
-    Transport, Work,
+    AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
 
-/// An open request.
-struct Job {
-    id: RequestId,
-    class: usize,
-    message: Rc<Message>,
-    deadline: Time,
-    reply: RefCell<Option<oneshot::Sender<Reply>>>,
-    /// Its final answer is given or its client gone.
-    over: Rc<Cell<bool>>,
-    attempts: RefCell<Vec<Rc<Attempt>>>,
-    out: Cell<usize>,
-    /// Wakes the attempts that have not been written whole when the request is over.
-    ended: Notify,
-}
-
-impl Job {
-    fn end(&self) -> Option<oneshot::Sender<Reply>> {
-        self.over.set(true);
-        self.reply.take()
-    }
-}
-
-/// One sending of a request.
-struct Attempt {
-    number: usize,
-    server: ServerId,
-    sent: Instant,
-    /// None if the server wanted nothing new by the time that it was decided.
-    call: Option<Rc<AttemptContext>>,
-    /// Until it is proven that it never ran.
-    may_have_run: Cell<bool>,
-    cancel: Notify,
-}
-
-struct Upstream {
-    name: Box<str>,
-    address: SocketAddr,
-    /// Where new attempts may go: its address while it is live.
-    place: DispatchAddress,
-    /// Not gone.
-    listed: bool,
+/// The end of a share of the servers that was proven to belong to this balancer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ShareExpiry {
+    /// When it ends.
+    pub at: Time,
+    /// How many balancers share the servers from then on.
+    pub balancers_after: u32,
 }
 
 struct State {
     balancer: Balancer,
-    /// When the part of the servers that the module was told ends, and what it is then.
-    part_ends: Option<(Time, u32)>,
-    jobs: FxHashMap<RequestId, Rc<Job>>,
-    next_id: u64,
-    /// The ids of the jobs, as clients named them.
-    trace_ids: FxHashSet<Bytes>,
-    upstreams: FxHashMap<ServerId, Upstream>,
-    by_name: FxHashMap<Box<str>, ServerId>,
-    next_upstream: u32,
+    share_expires: Option<ShareExpiry>,
+    requests: OpenRequests,
+    endpoints: AddressBook,
     idle: IdleState,
 }
 
-/// What an exchange is made of.
-pub struct Options {
+/// The parts of an exchange.
+pub struct ExchangeOptions {
     /// The deployment's settings.
     pub settings: Rc<DeploymentSettings>,
-    /// For random numbers.
+    /// The seed of the policy's random numbers.
     pub seed: u64,
     /// The clock that all parts share.
     pub clock: Clock,
-    /// Carries attempts.
+    /// Runs the attempts.
     pub transport: Rc<dyn Transport>,
-    /// Names servers.
+    /// Names the servers.
     pub source: Rc<dyn EndpointSource>,
 }
 
-/// One pool of servers, its decision module and its open requests.
+/// One pool of servers, its policy and its open requests.
 pub struct Exchange {
     state: RefCell<State>,
     clock: Clock,
     settings: Rc<DeploymentSettings>,
     transport: Rc<dyn Transport>,
     source: Rc<dyn EndpointSource>,
+    /// No timer of the policy is started any more.
     closed: Cell<bool>,
-    /// Nothing is sent on any more, as this process is about to end.
-    given_up: Cell<bool>,
+    /// The process is about to end: new requests are rejected at once.
+    shutting_down: Cell<bool>,
 }
 
 impl Exchange {
-    /// An exchange that knows no server yet and has begun to keep time, and to listen to its source.
-    pub fn start(options: Options) -> Result<Rc<Self>, PolicySettingsError> {
-        let Options { settings, seed, clock, transport, source } = options;
+    /// Starts an exchange that knows no server yet: its policy's timers run, and it subscribes to its source.
+    ///
+    /// # Errors
+    ///
+    /// The setting that the policy can't work with.
+    pub fn start(options: ExchangeOptions) -> Result<Rc<Self>, PolicySettingsError> {
+        let ExchangeOptions { settings, seed, clock, transport, source } = options;
         let now = clock.now();
-        let balancer = Balancer::new(settings.policy_settings(), seed, now)?;
-        let idle = IdleState::new(&settings, now);
         let state = State {
-            balancer,
-            part_ends: None,
-            jobs: FxHashMap::default(),
-            next_id: 0,
-            trace_ids: FxHashSet::default(),
-            upstreams: FxHashMap::default(),
-            by_name: FxHashMap::default(),
-            next_upstream: 0,
-            idle,
+            balancer: Balancer::new(settings.policy_settings(), seed, now)?,
+            share_expires: None,
+            requests: OpenRequests::default(),
+            endpoints: AddressBook::default(),
+            idle: IdleState::new(&settings, now),
         };
-        let state = RefCell::new(state);
-        let (closed, given_up) = (Cell::new(false), Cell::new(false));
-        let exchange =
-            Rc::new(Self { state, clock, settings, transport, source, closed, given_up });
-        exchange.tell(|balancer, now, out| balancer.start(now, out));
-        // At once, whether the list comes unasked or not: the source knows when it is its turn.
+        let exchange = Rc::new(Self {
+            state: RefCell::new(state),
+            clock,
+            settings,
+            transport,
+            source,
+            closed: Cell::new(false),
+            shutting_down: Cell::new(false),
+        });
+        exchange.with_policy(|balancer, now, actions| balancer.start(now, actions));
+        // At once, also where the policy polls for the list: the source knows whether it has to wait for that.
         exchange.source.clone().subscribe(exchange.clone());
         Ok(exchange)
     }
 
-    /// Makes one call of the module and carries out what it answers with.
-    fn tell(self: &Rc<Self>, call: impl FnOnce(&mut Balancer, Time, &mut Vec<Action>)) {
+    /// Stops the policy's timers, after which no task holds the exchange any more. To be called once no request is
+    /// open and no further one comes.
+    pub fn close(&self) {
+        self.closed.set(true);
+    }
+
+    /// Sets the number of balancers that share the servers, and until when it holds.
+    pub fn set_balancers(&self, balancers: u32, expires: Option<ShareExpiry>) {
         let mut state = self.state.borrow_mut();
-        let now = self.clock.now();
-        Self::end_part(&mut state, now);
-        let mut actions = Vec::new();
-        Self::end_rest(&mut state, now, &mut actions);
-        call(&mut state.balancer, now, &mut actions);
-        for action in actions {
-            self.carry_out(&mut state, now, action);
-        }
+        // First the end of the share before it: in an idle pool it was not looked at.
+        state.expire_share(self.clock.now());
+        state.balancer.set_balancers(balancers);
+        state.share_expires = expires;
+    }
+
+    /// Whether the pool is idle, so that no timer of it runs.
+    pub fn is_idle(&self) -> bool {
+        self.state.borrow().idle.is_idle()
     }
 
-    /// Looked at before each call and not by a timer: a process that was stopped and goes on may be asked
-    /// for something before any timer of its own is due.
-    fn end_part(state: &mut State, now: Time) {
-        if let Some((_, after)) = state.part_ends.take_if(|(ends, _)| now >= *ends) {
-            state.balancer.set_balancers(after);
+    /// The number of requests without a final answer.
+    pub fn open_requests(&self) -> usize {
+        self.state.borrow().requests.unfinished().count()
+    }
+
+    /// Answers all open requests, as the process is about to end: those that were never forwarded are rejected, the
+    /// others have failed. Nothing is forwarded afterwards, and new requests are rejected at once. Failure: a
+    /// request that was read in the last 60 ms was forwarded, and its answer found no process.
+    pub fn abort_open_requests(self: &Rc<Self>) {
+        self.shutting_down.set(true);
+        let open: Vec<_> = {
+            let state = self.state.borrow();
+            let open = state.requests.unfinished();
+            open.map(|request| (request.id, request.has_no_attempt())).collect()
+        };
+        for (id, never_forwarded) in open {
+            let reply = if never_forwarded { Reply::Rejected(None) } else { Reply::Failed };
+            self.send_final_answer(&mut self.state.borrow_mut(), id, reply);
+            self.with_policy(|balancer, now, actions| balancer.client_gone(now, id, actions));
         }
     }
 
-    /// Makes up for the timer that was held back while the pool rested.
-    fn end_rest(state: &mut State, now: Time, out: &mut Vec<Action>) {
-        match state.idle.end() {
-            Some(Timer { token, at }) if at <= now => state.balancer.timer(now, token, out),
-            Some(Timer { token, at }) => out.push(Action::SetTimer { token, at }),
-            None => {}
+    /// Makes one call of the policy and carries out the actions that it returns.
+    fn with_policy(self: &Rc<Self>, call: impl FnOnce(&mut Balancer, Time, &mut Vec<Action>)) {
+        let mut state = self.state.borrow_mut();
+        let now = self.clock.now();
+        state.expire_share(now);
+        let mut actions = Vec::new();
+        state.end_idle(now, &mut actions);
+        call(&mut state.balancer, now, &mut actions);
+        for action in actions {
+            self.apply_action(&mut state, now, action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, now: Time, action: Action) {
+    fn apply_action(self: &Rc<Self>, state: &mut State, now: Time, action: Action) {
         match action {
             Action::Forward { request, server, timeout } => {
-                let Some(job) = state.jobs.get(&request) else { return };
-                let Some(upstream) = state.upstreams.get(&server) else { return };
-                let limit = job.deadline;
-                let until = if timeout.0 == 0 { limit } else { limit.min(now.plus(timeout)) };
-                let until = self.clock.instant(until);
-                let to = (server, &upstream.place);
-                let call = AttemptContext::new(job.message.clone(), to, until, job.over.clone());
-                let by = self.known_for_a_repeat_until(job);
-                let attempt = Rc::new(Attempt {
-                    number: job.attempts.borrow().len(),
-                    server,
-                    sent: self.clock.instant(now),
-                    call: call.map(|call| Rc::new(call.whole_by(by))),
-                    may_have_run: Cell::new(true),
-                    cancel: Notify::new(),
-                });
-                job.attempts.borrow_mut().push(attempt.clone());
-                job.out.set(job.out.get() + 1);
-                spawn_local(carry(Pending::new(self, job, attempt)));
+                self.forward(state, now, request, server, timeout);
             }
             Action::Reject { request, retry_after } => {
-                let limits = &self.settings.policy_limits;
-                let advice = limits.retry_after && retry_after.0 > 0;
-                let advice = advice.then(|| micros(retry_after));
-                self.answer(state, request, Reply::Refused(advice));
+                let enabled = self.settings.policy_limits.retry_after && retry_after.0 > 0;
+                let retry_after = enabled.then(|| duration_of(retry_after));
+                self.send_final_answer(state, request, Reply::Rejected(retry_after));
             }
-            Action::Fail { request } => self.answer(state, request, Reply::Failed),
+            Action::Fail { request } => self.send_final_answer(state, request, Reply::Failed),
             Action::Cancel { request, attempt } => {
-                if let Some(job) = state.jobs.get(&request)
-                    && let Some(attempt) = job.attempts.borrow().get(attempt)
+                if let Some(request) = state.requests.get(request)
+                    && let Some(attempt) = request.attempts.borrow().get(attempt)
                 {
                     attempt.cancel.notify_one();
                 }
             }
-            Action::SetTimer { .. } if self.closed.get() => {}
-            Action::SetTimer { token, at } => {
-                let open = !state.jobs.is_empty();
-                if state.idle.hold(now, open, Timer { token, at }) {
-                    return;
-                }
-                let (exchange, at) = (self.clone(), self.clock.instant(at));
-                spawn_local(async move {
-                    sleep_until(at).await;
-                    exchange.tell(|balancer, now, out| balancer.timer(now, token, out));
-                });
-            }
-            Action::CheckHealth { server } => {
-                let upstream = state.upstreams.get(&server);
-                if let Some(upstream) =
-                    upstream.filter(|_| self.settings.policy_limits.health_checks)
-                {
-                    let probe = self.transport.clone().probe(server, upstream.address);
-                    let (exchange, sent) = (self.clone(), Instant::now());
-                    spawn_local(async move {
-                        let report = probe.await;
-                        exchange.health_checked(server, report, sent.elapsed());
-                    });
-                }
-            }
+            Action::SetTimer { token, at } => self.set_timer(state, now, Timer { token, at }),
+            Action::CheckHealth { server } => self.check_health(state, server),
             Action::Subscribe => {
-                // Not from within the call: a source may tell something at once.
+                // Not within this call: a source may report a list at once.
                 let exchange = self.clone();
                 spawn_local(async move {
                     exchange.source.clone().subscribe(exchange.clone());
@@ -242,190 +190,213 @@
         }
     }
 
-    /// Until when servers know a further attempt for a repeat: they drop what comes within the class's
-    /// window of the first that may have run. The decision module looks at it when it decides; a
-    /// connection may come up, or a blocked one take the last byte, long after.
-    fn known_for_a_repeat_until(&self, job: &Job) -> Option<Instant> {
-        if job.message.idempotency != Idempotency::Keyed {
-            return None;
-        }
-        let attempts = job.attempts.borrow();
-        let first = attempts.iter().filter(|a| a.may_have_run.get()).map(|a| a.sent).min()?;
-        let window =
-            self.settings.services.get(job.class).map_or(0.0, |service| service.dedup_window);
-        Some(first + micros(span(window)))
-    }
-
-    /// The one place that gives a request its final answer, once.
-    fn answer(&self, state: &mut State, id: RequestId, reply: Reply) {
-        let Some(job) = state.jobs.get(&id) else { return };
-        let Some(waiting) = job.end() else { return };
-        // A client that has just left needs none.
-        let _ = waiting.send(reply);
-        job.ended.notify_waiters();
-        Self::forget(state, self.clock.now(), id);
+    fn forward(
+        self: &Rc<Self>,
+        state: &State,
+        now: Time,
+        id: RequestId,
+        server: ServerId,
+        timeout: Span,
+    ) {
+        let Some(request) = state.requests.get(id) else { return };
+        let Some(dispatch_address) = state.endpoints.dispatch_address(server) else { return };
+        let limit = request.deadline;
+        let deadline = if timeout.0 == 0 { limit } else { limit.min(now.plus(timeout)) };
+        let deadline = self.clock.instant_of(deadline);
+        let (message, finished) = (request.message.clone(), request.finished.clone());
+        let context = AttemptContext::new(message, server, dispatch_address, deadline, finished);
+        let window_end = self.dedup_window_end(request);
+        let attempt = Rc::new(Attempt {
+            number: request.attempts.borrow().len(),
+            server,
+            sent: self.clock.instant_of(now),
+            context: context.map(|context| Rc::new(context.complete_before(window_end))),
+            may_have_executed: Cell::new(true),
+            cancel: Notify::new(),
+        });
+        request.attempts.borrow_mut().push(attempt.clone());
+        request.attempts_in_flight.set(request.attempts_in_flight.get() + 1);
+        let exchange = self.clone();
+        let report = move |request: &OpenRequest, attempt: &Attempt, outcome: AttemptOutcome| {
+            exchange.attempt_ended(request, attempt, outcome);
+        };
+        let pending = PendingAttempt::new(request.clone(), attempt, report);
+        let max_attempts = self.settings.policy_limits.max_attempts;
+        spawn_local(pending.run_attempt(self.transport.clone(), max_attempts));
     }
 
-    /// Drops a request that is over and has no attempt out.
-    fn forget(state: &mut State, now: Time, id: RequestId) {
-        if state.jobs.get(&id).is_some_and(|job| job.over.get() && job.out.get() == 0)
-            && let Some(job) = state.jobs.remove(&id)
-        {
-            state.trace_ids.remove(&job.message.id);
-            state.idle.busy(now);
+    /// Until when servers recognize a further attempt as a retry: they drop what comes within the class's
+    /// deduplication window of the first attempt that may have been executed. The policy checks it when it
+    /// decides, but a connection may come up, or a blocked one take the last byte, long after that.
+    fn dedup_window_end(&self, request: &OpenRequest) -> Option<Instant> {
+        if request.message.idempotency != Idempotency::Keyed {
+            return None;
         }
+        let first = request.first_possible_execution()?;
+        let class = self.settings.services.get(request.class);
+        let window = class.map_or(0.0, |class| class.dedup_window);
+        Some(first + duration_of(span(window)))
     }
 
-    /// Ends the module's timers, after which nothing holds the exchange any more. To be called once
-    /// it is given no more requests and none is open.
-    pub fn close(&self) {
-        self.closed.set(true);
-    }
-
-    /// So many balancers share the servers from now on, and another number from a time on unless this is
-    /// called again before.
-    pub fn shared_by(&self, balancers: u32, ends: Option<(Time, u32)>) {
-        let mut state = self.state.borrow_mut();
-        // First what ended before: in a pool at rest nothing has looked at it since.
-        Self::end_part(&mut state, self.clock.now());
-        state.balancer.set_balancers(balancers);
-        state.part_ends = ends;
+    fn set_timer(self: &Rc<Self>, state: &mut State, now: Time, timer: Timer) {
+        if self.closed.get() {
+            return;
+        }
+        let any_open = !state.requests.is_empty();
+        if state.idle.hold_back(now, any_open, timer) {
+            return;
+        }
+        let (exchange, due) = (self.clone(), self.clock.instant_of(timer.at));
+        spawn_local(async move {
+            sleep_until(due).await;
+            exchange
+                .with_policy(|balancer, now, actions| balancer.timer(now, timer.token, actions));
+        });
     }
 
-    /// Whether it keeps no time, as nothing has been open for long and no server warms up.
-    pub fn rests(&self) -> bool {
-        self.state.borrow().idle.is_on()
+    fn check_health(self: &Rc<Self>, state: &State, server: ServerId) {
+        let Some(address) = state.endpoints.address(server) else { return };
+        if !self.settings.policy_limits.health_checks {
+            return;
+        }
+        let check = self.transport.clone().check_health(server, address);
+        let (exchange, sent) = (self.clone(), Instant::now());
+        spawn_local(async move {
+            let report = check.await;
+            exchange.health_checked(server, report, sent.elapsed());
+        });
     }
 
-    /// Requests that are taken and not over.
-    pub fn open(&self) -> usize {
-        self.state.borrow().jobs.values().filter(|job| !job.over.get()).count()
+    fn health_checked(
+        self: &Rc<Self>,
+        server: ServerId,
+        report: Option<LoadReport>,
+        latency: Duration,
+    ) {
+        let latency = Span(latency.as_micros() as i64);
+        let (healthy, report) = (report.is_some(), report.unwrap_or_default());
+        self.with_policy(|balancer, _, _| {
+            balancer.health_checked(server, healthy, latency, report)
+        });
     }
 
-    // ------------------------------------------------------------ what servers do
-
-    fn outcome(self: &Rc<Self>, job: &Job, attempt: &Attempt, attempt_outcome: AttemptOutcome) {
-        let id = job.id;
-        job.out.set(job.out.get() - 1);
-        let facts = fate::AttemptFacts {
+    /// Tells the policy the outcome of an attempt, and answers its request if the attempt succeeded.
+    fn attempt_ended(
+        self: &Rc<Self>,
+        request: &OpenRequest,
+        attempt: &Attempt,
+        attempt_outcome: AttemptOutcome,
+    ) {
+        let id = request.id;
+        request.attempts_in_flight.set(request.attempts_in_flight.get() - 1);
+        let outcome = fate::judge(fate::AttemptFacts {
             ended: attempt_outcome.ended,
-            left_whole: attempt.call.as_ref().is_some_and(|call| call.left_whole()),
+            fully_written: attempt.context.as_ref().is_some_and(|context| context.fully_written()),
             not_executed: attempt_outcome.not_executed,
-        };
-        let outcome = fate::judge(facts);
-        attempt.may_have_run.set(!outcome.not_executed());
-        if attempt_outcome.ended == Ended::NotBegun && job.message.client_is_gone() {
-            self.left(id);
+        });
+        attempt.may_have_executed.set(!outcome.not_executed());
+        if attempt_outcome.ended == AttemptEnd::NotStarted && request.message.client_is_gone() {
+            self.client_disconnected(id);
         }
         let latency = Span(attempt.sent.elapsed().as_micros() as i64);
         if outcome == Outcome::Ok {
             let answer = attempt_outcome.answer.unwrap_or_default();
-            self.answer(&mut self.state.borrow_mut(), id, Reply::Served(answer));
+            self.send_final_answer(&mut self.state.borrow_mut(), id, Reply::Served(answer));
         }
-        let answer = AttemptResult {
+        let result = AttemptResult {
             request: id,
             attempt: attempt.number,
             server: attempt.server,
             outcome,
             latency,
-            last: job.over.get(),
+            last: request.finished.get(),
             report: attempt_outcome.report,
         };
-        self.tell(|balancer, now, out| balancer.attempt_ended(now, answer, out));
-        Self::forget(&mut self.state.borrow_mut(), self.clock.now(), id);
+        self.with_policy(|balancer, now, actions| balancer.attempt_ended(now, result, actions));
+        self.state.borrow_mut().remove_if_done(self.clock.now(), id);
     }
 
-    /// The client of this request has left: nothing more is sent for it.
-    fn left(self: &Rc<Self>, id: RequestId) {
-        let gone = {
-            let mut state = self.state.borrow_mut();
-            let Some(job) = state.jobs.get(&id) else { return };
-            let gone = job.end().is_some();
-            job.ended.notify_waiters();
-            Self::forget(&mut state, self.clock.now(), id);
-            gone
-        };
-        if gone {
-            self.tell(|balancer, now, out| balancer.client_gone(now, id, out));
-        }
+    /// The one place that gives a request its final answer, once.
+    fn send_final_answer(&self, state: &mut State, id: RequestId, reply: Reply) {
+        let Some(request) = state.requests.get(id) else { return };
+        let Some(sender) = request.finish() else { return };
+        // The send fails if the client has just disconnected, which needs no answer.
+        let _ = sender.send(reply);
+        request.finish_signal.notify_waiters();
+        state.remove_if_done(self.clock.now(), id);
     }
 
-    /// Answers all that is open, as this process is about to end: what was never tried is refused, the
-    /// rest has failed. Nothing is sent for any of it afterwards, and what comes from here on is refused at
-    /// once. Failure: a request read in the last 60 ms was sent on, and its answer found nobody.
-    pub fn give_up(self: &Rc<Self>) {
-        self.given_up.set(true);
-        let open: Vec<_> = {
-            let state = self.state.borrow();
-            let open = state.jobs.values().filter(|job| !job.over.get());
-            open.map(|job| (job.id, job.attempts.borrow().is_empty())).collect()
+    /// The client of this request has disconnected: no further byte is sent for it.
+    fn client_disconnected(self: &Rc<Self>, id: RequestId) {
+        let was_open = {
+            let mut state = self.state.borrow_mut();
+            let Some(request) = state.requests.get(id) else { return };
+            let was_open = request.finish().is_some();
+            request.finish_signal.notify_waiters();
+            state.remove_if_done(self.clock.now(), id);
+            was_open
         };
-        for (id, untried) in open {
-            let reply = if untried { Reply::Refused(None) } else { Reply::Failed };
-            self.answer(&mut self.state.borrow_mut(), id, reply);
-            self.tell(|balancer, now, out| balancer.client_gone(now, id, out));
+        if was_open {
+            self.with_policy(|balancer, now, actions| balancer.client_gone(now, id, actions));
         }
     }
 
-    fn health_checked(
-        self: &Rc<Self>,
-        server: ServerId,
-        report: Option<LoadReport>,
-        took: Duration,
-    ) {
-        let took = Span(took.as_micros() as i64);
-        let (alive, report) = (report.is_some(), report.unwrap_or_default());
-        self.tell(|balancer, _, _| balancer.health_checked(server, alive, took, report));
+    /// Takes the entries of a list into the address book, and tells the transport which servers moved or left the
+    /// list.
+    fn record_endpoints(&self, kind: ListKind, entries: &[ListedEndpoint]) -> Vec<Endpoint> {
+        let mut state = self.state.borrow_mut();
+        if kind != ListKind::Update {
+            state.endpoints.begin_full_list();
+        }
+        let mut endpoints = Vec::with_capacity(entries.len());
+        for entry in entries {
+            let recorded = state.endpoints.record(&self.settings, entry);
+            if recorded.address_changed {
+                self.transport.address_changed(recorded.endpoint.id);
+            }
+            endpoints.push(recorded.endpoint);
+        }
+        let full = matches!(kind, ListKind::Full | ListKind::Restored);
+        state.idle.endpoints_updated(full, &endpoints);
+        // Only what a full list leaves out is gone. To retire all servers first would close every idle connection,
+        // and each full list would cost as many new ones.
+        for server in state.endpoints.withdraw_unlisted() {
+            self.transport.set_retired(server, true);
+        }
+        endpoints
     }
 
-    // ------------------------------------------------------------ what sources tell
-
-    /// Forgets the upstreams that are gone and that the module has forgotten: over a long run ever
-    /// new ones come, and what is kept of each would only grow.
-    fn forget_gone(&self) {
+    /// Forgets the servers that are gone and that the policy has forgotten.
+    fn forget_departed(&self) {
         let state = &mut *self.state.borrow_mut();
-        state.upstreams.retain(|id, upstream| {
-            let keep = upstream.listed || state.balancer.knows(*id);
-            if !keep {
-                state.by_name.remove(&upstream.name);
-                self.transport.forget(*id);
-            }
-            keep
-        });
+        for server in state.endpoints.forget_unlisted(|server| state.balancer.knows(server)) {
+            self.transport.forget(server);
+        }
     }
+}
 
-    fn member(&self, state: &mut State, entry: &ListedEndpoint) -> Endpoint {
-        let fresh = ServerId(state.next_upstream);
-        let id = *state.by_name.entry(entry.id.clone()).or_insert(fresh);
-        if id == fresh {
-            state.next_upstream += 1;
+impl State {
+    /// Applies the end of the balancer's share. It is checked before each call of the policy and not by a timer:
+    /// a process that was stopped and resumed may get a request before any of its timers fires.
+    fn expire_share(&mut self, now: Time) {
+        if let Some(expiry) = self.share_expires.take_if(|expiry| now >= expiry.at) {
+            self.balancer.set_balancers(expiry.balancers_after);
         }
-        let new = || Upstream {
-            name: entry.id.clone(),
-            address: entry.address,
-            place: DispatchAddress::default(),
-            listed: true,
-        };
-        let upstream = state.upstreams.entry(id).or_insert_with(new);
-        upstream.listed = entry.status != EndpointStatus::Gone;
-        upstream.place.set((entry.status == EndpointStatus::Live).then_some(entry.address));
-        if upstream.address != entry.address {
-            upstream.address = entry.address;
-            self.transport.moved(id);
+    }
+
+    /// Makes up for the timer that was held back while the pool was idle.
+    fn end_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
+        match self.idle.end() {
+            Some(Timer { token, at }) if at <= now => self.balancer.timer(now, token, actions),
+            Some(Timer { token, at }) => actions.push(Action::SetTimer { token, at }),
+            None => {}
         }
-        let index = |names: &[String], name: &str| {
-            names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
-        };
-        Endpoint {
-            id,
-            // Not of the address, which differs from one balancer to the next.
-            identity: stable_hash(&upstream.name),
-            zone: index(&self.settings.zones, &entry.zone),
-            kind: index(&self.settings.machine_types, &entry.kind),
-            cell: entry.cell,
-            status: entry.status,
-            weight: entry.size,
-            started: (entry.up_since_ms > 0.0).then(|| time(entry.up_since_ms)),
+    }
+
+    /// Removes a request that is finished and has no attempt in flight.
+    fn remove_if_done(&mut self, now: Time, id: RequestId) {
+        if self.requests.remove_if_done(id) {
+            self.idle.requests_changed(now);
         }
     }
 }
@@ -433,90 +404,50 @@
 impl Service for Exchange {
     fn call(
         self: Rc<Self>,
-        asked: RequestContext,
+        context: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
-        if self.given_up.get() {
-            return Ok(Box::pin(std::future::ready(Reply::Refused(None))));
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
+        if self.shutting_down.get() {
+            return Ok(Box::pin(std::future::ready(Reply::Rejected(None))));
         }
         let (sender, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
-            let most = self.settings.policy_limits.max_open;
-            if most > 0 && state.jobs.len() >= most {
-                return Err(RequestRejection::TooMany);
-            }
-            // Whoever goes by the id would take the two for one: an answer, a repeat or a reset
-            // of one for the other's. Also while an attempt of a request that is over is out.
-            if !state.trace_ids.insert(message.id.clone()) {
-                return Err(RequestRejection::SameId);
-            }
-            let id = RequestId(state.next_id);
-            state.next_id += 1;
-            let job = Job {
-                id,
-                class: asked.class,
-                message: Rc::new(message),
-                deadline: asked.deadline,
-                reply: RefCell::new(Some(sender)),
-                over: Rc::new(Cell::new(false)),
-                attempts: RefCell::new(Vec::new()),
-                out: Cell::new(0),
-                ended: Notify::new(),
-            };
-            state.jobs.insert(id, Rc::new(job));
-            state.idle.busy(self.clock.now());
+            let limit = self.settings.policy_limits.max_open;
+            let id = state.requests.open(&context, message, sender, limit)?;
+            state.idle.requests_changed(self.clock.now());
             id
         };
-        let RequestContext { class, tenant, key, deadline } = asked;
+        let RequestContext { class, tenant, key, deadline } = context;
         let request = Request { id, class, tenant, key, deadline };
-        self.tell(|balancer, now, out| balancer.request(now, request, out));
-        Ok(Box::pin(Taken { exchange: self, id, receiver }))
+        self.with_policy(|balancer, now, actions| balancer.request(now, request, actions));
+        Ok(Box::pin(ReplyFuture { exchange: self, id, receiver }))
     }
 }
 
 impl EndpointListener for Exchange {
-    fn listed(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
-        let members: Vec<Endpoint> = {
-            let mut state = self.state.borrow_mut();
-            if kind != ListKind::Update {
-                state.upstreams.values_mut().for_each(|upstream| upstream.listed = false);
-            }
-            let members: Vec<Endpoint> =
-                entries.iter().map(|entry| self.member(&mut state, entry)).collect();
-            state.idle.listed(matches!(kind, ListKind::Full | ListKind::Restored), &members);
-            // What a whole list leaves out is gone. Only that: to retire all of them first would
-            // close every connection at rest, and each whole list would cost as many new ones.
-            for (id, upstream) in state.upstreams.iter().filter(|(_, upstream)| !upstream.listed) {
-                upstream.place.set(None);
-                self.transport.retire(*id, true);
-            }
-            members
-        };
-        // Idle connections to a server that drains only hold up its end.
-        for member in &members {
-            self.transport.retire(member.id, member.status != EndpointStatus::Live);
+    fn endpoints_updated(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
+        let endpoints = self.record_endpoints(kind, &entries);
+        // Idle connections to a draining server would only delay its shutdown.
+        for endpoint in &endpoints {
+            self.transport.set_retired(endpoint.id, endpoint.status != EndpointStatus::Live);
         }
-        self.tell(|balancer, now, out| balancer.update_endpoints(now, kind, &members, out));
-        self.forget_gone();
+        self.with_policy(|balancer, now, actions| {
+            balancer.update_endpoints(now, kind, &endpoints, actions);
+        });
+        self.forget_departed();
     }
 }
 
-/// Carries out one attempt, to its one outcome.
-async fn carry(pending: Pending) {
-    let outcome = pending.carry().await;
-    pending.end(outcome);
-}
-
-/// The wait for a final answer. It keeps the promise to a client: when it ends with no answer, for
-/// whatever reason, the module hears that the client is gone.
-struct Taken {
+/// The wait for a final answer. If it is dropped without one, for whatever reason, the policy is told that the client
+/// has disconnected.
+struct ReplyFuture {
     exchange: Rc<Exchange>,
     id: RequestId,
     receiver: oneshot::Receiver<Reply>,
 }
 
-impl Future for Taken {
+impl Future for ReplyFuture {
     type Output = Reply;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Reply> {
@@ -524,66 +455,14 @@
     }
 }
 
-impl Drop for Taken {
-    fn drop(&mut self) {
-        self.exchange.left(self.id);
-    }
-}
-
-/// An attempt that owes the module its one outcome. If its task panics, it may have run.
-struct Pending {
-    exchange: Rc<Exchange>,
-    job: Rc<Job>,
-    attempt: Rc<Attempt>,
-    owed: bool,
-}
-
-impl Pending {
-    fn new(exchange: &Rc<Exchange>, job: &Rc<Job>, attempt: Rc<Attempt>) -> Self {
-        Self { exchange: exchange.clone(), job: job.clone(), attempt, owed: true }
-    }
-
-    async fn carry(&self) -> AttemptOutcome {
-        let Self { exchange, job, attempt, .. } = self;
-        let call = attempt.call.as_ref();
-        let allowed = attempt.number < exchange.settings.policy_limits.max_attempts;
-        let Some(call) = call.filter(|_| allowed) else {
-            return AttemptOutcome::nothing(Ended::NotBegun);
-        };
-        let ended = async {
-            job.ended.notified().await;
-            if call.left_whole() {
-                std::future::pending::<()>().await;
-            }
-        };
-        tokio::select! {
-            biased;
-            // After the final answer no byte goes out: what is half written stays so. First of all:
-            // the transport may be about to write in this very turn.
-            () = ended => AttemptOutcome::nothing(Ended::Over),
-            outcome = exchange.transport.clone().attempt(call.clone()) => outcome,
-            () = attempt.cancel.notified() => AttemptOutcome::nothing(Ended::Withdrawn),
-            () = sleep_until(call.until) => AttemptOutcome::nothing(Ended::TimeUp),
-        }
-    }
-
-    fn end(mut self, outcome: AttemptOutcome) {
-        self.owed = false;
-        self.exchange.outcome(&self.job, &self.attempt, outcome);
-    }
-}
-
-impl Drop for Pending {
+impl Drop for ReplyFuture {
     fn drop(&mut self) {
-        if std::mem::take(&mut self.owed) {
-            let outcome = AttemptOutcome::nothing(Ended::Broke);
-            self.exchange.outcome(&self.job, &self.attempt, outcome);
-        }
+        self.exchange.client_disconnected(self.id);
     }
 }
 
-/// The longest that any class lets a client wait.
+/// The longest deadline of any class.
 pub fn longest_deadline(settings: &DeploymentSettings) -> Duration {
-    let longest = settings.services.iter().map(|s| s.deadline).fold(0.0, f64::max);
-    micros(span(longest))
+    let longest = settings.services.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    duration_of(span(longest))
 }
--- a/crates/exchange/src/fate/tests.rs
+++ b/crates/exchange/src/fate/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-const ALL: [Ended; 8] = [
-    Ended::Served,
-    Ended::Fault,
-    Ended::Broke,
-    Ended::NoConnection,
-    Ended::NotBegun,
-    Ended::TimeUp,
-    Ended::Withdrawn,
-    Ended::Over,
+const ALL: [AttemptEnd; 8] = [
+    AttemptEnd::Answered,
+    AttemptEnd::UnusableAnswer,
+    AttemptEnd::ConnectionLost,
+    AttemptEnd::ConnectFailed,
+    AttemptEnd::NotStarted,
+    AttemptEnd::TimedOut,
+    AttemptEnd::Cancelled,
+    AttemptEnd::RequestFinished,
 ];
 
 /// Every combination of facts, with what it must come to.
@@ -17,20 +17,20 @@
     use Outcome::*;
     // Not whole; whole; disowned and not whole; disowned and whole.
     let table = [
-        (Ended::Served, [ConnectFailed, Ok, Rejected, Ok]),
-        (Ended::Fault, [ConnectFailed, Error, Rejected, Rejected]),
-        (Ended::Broke, [ConnectFailed, Reset, Rejected, Rejected]),
-        (Ended::NoConnection, [ConnectFailed, Reset, Rejected, Rejected]),
-        (Ended::NotBegun, [Superseded, Reset, Rejected, Rejected]),
-        (Ended::TimeUp, [ConnectFailed, Timeout, Rejected, Rejected]),
-        (Ended::Withdrawn, [Superseded, Cancelled, Rejected, Rejected]),
-        (Ended::Over, [Superseded, Cancelled, Rejected, Rejected]),
+        (AttemptEnd::Answered, [ConnectFailed, Ok, Rejected, Ok]),
+        (AttemptEnd::UnusableAnswer, [ConnectFailed, Error, Rejected, Rejected]),
+        (AttemptEnd::ConnectionLost, [ConnectFailed, Reset, Rejected, Rejected]),
+        (AttemptEnd::ConnectFailed, [ConnectFailed, Reset, Rejected, Rejected]),
+        (AttemptEnd::NotStarted, [Superseded, Reset, Rejected, Rejected]),
+        (AttemptEnd::TimedOut, [ConnectFailed, Timeout, Rejected, Rejected]),
+        (AttemptEnd::Cancelled, [Superseded, Cancelled, Rejected, Rejected]),
+        (AttemptEnd::RequestFinished, [Superseded, Cancelled, Rejected, Rejected]),
     ];
     assert_eq!(table.map(|(ended, _)| ended), ALL);
     for (ended, outcomes) in table {
         let facts = [(false, false), (true, false), (false, true), (true, true)];
-        for ((left_whole, not_executed), outcome) in facts.into_iter().zip(outcomes) {
-            let facts = AttemptFacts { ended, left_whole, not_executed };
+        for ((fully_written, not_executed), outcome) in facts.into_iter().zip(outcomes) {
+            let facts = AttemptFacts { ended, fully_written, not_executed };
             assert_eq!(judge(facts), outcome, "{facts:?}");
         }
     }
@@ -39,11 +39,11 @@
 #[test]
 fn never_ran_is_said_only_with_proof() {
     for ended in ALL {
-        for (left_whole, not_executed) in
+        for (fully_written, not_executed) in
             [(false, false), (true, false), (false, true), (true, true)]
         {
-            let outcome = judge(AttemptFacts { ended, left_whole, not_executed });
-            let proof = !left_whole || not_executed;
+            let outcome = judge(AttemptFacts { ended, fully_written, not_executed });
+            let proof = !fully_written || not_executed;
             assert!(!outcome.not_executed() || proof, "{ended:?}: {outcome:?} without proof");
         }
     }
--- a/crates/exchange/src/idle.rs
+++ b/crates/exchange/src/idle.rs
@@ -1,84 +1,93 @@
-//! When a pool without requests stops keeping time, so that it costs nothing until it is needed again.
+//! When a pool without requests stops its timers, so that it costs nothing until it is needed again.
 //!
-//! The decision module asks for one timer after the other and brings its sums up to date at each. While
-//! nothing is open and no server warms up, all that those timers do is let sums decay, and decaying once
-//! over a long time gives what decaying often over short ones does. So the timer is held back, and made
-//! up for before the next call of the module. `docs/design/exchange.md`, "Pools at rest", has the reasons.
+//! The policy sets one timer after the other and brings its sums up to date at each. While no request is open and no
+//! server is in slow start, all that those timers do is to let sums decay, and one decay over a long time leaves what
+//! many over short times leave. So the timer is held back, and made up for before the next call of the policy.
+//! `docs/design/exchange.md`, "Idle pools", has the reasons.
 
 use sableloom_types::settings::{DeploymentSettings, RegistryMode, span};
 use sableloom_types::{Endpoint, EndpointStatus, Span, Time};
 
-/// A pool rests once nothing has been open for so many times the longest deadline of its classes. By then
-/// every attempt that timed out has given its slot back: it keeps it for one deadline at most.
-const REST_AFTER_DEADLINES: i64 = 2;
+/// A pool is idle once no request has been open for this many times the longest deadline of its classes. By then
+/// every attempt that timed out has released its slot, which it holds for one deadline at most.
+const IDLE_AFTER_DEADLINES: i64 = 2;
 
-/// A timer that the decision module has asked for.
+/// A timer that the policy has set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Timer {
-    /// What the module calls it.
+    /// The policy's name for it.
     pub(crate) token: u64,
     /// When it is due.
     pub(crate) at: Time,
 }
 
-/// Whether a pool rests, and what it needs to go on.
+/// Whether a pool is idle, and the timer with which it resumes.
 #[derive(Debug)]
 pub(crate) struct IdleState {
     /// Whether the settings allow it at all.
     allowed: bool,
-    /// How long nothing must have been open.
-    after: Span,
-    /// For how long a server that has started warms up.
-    cold: Span,
-    /// Since when nothing is open, if that is so.
-    idle_since: Time,
-    /// When the last server of the list is warm.
+    /// For how long no request must have been open.
+    idle_after: Span,
+    /// How long the slow start of a server lasts.
+    slow_start: Span,
+    /// When a request was last opened or removed.
+    last_request: Time,
+    /// When the last server of the list has ended its slow start.
     warm_from: Time,
-    /// The timer that is held back while the pool rests.
-    held: Option<Timer>,
+    /// The timer that is held back while the pool is idle.
+    held_timer: Option<Timer>,
 }
 
 impl IdleState {
     pub(crate) fn new(settings: &DeploymentSettings, now: Time) -> Self {
         let longest =
             settings.services.iter().map(|class| span(class.deadline).0).max().unwrap_or(0);
-        let (cold, window) =
-            (span(settings.safety.slow_start), span(settings.safety.overload_window));
-        // Whoever must ask for its list asks by the timer. The rate that warm servers were seen to serve
-        // decays in one step as in many only if the count behind it decays sooner.
-        let allowed = settings.registry_mode != RegistryMode::Subscribe && window <= cold;
-        let after = Span(longest.saturating_mul(REST_AFTER_DEADLINES));
-        Self { allowed, after, cold, idle_since: now, warm_from: now, held: None }
+        let slow_start = span(settings.safety.slow_start);
+        let overload_window = span(settings.safety.overload_window);
+        // With `Subscribe` the policy polls for its list by the timer. And the highest rate that warm servers were
+        // seen to serve decays in one step as in many only if the count behind it decays sooner.
+        let allowed =
+            settings.registry_mode != RegistryMode::Subscribe && overload_window <= slow_start;
+        let idle_after = Span(longest.saturating_mul(IDLE_AFTER_DEADLINES));
+        Self {
+            allowed,
+            idle_after,
+            slow_start,
+            last_request: now,
+            warm_from: now,
+            held_timer: None,
+        }
     }
 
-    /// A request has come or is forgotten.
-    pub(crate) fn busy(&mut self, now: Time) {
-        self.idle_since = now;
+    /// A request was opened or removed.
+    pub(crate) fn requests_changed(&mut self, now: Time) {
+        self.last_request = now;
     }
 
-    /// The list of servers, or a part of it, is this now.
-    pub(crate) fn listed(&mut self, whole: bool, members: &[Endpoint]) {
-        let listed = members.iter().filter(|member| member.status != EndpointStatus::Gone);
-        let warm_from = listed.filter_map(|member| Some(member.started?.plus(self.cold))).max();
-        let before = (!whole).then_some(self.warm_from);
-        // A whole list of servers that are long warm leaves nothing to wait for.
+    /// The endpoint list, or a part of it, has changed.
+    pub(crate) fn endpoints_updated(&mut self, full: bool, endpoints: &[Endpoint]) {
+        let listed = endpoints.iter().filter(|server| server.status != EndpointStatus::Gone);
+        let warm_from =
+            listed.filter_map(|server| Some(server.started?.plus(self.slow_start))).max();
+        // After a full list of servers that have long ended their slow start there is nothing to wait for.
+        let before = (!full).then_some(self.warm_from);
         self.warm_from = before.into_iter().chain(warm_from).max().unwrap_or(Time(i64::MIN));
     }
 
-    /// Holds the timer back if the pool may rest now; whether it did.
-    pub(crate) fn hold(&mut self, now: Time, open: bool, timer: Timer) -> bool {
-        let idle = !open && now >= self.idle_since.plus(self.after);
-        let rests = self.allowed && idle && now >= self.warm_from;
-        self.held = rests.then_some(timer);
-        rests
+    /// Holds the timer back if the pool may be idle now; whether it did.
+    pub(crate) fn hold_back(&mut self, now: Time, any_open: bool, timer: Timer) -> bool {
+        let unused = !any_open && now >= self.last_request.plus(self.idle_after);
+        let idle = self.allowed && unused && now >= self.warm_from;
+        self.held_timer = idle.then_some(timer);
+        idle
     }
 
-    /// Ends the rest: the timer that was held back.
+    /// Ends the idle time: the timer that was held back.
     pub(crate) fn end(&mut self) -> Option<Timer> {
-        self.held.take()
+        self.held_timer.take()
     }
 
-    pub(crate) fn is_on(&self) -> bool {
-        self.held.is_some()
+    pub(crate) fn is_idle(&self) -> bool {
+        self.held_timer.is_some()
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,25 +1,50 @@
-//! From a whole request over its attempts to exactly one final answer.
+//! From a complete request over its attempts to exactly one final answer.
 //!
-//! [`Exchange`] owns the decision module of one pool of servers. It tells it what happens, carries
-//! out what it answers with, and is the one place that gives a request its final answer. It knows no
-//! protocol: a front hands it whole requests through [`Service`], a [`Transport`] carries single
-//! attempts, and a [`EndpointSource`] names the servers. Whether an attempt may have run is decided in
-//! [`fate`], from facts that transports report, and nowhere else.
+//! Every protocol needs the same rules: a request gets one final answer, a request that is not idempotent is
+//! forwarded again only with proof that it was not executed, and no byte of a request is sent after its answer. This
+//! crate has them once, whatever the protocol. An [`Exchange`] owns the policy of one pool of servers: it tells the
+//! policy what happens and carries out the actions that it returns. A front hands it complete requests through
+//! [`Service`], a [`Transport`] runs single attempts, and an [`EndpointSource`] names the servers.
+//!
+//! It never decides anything itself, reads no protocol and opens no socket.
+//!
+//! A request is open, then finished (answered, or its client has disconnected), and is removed when its last attempt has
+//! ended. Three invariants have one place each:
+//!
+//! - the final answer is sent by `Exchange::send_final_answer`, which takes the only sender;
+//! - whether an attempt may have been executed is decided by [`fate::judge`], from facts that transports report;
+//! - the first byte of an attempt is permitted by [`AttemptContext::may_send_first_byte`].
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `exchange` | the facade, which owns the policy |
+//! | `open_requests` | the open requests, their ids and final answers |
+//! | `attempt`, `attempt_run` | an attempt and its run to one outcome |
+//! | `attempt_context` | what a transport is given, and the permission for each byte |
+//! | `fate` | whether an attempt may have been executed |
+//! | `address_book` | ids and addresses of the servers |
+//! | `idle` | when a pool without requests stops its timers |
+//! | `message`, `ports` | requests and answers of no protocol, and the traits at which protocols meet |
 
+mod address_book;
+mod attempt;
+mod attempt_context;
+mod attempt_run;
 mod clock;
 mod exchange;
 pub mod fate;
 mod idle;
 mod message;
+mod open_requests;
 mod ports;
 mod task;
 
-pub use clock::{Clock, micros};
-pub use exchange::{Exchange, Options, longest_deadline};
+pub use attempt_context::{AttemptConnection, AttemptContext, DispatchAddress};
+pub use clock::{Clock, duration_of};
+pub use exchange::{Exchange, ExchangeOptions, ShareExpiry, longest_deadline};
 pub use message::{Answer, Client, Fields, Message, Reply, RequestContext, RequestRejection};
 pub use ports::{
-    AttemptConnection, AttemptContext, AttemptOutcome, DispatchAddress, EndpointListener,
-    EndpointSource, Service, Transport, Work,
+    AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
 pub use sableloom_types::ListedEndpoint;
 pub use task::Task;
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -6,10 +6,10 @@
 
 use bytes::{Bytes, BytesMut};
 use sableloom_types::{Idempotency, Time};
+use thiserror::Error;
 
-/// Named values that go along with a request or an answer, in their order. Names are in lower case.
-/// All text lies in one buffer: what is kept of a request is two allocations, however many fields
-/// it has.
+/// The header fields of a request or an answer, in their order. Names are in lower case.
+/// All text is in one buffer: a message costs two allocations, however many fields it has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields {
     text: Bytes,
@@ -18,8 +18,8 @@
 }
 
 impl Fields {
-    /// The names and values that the function gives, twice over: first to measure them, then to copy
-    /// them into a buffer of that size. What does not fit into 4 GiB is left out.
+    /// Collects names and values. `pairs` is called twice: to measure them, and to copy them into a buffer of
+    /// that size. What does not fit into 4 GiB is left out.
     pub fn collect<'a, I>(pairs: impl Fn() -> I) -> Self
     where
         I: Iterator<Item = (&'a [u8], &'a [u8])>,
@@ -59,58 +59,58 @@
     }
 }
 
-/// The client that waits for a request's answer.
+/// The client that waits for the answer to a request.
 pub trait Client {
-    /// Whether it has closed its connection or cancelled its request, as far as the system can tell now:
-    /// also where nobody has read so far yet.
+    /// Whether it has closed its connection or cancelled its request, as far as the system can tell now, also
+    /// if the front has not read that far yet.
     fn is_gone(&self) -> bool;
 }
 
-/// A request as it goes on to servers, whole.
+/// A complete request as it is forwarded to servers.
 pub struct Message {
     /// Its id, as the client named it.
     pub id: Bytes,
-    /// What a repeat does.
+    /// Whether it may be executed more than once.
     pub idempotency: Idempotency,
-    /// What is done with its target, as HTTP's methods are named.
-    pub verb: Bytes,
-    /// What it is about, in the form of a path with its query.
+    /// The method, named as HTTP names it.
+    pub method: Bytes,
+    /// Its target, in the form of a path with its query.
     pub target: Bytes,
-    /// What else the client said of it, the id included.
+    /// The other fields that the client sent, the id included.
     pub fields: Fields,
     /// Its body.
     pub body: Bytes,
-    /// Whatever must be held for as long as the body is: a share of a budget.
-    pub hold: Option<Box<dyn Any>>,
-    /// Who waits for the answer; `None` for one that can't leave. Not held: attempts outlive connections.
+    /// Lives as long as the message: the permit for its body's share of a memory budget.
+    pub attachment: Option<Box<dyn Any>>,
+    /// The client, or `None` for one that can't disconnect. A weak reference, as attempts outlive connections.
     pub client: Option<Weak<dyn Client>>,
 }
 
 impl Message {
-    /// Whether its client has left.
+    /// Whether its client has disconnected.
     pub fn client_is_gone(&self) -> bool {
         let gone = |client: &Weak<dyn Client>| client.upgrade().is_none_or(|c| c.is_gone());
         self.client.as_ref().is_some_and(gone)
     }
 }
 
-/// What the decision module is told of a request.
+/// What the policy is told of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
     /// Its class, by index.
     pub class: usize,
     /// Its tenant, by index.
     pub tenant: usize,
-    /// Hash of what it is about, if that is known.
+    /// The hash of its affinity key, if it has one.
     pub key: Option<u64>,
     /// When its client stops waiting.
     pub deadline: Time,
 }
 
-/// A server's answer, whole.
+/// A complete answer of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// What goes along with it.
+    /// Its fields.
     pub fields: Fields,
     /// Its body.
     pub body: Bytes,
@@ -119,25 +119,29 @@
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// What a server made for it.
+    /// A server's answer.
     Served(Answer),
-    /// It never ran and is harmless to ask again; perhaps with advice on when.
-    Refused(Option<Duration>),
-    /// It is given up, and may have run.
+    /// It was not executed and may be sent again, after the time of Retry-After if there is one.
+    Rejected(Option<Duration>),
+    /// It failed, and may have been executed.
     Failed,
 }
 
-/// Why a request is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is not accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestRejection {
-    /// Too many are open.
-    TooMany,
-    /// Its id is another's that is open.
-    SameId,
-    /// No route leads it to a server: the status that says so, numbered as HTTP's are.
+    /// Too many requests are open.
+    #[error("too many requests are open")]
+    TooManyOpen,
+    /// Another open request has the same id.
+    #[error("another open request has the same id")]
+    DuplicateId,
+    /// No route leads to a pool; the status to answer with, numbered as HTTP numbers them.
+    #[error("no route leads to a pool (status {0})")]
     NoRoute(u16),
-    /// Its tenant is over its limit; after this time one more is within.
-    OverLimit(Duration),
+    /// Its tenant is over its limit; after this time a request is within it again.
+    #[error("the tenant is over its limit for {0:?}")]
+    OverTenantLimit(Duration),
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/exchange/src/open_requests.rs
@@ -0,0 +1,121 @@
+//! The requests of one pool that are open, by id.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+use bytes::Bytes;
+use rustc_hash::{FxHashMap, FxHashSet};
+use sableloom_types::{RequestId, Time};
+use tokio::sync::{Notify, oneshot};
+use tokio::time::Instant;
+
+use crate::attempt::Attempt;
+use crate::message::{Message, Reply, RequestContext, RequestRejection};
+
+/// A request from its acceptance until its final answer is sent and its last attempt has ended.
+pub(crate) struct OpenRequest {
+    pub(crate) id: RequestId,
+    pub(crate) class: usize,
+    pub(crate) message: Rc<Message>,
+    pub(crate) deadline: Time,
+    /// Taken to send the final answer, so that a second answer is impossible.
+    reply_sender: RefCell<Option<oneshot::Sender<Reply>>>,
+    /// Its final answer is sent or its client has disconnected. Shared with the contexts of its attempts.
+    pub(crate) finished: Rc<Cell<bool>>,
+    pub(crate) attempts: RefCell<Vec<Rc<Attempt>>>,
+    /// How many of the attempts have not ended.
+    pub(crate) attempts_in_flight: Cell<usize>,
+    /// Wakes the attempts when the request is finished: one that was not written completely ends.
+    pub(crate) finish_signal: Notify,
+}
+
+impl OpenRequest {
+    /// Marks the request as finished, and returns the sender of its final answer unless it was finished before.
+    pub(crate) fn finish(&self) -> Option<oneshot::Sender<Reply>> {
+        self.finished.set(true);
+        self.reply_sender.take()
+    }
+
+    /// When the first attempt that may have been executed was forwarded.
+    pub(crate) fn first_possible_execution(&self) -> Option<Instant> {
+        let attempts = self.attempts.borrow();
+        attempts.iter().filter(|attempt| attempt.may_have_executed.get()).map(|a| a.sent).min()
+    }
+
+    /// Whether it was never forwarded.
+    pub(crate) fn has_no_attempt(&self) -> bool {
+        self.attempts.borrow().is_empty()
+    }
+}
+
+/// All requests that are open.
+#[derive(Default)]
+pub(crate) struct OpenRequests {
+    by_id: FxHashMap<RequestId, Rc<OpenRequest>>,
+    next_id: u64,
+    /// The ids that the clients gave them.
+    trace_ids: FxHashSet<Bytes>,
+}
+
+impl OpenRequests {
+    /// Opens a request; its final answer goes to `reply_sender`. `limit` bounds how many are open, 0 being no
+    /// bound.
+    pub(crate) fn open(
+        &mut self,
+        context: &RequestContext,
+        message: Message,
+        reply_sender: oneshot::Sender<Reply>,
+        limit: usize,
+    ) -> Result<RequestId, RequestRejection> {
+        if limit > 0 && self.by_id.len() >= limit {
+            return Err(RequestRejection::TooManyOpen);
+        }
+        // Two requests with one id could be mixed up: an answer, a retry or a reset of one be taken for the
+        // other's. That holds as long as an attempt is in flight, also after the final answer.
+        if !self.trace_ids.insert(message.id.clone()) {
+            return Err(RequestRejection::DuplicateId);
+        }
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let request = OpenRequest {
+            id,
+            class: context.class,
+            message: Rc::new(message),
+            deadline: context.deadline,
+            reply_sender: RefCell::new(Some(reply_sender)),
+            finished: Rc::new(Cell::new(false)),
+            attempts: RefCell::new(Vec::new()),
+            attempts_in_flight: Cell::new(0),
+            finish_signal: Notify::new(),
+        };
+        self.by_id.insert(id, Rc::new(request));
+        Ok(id)
+    }
+
+    pub(crate) fn get(&self, id: RequestId) -> Option<&Rc<OpenRequest>> {
+        self.by_id.get(&id)
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    /// The requests without a final answer.
+    pub(crate) fn unfinished(&self) -> impl Iterator<Item = &Rc<OpenRequest>> {
+        self.by_id.values().filter(|request| !request.finished.get())
+    }
+
+    /// Removes a request that is finished and has no attempt in flight; whether it did.
+    pub(crate) fn remove_if_done(&mut self, id: RequestId) -> bool {
+        let done = |request: &Rc<OpenRequest>| {
+            request.finished.get() && request.attempts_in_flight.get() == 0
+        };
+        if !self.by_id.get(&id).is_some_and(done) {
+            return false;
+        }
+        if let Some(request) = self.by_id.remove(&id) {
+            self.trace_ids.remove(&request.message.id);
+        }
+        true
+    }
+}
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sableloom_exchange::fate::Ended;
+use sableloom_exchange::fate::AttemptEnd;
 use sableloom_exchange::*;
 use sableloom_types::settings::DeploymentSettings;
 use sableloom_types::{EndpointStatus, Idempotency, ListKind, LoadReport, ServerId, Span};
@@ -31,12 +31,12 @@
 }
 
 impl Transport for Servers {
-    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
         Box::pin(async move {
-            if !call.may_begin() {
-                return AttemptOutcome::nothing(Ended::NotBegun);
+            if !call.may_send_first_byte() {
+                return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             }
-            call.goes_out_on(Rc::new(Written));
+            call.set_connection(Rc::new(Written));
             let since = self.epoch.map_or(Duration::ZERO, |epoch| epoch.elapsed());
             self.began.borrow_mut().push((call.server, since));
             if self.silent {
@@ -45,15 +45,15 @@
             sleep(Duration::from_millis(20 * (1 + u64::from(call.server.0)))).await;
             AttemptOutcome {
                 answer: Some(Answer::default()),
-                ..AttemptOutcome::nothing(Ended::Served)
+                ..AttemptOutcome::without_answer(AttemptEnd::Answered)
             }
         })
     }
-    fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<LoadReport>> {
+    fn check_health(self: Rc<Self>, _: ServerId, _: SocketAddr) -> LocalFuture<Option<LoadReport>> {
         Box::pin(async { None })
     }
-    fn retire(&self, _: ServerId, _: bool) {}
-    fn moved(&self, _: ServerId) {}
+    fn set_retired(&self, _: ServerId, _: bool) {}
+    fn address_changed(&self, _: ServerId) {}
     fn forget(&self, _: ServerId) {}
 }
 
@@ -61,7 +61,7 @@
 struct Written;
 
 impl AttemptConnection for Written {
-    fn all_written(&self) -> bool {
+    fn fully_written(&self) -> bool {
         true
     }
 }
@@ -98,7 +98,7 @@
 }
 
 fn whole(exchange: &Rc<Exchange>, entries: Vec<ListedEndpoint>) {
-    exchange.clone().listed(ListKind::Full, entries);
+    exchange.clone().endpoints_updated(ListKind::Full, entries);
 }
 
 fn warm(n: u8) -> Vec<ListedEndpoint> {
@@ -108,22 +108,23 @@
 fn start(clock: Clock, registry: &str, servers: &Rc<Servers>) -> Rc<Exchange> {
     let settings = Rc::new(settings(registry));
     let (transport, source) = (servers.clone(), Rc::new(Silent));
-    Exchange::start(Options { settings, seed: 1, clock, transport, source }).expect("an exchange")
+    Exchange::start(ExchangeOptions { settings, seed: 1, clock, transport, source })
+        .expect("an exchange")
 }
 
-fn ask(exchange: &Rc<Exchange>, clock: Clock, id: u32) -> Work<Reply> {
+fn ask(exchange: &Rc<Exchange>, clock: Clock, id: u32) -> LocalFuture<Reply> {
     ask_for(exchange, clock, id, DEADLINE_MS)
 }
 
-fn ask_for(exchange: &Rc<Exchange>, clock: Clock, id: u32, ms: u64) -> Work<Reply> {
+fn ask_for(exchange: &Rc<Exchange>, clock: Clock, id: u32, ms: u64) -> LocalFuture<Reply> {
     let message = Message {
         id: Bytes::from(id.to_string()),
         idempotency: Idempotency::Idempotent,
-        verb: Bytes::from_static(b"GET"),
+        method: Bytes::from_static(b"GET"),
         target: Bytes::from_static(b"/x"),
         fields: Fields::default(),
         body: Bytes::new(),
-        hold: None,
+        attachment: None,
         client: None,
     };
     let deadline = clock.now().plus(Span(ms as i64 * 1000));
@@ -141,90 +142,90 @@
 #[test]
 fn three_hundred_pools_at_rest_have_no_timer_and_no_task() {
     play(async {
-        let (clock, servers) = (Clock::anchored(0), Rc::new(Servers::default()));
+        let (clock, servers) = (Clock::anchored_at(0), Rc::new(Servers::default()));
         let pools: Vec<_> = (0..300).map(|_| start(clock, "automatic", &servers)).collect();
         pools.iter().for_each(|pool| whole(pool, warm(20)));
-        assert!(pools.iter().all(|pool| !pool.rests()), "all keep time at first");
+        assert!(pools.iter().all(|pool| !pool.is_idle()), "all keep time at first");
         sleep(LONG).await;
-        assert!(pools.iter().all(|pool| pool.rests()));
+        assert!(pools.iter().all(|pool| pool.is_idle()));
         assert_eq!(Handle::current().metrics().num_alive_tasks(), 0);
         // One of them is asked for something: it alone goes on.
         let reply = ask(&pools[7], clock, 1).await;
         assert!(matches!(reply, Reply::Served(_)));
         sleep(Duration::from_millis(DEADLINE_MS)).await;
-        assert!(!pools[7].rests(), "it keeps time for two deadlines from its last answer");
-        assert_eq!(pools.iter().filter(|pool| !pool.rests()).count(), 1);
+        assert!(!pools[7].is_idle(), "it keeps time for two deadlines from its last answer");
+        assert_eq!(pools.iter().filter(|pool| !pool.is_idle()).count(), 1);
         sleep(LONG).await;
-        assert!(pools[7].rests());
+        assert!(pools[7].is_idle());
         // News of its servers alone is taken in and ends no rest for long.
         whole(&pools[3], warm(5));
-        assert!(pools[3].rests());
+        assert!(pools[3].is_idle());
     });
 }
 
 #[test]
 fn a_pool_with_a_server_that_warms_up_keeps_time_until_it_is_warm() {
     play(async {
-        let (clock, servers) = (Clock::anchored(1_000_000_000), Rc::new(Servers::default()));
+        let (clock, servers) = (Clock::anchored_at(1_000_000_000), Rc::new(Servers::default()));
         let pool = start(clock, "automatic", &servers);
         whole(&pool, warm(3));
         sleep(LONG).await;
-        assert!(pool.rests());
+        assert!(pool.is_idle());
         let mut list = warm(3);
         list.push(entry(3, EndpointStatus::Live, clock.now().0 as f64 / 1000.0));
         whole(&pool, list);
-        assert!(!pool.rests());
+        assert!(!pool.is_idle());
         sleep(Duration::from_millis(COLD_MS) - LONG).await;
-        assert!(!pool.rests());
+        assert!(!pool.is_idle());
         sleep(2 * LONG).await;
-        assert!(pool.rests());
+        assert!(pool.is_idle());
         // One that goes leaves nothing to wait for; nor does a list without any.
         let mut list = warm(3);
         list.push(entry(4, EndpointStatus::Live, clock.now().0 as f64 / 1000.0));
         whole(&pool, list);
-        assert!(!pool.rests());
+        assert!(!pool.is_idle());
         whole(&pool, Vec::new());
         sleep(LONG).await;
-        assert!(pool.rests());
+        assert!(pool.is_idle());
     });
 }
 
 #[test]
 fn a_pool_with_an_open_request_keeps_time_however_long_that_waits() {
     play(async {
-        let clock = Clock::anchored(0);
+        let clock = Clock::anchored_at(0);
         let servers = Rc::new(Servers { silent: true, ..Servers::default() });
         let pool = start(clock, "automatic", &servers);
         whole(&pool, warm(1));
         let waits = spawn_local(ask_for(&pool, clock, 1, 10 * DEADLINE_MS));
         for _ in 0..99 {
             sleep(Duration::from_millis(DEADLINE_MS / 10)).await;
-            assert!(!pool.rests());
+            assert!(!pool.is_idle());
         }
         assert!(!matches!(waits.await.expect("an answer"), Reply::Served(_)));
         sleep(LONG).await;
-        assert!(pool.rests());
+        assert!(pool.is_idle());
     });
 }
 
 #[test]
 fn a_pool_that_must_ask_for_its_list_never_rests() {
     play(async {
-        let pool = start(Clock::anchored(0), "subscribe", &Rc::new(Servers::default()));
+        let pool = start(Clock::anchored_at(0), "subscribe", &Rc::new(Servers::default()));
         whole(&pool, warm(3));
         sleep(20 * LONG).await;
-        assert!(!pool.rests());
+        assert!(!pool.is_idle());
     });
 }
 
 #[test]
 fn a_server_that_leaves_during_a_rest_gets_nothing_after_it() {
     play(async {
-        let (clock, servers) = (Clock::anchored(0), Rc::new(Servers::default()));
+        let (clock, servers) = (Clock::anchored_at(0), Rc::new(Servers::default()));
         let pool = start(clock, "automatic", &servers);
         whole(&pool, warm(2));
         sleep(LONG).await;
-        assert!(pool.rests());
+        assert!(pool.is_idle());
         let list =
             vec![entry(0, EndpointStatus::Draining, 0.0), entry(1, EndpointStatus::Live, 0.0)];
         whole(&pool, list);
@@ -244,7 +245,7 @@
     let seen = Rc::new(RefCell::new(Burst::default()));
     let of_burst = seen.clone();
     play(async move {
-        let clock = Clock::anchored(0);
+        let clock = Clock::anchored_at(0);
         let servers = Rc::new(Servers { epoch: Some(Instant::now()), ..Servers::default() });
         let pool = start(clock, "automatic", &servers);
         whole(&pool, warm(4));
@@ -254,19 +255,19 @@
         }
         if share_ends {
             let ends = clock.now().plus(Span(idle.as_micros() as i64 / 2));
-            pool.shared_by(2, Some((ends, 40)));
+            pool.set_balancers(2, Some(ShareExpiry { at: ends, balancers_after: 40 }));
         }
         for ms in 0..idle.as_millis() {
             if share_ends && ms == idle.as_millis() - 20 {
-                pool.shared_by(2, None);
+                pool.set_balancers(2, None);
             }
             sleep(Duration::from_millis(1)).await;
             if kept_awake {
                 // News of no server: the module refreshes its sums and changes nothing else.
-                pool.clone().listed(ListKind::Update, Vec::new());
+                pool.clone().endpoints_updated(ListKind::Update, Vec::new());
             }
         }
-        assert!(pool.rests());
+        assert!(pool.is_idle());
         servers.began.borrow_mut().clear();
         let burst = (0..400).map(|id| spawn_local(ask(&pool, clock, 20_000 + id)));
         let mut replies = Vec::new();
@@ -291,7 +292,10 @@
     let idle = Duration::from_millis(3 * COLD_MS);
     let (rested, awake) = (burst_after(idle, false, false), burst_after(idle, false, true));
     assert!(rested.0.contains(&Reply::Served(Answer::default())));
-    assert!(rested.0.iter().any(|reply| matches!(reply, Reply::Refused(_))), "more than it can do");
+    assert!(
+        rested.0.iter().any(|reply| matches!(reply, Reply::Rejected(_))),
+        "more than it can do"
+    );
     assert!(rested == awake, "{}", differing(&rested, &awake));
 }
 
--- a/crates/exchange/tests/simulation.rs
+++ b/crates/exchange/tests/simulation.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use oorandom::Rand64;
-use sableloom_exchange::fate::Ended;
+use sableloom_exchange::fate::AttemptEnd;
 use sableloom_exchange::*;
 use sableloom_types::settings::DeploymentSettings;
 use sableloom_types::{EndpointStatus, Idempotency, ListKind, LoadReport, ServerId, Span};
@@ -42,7 +42,7 @@
 struct Whole(Cell<bool>);
 
 impl AttemptConnection for Whole {
-    fn all_written(&self) -> bool {
+    fn fully_written(&self) -> bool {
         self.0.get()
     }
 }
@@ -75,7 +75,7 @@
         match self.below(10) {
             0 => {
                 self.way("no connection");
-                return AttemptOutcome::nothing(Ended::NoConnection);
+                return AttemptOutcome::without_answer(AttemptEnd::ConnectFailed);
             }
             1 => {
                 self.way("no connection ever");
@@ -83,39 +83,43 @@
             }
             _ => {}
         }
-        if !call.may_begin() {
+        if !call.may_send_first_byte() {
             self.way("over before it began");
-            return AttemptOutcome::nothing(Ended::NotBegun);
+            return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
         }
         // Its first byte.
         let id = &call.message.id;
         if call.message.client_is_gone() {
             self.wrong(format!("{id:?} began for a client that had left"));
         }
-        if !world.servers.borrow().values().any(|at| *at == call.to) {
-            self.wrong(format!("{id:?} began at {} of {:?}", call.to, call.server));
+        if !world.servers.borrow().values().any(|at| *at == call.address) {
+            self.wrong(format!("{id:?} began at {} of {:?}", call.address, call.server));
         }
         let line = Rc::new(Whole(Cell::new(false)));
-        call.goes_out_on(line.clone());
+        call.set_connection(line.clone());
         if self.below(3) == 0 {
             // The last byte leaves later.
             self.pause(30).await;
         }
         if self.below(12) == 0 {
             self.way("broke before it was whole");
-            return AttemptOutcome::nothing(Ended::Broke);
+            return AttemptOutcome::without_answer(AttemptEnd::ConnectionLost);
         }
-        if !call.may_go_on() {
+        if !call.may_send_more() {
             // The wire asks at each byte; what has begun stays half written.
             self.way("over before it was whole");
-            return AttemptOutcome::nothing(Ended::Broke);
+            return AttemptOutcome::without_answer(AttemptEnd::ConnectionLost);
         }
         line.0.set(true);
         if self.below(8) == 0 {
             self.way("disowned");
             self.pause(5).await;
-            let ended = if self.below(2) == 0 { Ended::Fault } else { Ended::Broke };
-            return AttemptOutcome { not_executed: true, ..AttemptOutcome::nothing(ended) };
+            let ended = if self.below(2) == 0 {
+                AttemptEnd::UnusableAnswer
+            } else {
+                AttemptEnd::ConnectionLost
+            };
+            return AttemptOutcome { not_executed: true, ..AttemptOutcome::without_answer(ended) };
         }
         *world.runs.borrow_mut().entry(call.message.id.clone()).or_default() += 1;
         if call.message.idempotency == Idempotency::Keyed {
@@ -132,11 +136,11 @@
         match self.below(10) {
             0 => {
                 self.way("ran and failed");
-                AttemptOutcome::nothing(Ended::Fault)
+                AttemptOutcome::without_answer(AttemptEnd::UnusableAnswer)
             }
             1 => {
                 self.way("ran and broke");
-                AttemptOutcome::nothing(Ended::Broke)
+                AttemptOutcome::without_answer(AttemptEnd::ConnectionLost)
             }
             2 => {
                 self.way("ran and said nothing");
@@ -146,21 +150,24 @@
             _ => {
                 self.way("served");
                 let answer = Answer { body: call.message.id.clone(), ..Answer::default() };
-                AttemptOutcome { answer: Some(answer), ..AttemptOutcome::nothing(Ended::Served) }
+                AttemptOutcome {
+                    answer: Some(answer),
+                    ..AttemptOutcome::without_answer(AttemptEnd::Answered)
+                }
             }
         }
     }
 }
 
 impl Transport for Fickle {
-    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
         Box::pin(async move { self.talk(&call).await })
     }
-    fn probe(self: Rc<Self>, _: ServerId, _: SocketAddr) -> Work<Option<LoadReport>> {
+    fn check_health(self: Rc<Self>, _: ServerId, _: SocketAddr) -> LocalFuture<Option<LoadReport>> {
         Box::pin(async { None })
     }
-    fn retire(&self, _: ServerId, _: bool) {}
-    fn moved(&self, _: ServerId) {}
+    fn set_retired(&self, _: ServerId, _: bool) {}
+    fn address_changed(&self, _: ServerId) {}
     fn forget(&self, _: ServerId) {}
 }
 
@@ -218,8 +225,13 @@
         rng: RefCell::new(Rand64::new(u128::from(seed) << 32 | 5)),
         world: world.clone(),
     });
-    let options =
-        Options { settings: Rc::new(settings()), seed, clock, transport, source: Rc::new(Silent) };
+    let options = ExchangeOptions {
+        settings: Rc::new(settings()),
+        seed,
+        clock,
+        transport,
+        source: Rc::new(Silent),
+    };
     let exchange = Exchange::start(options).expect("an exchange");
     let servers = 1 + rng.rand_range(0..4);
     let tell = |kind, entries: Vec<ListedEndpoint>| {
@@ -231,7 +243,7 @@
                 _ => world.servers.borrow_mut().remove(&entry.id),
             };
         }
-        exchange.clone().listed(kind, entries);
+        exchange.clone().endpoints_updated(kind, entries);
     };
     tell(ListKind::Full, (0..servers).map(|n| entry(n, 0, EndpointStatus::Live)).collect());
     let (mut moved, mut rests) = (0, 0);
@@ -241,7 +253,7 @@
         if rng.rand_range(0..40) == 0 {
             // Long enough that the pool rests before the next request.
             sleep(Duration::from_millis(3 * DEADLINE_MS as u64)).await;
-            rests += usize::from(exchange.rests());
+            rests += usize::from(exchange.is_idle());
         }
         if rng.rand_range(0..12) == 0 {
             let status = [EndpointStatus::Live, EndpointStatus::Draining, EndpointStatus::Gone]
@@ -257,11 +269,11 @@
         let message = Message {
             id: id.clone(),
             idempotency,
-            verb: Bytes::from_static(b"GET"),
+            method: Bytes::from_static(b"GET"),
             target: Bytes::from_static(b"/x"),
             fields: Fields::default(),
             body: Bytes::new(),
-            hold: None,
+            attachment: None,
             client: Some(Rc::<Present>::downgrade(&present) as Weak<dyn Client>),
         };
         let deadline = clock.now().plus(Span(DEADLINE_MS * 1000));
@@ -294,7 +306,7 @@
                         wrong.push(format!("{id:?} got the answer of {:?}", answer.body));
                     }
                     Reply::Served(_) if runs == 0 => wrong.push(format!("{id:?} never ran")),
-                    Reply::Refused(_) if idempotency == Idempotency::NonIdempotent && runs > 0 => {
+                    Reply::Rejected(_) if idempotency == Idempotency::NonIdempotent && runs > 0 => {
                         wrong.push(format!("{id:?} ran {runs} times and was refused"));
                     }
                     _ => {}
@@ -314,11 +326,11 @@
     if rests > 0 {
         *world.ways.borrow_mut().entry("rested").or_default() += rests;
     }
-    if !exchange.rests() {
+    if !exchange.is_idle() {
         world.wrong.borrow_mut().push("it does not rest at the end".into());
     }
-    if exchange.open() > 0 {
-        world.wrong.borrow_mut().push(format!("{} are still open", exchange.open()));
+    if exchange.open_requests() > 0 {
+        world.wrong.borrow_mut().push(format!("{} are still open", exchange.open_requests()));
     }
     for (id, runs) in world.runs.borrow().iter().filter(|(_, runs)| **runs > 1) {
         if id.starts_with(b"redeem") {
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -173,7 +173,7 @@
         // One byte more than is allowed shows what is too long.
         let mut buffer = [0; MAX_PAGE + 1];
         loop {
-            let next = self.clock.instant(self.core.borrow().next());
+            let next = self.clock.instant_of(self.core.borrow().next());
             tokio::select! {
                 biased;
                 ready = self.socket.readable() => {
--- a/crates/http1/src/front/accept.rs
+++ b/crates/http1/src/front/accept.rs
@@ -68,7 +68,7 @@
                     return self.turn_away(stream, Span(0), None).await;
                 }
                 Arrival::Wait(until) => {
-                    let until = self.clock.instant(until);
+                    let until = self.clock.instant_of(until);
                     tokio::select! {
                         _ = timeout_at(until, self.changed.notified()) => {}
                         () = self.shuts.notified() => {}
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/front/request.rs
@@ -87,7 +87,7 @@
     // One that came with the request before it has a time limit of its own.
     client.tell(Admission::next_request);
     let begun = frontend.admission.borrow().begun(client.id).unwrap_or_else(|| frontend.now());
-    let until = frontend.clock.instant(begun) + TAKE;
+    let until = frontend.clock.instant_of(begun) + TAKE;
     let (mut head, body) = request.into_parts();
     // A target in absolute form names the host, whatever the field says (RFC 9112, section 3.2.2).
     if let Some(host) = head.uri.authority().and_then(|a| HeaderValue::from_str(a.as_str()).ok()) {
@@ -120,32 +120,32 @@
         Err(_) => return plain(StatusCode::REQUEST_TIMEOUT).closing(),
     };
     // It counts from its last byte, also where that came behind another request.
-    let arrived = frontend.clock.at(client.wire.read_at.get());
+    let arrived = frontend.clock.time_of(client.wire.read_at.get());
     client.tell(Admission::taken);
     let RequestHead { id, class, tenant, key, expires, target } = wanted;
     let asked = RequestContext { class, tenant, key, deadline: arrived.plus(expires) };
     let message = Message {
         id,
         idempotency: frontend.settings.services[class].idempotency,
-        verb: Bytes::copy_from_slice(head.method.as_str().as_bytes()),
+        method: Bytes::copy_from_slice(head.method.as_str().as_bytes()),
         target,
         fields: fields::end_to_end(head.headers),
         body,
-        hold: budget.map(|budget| Box::new(budget) as Box<dyn Any>),
+        attachment: budget.map(|budget| Box::new(budget) as Box<dyn Any>),
         client: Some(Rc::<Wire>::downgrade(&client.wire) as Weak<dyn Client>),
     };
     let reply = match frontend.service.clone().call(asked, message) {
         Ok(reply) => reply,
-        Err(RequestRejection::TooMany) => return plain(StatusCode::SERVICE_UNAVAILABLE),
-        Err(RequestRejection::SameId) => return plain(StatusCode::CONFLICT).closing(),
+        Err(RequestRejection::TooManyOpen) => return plain(StatusCode::SERVICE_UNAVAILABLE),
+        Err(RequestRejection::DuplicateId) => return plain(StatusCode::CONFLICT).closing(),
         Err(RequestRejection::NoRoute(status)) => {
             return plain(StatusCode::from_u16(status).unwrap_or(StatusCode::NOT_FOUND));
         }
-        Err(RequestRejection::OverLimit(after)) => return over_limit(after),
+        Err(RequestRejection::OverTenantLimit(after)) => return over_limit(after),
     };
     match reply.await {
         Reply::Served(answer) => served(answer),
-        Reply::Refused(advice) => {
+        Reply::Rejected(advice) => {
             let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
             if let Some(advice) = advice {
                 let seconds = format!("{:.3}", advice.as_secs_f64());
--- a/crates/http1/src/front/tests.rs
+++ b/crates/http1/src/front/tests.rs
@@ -2,7 +2,7 @@
 
 use std::io::{Read, Write};
 
-use sableloom_exchange::{Answer, Message, Reply, RequestContext, RequestRejection, Work};
+use sableloom_exchange::{Answer, LocalFuture, Message, Reply, RequestContext, RequestRejection};
 use serde_json::json;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -17,7 +17,7 @@
         self: Rc<Self>,
         _: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let made = Answer { body: message.id.clone(), ..Answer::default() };
         Ok(Box::pin(async move { Reply::Served(made) }))
     }
--- a/crates/http1/src/upstream.rs
+++ b/crates/http1/src/upstream.rs
@@ -16,9 +16,10 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, header};
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashSet;
-use sableloom_exchange::fate::Ended;
+use sableloom_exchange::fate::AttemptEnd;
 use sableloom_exchange::{
-    Answer, AttemptConnection, AttemptContext, AttemptOutcome, Message, Task, Transport, Work,
+    Answer, AttemptConnection, AttemptContext, AttemptOutcome, LocalFuture, Message, Task,
+    Transport,
 };
 use sableloom_types::settings::{DeploymentSettings, LoadReportSource, PolicyLimits, Stats};
 use sableloom_types::{LoadReport, ServerId};
@@ -262,7 +263,7 @@
 fn request(message: &Message, left: Duration) -> Option<(Request<Whole>, u64)> {
     let body = Whole::new(message.body.clone());
     let length = body.size_hint().exact().unwrap_or(0);
-    let method = Method::from_bytes(&message.verb).ok()?;
+    let method = Method::from_bytes(&message.method).ok()?;
     let mut headers = fields::headers(&message.fields);
     headers.insert("x-expires-in-ms", (left.as_millis() as u64).max(1).into());
     if length > 0 || method == Method::POST {
@@ -282,15 +283,19 @@
 // ---------------------------------------------------------------- attempts
 
 impl Transport for Upstreams {
-    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
         Box::pin(async move { self.talk(&call).await })
     }
 
-    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<LoadReport>> {
+    fn check_health(
+        self: Rc<Self>,
+        server: ServerId,
+        to: SocketAddr,
+    ) -> LocalFuture<Option<LoadReport>> {
         Box::pin(async move { timeout(PROBE, self.examine(server, to)).await.ok().flatten() })
     }
 
-    fn retire(&self, server: ServerId, retired: bool) {
+    fn set_retired(&self, server: ServerId, retired: bool) {
         if !retired {
             self.retired.borrow_mut().remove(&server);
         } else if self.retired.borrow_mut().insert(server) {
@@ -298,7 +303,7 @@
         }
     }
 
-    fn moved(&self, server: ServerId) {
+    fn address_changed(&self, server: ServerId) {
         self.close(server);
     }
 
@@ -312,29 +317,31 @@
     async fn talk(self: &Rc<Self>, call: &Rc<AttemptContext>) -> AttemptOutcome {
         let mut may_reuse = true;
         loop {
-            if !call.is_wanted() {
-                return AttemptOutcome::nothing(Ended::NotBegun);
+            if !call.is_dispatchable() {
+                return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             }
-            let kept = if may_reuse { self.take(call.server, call.to) } else { None };
+            let kept = if may_reuse { self.take(call.server, call.address) } else { None };
             let reused = kept.is_some();
             let conn = match kept {
                 Some(conn) => Some(conn),
-                None => self.connect(call.to).await,
+                None => self.connect(call.address).await,
+            };
+            let Some(mut conn) = conn else {
+                return AttemptOutcome::without_answer(AttemptEnd::ConnectFailed);
             };
-            let Some(mut conn) = conn else { return AttemptOutcome::nothing(Ended::NoConnection) };
             // A connection may come up long after the send was decided.
-            if !call.is_wanted() {
+            if !call.is_dispatchable() {
                 self.put(call.server, conn);
-                return AttemptOutcome::nothing(Ended::NotBegun);
+                return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             }
-            let left = call.until.saturating_duration_since(Instant::now());
+            let left = call.deadline.saturating_duration_since(Instant::now());
             let Some((request, bytes)) = request(&call.message, left) else {
-                return AttemptOutcome::nothing(Ended::NotBegun);
+                return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             };
             let rested = conn.rested.elapsed();
             let hold = || self.guard.hold(Instant::now(), rested, call.message.idempotency);
             conn.wire.begin(bytes, reused.then(hold).flatten(), Some(call));
-            call.goes_out_on(conn.wire.clone());
+            call.set_connection(conn.wire.clone());
             let answer = match conn.sender.send_request(request).await {
                 // To the request before it: nobody has seen this one whole.
                 Ok(_) if conn.wire.keeps_last_byte() => {
@@ -344,18 +351,20 @@
                 }
                 Ok(answer) => answer,
                 // Between the look above and hyper's turn to write.
-                Err(_) if !conn.wire.has_begun() && !call.may_begin() => {
-                    return AttemptOutcome::nothing(Ended::NotBegun);
+                Err(_) if !conn.wire.has_begun() && !call.may_send_first_byte() => {
+                    return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
                 }
                 // A rested connection that its server had ended: nothing came of it, and the
                 // attempt has not been made yet.
-                Err(_) if reused && !conn.wire.all_written() => {
+                Err(_) if reused && !conn.wire.fully_written() => {
                     self.look_for_second_answer(&conn);
                     may_reuse = false;
                     continue;
                 }
-                Err(e) if e.is_parse() => return AttemptOutcome::nothing(Ended::Fault),
-                Err(_) => return AttemptOutcome::nothing(Ended::Broke),
+                Err(e) if e.is_parse() => {
+                    return AttemptOutcome::without_answer(AttemptEnd::UnusableAnswer);
+                }
+                Err(_) => return AttemptOutcome::without_answer(AttemptEnd::ConnectionLost),
             };
             return self.read(call.server, conn, answer).await;
         }
@@ -370,11 +379,11 @@
     ) -> AttemptOutcome {
         let (head, mut body) = answer.into_parts();
         let report = self.report(&head.headers);
-        let outcome = |ended| AttemptOutcome { report, ..AttemptOutcome::nothing(ended) };
-        if head.status != StatusCode::OK || !conn.wire.all_written() {
+        let outcome = |ended| AttemptOutcome { report, ..AttemptOutcome::without_answer(ended) };
+        if head.status != StatusCode::OK || !conn.wire.fully_written() {
             let may_disown = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
             let states_not_executed = head.headers.get("x-never-ran").is_some_and(|v| v == "1");
-            if conn.wire.all_written() {
+            if conn.wire.fully_written() {
                 let pool = self.clone();
                 spawn_local(async move {
                     if let Ok(true) = timeout(REST, discard(&mut body)).await {
@@ -383,24 +392,24 @@
                 });
             }
             let not_executed = states_not_executed && may_disown.contains(&head.status);
-            return AttemptOutcome { not_executed, ..outcome(Ended::Fault) };
+            return AttemptOutcome { not_executed, ..outcome(AttemptEnd::UnusableAnswer) };
         }
         // The protocol has no longer answers: whoever announces or sends one has lost the thread.
         if body.size_hint().exact().is_some_and(|n| n > BODY_MAX as u64) {
-            return outcome(Ended::Fault);
+            return outcome(AttemptEnd::UnusableAnswer);
         }
         let mut held = BytesMut::new();
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return outcome(Ended::Broke) };
+            let Ok(frame) = frame else { return outcome(AttemptEnd::ConnectionLost) };
             let Ok(data) = frame.into_data() else { continue };
             if held.len() + data.len() > BODY_MAX {
-                return outcome(Ended::Fault);
+                return outcome(AttemptEnd::UnusableAnswer);
             }
             held.extend_from_slice(&data);
         }
         self.put(server, conn);
         let answer = Answer { fields: fields::end_to_end(head.headers), body: held.freeze() };
-        AttemptOutcome { answer: Some(answer), ..outcome(Ended::Served) }
+        AttemptOutcome { answer: Some(answer), ..outcome(AttemptEnd::Answered) }
     }
 
     /// The load report on an answer, where the settings have such.
--- a/crates/http1/src/upstream/tests.rs
+++ b/crates/http1/src/upstream/tests.rs
@@ -69,13 +69,13 @@
         let message = Message {
             id: Bytes::new(),
             idempotency: Idempotency::NonIdempotent,
-            verb: Bytes::from_static(asked.verb.as_bytes()),
+            method: Bytes::from_static(asked.verb.as_bytes()),
             target: Bytes::from(asked.target.clone()),
             fields: Fields::collect(|| {
                 asked.fields.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes()))
             }),
             body: Bytes::from(asked.body.clone()),
-            hold: None,
+            attachment: None,
             client: None,
         };
         let (request, bytes) = request(&message, Duration::from_millis(asked.left)).expect("a request");
--- a/crates/http1/src/wire.rs
+++ b/crates/http1/src/wire.rs
@@ -125,8 +125,8 @@
         let call = self.call.borrow();
         let Some(call) = call.as_ref().filter(|_| self.left.get() > 0) else { return true };
         let may = |call: Rc<AttemptContext>| match self.begun.get() {
-            true => call.may_go_on(),
-            false => call.may_begin(),
+            true => call.may_send_more(),
+            false => call.may_send_first_byte(),
         };
         // One that nobody knows of any more is over.
         call.upgrade().is_some_and(may)
@@ -224,7 +224,7 @@
 }
 
 impl AttemptConnection for Wire {
-    fn all_written(&self) -> bool {
+    fn fully_written(&self) -> bool {
         self.left.get() == 0
     }
 }
--- a/crates/http1/src/wire/tests.rs
+++ b/crates/http1/src/wire/tests.rs
@@ -38,22 +38,22 @@
 
 const AT: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
-fn attempt(client: Option<&Rc<Wire>>, whole_by: Option<Instant>) -> Attempt {
+fn attempt(client: Option<&Rc<Wire>>, complete_before: Option<Instant>) -> Attempt {
     let message = Message {
         id: Bytes::new(),
         idempotency: Idempotency::NonIdempotent,
-        verb: Bytes::new(),
+        method: Bytes::new(),
         target: Bytes::new(),
         fields: Fields::default(),
         body: Bytes::new(),
-        hold: None,
+        attachment: None,
         client: client.map(|wire| Rc::<Wire>::downgrade(wire) as std::rc::Weak<dyn Client>),
     };
     let (over, place) = (Rc::new(Cell::new(false)), DispatchAddress::default());
     place.set(Some(SocketAddr::from(AT)));
     let until = Instant::now() + Duration::from_secs(60);
-    let call = AttemptContext::new(Rc::new(message), (ServerId(0), &place), until, over.clone());
-    let call = Rc::new(call.expect("it is live").whole_by(whole_by));
+    let call = AttemptContext::new(Rc::new(message), ServerId(0), &place, until, over.clone());
+    let call = Rc::new(call.expect("it is live").complete_before(complete_before));
     Attempt { call, over, place }
 }
 
@@ -66,7 +66,7 @@
     over.set(true);
     let refused = io.write_all(b"67890").await.expect_err("the second half stays");
     assert_eq!(refused.kind(), io::ErrorKind::ConnectionAborted);
-    assert!(!wire.all_written());
+    assert!(!wire.fully_written());
     wire.cut();
     assert_eq!(all_that_came(peer).await, b"12345");
 }
@@ -90,7 +90,7 @@
     let Attempt { call, over, .. } = attempt(None, None);
     wire.begin(5, Some(Duration::from_millis(1)), Some(&call));
     io.write_all(b"12345").await.expect("it leaves");
-    assert!(wire.all_written());
+    assert!(wire.fully_written());
     over.set(true);
     io.write_all(b"").await.expect("nothing is left to refuse");
     wire.cut();
@@ -116,7 +116,7 @@
         }
         let refused = io.write_all(b"5").await.expect_err("the last stays");
         assert_eq!(refused.kind(), io::ErrorKind::ConnectionAborted);
-        assert!(!wire.all_written(), "it provably never ran");
+        assert!(!wire.fully_written(), "it provably never ran");
     }
 }
 
@@ -169,7 +169,7 @@
     io.write_all(b"1234").await.expect("it begins in time");
     tokio::time::advance(Duration::from_millis(50)).await;
     io.write_all(b"5").await.expect_err("the last stays");
-    assert!(!wire.all_written());
+    assert!(!wire.fully_written());
     wire.cut();
     tokio::time::resume();
     assert_eq!(all_that_came(peer).await, b"1234");
@@ -183,7 +183,7 @@
         let (wire, mut io, peer) = pair().await;
         let Attempt { call, .. } = attempt(Some(&waits), None);
         client.write_all(&vec![b'x'; behind]).await.expect("it is taken in");
-        assert!(call.may_begin(), "it waits");
+        assert!(call.may_send_first_byte(), "it waits");
         match reset {
             true => SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("linger"),
             false => client.shutdown().await.expect("half a close is one"),
@@ -202,7 +202,7 @@
     let (waits, waits_io, _client) = pair().await;
     let Attempt { call, .. } = attempt(Some(&waits), None);
     drop((waits, waits_io));
-    assert!(!call.may_begin());
+    assert!(!call.may_send_first_byte());
 }
 
 #[tokio::test(flavor = "current_thread")]
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -6,7 +6,9 @@
 
 use sableloom_discovery::{self as discovery, Discovery};
 use sableloom_discovery_schedule::{self as watch, Times, Watch};
-use sableloom_exchange::{Clock, EndpointListener, Exchange, Options, Task, longest_deadline};
+use sableloom_exchange::{
+    Clock, EndpointListener, Exchange, ExchangeOptions, Task, longest_deadline,
+};
 use sableloom_http1::{Budget, Dialect, Frontend, Upstreams};
 use sableloom_types::ListKind;
 use sableloom_types::settings::{RegistryMode, span};
@@ -50,9 +52,9 @@
         Self { _accepting: listeners.into_iter().map(accept).collect(), frontend, longest }
     }
 
-    /// Takes no new work, finishes what was taken, and ends. `open` counts what is open; `give_up`
+    /// Takes no new work, finishes what was taken, and ends. `open` counts what is open; `abort_open_requests`
     /// answers it, and sends nothing on from then.
-    pub async fn finish(self, open: impl Fn() -> usize, give_up: impl Fn()) {
+    pub async fn finish(self, open: impl Fn() -> usize, abort_open_requests: impl Fn()) {
         let notified = Instant::now();
         let frontend = &self.frontend;
         frontend.drain();
@@ -73,7 +75,7 @@
                 break;
             }
             // At each turn: pools may have come since.
-            give_up();
+            abort_open_requests();
             if turn < REFUSING_TURNS {
                 frontend.refuse_unfinished();
             }
@@ -119,7 +121,7 @@
             revision,
             watch: Watch::new(times, seed, revision.is_none()),
         });
-        let exchange = Exchange::start(Options {
+        let exchange = Exchange::start(ExchangeOptions {
             settings: settings.clone(),
             seed,
             clock,
@@ -129,7 +131,7 @@
         .map_err(|e| format!("field `settings`: {e}"))?;
         discovery.attach(exchange.clone());
         if let Some(known) = known {
-            exchange.clone().listed(ListKind::Restored, known.entries());
+            exchange.clone().endpoints_updated(ListKind::Restored, known.entries());
         }
         let frontend =
             Frontend::new(exchange.clone(), settings, Dialect::Platform, clock, &clients);
@@ -147,7 +149,7 @@
     /// Takes no new work, finishes what was taken, and ends.
     pub async fn finish(self) {
         let Self { exchange, ingress, .. } = self;
-        ingress.finish(|| exchange.open(), || exchange.give_up()).await;
+        ingress.finish(|| exchange.open_requests(), || exchange.abort_open_requests()).await;
     }
 }
 
@@ -172,7 +174,8 @@
         }
     });
     term.recv().await;
-    let (connections, open) = (running.ingress.frontend.connections(), running.exchange.open());
+    let (connections, open) =
+        (running.ingress.frontend.connections(), running.exchange.open_requests());
     eprintln!("sableloom: SIGTERM; {connections} connections, {open} open");
     running.finish().await;
     Ok(())
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -65,7 +65,7 @@
     if site.control.is_none() {
         listeners = bind(&path, &site)?;
     }
-    let clock = Clock::off_by(options.wall_clock_ms);
+    let clock = Clock::with_offset_ms(options.wall_clock_ms);
     let budget = Budget::new(upstreams);
     let context = Rc::new(PoolContext { path: path.clone(), clock, budget, upstreams });
     let pools = start_pools(&context, &site).await?;
@@ -128,8 +128,8 @@
     // Copies end while what was taken is finished, and the records are written once more.
     let shadows: Vec<_> =
         router.pools().iter().filter_map(|p| Some(p.mirror.take()?.stop())).collect();
-    let give_up = || router.pools().iter().for_each(|pool| pool.exchange.give_up());
-    ingress.finish(|| router.open(), give_up).await;
+    let abort = || router.pools().iter().for_each(|pool| pool.exchange.abort_open_requests());
+    ingress.finish(|| router.open(), abort).await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
--- a/crates/sableloom/src/serve/feed.rs
+++ b/crates/sableloom/src/serve/feed.rs
@@ -74,8 +74,8 @@
         // Not while the listeners are borrowed: an exchange may subscribe anew when it is told.
         for (sink, whole) in calls {
             match whole {
-                true => sink.listed(ListKind::Full, self.roster.borrow().entries()),
-                false => sink.listed(ListKind::Update, changed.to_vec()),
+                true => sink.endpoints_updated(ListKind::Full, self.roster.borrow().entries()),
+                false => sink.endpoints_updated(ListKind::Update, changed.to_vec()),
             }
         }
     }
@@ -87,7 +87,7 @@
         let feed = self.clone();
         spawn_local(async move {
             while let Some(at) = feed.with_roster(Roster::next) {
-                sleep_until(feed.clock.instant(at)).await;
+                sleep_until(feed.clock.instant_of(at)).await;
                 let gone = feed.roster.borrow_mut().tick(feed.clock.now());
                 feed.publish(&gone);
             }
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use sableloom_exchange::{
-    Clock, Exchange, Message, Reply, RequestContext, RequestRejection, Service, Work,
+    Clock, Exchange, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service,
 };
-use sableloom_exchange::{EndpointSource, Options as ExchangeOptions};
+use sableloom_exchange::{EndpointSource, ExchangeOptions};
 use sableloom_http1::{Budget, Upstreams};
 use sableloom_server_files::ServerFiles;
 use sableloom_shadow::Bounds;
@@ -60,7 +60,7 @@
         &self,
         asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let mirror = self.mirror.borrow().clone();
         match mirror {
             Some(mirror) => mirror.call(&self.exchange, asked, message),
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -5,7 +5,9 @@
 
 use sableloom_capacity_share::Part;
 use sableloom_distribution::ServiceName;
-use sableloom_exchange::{Clock, Message, Reply, RequestContext, RequestRejection, Service, Work};
+use sableloom_exchange::{
+    Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
+};
 use sableloom_fleet::{Running as Fleet, Told};
 use sableloom_routes::{Head, Table};
 use sableloom_site_config::{Site, Target};
@@ -50,7 +52,7 @@
         self: Rc<Self>,
         asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let routing = self.routing.borrow().clone();
         if routing.site.control.is_some() {
             let found = with_head(&asked, &message, |head| self.subscribed.borrow().target(head));
@@ -87,7 +89,7 @@
     look(&Head {
         host: &host,
         path: &message.target[..end.unwrap_or(message.target.len())],
-        method: &message.verb,
+        method: &message.method,
         class: asked.class,
         header: &has,
     })
@@ -141,12 +143,12 @@
         let Some(part) = self.part.get() else { return };
         // A part of nothing is told as one of a multitude: the module keeps one lane whatever it is told.
         let told = |n: u32| if n == 0 { MULTITUDE } else { n };
-        let ends = part.until.map(|until| (until, told(part.after)));
-        pool.exchange.shared_by(told(part.balancers), ends);
+        let expires = part.until.map(|at| ShareExpiry { at, balancers_after: told(part.after) });
+        pool.exchange.set_balancers(told(part.balancers), expires);
     }
 
     pub(super) fn open(&self) -> usize {
-        self.pools().iter().map(|pool| pool.exchange.open()).sum()
+        self.pools().iter().map(|pool| pool.exchange.open_requests()).sum()
     }
 
     /// What it does now, as one line of JSON.
@@ -154,7 +156,7 @@
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
             let (list, version, servers) = pool.files()?.version();
-            Some(json!({"name": pool.name, "open": pool.exchange.open(), "list": list,
+            Some(json!({"name": pool.name, "open": pool.exchange.open_requests(), "list": list,
                    "version": version, "servers": servers}))
         };
         let mut status = json!({
@@ -185,7 +187,7 @@
     pub(super) fn sweep(&self) {
         self.pools().iter().for_each(|pool| pool.transport.sweep());
         self.ending.borrow_mut().retain(|pool| {
-            let open = pool.exchange.open() > 0;
+            let open = pool.exchange.open_requests() > 0;
             if !open {
                 pool.exchange.close();
                 eprintln!("sableloom: pool {}: ended", pool.name);
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -41,7 +41,7 @@
                 Verdict::Within => return Ok(()),
                 Verdict::Over(after) => {
                     let after = Duration::from_micros(after.0.max(0) as u64);
-                    return Err(RequestRejection::OverLimit(after.min(MAX_RETRY_AFTER)));
+                    return Err(RequestRejection::OverTenantLimit(after.min(MAX_RETRY_AFTER)));
                 }
             }
         }
--- a/crates/server-files/src/lib.rs
+++ b/crates/server-files/src/lib.rs
@@ -164,7 +164,7 @@
     fn publish(&self) {
         if let Some(sink) = self.sink.borrow().clone() {
             let entries = self.lists.borrow().entries();
-            sink.listed(ListKind::Full, entries);
+            sink.endpoints_updated(ListKind::Full, entries);
         }
     }
 
@@ -175,7 +175,7 @@
         self.news.notify_one();
         loop {
             let files = self.files.borrow().clone();
-            let leaving = self.lists.borrow().next().map(|at| self.clock.instant(at));
+            let leaving = self.lists.borrow().next().map(|at| self.clock.instant_of(at));
             let leaves = async {
                 match leaving {
                     Some(at) => sleep_until(at).await,
--- a/crates/server-files/tests/pools.rs
+++ b/crates/server-files/tests/pools.rs
@@ -22,7 +22,7 @@
 struct Counts(UnboundedSender<usize>);
 
 impl EndpointListener for Counts {
-    fn listed(self: Rc<Self>, _: ListKind, entries: Vec<ListedEndpoint>) {
+    fn endpoints_updated(self: Rc<Self>, _: ListKind, entries: Vec<ListedEndpoint>) {
         let _ = self.0.send(entries.len());
     }
 }
--- a/crates/traffic-mirror/src/lib.rs
+++ b/crates/traffic-mirror/src/lib.rs
@@ -116,7 +116,7 @@
             tenant: asked.tenant,
             key: asked.key,
             id: message.id.clone(),
-            verb: message.verb.clone(),
+            verb: message.method.clone(),
             target: message.target.clone(),
             fields: message.fields.clone(),
             body: message.body.clone(),
--- a/crates/traffic-mirror/src/live.rs
+++ b/crates/traffic-mirror/src/live.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use rustc_hash::FxHasher;
 use sableloom_exchange::{
-    Answer, Clock, Exchange, Fields, Message, Reply, RequestContext, RequestRejection, Service,
-    Work,
+    Answer, Clock, Exchange, Fields, LocalFuture, Message, Reply, RequestContext, RequestRejection,
+    Service,
 };
 use sableloom_shadow::{Copied, End, Gate};
 use sableloom_types::{Idempotency, Span, Time};
@@ -78,7 +78,7 @@
         pool: &Rc<Exchange>,
         asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
         if self.jobs.borrow().is_none() {
             return pool.clone().call(asked, message);
         }
@@ -101,7 +101,7 @@
             match (&reply, captured) {
                 (Reply::Served(answer), Some(captured)) => mirror.served(&pool, captured, answer),
                 (Reply::Served(_), None) => {}
-                (Reply::Refused(_) | Reply::Failed, _) => mirror.note_pressure(),
+                (Reply::Rejected(_) | Reply::Failed, _) => mirror.note_pressure(),
             }
             reply
         }))
@@ -113,7 +113,7 @@
         pool: &Rc<Exchange>,
         asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let mut change = Change::begin(self, asked.key);
         let work = match pool.clone().call(asked, message) {
             Ok(work) => work,
@@ -160,7 +160,7 @@
             + captured.body.len()
             + fields(&answer.fields)
             + answer.body.len();
-        let copied = self.gate.borrow_mut().served(now, bytes, || pool.open());
+        let copied = self.gate.borrow_mut().served(now, bytes, || pool.open_requests());
         if let Ok(copied) = copied {
             let (mirror, answer) = (self.clone(), answer.clone());
             let took = now.since(captured.taken);
--- a/crates/traffic-mirror/src/side.rs
+++ b/crates/traffic-mirror/src/side.rs
@@ -12,8 +12,8 @@
 
 use bytes::Bytes;
 use sableloom_exchange::{
-    Answer, AttemptContext, AttemptOutcome, Clock, EndpointSource, Exchange, Fields, Message,
-    Options as ExchangeOptions, Reply, RequestContext, Service, Transport, Work,
+    Answer, AttemptContext, AttemptOutcome, Clock, EndpointSource, Exchange, ExchangeOptions,
+    Fields, LocalFuture, Message, Reply, RequestContext, Service, Transport,
 };
 use sableloom_http1::{Budget, Upstreams};
 use sableloom_server_files::ServerFiles;
@@ -146,23 +146,29 @@
 struct Seen(Rc<Upstreams>);
 
 impl Transport for Seen {
-    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> Work<AttemptOutcome> {
-        if let Some(begun) = call.message.hold.as_ref().and_then(|h| h.downcast_ref::<Begun>()) {
+    fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
+        if let Some(begun) =
+            call.message.attachment.as_ref().and_then(|h| h.downcast_ref::<Begun>())
+        {
             begun.0.set(true);
         }
         self.0.clone().attempt(call)
     }
 
-    fn probe(self: Rc<Self>, server: ServerId, to: SocketAddr) -> Work<Option<LoadReport>> {
-        self.0.clone().probe(server, to)
+    fn check_health(
+        self: Rc<Self>,
+        server: ServerId,
+        to: SocketAddr,
+    ) -> LocalFuture<Option<LoadReport>> {
+        self.0.clone().check_health(server, to)
     }
 
-    fn retire(&self, server: ServerId, retired: bool) {
-        self.0.retire(server, retired);
+    fn set_retired(&self, server: ServerId, retired: bool) {
+        self.0.set_retired(server, retired);
     }
 
-    fn moved(&self, server: ServerId) {
-        self.0.moved(server);
+    fn address_changed(&self, server: ServerId) {
+        self.0.address_changed(server);
     }
 
     fn forget(&self, server: ServerId) {
@@ -308,7 +314,7 @@
             deadline: sent.plus(Span(self.time.as_micros() as i64)),
         };
         let begun = Begun::default();
-        let message = Message { hold: Some(Box::new(begun.clone())), ..self.message(job) };
+        let message = Message { attachment: Some(Box::new(begun.clone())), ..self.message(job) };
         let came = match to.exchange.clone().call(asked, message) {
             Ok(work) => match timeout(self.time + PAST, work).await {
                 Ok(Reply::Served(answer)) => Sent::Served(answer),
@@ -338,11 +344,11 @@
             id: id.clone(),
             // The gate admits only safe requests, and copies are sent only here.
             idempotency: Idempotency::Idempotent,
-            verb: job.request.verb.clone(),
+            method: job.request.verb.clone(),
             target: job.request.target.clone(),
             fields,
             body: job.request.body.clone(),
-            hold: None,
+            attachment: None,
             client: None,
         }
     }
