--- a/crates/fleet-sim/src/world/attempts.rs
+++ b/crates/fleet-sim/src/world/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts on the network: over a new or an idle connection, to the server and back.
 
 use sableloom_emulator::{NodeRequest, Phase, noise};
-use sableloom_types::*;
+use sableloom_types::{AttemptResult, LoadReport, Outcome, RequestId, ServerId, Span};
 
 use super::{Attempt, Chooser, DELAY_ACROSS_ZONES, DELAY_WITHIN_ZONE, Event, World};
 use crate::case::{MS, S};
@@ -117,7 +117,7 @@
             self.with_node(server, |node, now, out| taken = node.connect(now, out));
             if !taken {
                 let back = self.one_way_delay(zone, self.servers[server].zone);
-                self.tally.shut_out += 1;
+                self.tally.connections_rejected += 1;
                 self.attempts[attempt].server_generation = u32::MAX;
                 return self.schedule_after(
                     back,
