--- /dev/null
+++ b/crates/admission/src/admission.rs
@@ -0,0 +1,353 @@
+//! The facade: what happens on connections in, decisions out.
+
+use std::net::IpAddr;
+
+use sableloom_types::{Span, Time};
+
+use crate::bounds::Bounds;
+use crate::connection::{Connection, ConnectionId, Phase, Stage, WaitKind};
+use crate::connection_table::ConnectionTable;
+use crate::decisions::{Arrival, KeepAlive, Release, ReleaseReason};
+use crate::evictable::HazardEstimates;
+use crate::hazard_estimate::WaitOutcome;
+use crate::headroom::Headroom;
+
+/// How often [`Admission::tick`] is to be called.
+pub const TICK_INTERVAL: Span = Span(250_000);
+/// The least number of slots to which a lack of descriptors lowers the limit.
+const MIN_LIMIT: usize = 8;
+/// A lack of descriptors takes one in this many of the slots in use.
+const SHED_ONE_IN: usize = 16;
+/// While others are closing, a new connection has this long to send something: as long as closing takes.
+const NEW_CONNECTION_GRACE: Span = Span(500_000);
+/// The least Retry-After of a rejected client.
+const MIN_RETRY_AFTER: Span = Span(50_000);
+/// Time constant with which observations decay, in seconds: long enough to know rare kinds, short enough that a new
+/// crowd is known within some seconds.
+const MEMORY_S: f64 = 10.0;
+/// A close that is announced with an answer crosses no request; one on an idle connection may. So the connection that
+/// is being answered is closed if its value is at most this many times the least.
+const PREFER_ANSWERED: f64 = 1.25;
+/// The weight of one busy time in its mean.
+const BUSY_TIME_GAIN: f64 = 0.05;
+
+/// The decisions about client connections.
+///
+/// ```
+/// use std::net::{IpAddr, Ipv4Addr};
+///
+/// use sableloom_admission::{Admission, Arrival, Bounds, KeepAlive};
+/// use sableloom_types::{Span, Time};
+///
+/// let bounds = Bounds {
+///     max_connections: 64,
+///     max_client_connections: 64,
+///     request_timeout: Span(2_400_000),
+///     idle_timeout: Span(2_500_000),
+///     write_timeout: Span(3_000_000),
+///     max_wait: Span(100_000),
+///     max_retry_after: Span(1_000_000),
+/// };
+/// let now = Time(0);
+/// let mut admission = Admission::new(bounds, now);
+/// let client = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// let Arrival::Admitted(id) = admission.arrive(now, client) else { panic!("slots are free") };
+/// admission.bytes_read(now, id);
+/// admission.request_complete(now, id);
+/// assert_eq!(admission.before_answer(now, id), KeepAlive::Keep);
+/// admission.answer_handed_over(now, id, false);
+/// ```
+#[derive(Clone, Debug)]
+pub struct Admission {
+    bounds: Bounds,
+    /// The slots that may be used now: fewer than [`Bounds::max_connections`] after a lack of descriptors.
+    limit: usize,
+    table: ConnectionTable,
+    estimates: HazardEstimates,
+    headroom: Headroom,
+    last_tick: Time,
+    /// Since when all slots are busy and a client waits.
+    full_since: Option<Time>,
+    /// The mean time for which a request keeps its connection busy, in microseconds.
+    mean_busy_time: f64,
+}
+
+impl Admission {
+    /// Starts with no connections.
+    pub fn new(bounds: Bounds, now: Time) -> Self {
+        let mut estimates = HazardEstimates::default();
+        estimates.iter_mut().for_each(|estimate| estimate.estimate_value(std::iter::empty()));
+        Self {
+            limit: bounds.max_connections,
+            bounds,
+            table: ConnectionTable::default(),
+            estimates,
+            headroom: Headroom::default(),
+            last_tick: now,
+            full_since: None,
+            mean_busy_time: 0.0,
+        }
+    }
+
+    /// Whether nothing is kept of any connection.
+    pub fn is_empty(&self) -> bool {
+        self.table.is_empty()
+    }
+
+    /// The number of connections that hold a slot.
+    pub fn connections(&self) -> usize {
+        self.table.len()
+    }
+
+    /// The slots that may be used now.
+    pub fn limit(&self) -> usize {
+        self.limit
+    }
+
+    /// The phase of a connection; `None` once it is closed.
+    pub fn phase(&self, id: ConnectionId) -> Option<Phase> {
+        self.table.get(id).map(|connection| connection.stage.into())
+    }
+
+    /// When the current request of a connection began to arrive.
+    pub fn request_started(&self, id: ConnectionId) -> Option<Time> {
+        self.table.get(id).map(|connection| connection.request_started)
+    }
+
+    /// A client has connected, and asks for a slot.
+    pub fn arrive(&mut self, now: Time, source: IpAddr) -> Arrival {
+        if self.table.len() < self.limit {
+            self.full_since = None;
+            return Arrival::Admitted(self.table.insert(now, source));
+        }
+        if let Some(id) = self.table.eviction_candidate(now, source, self.limit, &self.estimates) {
+            return Arrival::Evict(id);
+        }
+        let since = *self.full_since.get_or_insert(now);
+        let until = since.plus(self.bounds.max_wait);
+        if now < until { Arrival::Wait(until) } else { Arrival::Reject(self.retry_after()) }
+    }
+
+    fn retry_after(&self) -> Span {
+        let mean = Span::from_micros_f64(self.mean_busy_time).max(MIN_RETRY_AFTER);
+        mean.min(self.bounds.max_retry_after)
+    }
+
+    /// Bytes have come that are not read yet: the connection is spared until they are.
+    pub fn bytes_waiting(&mut self, now: Time, id: ConnectionId) {
+        self.cancel_close(now, id);
+        self.table.update(id, |connection| connection.has_unread_bytes = true);
+    }
+
+    /// Bytes of a request were read.
+    pub fn bytes_read(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.table.get(id).copied() else { return };
+        if connection.has_unread_bytes {
+            self.table.update(id, |connection| connection.has_unread_bytes = false);
+        }
+        match connection.stage {
+            Stage::Waiting(WaitKind::Reading) | Stage::Busy => return,
+            Stage::Waiting(kind) => self.observe(kind, connection, now, WaitOutcome::Completed),
+            // A request crossed the close.
+            Stage::Closing => {}
+        }
+        if connection.stage != Stage::Waiting(WaitKind::New) {
+            self.table.update(id, |connection| connection.request_started = now);
+        }
+        self.table.set_stage(now, id, Stage::Waiting(WaitKind::Reading));
+    }
+
+    /// A pipelined request, which came before the last answer was written, begins now.
+    pub fn pipelined_request(&mut self, now: Time, id: ConnectionId) {
+        let reading = Stage::Waiting(WaitKind::Reading);
+        if self.table.get(id).is_some_and(|connection| connection.stage != reading) {
+            self.bytes_read(now, id);
+        }
+    }
+
+    /// The request of a connection is complete, and is handed to the service.
+    pub fn request_complete(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.table.get(id).copied() else { return };
+        if let Stage::Waiting(kind) = connection.stage {
+            self.observe(kind, connection, now, WaitOutcome::Completed);
+        }
+        if connection.answers == 0 && connection.stage != Stage::Busy {
+            self.headroom.count_first_request();
+        }
+        self.table.update(id, |connection| connection.has_unread_bytes = false);
+        self.table.set_stage(now, id, Stage::Busy);
+    }
+
+    /// The answer of a connection is about to be written: whether the connection is kept alive.
+    pub fn before_answer(&mut self, now: Time, id: ConnectionId) -> KeepAlive {
+        let Some(connection) = self.table.get(id) else { return KeepAlive::Close };
+        let kind = WaitKind::idle_after(connection.answers + 1);
+        // It is busy itself until it is idle.
+        let busy = self.table.busy() - usize::from(connection.stage == Stage::Busy);
+        if self.table.idle() < self.max_idle(busy) {
+            return KeepAlive::Keep;
+        }
+        let own_value = self.estimates[kind as usize].value(0);
+        let evictable = self.table.evictable();
+        match evictable.least_valuable(now, &self.estimates, &WaitKind::IDLE) {
+            Some(least) if own_value > least.value * PREFER_ANSWERED => {
+                self.close_started(now, least.id, false);
+                KeepAlive::CloseOther(least.id)
+            }
+            _ => KeepAlive::Close,
+        }
+    }
+
+    /// The answer was handed over to be written. From now on the connection is idle, or it is closing.
+    pub fn answer_handed_over(&mut self, now: Time, id: ConnectionId, closes: bool) {
+        let Some(connection) = self.table.get(id).copied() else { return };
+        if connection.stage != Stage::Busy {
+            return;
+        }
+        let answers = connection.answers.saturating_add(1);
+        self.table.update(id, |connection| connection.answers = answers);
+        let busy_time = now.since(connection.since).as_micros_f64();
+        self.mean_busy_time += (busy_time - self.mean_busy_time) * BUSY_TIME_GAIN;
+        let idle = Stage::Waiting(WaitKind::idle_after(answers));
+        self.table.set_stage(now, id, if closes { Stage::Closing } else { idle });
+    }
+
+    /// The client accepts none of what is written. A close that was decided is cancelled: it was not announced.
+    pub fn write_blocked(&mut self, now: Time, id: ConnectionId) {
+        self.cancel_close(now, id);
+        if self.table.get(id).is_some_and(|connection| connection.blocked_since.is_none()) {
+            self.table.update(id, |connection| connection.blocked_since = Some(now));
+        }
+    }
+
+    /// The client accepts what is written again.
+    pub fn write_resumed(&mut self, id: ConnectionId) {
+        if self.table.get(id).is_some_and(|connection| connection.blocked_since.is_some()) {
+            self.table.update(id, |connection| connection.blocked_since = None);
+        }
+    }
+
+    fn cancel_close(&mut self, now: Time, id: ConnectionId) {
+        if let Some(connection) = self.table.get(id).copied()
+            && connection.stage == Stage::Closing
+        {
+            let idle = Stage::Waiting(WaitKind::idle_after(connection.answers));
+            self.table.set_stage(now, id, idle);
+        }
+    }
+
+    /// The end of a connection was announced to the client, or by it if `by_client`.
+    pub fn close_started(&mut self, now: Time, id: ConnectionId, by_client: bool) {
+        let Some(connection) = self.table.get(id).copied() else { return };
+        if let Stage::Waiting(kind) = connection.stage {
+            let outcome = if by_client { WaitOutcome::Abandoned } else { WaitOutcome::Censored };
+            self.observe(kind, connection, now, outcome);
+        }
+        self.table.set_stage(now, id, Stage::Closing);
+    }
+
+    /// The connection is closed, and its slot free.
+    pub fn closed(&mut self, now: Time, id: ConnectionId) {
+        self.close_started(now, id, false);
+        self.table.remove(id);
+    }
+
+    /// The system has no descriptor for a new connection: fewer slots are used for a while. Returns the connections that
+    /// make room.
+    pub fn out_of_descriptors(&mut self, now: Time) -> Vec<Release> {
+        let connections = self.table.len();
+        let fewer = connections - (connections / SHED_ONE_IN).max(1).min(connections);
+        self.limit = self.limit.min(fewer.max(MIN_LIMIT));
+        let mut releases = Vec::new();
+        let any_closing =
+            self.table.iter().any(|(_, connection)| connection.stage == Stage::Closing);
+        for _ in self.limit..connections {
+            let evictable = self.table.evictable();
+            let least = evictable.least_valuable(now, &self.estimates, &WaitKind::ALL);
+            let Some(least) = least else { break };
+            // A closing connection releases its descriptor only at its end, and until then this is called again and
+            // again. Failure: all idle connections were closed within that time, and after them the one that had
+            // just been opened and had not sent anything yet.
+            if any_closing && self.is_within_grace(now, least.id) {
+                break;
+            }
+            self.close_started(now, least.id, false);
+            releases.push(Release { id: least.id, reason: ReleaseReason::MakeRoom });
+        }
+        releases
+    }
+
+    fn is_within_grace(&self, now: Time, id: ConnectionId) -> bool {
+        self.table.get(id).is_some_and(|connection| {
+            connection.stage == Stage::Waiting(WaitKind::New)
+                && now.since(connection.since) < NEW_CONNECTION_GRACE
+        })
+    }
+
+    /// To be called about every [`TICK_INTERVAL`]. Returns the connections that are to be closed: the caller closes each,
+    /// or says why it can't.
+    pub fn tick(&mut self, now: Time) -> Vec<Release> {
+        let passed_s = (now.since(self.last_tick).as_micros_f64() / 1e6).max(0.0);
+        self.last_tick = now;
+        self.headroom.update(passed_s);
+        for (kind, estimate) in WaitKind::ALL.iter().zip(&mut self.estimates) {
+            estimate.decay((-passed_s / MEMORY_S).exp());
+            let waiting = self.table.evictable().waiting(*kind);
+            estimate.estimate_value(waiting.iter().map(|(since, _)| now.since(*since)));
+        }
+        self.limit = (self.limit + 1).min(self.bounds.max_connections);
+        let mut releases: Vec<_> = self
+            .table
+            .iter()
+            .filter_map(|(id, connection)| {
+                Some(Release { id, reason: self.timeout_of(now, connection)? })
+            })
+            .collect();
+        self.close_idle_for_headroom(now, &mut releases);
+        releases.sort_by_key(|release| release.id);
+        releases.dedup_by_key(|release| release.id);
+        releases
+    }
+
+    /// The timeout that a connection has exceeded.
+    fn timeout_of(&self, now: Time, connection: &Connection) -> Option<ReleaseReason> {
+        if let Some(since) = connection.blocked_since {
+            // Also while a request is busy: its answer could not be given.
+            let exceeded = now.since(since) > self.bounds.write_timeout;
+            return exceeded.then_some(ReleaseReason::WriteTimeout);
+        }
+        match connection.stage {
+            Stage::Waiting(WaitKind::New | WaitKind::Reading) => {
+                let exceeded = now.since(connection.request_started) > self.bounds.request_timeout;
+                exceeded.then_some(ReleaseReason::RequestTimeout)
+            }
+            // The next request is about to be read.
+            Stage::Waiting(_) if connection.has_unread_bytes => None,
+            Stage::Waiting(_) => {
+                let exceeded = now.since(connection.since) > self.bounds.idle_timeout;
+                exceeded.then_some(ReleaseReason::IdleTimeout)
+            }
+            Stage::Busy | Stage::Closing => None,
+        }
+    }
+
+    /// Closes idle connections for the new clients that are about to come.
+    fn close_idle_for_headroom(&mut self, now: Time, releases: &mut Vec<Release>) {
+        for _ in self.max_idle(self.table.busy())..self.table.idle() {
+            let evictable = self.table.evictable();
+            let least = evictable.least_valuable(now, &self.estimates, &WaitKind::IDLE);
+            let Some(least) = least else { break };
+            self.close_started(now, least.id, false);
+            releases.push(Release { id: least.id, reason: ReleaseReason::MakeRoom });
+        }
+    }
+
+    fn max_idle(&self, busy: usize) -> usize {
+        self.headroom.max_idle(self.bounds.max_client_connections.min(self.limit), busy)
+    }
+
+    /// Takes the end of a connection's wait into the estimate of its kind.
+    fn observe(&mut self, kind: WaitKind, connection: Connection, now: Time, outcome: WaitOutcome) {
+        self.estimates[kind as usize].observe(now.since(connection.since), outcome);
+    }
+}
--- a/crates/admission/src/decisions.rs
+++ b/crates/admission/src/decisions.rs
@@ -1,56 +1,56 @@
-//! What the caller is answered: admission of a new connection, and what is to be closed.
+//! The decisions that the caller carries out.
 
 use sableloom_types::{Span, Time};
 
-use crate::state::ConnId;
+use crate::connection::ConnectionId;
 
-/// The answer to a new connection.
+/// What is decided on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It has a place, under this handle.
-    Admitted(ConnId),
-    /// This one must make room. Close it and say [`closed`], or say what keeps it ([`unread`],
-    /// [`blocked`]); then ask again.
+    /// It has a slot, under this id.
+    Admitted(ConnectionId),
+    /// This connection has to make room. Close it and call [`closed`], or say why it can't be closed
+    /// ([`bytes_waiting`], [`write_blocked`]); then ask again.
     ///
     /// [`closed`]: crate::Admission::closed
-    /// [`unread`]: crate::Admission::unread
-    /// [`blocked`]: crate::Admission::blocked
-    MakeRoom(ConnId),
-    /// All places are busy: ask again when anything has changed, or at this time.
+    /// [`bytes_waiting`]: crate::Admission::bytes_waiting
+    /// [`write_blocked`]: crate::Admission::write_blocked
+    Evict(ConnectionId),
+    /// All slots are busy: ask again when anything has changed, or at this time.
     Wait(Time),
-    /// Places have been busy for too long: answer that it is harmless to come back, and when.
-    TurnAway(Span),
+    /// All slots have been busy for too long: reject the client, with this Retry-After.
+    Reject(Span),
 }
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// It has rested for as long as it may.
-    Rested,
-    /// Its request did not come whole in time.
-    NotWhole,
-    /// It takes nothing of its answer.
-    Blocked,
-    /// Its place has more value to others.
-    Room,
+pub enum ReleaseReason {
+    /// It was idle for longer than the idle timeout.
+    IdleTimeout,
+    /// Its request was not complete within the request timeout.
+    RequestTimeout,
+    /// Its client accepts none of its answer.
+    WriteTimeout,
+    /// Its slot has more value for others.
+    MakeRoom,
 }
 
 /// A connection that is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Release {
-    /// Which.
-    pub id: ConnId,
+    /// The connection.
+    pub id: ConnectionId,
     /// Why.
-    pub why: Why,
+    pub reason: ReleaseReason,
 }
 
-/// What becomes of a connection that is being answered.
+/// Whether a connection is kept alive after its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Disposition {
-    /// It may rest.
+pub enum KeepAlive {
+    /// It becomes idle.
     Keep,
-    /// Its answer says that it ends.
+    /// It is closed, and the answer says so.
     Close,
-    /// It may rest, and this other one is to be closed.
-    Instead(ConnId),
+    /// It becomes idle, and this other connection is to be closed.
+    CloseOther(ConnectionId),
 }
--- /dev/null
+++ b/crates/admission/src/evictable.rs
@@ -0,0 +1,91 @@
+//! The connections that could make room, and which of their slots has the least value.
+
+use std::collections::BTreeSet;
+
+use sableloom_types::Time;
+
+use crate::connection::{ConnectionId, Stage, WaitKind};
+use crate::hazard_estimate::{AGE_BUCKETS, HazardEstimate, bucket_start};
+
+/// The estimates of all kinds of waits.
+pub(crate) type HazardEstimates = [HazardEstimate; WaitKind::ALL.len()];
+
+/// Connections by the time since which they wait, the longest waiting first.
+pub(crate) type WaitOrder = BTreeSet<(Time, ConnectionId)>;
+
+/// The connections that could be closed to make room.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct EvictableConnections {
+    pub(crate) closing: WaitOrder,
+    waiting: [WaitOrder; WaitKind::ALL.len()],
+}
+
+/// A connection, and the value of its slot in awaited events a second.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ValuedConnection {
+    pub(crate) id: ConnectionId,
+    pub(crate) value: f64,
+}
+
+impl EvictableConnections {
+    /// The connections that wait for this.
+    pub(crate) fn waiting(&self, kind: WaitKind) -> &WaitOrder {
+        &self.waiting[kind as usize]
+    }
+
+    /// The set of the connections in this stage; a busy one can't make room.
+    pub(crate) fn in_stage_mut(&mut self, stage: Stage) -> Option<&mut WaitOrder> {
+        match stage {
+            Stage::Closing => Some(&mut self.closing),
+            Stage::Waiting(kind) => Some(&mut self.waiting[kind as usize]),
+            Stage::Busy => None,
+        }
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.waiting.iter().chain([&self.closing]).map(BTreeSet::len).sum()
+    }
+
+    /// The connection of these kinds whose slot has the least value. Within an age bucket all have the same value, and
+    /// the longest waiting is taken.
+    pub(crate) fn least_valuable(
+        &self,
+        now: Time,
+        estimates: &HazardEstimates,
+        kinds: &[WaitKind],
+    ) -> Option<ValuedConnection> {
+        let mut least: Option<(Time, ValuedConnection)> = None;
+        for kind in kinds {
+            for bucket in 0..AGE_BUCKETS {
+                let Some((since, id)) = self.longest_waiting(now, *kind, bucket) else { continue };
+                let value = estimates[*kind as usize].value(bucket);
+                if least
+                    .is_none_or(|(least_since, least)| (value, since) < (least.value, least_since))
+                {
+                    least = Some((since, ValuedConnection { id, value }));
+                }
+            }
+        }
+        least.map(|(_, connection)| connection)
+    }
+
+    /// The longest waiting connection of a kind whose age is in this bucket.
+    fn longest_waiting(
+        &self,
+        now: Time,
+        kind: WaitKind,
+        bucket: usize,
+    ) -> Option<(Time, ConnectionId)> {
+        let youngest = match bucket {
+            // A connection from before the caller's clock was set back counts as new.
+            0 => Time(i64::MAX),
+            _ => Time(now.0 - bucket_start(bucket).0),
+        };
+        let oldest = match bucket + 1 {
+            AGE_BUCKETS => Time(i64::MIN),
+            next => Time(now.0 - bucket_start(next).0 + 1),
+        };
+        let range = (oldest, ConnectionId(0))..=(youngest, ConnectionId(u64::MAX));
+        self.waiting(kind).range(range).next().copied()
+    }
+}
--- /dev/null
+++ b/crates/admission/src/headroom.rs
@@ -0,0 +1,44 @@
+//! How many slots are kept free for new clients, by the rate at which they come.
+
+/// Time constant with which the rate follows, in seconds.
+const RATE_TIME_S: f64 = 1.0;
+/// Slots are kept free for the new clients of this time, in seconds,
+const HEADROOM_S: f64 = 0.25;
+/// within these fractions of the slots that clients can hold. Less than an eighth is used up by one burst; more than
+/// half would close the connections that honest clients keep open on a day with many new ones.
+const MIN_HEADROOM_FRACTION: f64 = 0.125;
+const MAX_HEADROOM_FRACTION: f64 = 0.5;
+
+/// The rate of new clients.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Headroom {
+    /// First requests of connections since the last update.
+    first_requests: f64,
+    /// Their rate, a second.
+    rate: f64,
+}
+
+impl Headroom {
+    /// A connection has sent its first request.
+    pub(crate) fn count_first_request(&mut self) {
+        self.first_requests += 1.0;
+    }
+
+    /// Updates the rate after this many seconds.
+    pub(crate) fn update(&mut self, passed_s: f64) {
+        if passed_s > 0.0 {
+            let gain = 1.0 - (-passed_s / RATE_TIME_S).exp();
+            self.rate += (self.first_requests / passed_s - self.rate) * gain;
+            self.first_requests = 0.0;
+        }
+    }
+
+    /// How many connections may be idle: the slots that clients can hold, less the busy ones and those that are kept
+    /// free.
+    pub(crate) fn max_idle(&self, client_slots: usize, busy: usize) -> usize {
+        let slots = client_slots as f64;
+        let free = (self.rate * HEADROOM_S)
+            .clamp(slots * MIN_HEADROOM_FRACTION, slots * MAX_HEADROOM_FRACTION);
+        ((slots - free) as usize).saturating_sub(busy)
+    }
+}
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,96 +1,39 @@
-//! Which client connections hold a place, and which make room: decisions only.
+//! Which client connections hold a slot, and which are closed to make room.
 //!
-//! The caller tells what happens on its connections and carries out what it is answered with. The
-//! module does no I/O and reads no clock; what it keeps is bounded by the places it was given.
+//! A balancer has a bounded number of slots for client connections: descriptors, and the memory behind them. A crowd of
+//! clients that send one request each and keep their connections open can hold all of them, and the balancer sees
+//! nothing of those that are shut out. This crate values a slot by what it will bring: requests a second, learnt from what
+//! connections of the same kind and age did before. When slots run short, those of least value are closed first; while
+//! they don't, no connection is closed before its timeout.
 //!
-//! The value of a place is what it will bring: requests a second, learnt from what connections of the same
-//! kind and age did before ([`habit`](self) has the estimate). When places run short, the ones
-//! of least value go first; while they do not, nothing is closed before its time.
-
-mod arrivals;
-mod bookkeeping;
+//! The caller reports what happens on its connections and carries out the decisions. The crate does no I/O and reads no
+//! clock. It never chooses a connection with a complete request, with an answer that is being written, or with unread
+//! bytes; and what it keeps is bounded by the number of slots.
+//!
+//! ```text
+//! arrive -> New -> Reading -> Busy -> (before_answer) -> Idle -> Reading ...
+//!                                          |               |
+//!                                          +--> Closing <--+  -> closed
+//! ```
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `admission` | the facade: events in, decisions out |
+//! | `connection`, `connection_table` | the state of one connection; all of them, by stage and by source |
+//! | `evictable` | the connections that could make room, and the least valuable of them |
+//! | `hazard_estimate` | the value of a slot by kind and age |
+//! | `headroom` | the slots that are kept free for new clients |
+
+mod admission;
+mod bounds;
+mod connection;
+mod connection_table;
 mod decisions;
-mod habit;
-mod options;
-mod spare;
-mod state;
-mod tick;
-mod transitions;
-
-use std::collections::BTreeSet;
-use std::net::IpAddr;
-
-use rustc_hash::FxHashMap;
-use sableloom_types::Time;
-
-pub use decisions::{Arrival, Disposition, Release, Why};
-pub use options::Bounds;
-pub use state::{ConnId, Phase};
-pub use tick::TICK;
-
-use habit::Habit;
-use spare::{Holder, Spare};
-use state::{Conn, KINDS};
-
-/// The decisions about client connections.
-#[derive(Clone, Debug)]
-pub struct Admission {
-    bounds: Bounds,
-    /// Places that may be used now: fewer than stated when descriptors ran short.
-    limit: usize,
-    conns: FxHashMap<ConnId, Conn>,
-    next: u64,
-    spare: Spare,
-    holders: FxHashMap<IpAddr, Holder>,
-    by_count: BTreeSet<(usize, IpAddr)>,
-    busy: usize,
-    habits: [Habit; KINDS.len()],
-    /// First requests of connections since the last tick, and their rate a second.
-    first: f64,
-    rate: f64,
-    ticked: Time,
-    /// Since when all places are busy and someone waits.
-    full_since: Option<Time>,
-    busy_mean: f64,
-}
-
-impl Admission {
-    /// A module with no connections.
-    pub fn new(bounds: Bounds, now: Time) -> Self {
-        let mut habits: [Habit; KINDS.len()] = Default::default();
-        habits.iter_mut().for_each(|h| h.weigh(std::iter::empty()));
-        Self {
-            limit: bounds.places,
-            bounds,
-            conns: FxHashMap::default(),
-            next: 0,
-            spare: Spare::default(),
-            holders: FxHashMap::default(),
-            by_count: BTreeSet::new(),
-            busy: 0,
-            habits,
-            first: 0.0,
-            rate: 0.0,
-            ticked: now,
-            full_since: None,
-            busy_mean: 0.0,
-        }
-    }
-
-    /// Whether nothing is kept of any connection.
-    pub fn is_empty(&self) -> bool {
-        let lines = self.spare.waits.iter().chain([&self.spare.closing]);
-        let listed: usize = lines.map(BTreeSet::len).sum();
-        listed + self.conns.len() + self.holders.len() + self.by_count.len() + self.busy == 0
-    }
-
-    /// Connections that hold a place.
-    pub fn held(&self) -> usize {
-        self.conns.len()
-    }
-
-    /// Places that may be used now.
-    pub fn limit(&self) -> usize {
-        self.limit
-    }
-}
+mod evictable;
+mod hazard_estimate;
+mod headroom;
+
+pub use admission::{Admission, TICK_INTERVAL};
+pub use bounds::Bounds;
+pub use connection::{ConnectionId, Phase};
+pub use decisions::{Arrival, KeepAlive, Release, ReleaseReason};
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -5,43 +5,39 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use sableloom_admission::*;
+use sableloom_admission::{Admission, Arrival, Bounds, ConnectionId, KeepAlive, ReleaseReason};
 use sableloom_types::{Span, Time};
 
 const MS: i64 = 1000;
 
-fn bounds(places: usize, asking: usize) -> Bounds {
+fn bounds(max_connections: usize, max_client_connections: usize) -> Bounds {
     Bounds {
-        places,
-        asking,
-        take: Span(2400 * MS),
-        rest: Span(2500 * MS),
-        blocked: Span(3000 * MS),
-        patience: Span(100 * MS),
-        advice_most: Span(1000 * MS),
+        max_connections,
+        max_client_connections,
+        request_timeout: Span(2400 * MS),
+        idle_timeout: Span(2500 * MS),
+        write_timeout: Span(3000 * MS),
+        max_wait: Span(100 * MS),
+        max_retry_after: Span(1000 * MS),
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Phase {
-    Waits,
-    Busy,
-    Closing,
-}
-
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Arrive(u8),
-    Heard(usize),
-    Taken(usize),
+    BytesRead(usize),
+    RequestComplete(usize),
     Answer(usize),
-    Blocked(usize),
-    Unread(usize),
-    Unblocked(usize),
-    Closed(usize, bool),
-    /// The caller asks for a handle that is long gone.
-    Stale(u64),
-    NoDescriptor,
+    WriteBlocked(usize),
+    BytesWaiting(usize),
+    WriteResumed(usize),
+    Closed {
+        index: usize,
+        by_client: bool,
+    },
+    /// The caller uses an id that was closed long ago.
+    StaleId(u64),
+    OutOfDescriptors,
     Pass(i64),
     Tick,
 }
@@ -49,207 +45,261 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0u8..4).prop_map(Step::Arrive),
-        5 => (0usize..64).prop_map(Step::Heard),
-        5 => (0usize..64).prop_map(Step::Taken),
+        5 => (0usize..64).prop_map(Step::BytesRead),
+        5 => (0usize..64).prop_map(Step::RequestComplete),
         5 => (0usize..64).prop_map(Step::Answer),
-        1 => (0usize..64).prop_map(Step::Blocked),
-        1 => (0usize..64).prop_map(Step::Unblocked),
-        1 => (0usize..64).prop_map(Step::Unread),
-        1 => (0usize..64, any::<bool>()).prop_map(|(i, c)| Step::Closed(i, c)),
-        1 => (0u64..40).prop_map(Step::Stale),
-        1 => Just(Step::NoDescriptor),
+        1 => (0usize..64).prop_map(Step::WriteBlocked),
+        1 => (0usize..64).prop_map(Step::WriteResumed),
+        1 => (0usize..64).prop_map(Step::BytesWaiting),
+        1 => (0usize..64, any::<bool>())
+            .prop_map(|(index, by_client)| Step::Closed { index, by_client }),
+        1 => (0u64..40).prop_map(Step::StaleId),
+        1 => Just(Step::OutOfDescriptors),
         4 => (0i64..400 * MS).prop_map(Step::Pass),
         2 => Just(Step::Tick),
     ];
     prop::collection::vec(step, 1..200)
 }
 
-/// What the caller knows: its connections, their phase, whether a write is blocked and whether
-/// bytes are unread.
-#[derive(Default)]
-struct Model {
-    conns: BTreeMap<ConnId, (Phase, bool, bool)>,
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum ModelPhase {
+    Waiting,
+    Busy,
+    Closing,
 }
 
-impl Model {
-    fn pick(&self, i: usize) -> Option<ConnId> {
-        self.conns.keys().nth(i % self.conns.len().max(1)).copied()
-    }
+/// What the caller knows of a connection.
+#[derive(Clone, Copy, Debug)]
+struct ModelConnection {
+    phase: ModelPhase,
+    blocked: bool,
+    unread: bool,
+}
 
-    fn chosen(&self, id: ConnId) {
-        let (phase, blocked, unread) = self.conns[&id];
-        assert!(phase != Phase::Busy, "{id:?} has a request that was taken");
-        assert!(!blocked, "{id:?} has an answer under way");
-        assert!(!unread, "{id:?} may have a whole request unread");
+impl ModelConnection {
+    fn is_evictable(&self) -> bool {
+        self.phase != ModelPhase::Busy && !self.blocked && !self.unread
     }
 
-    fn spare(&self) -> bool {
-        let spare = |(phase, blocked, unread): &(Phase, bool, bool)| {
-            *phase != Phase::Busy && !blocked && !unread
-        };
-        self.conns.values().any(spare)
+    /// Bytes that come behind the announced end cancel it.
+    fn cancel_close(&mut self) {
+        if self.phase == ModelPhase::Closing {
+            self.phase = ModelPhase::Waiting;
+        }
     }
 }
 
-fn play(places: usize, asking: usize, steps: &[Step]) {
-    let mut now = Time(1_000_000_000);
-    let mut admission = Admission::new(bounds(places, asking), now);
-    let mut model = Model::default();
-    for step in steps {
-        match *step {
-            Step::Arrive(source) => {
-                let source = IpAddr::V4(Ipv4Addr::new(127, 0, 0, source));
-                let limit = admission.limit();
-                // More may be held than a want of descriptors leaves.
-                let spare = model.spare() && model.conns.len() <= limit;
-                let mut rounds = 0;
-                loop {
-                    rounds += 1;
-                    assert!(rounds <= places + 2, "an arrival is settled in bounded steps");
-                    match admission.arrive(now, source) {
-                        Arrival::Admitted(id) => {
-                            assert!(model.conns.insert(id, (Phase::Waits, false, false)).is_none());
-                            break;
-                        }
-                        Arrival::MakeRoom(id) => {
-                            model.chosen(id);
-                            model.conns.remove(&id);
-                            admission.closed(now, id);
-                        }
-                        Arrival::Wait(until) => {
-                            assert!(until > now && until <= now.plus(Span(100 * MS)));
-                            assert!(!spare, "something spare existed");
-                            break;
-                        }
-                        Arrival::TurnAway(advice) => {
-                            assert!(advice > Span(0) && advice <= Span(1000 * MS));
-                            assert!(!spare, "something spare existed");
-                            break;
-                        }
-                    }
+struct History {
+    now: Time,
+    admission: Admission,
+    model: BTreeMap<ConnectionId, ModelConnection>,
+    max_connections: usize,
+}
+
+impl History {
+    fn new(max_connections: usize, max_client_connections: usize) -> Self {
+        let now = Time(1_000_000_000);
+        let admission = Admission::new(bounds(max_connections, max_client_connections), now);
+        Self { now, admission, model: BTreeMap::new(), max_connections }
+    }
+
+    fn pick(&self, index: usize) -> Option<ConnectionId> {
+        self.model.keys().nth(index % self.model.len().max(1)).copied()
+    }
+
+    fn modelled(&mut self, id: ConnectionId) -> &mut ModelConnection {
+        self.model.get_mut(&id).expect("a connection that is open")
+    }
+
+    fn check_evictable(&self, id: ConnectionId) {
+        let connection = self.model[&id];
+        assert!(connection.phase != ModelPhase::Busy, "{id:?} has a complete request");
+        assert!(!connection.blocked, "{id:?} has an answer that is being written");
+        assert!(!connection.unread, "{id:?} may have a complete request unread");
+    }
+
+    fn arrive(&mut self, source: u8) {
+        let source = IpAddr::V4(Ipv4Addr::new(127, 0, 0, source));
+        let limit = self.admission.limit();
+        // More connections may be open than a lack of descriptors leaves slots.
+        let any_evictable =
+            self.model.values().any(ModelConnection::is_evictable) && self.model.len() <= limit;
+        let mut rounds = 0;
+        loop {
+            rounds += 1;
+            assert!(rounds <= self.max_connections + 2, "an arrival is settled in bounded steps");
+            match self.admission.arrive(self.now, source) {
+                Arrival::Admitted(id) => {
+                    let connection = ModelConnection {
+                        phase: ModelPhase::Waiting,
+                        blocked: false,
+                        unread: false,
+                    };
+                    assert!(self.model.insert(id, connection).is_none());
+                    break;
                 }
-                assert!(admission.held() <= places);
-                assert!(admission.limit() == limit, "an arrival changes no bound");
-            }
-            Step::Heard(i) => {
-                if let Some(id) = model.pick(i) {
-                    admission.heard(now, id);
-                    let conn = model.conns.get_mut(&id).expect("held");
-                    if conn.0 == Phase::Closing {
-                        conn.0 = Phase::Waits;
-                    }
-                    conn.2 = false;
+                Arrival::Evict(id) => {
+                    self.check_evictable(id);
+                    self.model.remove(&id);
+                    self.admission.closed(self.now, id);
                 }
-            }
-            Step::Taken(i) => {
-                if let Some(id) = model.pick(i) {
-                    admission.taken(now, id);
-                    let conn = model.conns.get_mut(&id).expect("held");
-                    (conn.0, conn.2) = (Phase::Busy, false);
+                Arrival::Wait(until) => {
+                    assert!(until > self.now && until <= self.now.plus(Span(100 * MS)));
+                    assert!(!any_evictable, "a connection could have been evicted");
+                    break;
                 }
-            }
-            Step::Answer(i) => {
-                let busy = model.pick(i).filter(|id| model.conns[id].0 == Phase::Busy);
-                if let Some(id) = busy {
-                    let disposition = admission.answering(now, id);
-                    if let Disposition::Instead(other) = disposition {
-                        assert_ne!(other, id);
-                        model.chosen(other);
-                        model.conns.get_mut(&other).expect("held").0 = Phase::Closing;
-                    }
-                    let ends = disposition == Disposition::Close;
-                    admission.answered(now, id, ends);
-                    let phase = if ends { Phase::Closing } else { Phase::Waits };
-                    model.conns.get_mut(&id).expect("held").0 = phase;
+                Arrival::Reject(retry_after) => {
+                    assert!(retry_after > Span(0) && retry_after <= Span(1000 * MS));
+                    assert!(!any_evictable, "a connection could have been evicted");
+                    break;
                 }
             }
-            Step::Blocked(i) => {
-                if let Some(id) = model.pick(i) {
-                    admission.blocked(now, id);
-                    model.conns.get_mut(&id).expect("held").1 = true;
-                }
+        }
+        assert!(self.admission.connections() <= self.max_connections);
+        assert!(self.admission.limit() == limit, "an arrival changes no bound");
+    }
+
+    fn answer(&mut self, id: ConnectionId) {
+        if self.modelled(id).phase != ModelPhase::Busy {
+            return;
+        }
+        let keep_alive = self.admission.before_answer(self.now, id);
+        if let KeepAlive::CloseOther(other) = keep_alive {
+            assert_ne!(other, id);
+            self.check_evictable(other);
+            self.modelled(other).phase = ModelPhase::Closing;
+        }
+        let closes = keep_alive == KeepAlive::Close;
+        self.admission.answer_handed_over(self.now, id, closes);
+        let phase = if closes { ModelPhase::Closing } else { ModelPhase::Waiting };
+        self.modelled(id).phase = phase;
+    }
+
+    /// A step of one connection.
+    fn connection_step(&mut self, step: Step, id: ConnectionId) {
+        let now = self.now;
+        match step {
+            Step::BytesRead(_) => {
+                self.admission.bytes_read(now, id);
+                self.modelled(id).cancel_close();
+                self.modelled(id).unread = false;
             }
-            Step::Unblocked(i) => {
-                if let Some(id) = model.pick(i) {
-                    admission.unblocked(id);
-                    model.conns.get_mut(&id).expect("held").1 = false;
-                }
+            Step::RequestComplete(_) => {
+                self.admission.request_complete(now, id);
+                self.modelled(id).phase = ModelPhase::Busy;
+                self.modelled(id).unread = false;
             }
-            Step::Unread(i) => {
-                if let Some(id) = model.pick(i) {
-                    admission.unread(now, id);
-                    let conn = model.conns.get_mut(&id).expect("held");
-                    if conn.0 == Phase::Closing {
-                        conn.0 = Phase::Waits;
-                    }
-                    conn.2 = true;
-                }
+            Step::Answer(_) => self.answer(id),
+            Step::WriteBlocked(_) => {
+                self.admission.write_blocked(now, id);
+                self.modelled(id).blocked = true;
             }
-            Step::Closed(i, by_client) => {
-                if let Some(id) = model.pick(i) {
-                    if by_client {
-                        admission.closing(now, id, true);
-                    }
-                    admission.closed(now, id);
-                    model.conns.remove(&id);
-                }
+            Step::WriteResumed(_) => {
+                self.admission.write_resumed(id);
+                self.modelled(id).blocked = false;
             }
-            Step::Stale(id) => {
-                let id = ConnId(id);
-                if !model.conns.contains_key(&id) {
-                    admission.heard(now, id);
-                    admission.taken(now, id);
-                    admission.blocked(now, id);
-                    admission.unread(now, id);
-                    admission.unblocked(id);
-                    admission.answered(now, id, false);
-                    admission.closing(now, id, true);
-                    admission.closed(now, id);
-                    assert_eq!(admission.answering(now, id), Disposition::Close);
+            Step::BytesWaiting(_) => {
+                self.admission.bytes_waiting(now, id);
+                self.modelled(id).cancel_close();
+                self.modelled(id).unread = true;
+            }
+            Step::Closed { by_client, .. } => {
+                if by_client {
+                    self.admission.close_started(now, id, true);
                 }
+                self.admission.closed(now, id);
+                self.model.remove(&id);
             }
-            Step::NoDescriptor => {
-                for release in admission.no_descriptor(now) {
-                    model.chosen(release.id);
-                    model.conns.get_mut(&release.id).expect("held").0 = Phase::Closing;
+            other => unreachable!("no step of one connection: {other:?}"),
+        }
+    }
+
+    fn use_stale_id(&mut self, id: ConnectionId) {
+        if self.model.contains_key(&id) {
+            return;
+        }
+        let (admission, now) = (&mut self.admission, self.now);
+        admission.bytes_read(now, id);
+        admission.request_complete(now, id);
+        admission.write_blocked(now, id);
+        admission.bytes_waiting(now, id);
+        admission.write_resumed(id);
+        admission.answer_handed_over(now, id, false);
+        admission.close_started(now, id, true);
+        admission.closed(now, id);
+        assert_eq!(admission.before_answer(now, id), KeepAlive::Close);
+    }
+
+    fn lack_descriptors(&mut self) {
+        for release in self.admission.out_of_descriptors(self.now) {
+            self.check_evictable(release.id);
+            self.modelled(release.id).phase = ModelPhase::Closing;
+        }
+        let limit = self.admission.limit();
+        assert!(limit >= 1 && limit <= self.max_connections);
+    }
+
+    fn tick(&mut self) {
+        for release in self.admission.tick(self.now) {
+            let connection = self.model[&release.id];
+            match release.reason {
+                ReleaseReason::WriteTimeout => {
+                    assert!(connection.blocked, "its client accepts none of its answer");
+                }
+                // It has exceeded its time, whatever is still unread.
+                ReleaseReason::RequestTimeout => assert_ne!(connection.phase, ModelPhase::Busy),
+                ReleaseReason::IdleTimeout | ReleaseReason::MakeRoom => {
+                    self.check_evictable(release.id);
                 }
-                assert!(admission.limit() >= 1 && admission.limit() <= places);
             }
-            Step::Pass(us) => now = now.plus(Span(us)),
-            Step::Tick => {
-                for release in admission.tick(now) {
-                    if release.why == Why::Blocked {
-                        assert!(model.conns[&release.id].1, "its answer is not taken");
-                    } else if release.why == Why::NotWhole {
-                        // Its time is over, whatever is yet to be read.
-                        assert_ne!(model.conns[&release.id].0, Phase::Busy);
-                    } else {
-                        model.chosen(release.id);
-                    }
-                    model.conns.remove(&release.id);
-                    admission.closed(now, release.id);
+            self.model.remove(&release.id);
+            self.admission.closed(self.now, release.id);
+        }
+    }
+
+    fn run(&mut self, step: Step) {
+        match step {
+            Step::Arrive(source) => self.arrive(source),
+            Step::BytesRead(index)
+            | Step::RequestComplete(index)
+            | Step::Answer(index)
+            | Step::WriteBlocked(index)
+            | Step::WriteResumed(index)
+            | Step::BytesWaiting(index)
+            | Step::Closed { index, .. } => {
+                if let Some(id) = self.pick(index) {
+                    self.connection_step(step, id);
                 }
             }
+            Step::StaleId(id) => self.use_stale_id(ConnectionId(id)),
+            Step::OutOfDescriptors => self.lack_descriptors(),
+            Step::Pass(us) => self.now = self.now.plus(Span(us)),
+            Step::Tick => self.tick(),
         }
-        assert_eq!(admission.held(), model.conns.len(), "nothing is kept of what is gone");
-        assert!(admission.held() <= places);
+        assert_eq!(self.admission.connections(), self.model.len(), "nothing is kept of the closed");
+        assert!(self.admission.connections() <= self.max_connections);
     }
-    // With all gone, nothing at all is kept.
-    for id in model.conns.keys() {
-        admission.closed(now, *id);
+
+    fn close_all(&mut self) {
+        for id in self.model.keys() {
+            self.admission.closed(self.now, *id);
+        }
+        assert!(self.admission.is_empty(), "{:?}", self.admission);
     }
-    assert!(admission.is_empty(), "{admission:?}");
 }
 
 /// A failure prints the steps, which replay it.
 #[test]
-fn no_history_breaks_a_bound_or_cuts_a_request_that_was_taken() {
+fn no_history_exceeds_a_bound_or_closes_a_connection_with_a_complete_request() {
     let config = Config { cases: 4000, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
+    let histories = (1usize..24, 1usize..24, steps());
     runner
-        .run(&(1usize..24, 1usize..24, steps()), |(places, asking, steps)| {
-            play(places, asking, &steps);
+        .run(&histories, |(max_connections, max_client_connections, steps)| {
+            let mut history = History::new(max_connections, max_client_connections);
+            steps.iter().for_each(|step| history.run(*step));
+            history.close_all();
             Ok(())
         })
         .unwrap_or_else(|e| panic!("{e}"));
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use sableloom_admission::{Admission, Bounds, ConnId, Phase, Release, Why};
+use sableloom_admission::{Admission, Bounds, ConnectionId, Phase, Release, ReleaseReason};
 use sableloom_exchange::{Clock, Service};
 use sableloom_types::settings::{DeploymentSettings, span};
 use sableloom_types::{Span, Time};
@@ -60,7 +60,7 @@
     named: Cell<u64>,
     clock: Clock,
     admission: RefCell<Admission>,
-    clients: RefCell<FxHashMap<ConnId, Rc<Connection>>>,
+    clients: RefCell<FxHashMap<ConnectionId, Rc<Connection>>>,
     /// The descriptors of clients: a connection that makes room holds its own a little longer.
     slots: Arc<Semaphore>,
     /// The descriptors of those that are turned away, until they have read why.
@@ -110,13 +110,13 @@
             settings.services.iter().map(|s| s.latency_objective).fold(f64::INFINITY, f64::min);
         let advice = &settings.policy_limits;
         let bounds = Bounds {
-            places: limits.places,
-            asking: limits.asking,
-            take: TAKE_CLOSE,
-            rest: IDLE,
-            blocked: BLOCKED,
-            patience: span(shortest * PATIENCE_OF_AIM),
-            advice_most: span(if advice.retry_after { advice.max_retry_after } else { 0.0 }),
+            max_connections: limits.places,
+            max_client_connections: limits.asking,
+            request_timeout: TAKE_CLOSE,
+            idle_timeout: IDLE,
+            write_timeout: BLOCKED,
+            max_wait: span(shortest * PATIENCE_OF_AIM),
+            max_retry_after: span(if advice.retry_after { advice.max_retry_after } else { 0.0 }),
         };
         Rc::new(Self {
             admission: RefCell::new(Admission::new(bounds, clock.now())),
@@ -142,18 +142,18 @@
         self.clock.now()
     }
 
-    fn client(&self, id: ConnId) -> Option<Rc<Connection>> {
+    fn client(&self, id: ConnectionId) -> Option<Rc<Connection>> {
         self.clients.borrow().get(&id).cloned()
     }
 
     /// Closes the one that was chosen to make room, unless something speaks against it that only
     /// its socket shows.
-    fn make_room(&self, id: ConnId) {
+    fn make_room(&self, id: ConnectionId) {
         match self.client(id) {
             None => self.admission.borrow_mut().closed(self.now(), id),
-            Some(client) if client.wire.blocked.get() => client.tell(Admission::blocked),
+            Some(client) if client.wire.blocked.get() => client.tell(Admission::write_blocked),
             Some(client) if !client.is(Phase::Closing) && client.wire.has_input() => {
-                client.tell(Admission::unread);
+                client.tell(Admission::bytes_waiting);
             }
             Some(client) => client.evict(),
         }
@@ -161,15 +161,17 @@
 
     fn release(&self, release: Release) {
         let Some(client) = self.client(release.id) else { return };
-        match release.why {
-            Why::Blocked => client.evict(),
-            Why::NotWhole => client.end(Close::Now),
-            Why::Rested | Why::Room if client.wire.blocked.get() => {
-                client.tell(Admission::blocked);
+        match release.reason {
+            ReleaseReason::WriteTimeout => client.evict(),
+            ReleaseReason::RequestTimeout => client.end(Close::Now),
+            ReleaseReason::IdleTimeout | ReleaseReason::MakeRoom if client.wire.blocked.get() => {
+                client.tell(Admission::write_blocked);
             }
-            Why::Rested | Why::Room if client.wire.has_input() => client.tell(Admission::unread),
-            Why::Rested | Why::Room => {
-                client.tell(|admission, now, id| admission.closing(now, id, false));
+            ReleaseReason::IdleTimeout | ReleaseReason::MakeRoom if client.wire.has_input() => {
+                client.tell(Admission::bytes_waiting)
+            }
+            ReleaseReason::IdleTimeout | ReleaseReason::MakeRoom => {
+                client.tell(|admission, now, id| admission.close_started(now, id, false));
                 client.end(Close::Gracefully);
             }
         }
@@ -179,8 +181,8 @@
     pub fn sweep(&self) {
         for client in self.clients.borrow().values() {
             match client.wire.blocked.get() {
-                true => client.tell(Admission::blocked),
-                false => self.admission.borrow_mut().unblocked(client.id),
+                true => client.tell(Admission::write_blocked),
+                false => self.admission.borrow_mut().write_resumed(client.id),
             }
         }
         let slow = |client: &&Rc<Connection>| client.wire.owes_for(TAKES_ALL);
@@ -195,7 +197,7 @@
         self.draining.set(true);
         for client in self.clients.borrow().values() {
             // A request may just be on its way: then it is answered first.
-            if client.is(Phase::Resting) && client.is_spare() && !client.wire.has_input() {
+            if client.is(Phase::Idle) && client.is_spare() && !client.wire.has_input() {
                 client.end(Close::Gracefully);
             }
         }
--- a/crates/http1/src/front/accept.rs
+++ b/crates/http1/src/front/accept.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sableloom_admission::{Arrival, ConnId};
+use sableloom_admission::{Arrival, ConnectionId};
 use sableloom_types::Span;
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
@@ -38,7 +38,7 @@
             match accepted {
                 Ok((stream, from)) => self.arrived(stream, from.ip()).await,
                 Err(e) if is_shortage(&e) => {
-                    let releases = self.admission.borrow_mut().no_descriptor(self.now());
+                    let releases = self.admission.borrow_mut().out_of_descriptors(self.now());
                     releases.into_iter().for_each(|release| self.release(release));
                     // Accepting at once would spin.
                     let _ = timeout(ACCEPT_AGAIN, self.changed.notified()).await;
@@ -62,9 +62,9 @@
                     }
                     return;
                 }
-                Arrival::MakeRoom(id) => self.make_room(id),
+                Arrival::Evict(id) => self.make_room(id),
                 // This process is about to end: there is no time to wait in.
-                Arrival::Wait(_) | Arrival::TurnAway(_) if self.shut.get() => {
+                Arrival::Wait(_) | Arrival::Reject(_) if self.shut.get() => {
                     return self.turn_away(stream, Span(0), None).await;
                 }
                 Arrival::Wait(until) => {
@@ -75,7 +75,7 @@
                     }
                 }
                 // Those turned away before it may hold all permits: then a place may come first.
-                Arrival::TurnAway(advice) => tokio::select! {
+                Arrival::Reject(advice) => tokio::select! {
                     Ok(permit) = self.rejections.clone().acquire_owned() => {
                         return self.turn_away(stream, advice, Some(permit)).await;
                     }
@@ -104,7 +104,7 @@
         }
     }
 
-    fn open(self: &Rc<Self>, stream: TcpStream, slot: OwnedSemaphorePermit, id: ConnId) {
+    fn open(self: &Rc<Self>, stream: TcpStream, slot: OwnedSemaphorePermit, id: ConnectionId) {
         let client = Rc::new(Connection {
             frontend: self.clone(),
             id,
--- a/crates/http1/src/front/body.rs
+++ b/crates/http1/src/front/body.rs
@@ -79,7 +79,7 @@
     fn drop(&mut self) {
         let ends = self.ends;
         self.client.lengths.answered.set(true);
-        self.client.tell(|admission, now, id| admission.answered(now, id, ends));
+        self.client.tell(|admission, now, id| admission.answer_handed_over(now, id, ends));
         self.client.frontend.changed.notify_one();
     }
 }
--- a/crates/http1/src/front/connection.rs
+++ b/crates/http1/src/front/connection.rs
@@ -9,7 +9,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use sableloom_admission::{Admission, ConnId, Disposition, Phase, Release, Why};
+use sableloom_admission::{Admission, ConnectionId, KeepAlive, Phase, Release, ReleaseReason};
 use sableloom_types::{Span, Time};
 use tokio::sync::Notify;
 
@@ -36,7 +36,7 @@
 
 pub(super) struct Connection {
     pub(super) frontend: Rc<Frontend>,
-    pub(super) id: ConnId,
+    pub(super) id: ConnectionId,
     pub(super) wire: Rc<Wire>,
     pub(super) lengths: LengthScan,
     pub(super) close: Cell<Option<Close>>,
@@ -53,12 +53,12 @@
             self.lengths.ahead.set(true);
         } else {
             self.lengths.begin();
-            self.tell(Admission::heard);
+            self.tell(Admission::bytes_read);
         }
         self.lengths.scan(bytes);
     }
 
-    pub(super) fn tell<T>(&self, event: impl FnOnce(&mut Admission, Time, ConnId) -> T) -> T {
+    pub(super) fn tell<T>(&self, event: impl FnOnce(&mut Admission, Time, ConnectionId) -> T) -> T {
         event(&mut self.frontend.admission.borrow_mut(), self.frontend.now(), self.id)
     }
 
@@ -94,16 +94,16 @@
     /// The answer to its request is about to be written: whether the connection ends with it.
     pub(super) fn answering(&self, must_end: bool) -> bool {
         if !self.is(Phase::Busy) {
-            self.tell(Admission::taken);
+            self.tell(Admission::request_complete);
         }
         if must_end {
             return true;
         }
-        match self.tell(Admission::answering) {
-            Disposition::Keep => false,
-            Disposition::Close => true,
-            Disposition::Instead(other) => {
-                self.frontend.release(Release { id: other, why: Why::Room });
+        match self.tell(Admission::before_answer) {
+            KeepAlive::Keep => false,
+            KeepAlive::Close => true,
+            KeepAlive::CloseOther(other) => {
+                self.frontend.release(Release { id: other, reason: ReleaseReason::MakeRoom });
                 false
             }
         }
@@ -168,7 +168,7 @@
     }
     if client.close.get() != Some(Close::Evict) {
         let by_client = client.close.get().is_none();
-        client.tell(|admission, now, id| admission.closing(now, id, by_client));
+        client.tell(|admission, now, id| admission.close_started(now, id, by_client));
         client.frontend.changed.notify_one();
         tokio::select! {
             () = client.wire.drain(LINGER) => {}
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/front/request.rs
@@ -85,8 +85,9 @@
 
 async fn handle(frontend: &Frontend, client: &Connection, request: Request<Incoming>) -> Answer {
     // One that came with the request before it has a time limit of its own.
-    client.tell(Admission::next_request);
-    let begun = frontend.admission.borrow().begun(client.id).unwrap_or_else(|| frontend.now());
+    client.tell(Admission::pipelined_request);
+    let begun =
+        frontend.admission.borrow().request_started(client.id).unwrap_or_else(|| frontend.now());
     let until = frontend.clock.instant_of(begun) + TAKE;
     let (mut head, body) = request.into_parts();
     // A target in absolute form names the host, whatever the field says (RFC 9112, section 3.2.2).
@@ -121,7 +122,7 @@
     };
     // It counts from its last byte, also where that came behind another request.
     let arrived = frontend.clock.time_of(client.wire.read_at.get());
-    client.tell(Admission::taken);
+    client.tell(Admission::request_complete);
     let RequestHead { id, class, tenant, key, expires, target } = wanted;
     let asked = RequestContext { class, tenant, key, deadline: arrived.plus(expires) };
     let message = Message {
--- a/crates/http1/src/front/tests.rs
+++ b/crates/http1/src/front/tests.rs
@@ -66,7 +66,7 @@
     client.write_all(REQUEST.as_bytes()).expect("it leaves");
     let first = answers(&client, 1).await;
     assert!(first.starts_with("HTTP/1.1 200 OK\r\n"), "{first}");
-    let resting = || frontend.clients.borrow().values().any(|c| c.is(Phase::Resting));
+    let resting = || frontend.clients.borrow().values().any(|c| c.is(Phase::Idle));
     while !resting() {
         yield_now().await;
     }
