--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -12,7 +12,7 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use sableloom_fleet::{Core, Out, Setup};
-use sableloom_membership::{Change, Listed, MemberList, key_of};
+use sableloom_membership::{Change, ListedMember, MemberList, key_of};
 use sableloom_simulated_network::{Net, Process, S, Sent, address, place};
 use sableloom_types::Time;
 
@@ -183,7 +183,7 @@
     let (from, bytes) = (net.now, net.bytes);
     let count = running(net).count();
     let mut worst = 0;
-    while running(net).any(|member| member.core.members().count_there() + 1 < count) {
+    while running(net).any(|member| member.core.members().count_reachable() + 1 < count) {
         if net.now > from + SETTLES_WITHIN {
             return println!("{n:6} {:24} not within {} s", "all know all", SETTLES_WITHIN / S);
         }
@@ -200,7 +200,7 @@
 /// Runs until all updates have been passed on as often as they are.
 fn calm(net: &mut Net<Member>) {
     let until = net.now + SETTLES_WITHIN;
-    while net.now < until && running(net).any(|member| member.core.members().updates() > 0) {
+    while net.now < until && running(net).any(|member| member.core.members().queued_updates() > 0) {
         let next = net.now + S;
         net.run(next);
     }
@@ -239,7 +239,7 @@
 type Row = (&'static str, fn(&Figures) -> f64);
 
 fn list(n: usize) -> Arc<MemberList> {
-    MemberList::new((0..n).map(|i| Listed { name: name(i), address: address(i) }))
+    MemberList::new((0..n).map(|i| ListedMember { name: name(i), address: address(i) }))
 }
 
 fn show_memory(n: usize) -> f64 {
--- a/crates/fleet/src/ask.rs
+++ b/crates/fleet/src/ask.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sableloom_membership::MOST;
+use sableloom_membership::MAX_DATAGRAM;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
@@ -29,7 +29,7 @@
 
 /// A page of this text; `None` past its end.
 pub(crate) fn answer(text: &[u8], page: u16) -> Option<Vec<u8>> {
-    let mut pages = text.chunks(MOST - HEAD);
+    let mut pages = text.chunks(MAX_DATAGRAM - HEAD);
     let count = u16::try_from(pages.len()).ok()?;
     let part = pages.nth(usize::from(page))?;
     let mut answer = vec![ASK];
@@ -67,7 +67,7 @@
     for _ in 0..TRIES {
         socket.send(&question).await.map_err(|e| e.to_string())?;
         let answered = async {
-            let mut buffer = [0; MOST];
+            let mut buffer = [0; MAX_DATAGRAM];
             loop {
                 let n = socket.recv(&mut buffer).await.map_err(|e| e.to_string())?;
                 // A late answer to an earlier try is one to this, or of another page.
--- a/crates/fleet/src/ask/tests.rs
+++ b/crates/fleet/src/ask/tests.rs
@@ -7,7 +7,7 @@
         let mut whole: Vec<u8> = Vec::new();
         let mut page = 0;
         while let Some(bytes) = answer(&text, page) {
-            assert!(bytes.len() <= MOST);
+            assert!(bytes.len() <= MAX_DATAGRAM);
             let (number, count, part) = read(&bytes).expect("its own");
             assert_eq!((number, usize::from(count)), (page, length.div_ceil(251)));
             whole.extend(part);
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -5,7 +5,10 @@
 use std::sync::Arc;
 
 use sableloom_capacity_share::{CapacityShare, Share, Timing};
-use sableloom_membership::{Change, Fleet, Key, MemberList, Out as Said, Standing as Place};
+use sableloom_membership::{
+    Change, Key, MemberList, Membership, Output as MembershipOutput, Reachability,
+    Timing as MembershipTiming,
+};
 use sableloom_types::{Span, Time};
 
 use crate::pace::QuestionPace;
@@ -25,7 +28,7 @@
     /// Its own.
     pub own: String,
     /// Times of the talk.
-    pub talk: sableloom_membership::Times,
+    pub talk: MembershipTiming,
     /// Intervals of capacity shares.
     pub share: Timing,
 }
@@ -47,7 +50,7 @@
 /// One member.
 #[derive(Debug)]
 pub struct Core {
-    members: Fleet,
+    members: Membership,
     capacity_share: CapacityShare,
     share: Share,
     now: Time,
@@ -61,7 +64,7 @@
     /// Whether the list names it itself makes no difference; members of one process may share it.
     pub fn new(setup: &Setup, life: u32, list: Arc<MemberList>, seed: u64, now: Time) -> Self {
         let Setup { fleet, own, talk, share } = setup;
-        let members = Fleet::new(fleet, own, life, list, *talk, seed, now);
+        let members = Membership::new(fleet, own, life, list, *talk, seed, now);
         let mut capacity_share =
             CapacityShare::new(now, members.peers().map(|peer| peer.key), *share);
         capacity_share.start_queries_at(seed as Key);
@@ -78,14 +81,14 @@
 
     /// A datagram has come.
     pub fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut Out) {
-        let whose = self.members.at(from);
+        let whose = self.members.member_at(from);
         if let Some(key) = whose {
             self.capacity_share.heard(now, key);
         }
-        self.talk(now, out, |members, said| members.datagram(now, from, bytes, said));
+        self.talk(now, out, |members, said| members.receive(now, from, bytes, said));
         let counted = |key: &Key| {
-            let peer = self.members.known(*key)?;
-            (peer.heard == Some(now)).then_some((peer.key, peer.listed))
+            let peer = self.members.peer(*key)?;
+            (peer.last_heard == Some(now)).then_some((peer.key, peer.list_length))
         };
         if let Some((key, listed)) = whose.as_ref().and_then(counted) {
             self.capacity_share.acknowledged(now, key, listed);
@@ -96,12 +99,12 @@
     /// A member's system has said that no process holds its address; it was asked at this time.
     pub fn refused(&mut self, now: Time, of: Key, asked: Time, out: &mut Out) {
         let news = self.capacity_share.proved_absent(of, asked);
-        self.talk(now, out, |members, said| members.refused(now, of, asked, said));
+        self.talk(now, out, |members, said| members.proved_absent(now, of, asked, said));
         if news {
             // Who is gone is seldom gone alone. Without this half of a fleet that died in one moment was
             // found out one by one, at the pace of probes that doubt of oneself had made slow.
             let members = &self.members;
-            let heard = |key: &Key| members.known(*key).and_then(|peer| peer.heard);
+            let heard = |key: &Key| members.peer(*key).and_then(|peer| peer.last_heard);
             let in_turn = self.capacity_share.query_order().take(LOOKED_AT);
             let silent = in_turn.filter(|key| heard(key).is_none_or(|heard| heard < asked));
             let silent: Vec<Key> = silent.collect();
@@ -120,7 +123,7 @@
         self.capacity_share
             .update_members(list.members().iter().map(|(key, _)| *key).filter(|key| *key != own));
         self.talk(now, out, |members, said| {
-            members.list(now, list, said);
+            members.update_list(now, list, said);
             members.greet(now, said);
         });
         self.share = self.capacity_share.share(now);
@@ -128,7 +131,7 @@
 
     /// The digest of the lists of servers that are in force here from now on.
     pub fn serves(&mut self, servers: u32) {
-        self.members.serves(servers);
+        self.members.set_endpoints_digest(servers);
     }
 
     /// It leaves on purpose, with nothing left to do.
@@ -137,30 +140,35 @@
         self.talk(now, out, |members, said| members.leave(said));
     }
 
-    fn talk(&mut self, now: Time, out: &mut Out, what: impl FnOnce(&mut Fleet, &mut Said)) {
+    fn talk(
+        &mut self,
+        now: Time,
+        out: &mut Out,
+        what: impl FnOnce(&mut Membership, &mut MembershipOutput),
+    ) {
         self.now = now;
-        let mut said = Said::default();
+        let mut said = MembershipOutput::default();
         what(&mut self.members, &mut said);
         if said.changes.contains(&Change::DuplicateIdentity) {
             self.capacity_share.set_duplicate_identity();
         }
-        self.capacity_share.set_resumed(self.members.standing() == Place::JustWoken);
+        self.capacity_share.set_resumed(self.members.reachability() == Reachability::Resumed);
         out.datagrams.append(&mut said.datagrams);
         if !said.changes.is_empty() {
             self.questions_due = now;
         }
         let doubted = self.doubted_by_itself(&said.changes);
         out.changes.append(&mut said.changes);
-        let mut called = Said::default();
+        let mut called = MembershipOutput::default();
         let calls = self.capacity_share.due_probes(now);
-        calls.into_iter().for_each(|key| self.members.call(key, &mut called));
+        calls.into_iter().for_each(|key| self.members.ping(key, &mut called));
         out.datagrams.append(&mut called.datagrams);
         if !doubted.is_empty() {
             self.put(now, usize::MAX, doubted, out);
         }
         if now >= self.questions_due {
             let unsure =
-                self.members.unsure_from(self.capacity_share.next_queried()).take(MAX_UNSURE);
+                self.members.unconfirmed_from(self.capacity_share.next_queried()).take(MAX_UNSURE);
             let unsure: Vec<Key> = unsure.collect();
             self.questions_due = self.ask(now, usize::MAX, unsure, out);
         }
@@ -172,7 +180,7 @@
     fn doubted_by_itself(&self, changes: &[Change]) -> Vec<Key> {
         let own = self.members.own();
         let doubted = changes.iter().filter_map(|change| match change {
-            Change::Doubted(key, by) if *by == own => Some(*key),
+            Change::Suspected { member, reported_by } if *reported_by == own => Some(*member),
             _ => None,
         });
         doubted.collect()
@@ -181,13 +189,13 @@
     /// Asks the systems of so many of these, in their turn, whether any process holds their addresses. Before
     /// the time that it says none of them can be asked again.
     fn ask(&mut self, now: Time, most: usize, of: Vec<Key>, out: &mut Out) -> Time {
-        if self.members.calls_all() {
+        if self.members.has_short_list() {
             return self.put(now, most, of, out);
         }
         if self.members.has_just_started() {
             return now.plus(JUST_STARTED);
         }
-        let (unsure, there) = (self.members.count_unsure(), self.members.count_there());
+        let (unsure, there) = (self.members.count_unconfirmed(), self.members.count_reachable());
         let most = most.min(self.pace.left(now, unsure, there));
         let before = out.knocks.len();
         let again_at = self.put(now, most, of, out);
@@ -197,7 +205,7 @@
 
     fn put(&mut self, now: Time, most: usize, of: Vec<Key>, out: &mut Out) -> Time {
         let asked = self.capacity_share.query_absence(now, most, of);
-        self.members.questioned(now, asked.to.len());
+        self.members.count_absence_queries(now, asked.to.len());
         let members = &self.members;
         let at = asked.to.into_iter().filter_map(|key| Some((key, members.listed(key)?.address)));
         out.knocks.extend(at);
@@ -206,7 +214,7 @@
 
     /// When it has to be called next.
     pub fn next(&self) -> Time {
-        self.members.next().min(self.capacity_share.next_wakeup(self.now))
+        self.members.next_wakeup().min(self.capacity_share.next_wakeup(self.now))
     }
 
     /// The part, as it was when it was last called. [`Share::fraction`] says what is left of it at a time.
@@ -215,7 +223,7 @@
     }
 
     /// The members' talk.
-    pub fn members(&self) -> &Fleet {
+    pub fn members(&self) -> &Membership {
         &self.members
     }
 
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -10,7 +10,9 @@
 
 use sableloom_capacity_share::{Share, ShareReason};
 use sableloom_exchange::{Clock, Task};
-use sableloom_membership::{Change, KNOCK, Key, Listed, MAX_PAGE, MemberList, Standing as Place};
+use sableloom_membership::{
+    ABSENCE_QUERY, Change, Key, ListedMember, MAX_PAGE, MemberList, Reachability,
+};
 use sableloom_types::Time;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, Semaphore};
@@ -137,7 +139,7 @@
     }
 
     /// The operators' list is this from now on, without itself.
-    pub fn list(self: &Rc<Self>, others: &[Listed]) {
+    pub fn list(self: &Rc<Self>, others: &[ListedMember]) {
         let list = MemberList::new(others.iter().cloned());
         self.call(|core, now, out| core.list(now, list, out));
     }
@@ -266,7 +268,7 @@
             let socket = UdpSocket::bind(SocketAddr::new(self.address.ip(), 0)).await?;
             // Only a connected socket is told of the answer.
             socket.connect(at).await?;
-            socket.send(&KNOCK).await?;
+            socket.send(&ABSENCE_QUERY).await?;
             self.count(|traffic| traffic.probes_of_absence += 1);
             let mut buffer = [0; 1];
             socket.recv(&mut buffer).await
@@ -283,15 +285,23 @@
         for change in changes {
             let name = |key: &Key| core.name(*key);
             self.told.line(&match change {
-                Change::Joined(key, life) => format!("{} is there, life {life}", name(key)),
-                Change::Doubted(key, by) => format!("{} is doubted, by {}", name(key), name(by)),
-                Change::Cleared(key) => format!("{} has objected", name(key)),
-                Change::Died(key, by) => format!("{} counts as dead, by {}", name(key), name(by)),
+                Change::Joined { member, process_incarnation } => {
+                    format!("{} is there, life {process_incarnation}", name(member))
+                }
+                Change::Suspected { member, reported_by } => {
+                    format!("{} is doubted, by {}", name(member), name(reported_by))
+                }
+                Change::Refuted(key) => format!("{} has objected", name(key)),
+                Change::Died { member, reported_by } => {
+                    format!("{} counts as dead, by {}", name(member), name(reported_by))
+                }
                 Change::Left(key) => format!("{} has left", name(key)),
-                Change::Standing(Place::Whole) => "hears all".to_string(),
-                Change::Standing(Place::Part { hears, of }) => format!("hears {hears} of {of}"),
-                Change::Standing(Place::Alone) => "hears nobody".to_string(),
-                Change::Standing(Place::JustWoken) => {
+                Change::Reachability(Reachability::Complete) => "hears all".to_string(),
+                Change::Reachability(Reachability::Partial { reachable, listed }) => {
+                    format!("hears {reachable} of {listed}")
+                }
+                Change::Reachability(Reachability::Isolated) => "hears nobody".to_string(),
+                Change::Reachability(Reachability::Resumed) => {
                     "did not run for a while; it believes nothing until it has heard".to_string()
                 }
                 Change::DuplicateIdentity => {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,7 +1,7 @@
 //! What a member says of itself and of the fleet, for operators and for tests.
 
 use sableloom_capacity_share::ShareReason;
-use sableloom_membership::{Health, Refused, Standing as Place};
+use sableloom_membership::{DropReason, Health, Reachability};
 use sableloom_types::Time;
 use serde::{Deserialize, Serialize};
 
@@ -104,14 +104,14 @@
     pub fn of(core: &Core, fleet: &str, own: &str, now: Time) -> Self {
         let members = core.members();
         let share = core.share();
-        let there = members.count_there() + 1;
+        let there = members.count_reachable() + 1;
         let left = members.count_left();
         let ago = |at: Time| now.since(at).0 / 1000;
         let peer = |peer: &sableloom_membership::Peer| {
             let (state, accusers) = match &peer.health {
                 Health::Unknown => ("unknown", 0),
                 Health::Alive => ("alive", 0),
-                Health::Suspect(suspicion) => ("suspect", suspicion.accusers.len() + 1),
+                Health::Suspect(suspicion) => ("suspect", suspicion.confirmers.len() + 1),
                 Health::Dead => ("dead", 0),
                 Health::Left => ("left", 0),
             };
@@ -121,32 +121,32 @@
                 address: listed.map(|listed| listed.address.to_string()).unwrap_or_default(),
                 state: state.to_string(),
                 since_ms: ago(peer.since),
-                by: core.name(peer.by).to_string(),
+                by: core.name(peer.reported_by).to_string(),
                 accusers,
-                life: peer.life,
-                heard_ms: peer.heard.map(ago),
-                listed: peer.listed,
-                servers: hex(peer.servers),
+                life: peer.process_incarnation,
+                heard_ms: peer.last_heard.map(ago),
+                listed: peer.list_length,
+                servers: hex(peer.endpoints_digest),
             }
         };
         let dropped = |why| members.dropped(why);
         Self {
             fleet: fleet.to_string(),
             own: own.to_string(),
-            life: members.life(),
-            number: members.number(),
+            life: members.process_incarnation(),
+            number: members.view_version(),
             digest: hex(members.digest()),
-            servers: hex(members.servers()),
-            standing: match members.standing() {
-                Place::Whole => "whole",
-                Place::Part { .. } => "part",
-                Place::Alone => "alone",
-                Place::JustWoken => "just-woken",
+            servers: hex(members.endpoints_digest()),
+            standing: match members.reachability() {
+                Reachability::Complete => "whole",
+                Reachability::Partial { .. } => "part",
+                Reachability::Isolated => "alone",
+                Reachability::Resumed => "just-woken",
             }
             .to_string(),
             hears: there,
             of: members.count() + 1 - left,
-            doubt: members.doubt(),
+            doubt: members.local_health(),
             part: PartStatus {
                 balancers: share.balancers,
                 listed: core.capacity_share().longest_list(),
@@ -161,13 +161,13 @@
             },
             members: members.peers().map(peer).collect(),
             dropped: Drops {
-                too_long: dropped(Refused::TooLong),
-                version: dropped(Refused::Version),
-                malformed: dropped(Refused::Malformed),
-                fleet: dropped(Refused::Fleet),
-                address: dropped(Refused::Address),
-                name: dropped(Refused::Name),
-                echo: dropped(Refused::Echo),
+                too_long: dropped(DropReason::TooLong),
+                version: dropped(DropReason::OtherVersion),
+                malformed: dropped(DropReason::Malformed),
+                fleet: dropped(DropReason::OtherFleet),
+                address: dropped(DropReason::UnknownAddress),
+                name: dropped(DropReason::WrongSender),
+                echo: dropped(DropReason::StaleNonce),
             },
         }
     }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -8,7 +8,8 @@
 use sableloom_capacity_share::Timing;
 use sableloom_fleet::{Core, Out, Setup};
 use sableloom_membership::{
-    Body, Change, Listed, MAX_BYTES_A_SECOND, MemberList, Times as Talk, decode, key_of,
+    Body, Change, ListedMember, MAX_BYTES_PER_SECOND, MemberList, Timing as MembershipTiming,
+    decode, key_of,
 };
 use sableloom_simulated_network::{HEADERS, Net, Process, S, Sent, address, place};
 use sableloom_types::Time;
@@ -80,7 +81,7 @@
         let setup = Setup {
             fleet: "points".to_string(),
             own: name(i),
-            talk: Talk::default(),
+            talk: MembershipTiming::default(),
             share: Timing::default(),
         };
         let core = Core::new(&setup, life, list.clone(), seed, now);
@@ -111,7 +112,7 @@
             worst = worst.max(bytes);
             let running = net.places[i].process.is_some();
             assert!(
-                !running || bytes <= MAX_BYTES_A_SECOND as u64,
+                !running || bytes <= MAX_BYTES_PER_SECOND as u64,
                 "{phase}: {bytes} bytes of {i} in the second to {} us, from {:?} to {:?}",
                 net.now,
                 from.1,
@@ -124,7 +125,8 @@
 
 #[test]
 fn no_member_has_more_than_its_budget_in_any_second() {
-    let list = MemberList::new((0..MEMBERS).map(|i| Listed { name: name(i), address: address(i) }));
+    let list =
+        MemberList::new((0..MEMBERS).map(|i| ListedMember { name: name(i), address: address(i) }));
     let mut net: Net<Member> = Net::new(MEMBERS, 5, 0.01);
     (0..MEMBERS).for_each(|i| start(&mut net, i, &list));
     run(&mut net, 40, "all start");
@@ -135,7 +137,7 @@
     run(&mut net, 10, "one starts");
     (1..quarter).for_each(|i| start(&mut net, i, &list));
     run(&mut net, 30, "a quarter starts");
-    let knows_all = |member: &Member| member.core.members().count_there() == MEMBERS - 1;
+    let knows_all = |member: &Member| member.core.members().count_reachable() == MEMBERS - 1;
     let members = net.places.iter().filter_map(|place| place.process.as_ref());
     assert_eq!(members.filter(|member| knows_all(member)).count(), MEMBERS, "all know all");
 }
--- a/crates/fleet/tests/parts.rs
+++ b/crates/fleet/tests/parts.rs
@@ -6,7 +6,9 @@
 
 use sableloom_capacity_share::{Share, ShareReason, Timing};
 use sableloom_fleet::{Core, Out, Setup};
-use sableloom_membership::{Change, Key, Listed, MemberList, Times as Talk, key_of};
+use sableloom_membership::{
+    Change, Key, ListedMember, MemberList, Timing as MembershipTiming, key_of,
+};
 use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, on_all_cores, place};
 use sableloom_types::Time;
 
@@ -52,8 +54,8 @@
     key_of(&format!("b{}", i + 1))
 }
 
-fn listed(n: usize) -> Vec<Listed> {
-    (0..n).map(|i| Listed { name: format!("b{}", i + 1), address: address(i) }).collect()
+fn listed(n: usize) -> Vec<ListedMember> {
+    (0..n).map(|i| ListedMember { name: format!("b{}", i + 1), address: address(i) }).collect()
 }
 
 fn start(net: &mut Net<Member>, i: usize, of: usize) {
@@ -61,7 +63,7 @@
         let setup = Setup {
             fleet: "points".to_string(),
             own: format!("b{}", i + 1),
-            talk: Talk::default(),
+            talk: MembershipTiming::default(),
             share: Timing::default(),
         };
         let core = Core::new(&setup, life, MemberList::new(listed(of)), seed, now);
@@ -220,7 +222,7 @@
                 "seed {seed}: {all:?}"
             );
         }
-        let dead = |c: &(i64, Change)| matches!(c.1, Change::Died(..));
+        let dead = |c: &(i64, Change)| matches!(c.1, Change::Died { .. });
         assert!(net.places.iter().all(|p| p.changes.iter().any(dead)), "they never missed anybody");
     });
 }
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -6,8 +6,8 @@
 use sableloom_capacity_share::Timing;
 use sableloom_fleet::{Core, Out, Setup, Status};
 use sableloom_membership::{
-    Body, Listed, MAX_PAGE, MemberList, MemberState, Message, Times as MemberTimes, Update, decode,
-    encode, key_of,
+    Body, ListedMember, MAX_PAGE, MemberList, MemberState, Message, Timing as MembershipTiming,
+    Update, decode, encode, key_of,
 };
 use sableloom_types::Time;
 
@@ -29,7 +29,7 @@
 
 impl Member {
     fn start(names: &[&str]) -> Self {
-        let listed = |(number, name): (usize, &&str)| Listed {
+        let listed = |(number, name): (usize, &&str)| ListedMember {
             name: name.to_string(),
             address: address(number as u8 + 1),
         };
@@ -37,7 +37,7 @@
         let setup = Setup {
             fleet: "points".to_string(),
             own: "a".to_string(),
-            talk: MemberTimes::default(),
+            talk: MembershipTiming::default(),
             share: Timing::default(),
         };
         let mut core = Core::new(&setup, LIFE, list, 42, Time(0));
@@ -57,16 +57,16 @@
     fn hears(&mut self, now: Time, number: u8, name: &str, news: Vec<Update>) {
         let message = Message {
             fleet: key_of("points"),
-            from: key_of(name),
-            life: LIFE + u32::from(number),
+            sender: key_of(name),
+            process_incarnation: LIFE + u32::from(number),
             incarnation: 0,
             nonce: 99,
-            echo: self.nonce,
-            digest: 7,
-            listed: 8,
-            servers: 0xcafe_f00d,
-            body: Body::Silent { seq: 0 },
-            news,
+            receiver_nonce: self.nonce,
+            view_digest: 7,
+            list_length: 8,
+            endpoints_digest: 0xcafe_f00d,
+            body: Body::Nack { seq: 0 },
+            updates: news,
         };
         self.receives(now, address(number), &encode(&message).0);
     }
@@ -78,7 +78,13 @@
 }
 
 fn update(of: &str, state: MemberState, life: u32) -> Update {
-    Update { of: key_of(of), life, incarnation: 0, state, by: key_of("b") }
+    Update {
+        member: key_of(of),
+        process_incarnation: life,
+        incarnation: 0,
+        state,
+        reported_by: key_of("b"),
+    }
 }
 
 /// Datagrams that are dropped: one of each reason, but that so many more are malformed.
@@ -87,16 +93,16 @@
         let (fleet, from, body) = (key_of(fleet), key_of(from), Body::Leave);
         let message = Message {
             fleet,
-            from,
-            life: 1,
+            sender: from,
+            process_incarnation: 1,
             incarnation: 0,
             nonce: 1,
-            echo,
-            digest: 0,
-            listed: 1,
-            servers: 0,
+            receiver_nonce: echo,
+            view_digest: 0,
+            list_length: 1,
+            endpoints_digest: 0,
             body,
-            news: Vec::new(),
+            updates: Vec::new(),
         };
         encode(&message).0
     };
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -8,7 +8,7 @@
 use sableloom_capacity_share::{Share, Timing};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told};
-use sableloom_membership::{Listed, MemberList, Times as Talk};
+use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -33,7 +33,7 @@
         setup: Setup {
             fleet: "fleet".to_string(),
             own: "own".to_string(),
-            talk: Talk::default(),
+            talk: MembershipTiming::default(),
             share: Timing::default(),
         },
         address,
@@ -50,7 +50,7 @@
 fn questions_that_find_no_place_are_dropped() {
     // They hold their addresses and never say anything.
     let silent: Vec<UdpSocket> = (0..SILENT).map(|_| loopback()).collect();
-    let others = silent.iter().enumerate().map(|(number, socket)| Listed {
+    let others = silent.iter().enumerate().map(|(number, socket)| ListedMember {
         name: format!("silent-{number}"),
         address: socket.local_addr().expect("an address"),
     });
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -1,7 +1,7 @@
 //! How soon a death is known, how many are held dead that live, and what it costs: the members' talk, the
 //! same without doubt of oneself (plain SWIM), and heartbeats of all to all, on one simulated net.
 //!
-//! `cargo run --release -p sableloom-members --example detection -- [LARGEST]`. Times are the model's. Fleets of up
+//! `cargo run --release -p sableloom-members --example detection -- [LARGEST]`. Timing are the model's. Fleets of up
 //! to 100 take one to two minutes on six cores; a thousand are played for two losses, and without
 //! heartbeats, whose cost there is plain: 4,995 packets a second and member.
 
@@ -10,7 +10,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use sableloom_membership::{Change, Fleet, Health, Key, Listed, MemberList, Out, Times, key_of};
+use sableloom_membership::{
+    Change, Health, Key, ListedMember, MemberList, Membership, Output, Timing, key_of,
+};
 use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, place};
 use sableloom_types::{Span, Time};
 
@@ -24,7 +26,7 @@
 const AFTER: i64 = 60 * S;
 
 enum Member {
-    Talks(Box<Fleet>),
+    Talks(Box<Membership>),
     Beats(Heart),
 }
 
@@ -40,7 +42,7 @@
     key_of(&format!("m{i}"))
 }
 
-fn passed(out: Out, sent: &mut Sent<Change>) {
+fn passed(out: Output, sent: &mut Sent<Change>) {
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
 }
@@ -51,15 +53,15 @@
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
         match self {
             Member::Talks(fleet) => {
-                let mut out = Out::default();
-                fleet.datagram(now, from, bytes, &mut out);
+                let mut out = Output::default();
+                fleet.receive(now, from, bytes, &mut out);
                 passed(out, sent);
             }
             Member::Beats(heart) => {
                 let Some(i) = place(from) else { return };
                 heart.heard[i] = now;
                 if std::mem::take(&mut heart.dead[i]) {
-                    sent.changes.push(Change::Joined(key(i), 0));
+                    sent.changes.push(Change::Joined { member: key(i), process_incarnation: 0 });
                 }
             }
         }
@@ -68,7 +70,7 @@
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
         match self {
             Member::Talks(fleet) => {
-                let mut out = Out::default();
+                let mut out = Output::default();
                 fleet.tick(now, &mut out);
                 passed(out, sent);
             }
@@ -79,7 +81,8 @@
                     sent.datagrams.push((address(i), vec![0; 36]));
                     if now.since(heart.heard[i]).0 > MISSED * PERIOD && !heart.dead[i] {
                         heart.dead[i] = true;
-                        sent.changes.push(Change::Died(key(i), key(heart.own)));
+                        sent.changes
+                            .push(Change::Died { member: key(i), reported_by: key(heart.own) });
                     }
                 }
             }
@@ -88,7 +91,7 @@
 
     fn next(&self) -> Time {
         match self {
-            Member::Talks(fleet) => fleet.next(),
+            Member::Talks(fleet) => fleet.next_wakeup(),
             Member::Beats(heart) => heart.next,
         }
     }
@@ -123,8 +126,9 @@
 /// Watches a fleet; with `slow`, one in ten does nothing for 600 ms every 2 s.
 fn play(n: usize, loss: f64, slow: bool, how: How, seed: u64) -> Seen {
     let mut net: Net<Member> = Net::new(n, seed, 0.01);
-    let list =
-        MemberList::new((0..n).map(|i| Listed { name: format!("m{i}"), address: address(i) }));
+    let list = MemberList::new(
+        (0..n).map(|i| ListedMember { name: format!("m{i}"), address: address(i) }),
+    );
     for i in 0..n {
         net.start(i, |life, seed, now| match how {
             How::Heartbeats => Member::Beats(Heart {
@@ -134,16 +138,23 @@
                 next: now.plus(Span(seed as i64 & 0xffff)),
             }),
             _ => {
-                let times = Times { has_local_health: how == How::Members, ..Times::default() };
-                let fleet =
-                    Fleet::new("fleet", &format!("m{i}"), life, list.clone(), times, seed, now);
+                let times = Timing { has_local_health: how == How::Members, ..Timing::default() };
+                let fleet = Membership::new(
+                    "fleet",
+                    &format!("m{i}"),
+                    life,
+                    list.clone(),
+                    times,
+                    seed,
+                    now,
+                );
                 Member::Talks(Box::new(fleet))
             }
         });
         if let Some(Member::Talks(_)) = &net.places[i].process {
             net.call(i, |member, now, sent| {
                 if let Member::Talks(fleet) = member {
-                    let mut out = Out::default();
+                    let mut out = Output::default();
                     fleet.greet(now, &mut out);
                     passed(out, sent);
                 }
@@ -176,11 +187,13 @@
         let mut since: HashMap<Key, i64> = HashMap::new();
         for (at, change) in &place.changes {
             match change {
-                Change::Died(of, _) => {
+                Change::Died { member: of, .. } => {
                     deaths += 1;
                     since.insert(*of, *at);
                 }
-                Change::Joined(of, _) => held += since.remove(of).map_or(0, |from| at - from),
+                Change::Joined { member: of, process_incarnation: _ } => {
+                    held += since.remove(of).map_or(0, |from| at - from)
+                }
                 _ => {}
             }
         }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/codec/tests.rs
@@ -1,33 +1,34 @@
 use proptest::prelude::*;
 
 use super::*;
+use crate::message::{MemberState, Page, key_of};
 
-fn message(news: usize) -> Message {
+fn message(updates: usize) -> Message {
     let one = Update {
-        of: u32::MAX,
-        life: u32::MAX,
+        member: u32::MAX,
+        process_incarnation: u32::MAX,
         incarnation: u32::MAX,
         state: MemberState::Left,
-        by: u32::MAX,
+        reported_by: u32::MAX,
     };
     Message {
         fleet: u32::MAX,
-        from: u32::MAX,
-        life: u32::MAX,
+        sender: u32::MAX,
+        process_incarnation: u32::MAX,
         incarnation: u32::MAX,
         nonce: u32::MAX,
-        echo: u32::MAX,
-        digest: u32::MAX,
-        listed: u16::MAX,
-        servers: u32::MAX,
-        body: Body::Answered { seq: u32::MAX, of: u32::MAX },
-        news: vec![one; news],
+        receiver_nonce: u32::MAX,
+        view_digest: u32::MAX,
+        list_length: u16::MAX,
+        endpoints_digest: u32::MAX,
+        body: Body::IndirectAck { seq: u32::MAX, target: u32::MAX },
+        updates: vec![one; updates],
     }
 }
 
 /// Keys are part of the wire: they must never change.
 #[test]
-fn keys_are_the_published_ones() {
+fn keys_are_fnv_1a_hashes_of_names() {
     // FNV-1a test vectors, draft-eastlake-fnv, section 8.
     assert_eq!(
         (key_of(""), key_of("a"), key_of("foobar")),
@@ -36,33 +37,33 @@
 }
 
 #[test]
-fn a_message_fits_with_as_much_news_as_there_is_room_for() {
-    for news in 0..40 {
-        let (bytes, kept) = encode(&message(news));
-        assert!(bytes.len() <= MOST, "{}", bytes.len());
-        let held = decode(&bytes).expect("its own").news.len();
-        assert!(held == kept && (held == news || held >= 8), "{held} of {news}");
+fn a_message_carries_as_many_updates_as_fit() {
+    for updates in 0..40 {
+        let (bytes, kept) = encode(&message(updates));
+        assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
+        let held = decode(&bytes).expect("its own").updates.len();
+        assert!(held == kept && (held == updates || held >= 8), "{held} of {updates}");
     }
 }
 
 #[test]
-fn another_version_and_what_is_too_long_are_told_apart() {
+fn another_version_and_too_long_a_datagram_are_rejected_by_reason() {
     let (mut bytes, _) = encode(&message(1));
     bytes[0] = 1;
-    assert_eq!(decode(&bytes), Err(Refused::Version));
-    assert_eq!(decode(&[VERSION; MAX_PAGE + 1]), Err(Refused::TooLong));
+    assert_eq!(decode(&bytes), Err(DropReason::OtherVersion));
+    assert_eq!(decode(&[VERSION; MAX_PAGE + 1]), Err(DropReason::TooLong));
     // Only pages may be longer than the rest.
     let long = |body| Message { body, ..message(12) };
     let written = |message: &Message| {
         let mut bytes = vec![VERSION];
         bytes.extend(postcard::to_allocvec(message).expect("a message"));
-        assert!(bytes.len() > MOST && bytes.len() < MAX_PAGE);
+        assert!(bytes.len() > MAX_DATAGRAM && bytes.len() < MAX_PAGE);
         bytes
     };
-    assert_eq!(decode(&written(&long(Body::Leave))), Err(Refused::TooLong));
-    let page = Page { seq: 1, until: 2, base: 3, entries: vec![4; 100] };
+    assert_eq!(decode(&written(&long(Body::Leave))), Err(DropReason::TooLong));
+    let page = Page { seq: 1, last_key: 2, base_incarnation: 3, entries: vec![4; 100] };
     assert!(decode(&written(&long(Body::Page(page)))).is_ok());
-    assert_eq!(decode(&[]), Err(Refused::Malformed));
+    assert_eq!(decode(&[]), Err(DropReason::Malformed));
 }
 
 proptest! {
@@ -70,7 +71,7 @@
 
     /// A datagram that was cut, lengthened or changed is dropped or is a message; it never panics.
     #[test]
-    fn whatever_comes_is_read_or_dropped(
+    fn damaged_datagrams_decode_or_are_rejected_without_panic(
         cut in 0usize..300,
         flip in prop::collection::vec((0usize..256, any::<u8>()), 0..4),
         more in prop::collection::vec(any::<u8>(), 0..3),
@@ -90,7 +91,7 @@
             }
         }
         if let Ok(read) = decode(&bytes) {
-            prop_assert!(encode(&read).0.len() <= MOST);
+            prop_assert!(encode(&read).0.len() <= MAX_DATAGRAM);
         }
     }
 }
--- /dev/null
+++ b/crates/membership/src/digest.rs
@@ -0,0 +1,20 @@
+//! Digests by which two members compare their views.
+
+use crate::message::Key;
+use crate::peer::Health;
+
+/// A member's contribution to the digest of a view, in which all contributions are combined by exclusive or. It is 0
+/// for members that are not reachable. A suspicion does not change it: it is refuted, or becomes a death.
+pub(crate) fn member_digest(key: Key, process_incarnation: u32, health: &Health) -> u32 {
+    if !health.is_reachable() {
+        return 0;
+    }
+    mix(u64::from(key) << 32 | u64::from(process_incarnation))
+}
+
+/// The last steps of splitmix64: every bit of the input changes half of the output's bits.
+pub(crate) fn mix(mut hash: u64) -> u32 {
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    (hash ^ (hash >> 31)) as u32
+}
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,24 +1,24 @@
-//! What is passed on to other members, how often, and in which order.
+//! Gossip: which updates are sent to other members, how often, and in which order.
 
 use std::collections::BTreeMap;
 
 use rustc_hash::FxHashMap;
 
-use crate::wire::{Key, MemberState, Update};
+use crate::message::{Key, MemberState, Update};
 
-/// How often an update was passed on, and a number that grows with each time that it was put back: what was
-/// passed on least comes first, of equals what waits longest.
-type Turn = (u32, u64);
+/// How often an update was sent, and a number that grows with each insertion: the update that was sent least comes
+/// first, of equals the one that waits longest.
+type Priority = (u32, u64);
 
-/// Updates that are kept to be passed on at most: what some six thousand datagrams carry in all. Where more happens
-/// at once, what was passed on most often is let go of first; others have it to pass on.
+/// Updates that are queued at most: what some six thousand datagrams carry in all. Where more happens at once, the
+/// update that was sent most often is discarded first; other members go on sending it.
 const MAX_UPDATES: usize = 1024;
 
-/// The updates that are passed on.
+/// The queue of updates to send.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dissemination {
-    queue: BTreeMap<Turn, Update>,
-    by_member: FxHashMap<Key, Vec<Turn>>,
+    queue: BTreeMap<Priority, Update>,
+    by_member: FxHashMap<Key, Vec<Priority>>,
     next: u64,
 }
 
@@ -31,68 +31,73 @@
         self.queue.is_empty()
     }
 
-    /// News replaces what was to be passed on of the same member, but for words of other accusers.
-    pub(crate) fn add(&mut self, news: Update) {
+    /// Queues an update. It replaces queued updates of the same member, but for suspicions by other members.
+    pub(crate) fn add(&mut self, update: Update) {
         let queue = &mut self.queue;
-        let turns = self.by_member.entry(news.of).or_default();
-        turns.retain(|turn| {
-            let stale = queue.get(turn).is_none_or(|old| {
-                old.state != MemberState::Suspect
-                    || news.state != MemberState::Suspect
-                    || old.by == news.by
+        let priorities = self.by_member.entry(update.member).or_default();
+        priorities.retain(|priority| {
+            let is_stale = queue.get(priority).is_none_or(|queued| {
+                queued.state != MemberState::Suspect
+                    || update.state != MemberState::Suspect
+                    || queued.reported_by == update.reported_by
             });
-            if stale {
-                queue.remove(turn);
+            if is_stale {
+                queue.remove(priority);
             }
-            !stale
+            !is_stale
         });
-        self.insert(0, news);
-        if self.queue.len() > MAX_UPDATES
-            && let Some((turn, old)) = self.queue.last_key_value().map(|(t, n)| (*t, *n))
-        {
-            self.remove(turn, old.of);
+        self.insert(0, update);
+        if self.queue.len() > MAX_UPDATES {
+            self.remove_last();
         }
     }
 
-    /// The first so many, after what was passed on as often as it may be is let go of.
-    pub(crate) fn first(&mut self, count: usize, most_times: u32) -> Vec<Update> {
-        while let Some((turn, news)) = self.queue.last_key_value().map(|(t, n)| (*t, *n))
-            && turn.0 >= most_times
+    /// The first so many updates, after those that were sent as often as they may be are discarded.
+    pub(crate) fn first(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
+        while let Some(((transmissions, _), _)) = self.queue.last_key_value()
+            && *transmissions >= max_transmissions
         {
-            self.remove(turn, news.of);
+            self.remove_last();
         }
         self.queue.values().take(count).copied().collect()
     }
 
-    /// The first so many were passed on.
-    pub(crate) fn passed_on(&mut self, count: usize) {
-        let first: Vec<(Turn, Update)> =
-            self.queue.iter().take(count).map(|(turn, news)| (*turn, *news)).collect();
-        for (turn, news) in first {
-            self.remove(turn, news.of);
-            self.insert(turn.0 + 1, news);
+    /// The first so many updates were sent.
+    pub(crate) fn sent(&mut self, count: usize) {
+        let first: Vec<(Priority, Update)> =
+            self.queue.iter().take(count).map(|(priority, update)| (*priority, *update)).collect();
+        for (priority, update) in first {
+            self.remove(priority, update.member);
+            self.insert(priority.0 + 1, update);
         }
     }
 
-    /// Keeps what is of these members.
-    pub(crate) fn retain(&mut self, of: impl Fn(Key) -> bool) {
-        self.queue.retain(|_, news| of(news.of));
-        self.by_member.retain(|key, _| of(*key));
+    /// Keeps the updates about these members.
+    pub(crate) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
+        self.queue.retain(|_, update| is_known(update.member));
+        self.by_member.retain(|key, _| is_known(*key));
     }
 
-    fn insert(&mut self, times: u32, news: Update) {
-        let turn = (times, self.next);
+    fn insert(&mut self, transmissions: u32, update: Update) {
+        let priority = (transmissions, self.next);
         self.next += 1;
-        self.queue.insert(turn, news);
-        self.by_member.entry(news.of).or_default().push(turn);
+        self.queue.insert(priority, update);
+        self.by_member.entry(update.member).or_default().push(priority);
+    }
+
+    fn remove_last(&mut self) {
+        let last = self.queue.last_key_value().map(|(priority, update)| (*priority, update.member));
+        if let Some((priority, member)) = last {
+            self.remove(priority, member);
+        }
     }
 
-    fn remove(&mut self, turn: Turn, of: Key) {
-        self.queue.remove(&turn);
-        if let Some(turns) = self.by_member.get_mut(&of) {
-            turns.retain(|other| *other != turn);
-            if turns.is_empty() {
-                self.by_member.remove(&of);
+    fn remove(&mut self, priority: Priority, member: Key) {
+        self.queue.remove(&priority);
+        if let Some(priorities) = self.by_member.get_mut(&member) {
+            priorities.retain(|other| *other != priority);
+            if priorities.is_empty() {
+                self.by_member.remove(&member);
             }
         }
     }
--- a/crates/membership/src/dissemination/tests.rs
+++ b/crates/membership/src/dissemination/tests.rs
@@ -1,52 +1,52 @@
 use super::*;
 
-fn news(of: Key, state: MemberState, by: Key) -> Update {
-    Update { of, life: 1, incarnation: 0, state, by }
+fn update(member: Key, state: MemberState, reported_by: Key) -> Update {
+    Update { member, process_incarnation: 1, incarnation: 0, state, reported_by }
 }
 
 fn members(first: Vec<Update>) -> Vec<Key> {
-    first.into_iter().map(|news| news.of).collect()
+    first.into_iter().map(|update| update.member).collect()
 }
 
 #[test]
-fn what_was_passed_on_least_comes_first_and_of_equals_what_waits_longest() {
+fn least_sent_updates_come_first_and_of_equals_the_one_that_waits_longest() {
     let mut queue = Dissemination::default();
-    (1..=3).for_each(|of| queue.add(news(of, MemberState::Alive, of)));
+    (1..=3).for_each(|member| queue.add(update(member, MemberState::Alive, member)));
     assert_eq!(members(queue.first(2, 3)), [1, 2]);
-    queue.passed_on(2);
+    queue.sent(2);
     assert_eq!(members(queue.first(3, 3)), [3, 1, 2]);
-    queue.passed_on(2);
+    queue.sent(2);
     assert_eq!(members(queue.first(3, 3)), [2, 3, 1]);
-    queue.add(news(4, MemberState::Dead, 1));
+    queue.add(update(4, MemberState::Dead, 1));
     assert_eq!(members(queue.first(1, 3)), [4]);
-    // As often as it may be, and then no more.
+    // An update that was sent as often as it may be is discarded.
     assert_eq!(members(queue.first(9, 2)), [4, 2, 3]);
-    (0..3).for_each(|_| queue.passed_on(9));
+    (0..3).for_each(|_| queue.sent(9));
     assert!(queue.first(9, 2).is_empty() && queue.is_empty() && queue.by_member.is_empty());
 }
 
 #[test]
-fn news_replaces_older_news_but_for_the_words_of_other_accusers() {
+fn an_update_replaces_older_ones_but_for_suspicions_by_other_members() {
     let mut queue = Dissemination::default();
-    queue.add(news(1, MemberState::Alive, 1));
-    queue.add(news(1, MemberState::Suspect, 2));
-    queue.add(news(1, MemberState::Suspect, 3));
-    queue.add(news(1, MemberState::Suspect, 2));
+    queue.add(update(1, MemberState::Alive, 1));
+    queue.add(update(1, MemberState::Suspect, 2));
+    queue.add(update(1, MemberState::Suspect, 3));
+    queue.add(update(1, MemberState::Suspect, 2));
     assert_eq!(queue.first(9, 9).len(), 2);
-    queue.add(news(1, MemberState::Dead, 2));
-    assert_eq!(queue.first(9, 9), [news(1, MemberState::Dead, 2)]);
-    queue.retain(|of| of != 1);
+    queue.add(update(1, MemberState::Dead, 2));
+    assert_eq!(queue.first(9, 9), [update(1, MemberState::Dead, 2)]);
+    queue.retain(|member| member != 1);
     assert!(queue.is_empty() && queue.by_member.is_empty());
 }
 
 #[test]
-fn however_much_happens_what_is_kept_is_bounded_and_the_newest_is_among_it() {
+fn the_queue_is_bounded_and_keeps_the_newest_update() {
     let mut queue = Dissemination::default();
-    for of in 0..10 * MAX_UPDATES as Key {
-        queue.add(news(of, MemberState::Alive, of));
-        queue.passed_on(1);
+    for member in 0..10 * MAX_UPDATES as Key {
+        queue.add(update(member, MemberState::Alive, member));
+        queue.sent(1);
         assert!(queue.queue.len() <= MAX_UPDATES && queue.by_member.len() <= MAX_UPDATES);
     }
-    queue.add(news(7, MemberState::Dead, 8));
-    assert_eq!(queue.first(1, 99), [news(7, MemberState::Dead, 8)]);
+    queue.add(update(7, MemberState::Dead, 8));
+    assert_eq!(queue.first(1, 99), [update(7, MemberState::Dead, 8)]);
 }
--- /dev/null
+++ b/crates/membership/src/membership/receiving.rs
@@ -0,0 +1,171 @@
+//! Which datagrams count, and what is done about them.
+
+use std::net::SocketAddr;
+
+use sableloom_types::Time;
+
+use super::probing::Relay;
+use super::{Membership, Output};
+use crate::codec::{DropReason, decode};
+use crate::message::{Body, Key, MemberState, Message, Update};
+
+/// Indirect probes for other members that are under way at most; requests beyond that are ignored.
+const MAX_RELAYS: usize = 64;
+
+impl Membership {
+    /// A datagram has come.
+    pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], output: &mut Output) {
+        self.now = now;
+        self.meter.add_datagram(now, bytes.len());
+        // A process that goes on after a stop may read its socket before it looks at its clock.
+        self.check_lateness(now, output);
+        match self.authenticate(from, bytes) {
+            Ok((position, message)) => self.receive_message(now, position, message, output),
+            Err(reason) => *self.dropped.entry(reason).or_default() += 1,
+        }
+        self.due = Some(self.next_wakeup().max(now));
+    }
+
+    /// The message of a datagram that comes from a member of this fleet, and the member's position.
+    fn authenticate(&self, from: SocketAddr, bytes: &[u8]) -> Result<(usize, Message), DropReason> {
+        let message = decode(bytes)?;
+        if message.fleet != self.fleet {
+            return Err(DropReason::OtherFleet);
+        }
+        let position = self.table.position_at(from).ok_or(DropReason::UnknownAddress)?;
+        if message.sender != self.table.at(position).key {
+            return Err(DropReason::WrongSender);
+        }
+        Ok((position, message))
+    }
+
+    fn receive_message(
+        &mut self,
+        now: Time,
+        position: usize,
+        message: Message,
+        output: &mut Output,
+    ) {
+        if message.receiver_nonce != self.nonce {
+            if message.receiver_nonce != 0 {
+                *self.dropped.entry(DropReason::StaleNonce).or_default() += 1;
+            }
+            return self.introduce_self(position, &message, output);
+        }
+        let Message { process_incarnation, incarnation, nonce, view_digest, .. } = message;
+        let sender = message.sender;
+        if process_incarnation >= self.table.at(position).process_incarnation {
+            let alive = Update {
+                member: sender,
+                process_incarnation,
+                incarnation,
+                state: MemberState::Alive,
+                reported_by: sender,
+            };
+            self.learn(now, alive, output);
+            self.table.change(position, |peer| {
+                (peer.nonce, peer.last_heard) = (nonce, Some(now));
+                peer.list_length = message.list_length;
+                peer.endpoints_digest = message.endpoints_digest;
+            });
+            self.update_reachability(output);
+        } else {
+            // An earlier process of that name had a later incarnation: the sender is told, and takes a later one.
+            self.table.change(position, |peer| peer.nonce = nonce);
+            self.tell_incarnation(sender, output);
+        }
+        for update in message.updates {
+            self.learn(now, update, output);
+        }
+        if matches!(message.body, Body::Ack { .. }) {
+            self.compare_views(now, sender, view_digest, output);
+        }
+        self.receive_body(now, sender, message.body, output);
+    }
+
+    /// The sender does not know this process yet. Nothing that it says counts, but the sender of a ping is told this
+    /// process's nonce; with that it can say it again.
+    fn introduce_self(&mut self, position: usize, message: &Message, output: &mut Output) {
+        let Body::Ping { seq } = message.body else { return };
+        let nonce = message.nonce;
+        let before = self.table.change(position, |peer| std::mem::replace(&mut peer.nonce, nonce));
+        self.send(message.sender, Body::Ack { seq }, output);
+        self.table.change(position, |peer| peer.nonce = before);
+    }
+
+    /// Tells a member the incarnations that are known of it.
+    fn tell_incarnation(&mut self, key: Key, output: &mut Output) {
+        let Some(peer) = self.peer(key) else { return };
+        let update = Update {
+            member: key,
+            process_incarnation: peer.process_incarnation,
+            incarnation: peer.incarnation,
+            state: MemberState::Alive,
+            reported_by: peer.reported_by,
+        };
+        self.gossip.add(update);
+        self.send(key, Body::Ack { seq: 0 }, output);
+    }
+
+    fn receive_body(&mut self, now: Time, from: Key, body: Body, output: &mut Output) {
+        match body {
+            Body::Ping { seq } => self.send(from, Body::Ack { seq }, output),
+            Body::Ack { seq } => {
+                self.probe_answered(from, seq);
+                self.relay_ack(from, seq, output);
+            }
+            Body::PingRequest { seq, target } => {
+                self.relay_ping(now, from, seq, target, output);
+            }
+            Body::IndirectAck { seq, target } => self.probe_answered(target, seq),
+            Body::Nack { seq } => {
+                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) {
+                    probe.nacks += 1;
+                }
+            }
+            Body::Leave => self.receive_leave(now, from, output),
+            Body::Pull(pull) => self.serve_page(now, from, &pull, output),
+            Body::Page(page) => self.receive_page(now, from, &page, output),
+        }
+    }
+
+    /// Pings a member for another one.
+    fn relay_ping(
+        &mut self,
+        now: Time,
+        requester: Key,
+        requester_seq: u32,
+        target: Key,
+        output: &mut Output,
+    ) {
+        let is_full = self.relays.len() >= MAX_RELAYS;
+        if is_full || target == requester || self.peer(target).is_none() {
+            return;
+        }
+        let seq = self.next_seq();
+        // The requester has to be told within its own probe interval.
+        let deadline = now.plus(self.timing.probe_timeout);
+        self.relays.push(Relay { target, seq, requester, requester_seq, deadline });
+        self.send(target, Body::Ping { seq }, output);
+    }
+
+    fn relay_ack(&mut self, from: Key, seq: u32, output: &mut Output) {
+        let found = self.relays.iter().position(|relay| (relay.target, relay.seq) == (from, seq));
+        if let Some(relay) = found.map(|index| self.relays.swap_remove(index)) {
+            let body = Body::IndirectAck { seq: relay.requester_seq, target: relay.target };
+            self.send(relay.requester, body, output);
+        }
+    }
+
+    fn receive_leave(&mut self, now: Time, from: Key, output: &mut Output) {
+        let Some(peer) = self.peer(from) else { return };
+        let left = Update {
+            member: from,
+            process_incarnation: peer.process_incarnation,
+            incarnation: peer.incarnation,
+            state: MemberState::Left,
+            reported_by: from,
+        };
+        self.learn(now, left, output);
+    }
+}
--- /dev/null
+++ b/crates/membership/src/membership/sending.rs
@@ -0,0 +1,122 @@
+//! What is put into datagrams.
+
+use super::{Membership, Output};
+use crate::codec::{encode, update_bytes};
+use crate::groups::Group;
+use crate::message::{Body, Key, MemberState, Message, Update};
+
+/// Updates that are put into a message at most; more never fit.
+const MAX_UPDATES_PER_MESSAGE: usize = 24;
+
+impl Membership {
+    /// Sends updates to some random reachable members.
+    pub(super) fn gossip_to(&mut self, members: usize, output: &mut Output) {
+        for n in 0..members {
+            let Some(key) = self.table.random_peer(Group::Reachable, n, &mut self.rng) else {
+                break;
+            };
+            self.send(key, Body::Ack { seq: 0 }, output);
+        }
+    }
+
+    /// Queues an update about this member itself.
+    pub(super) fn announce_self(&mut self) {
+        self.gossip.add(Update {
+            member: self.own,
+            process_incarnation: self.process_incarnation,
+            incarnation: self.incarnation,
+            state: if self.is_leaving { MemberState::Left } else { MemberState::Alive },
+            reported_by: self.own,
+        });
+    }
+
+    /// Sends a message, with as many updates as there is space for.
+    pub(super) fn send(&mut self, to: Key, body: Body, output: &mut Output) {
+        let Some(peer) = self.peer(to) else { return };
+        let receiver_nonce = peer.nonce;
+        let Some(address) = self.listed(to).map(|listed| listed.address) else { return };
+        // What is believed of the receiver itself comes first, so that it can refute it.
+        let state = peer.health.state().filter(|state| *state != MemberState::Alive);
+        let about_receiver = state.map(|state| Update {
+            member: to,
+            process_incarnation: peer.process_incarnation,
+            incarnation: peer.incarnation,
+            state,
+            reported_by: peer.reported_by,
+        });
+        let unqueued = about_receiver.iter().count();
+        // A receiver that does not know this process yet reads no updates.
+        let updates: Vec<Update> = match (receiver_nonce, &body) {
+            (0, _) => Vec::new(),
+            (_, Body::Pull(_) | Body::Page(_)) => about_receiver.into_iter().collect(),
+            _ => about_receiver.into_iter().chain(self.updates_within_budget()).collect(),
+        };
+        let message = Message {
+            fleet: self.fleet,
+            sender: self.own,
+            process_incarnation: self.process_incarnation,
+            incarnation: self.incarnation,
+            nonce: self.nonce,
+            receiver_nonce,
+            view_digest: self.digest(),
+            list_length: u16::try_from(self.table.len() + 1).unwrap_or(u16::MAX),
+            endpoints_digest: self.endpoints_digest,
+            body,
+            updates,
+        };
+        let (bytes, sent) = encode(&message);
+        if receiver_nonce != 0 {
+            self.gossip.sent(sent.saturating_sub(unqueued));
+            let sent_updates = message.updates.iter().take(sent).skip(unqueued);
+            self.meter.add_updates(self.now, sent_updates.map(update_bytes).sum());
+        }
+        self.meter.add_datagram(self.now, bytes.len());
+        output.datagrams.push((address, bytes));
+    }
+
+    /// The updates of the next message, by what it and the last second have space for. Refutations by this member are
+    /// sent without regard to the budget: all that do not receive them in time declare it dead.
+    fn updates_within_budget(&mut self) -> Vec<Update> {
+        let is_pulling = self.anti_entropy.is_pulling();
+        // In a short list all members ping all, which the budget is not made for, and few members have few updates.
+        let mut remaining = match self.has_short_list() {
+            true => usize::MAX,
+            false => self.meter.remaining_for_updates(self.now, is_pulling),
+        };
+        let mut updates = self.gossip.first(MAX_UPDATES_PER_MESSAGE, self.max_transmissions());
+        let own = self.own;
+        let fitting = updates.iter().take_while(|update| {
+            let left = remaining.checked_sub(update_bytes(update));
+            remaining = left.unwrap_or(remaining);
+            left.is_some() || update.member == own
+        });
+        let fitting = fitting.count();
+        updates.truncate(fitting);
+        updates
+    }
+
+    /// How often an update is sent.
+    fn max_transmissions(&self) -> u32 {
+        let members = (self.table.len() + 2) as f64;
+        (self.timing.retransmit_factor * members.log2()).ceil() as u32
+    }
+
+    pub(super) fn next_seq(&mut self) -> u32 {
+        self.last_seq = self.last_seq.wrapping_add(1).max(1);
+        self.last_seq
+    }
+
+    /// Leaves on purpose, and tells as many members as an update is sent to.
+    pub fn leave(&mut self, output: &mut Output) {
+        self.is_leaving = true;
+        self.probe = None;
+        self.announce_self();
+        for n in 0..self.max_transmissions() as usize {
+            let Some(key) = self.table.random_peer(Group::Reachable, n, &mut self.rng) else {
+                break;
+            };
+            self.send(key, Body::Leave, output);
+        }
+        self.view_changed(output);
+    }
+}
--- /dev/null
+++ b/crates/membership/src/membership/transitions.rs
@@ -0,0 +1,104 @@
+//! How an update changes what is known of a member, and how much of the fleet this member reaches.
+
+use arrayvec::ArrayVec;
+use sableloom_types::Time;
+
+use super::{Change, Membership, Output};
+use crate::message::{MemberState, Update};
+use crate::peer::{Health, Suspicion, supersedes};
+use crate::view::Reachability;
+
+impl Membership {
+    pub(super) fn view_changed(&mut self, output: &mut Output) {
+        self.view_version += 1;
+        self.update_reachability(output);
+    }
+
+    /// Determines again how much of the fleet it reaches.
+    pub(super) fn update_reachability(&mut self, output: &mut Output) {
+        let reachable = self.table.reachable();
+        let listed = self.table.len() - self.table.left();
+        // Half of those that it believes to be reachable have answered: gossip corrects the rest of what it knew.
+        if self.table.resync().is_some_and(|resync| resync.heard * 2 >= reachable) {
+            self.table.set_resync(None);
+        }
+        let reachability = if self.table.resync().is_some() {
+            Reachability::Resumed
+        } else if reachable == listed {
+            Reachability::Complete
+        } else if reachable == 0 {
+            Reachability::Isolated
+        } else {
+            Reachability::Partial { reachable: reachable + 1, listed: listed + 1 }
+        };
+        if reachability != self.reachability {
+            self.reachability = reachability;
+            output.changes.push(Change::Reachability(reachability));
+        }
+    }
+
+    /// Applies an update, from gossip or of its own finding, and queues it.
+    pub(super) fn learn(&mut self, now: Time, update: Update, output: &mut Output) {
+        if update.member == self.own {
+            return self.refute(update, output);
+        }
+        let Some(position) = self.table.position(update.member) else { return };
+        if !supersedes(&update, self.table.at(position)) {
+            return self.confirm_suspicion(position, update);
+        }
+        self.apply(now, position, update, output);
+        self.gossip.add(update);
+    }
+
+    /// Applies an update of a page. It is not queued: each member that pulls a table would have all of it to send.
+    pub(super) fn learn_from_page(&mut self, now: Time, update: Update, output: &mut Output) {
+        if update.member == self.own {
+            return self.refute(update, output);
+        }
+        let Some(position) = self.table.position(update.member) else { return };
+        if supersedes(&update, self.table.at(position)) {
+            self.apply(now, position, update, output);
+        }
+    }
+
+    /// Replaces what is known of a member by an update that supersedes it.
+    fn apply(&mut self, now: Time, position: usize, update: Update, output: &mut Output) {
+        let deadline = self.suspicion_deadline(now, 0);
+        let health = match update.state {
+            MemberState::Alive => Health::Alive,
+            MemberState::Suspect => {
+                let confirmers = ArrayVec::new();
+                Health::Suspect(Box::new(Suspicion { confirmers, deadline, started: now }))
+            }
+            MemberState::Dead => Health::Dead,
+            MemberState::Left => Health::Left,
+        };
+        let (health_before, incarnation_before) = self.table.change(position, |peer| {
+            let incarnation_before = peer.process_incarnation;
+            if update.process_incarnation != incarnation_before {
+                peer.nonce = 0;
+            }
+            peer.process_incarnation = update.process_incarnation;
+            peer.incarnation = update.incarnation;
+            (peer.reported_by, peer.since) = (update.reported_by, now);
+            (std::mem::replace(&mut peer.health, health), incarnation_before)
+        });
+        let is_same_process = incarnation_before == update.process_incarnation;
+        output.changes.extend(change_of(&update, &health_before, is_same_process));
+        self.view_changed(output);
+    }
+}
+
+/// The change of the view that an update makes.
+fn change_of(update: &Update, before: &Health, is_same_process: bool) -> Option<Change> {
+    let Update { member, process_incarnation, reported_by, .. } = *update;
+    match update.state {
+        MemberState::Alive if before.is_reachable() && is_same_process => {
+            matches!(before, Health::Suspect(_)).then_some(Change::Refuted(member))
+        }
+        MemberState::Alive => Some(Change::Joined { member, process_incarnation }),
+        MemberState::Suspect => Some(Change::Suspected { member, reported_by }),
+        MemberState::Dead => Some(Change::Died { member, reported_by }),
+        MemberState::Left => Some(Change::Left(member)),
+    }
+}
--- a/crates/membership/src/meter/tests.rs
+++ b/crates/membership/src/meter/tests.rs
@@ -4,7 +4,7 @@
 
 /// No second, whatever its beginning, has more than what the meter allowed; and what was spent is given back.
 #[test]
-fn no_second_has_more_than_is_allowed() {
+fn no_second_of_any_beginning_exceeds_the_budget() {
     for seed in 0..50u128 {
         let mut rng = Rand64::new(seed);
         let begin = Time(rng.rand_range(0..1 << 40) as i64 - (1 << 39));
@@ -12,7 +12,7 @@
         for _ in 0..2000 {
             now = now.plus(Span(rng.rand_range(0..60_000) as i64));
             let bytes = rng.rand_range(1..1200) as usize;
-            if meter.room(now, 5000) >= bytes {
+            if meter.remaining(now, 5000) >= bytes {
                 meter.add(now, bytes);
                 spent.push((now, bytes));
             }
@@ -22,20 +22,20 @@
             let sum: usize = spent.iter().filter(|(at, _)| within(at)).map(|(_, n)| n).sum();
             assert!(sum <= 5000, "seed {seed}: {sum}");
         }
-        assert_eq!(meter.room(now.plus(Span(1_200_000)), 5000), 5000, "seed {seed}");
+        assert_eq!(meter.remaining(now.plus(Span(1_200_000)), 5000), 5000, "seed {seed}");
     }
 }
 
 /// Other traffic leaves updates their least, and no more.
 #[test]
-fn updates_have_their_least_and_what_is_left() {
+fn updates_get_their_minimum_and_what_the_budget_leaves() {
     let mut meter = TrafficMeter::new(Time(0));
-    assert_eq!(meter.room_for_updates(Time(0), false), UPDATES_BELOW);
-    meter.add(Time(0), MAX_BYTES_A_SECOND);
-    assert_eq!(meter.room_for_updates(Time(0), false), MIN_UPDATES);
-    meter.updates(Time(0), MIN_UPDATES - 10);
-    assert_eq!(meter.room_for_updates(Time(500_000), false), 10);
+    assert_eq!(meter.remaining_for_updates(Time(0), false), UPDATES_BELOW);
+    meter.add(Time(0), MAX_BYTES_PER_SECOND);
+    assert_eq!(meter.remaining_for_updates(Time(0), false), MIN_UPDATE_BYTES);
+    meter.add_updates(Time(0), MIN_UPDATE_BYTES - 10);
+    assert_eq!(meter.remaining_for_updates(Time(500_000), false), 10);
     let free = Time(9_000_000);
-    assert_eq!(meter.room_for_updates(free, true), MIN_UPDATES, "pages come first");
-    assert_eq!(meter.room_for_updates(free, false), UPDATES_BELOW);
+    assert_eq!(meter.remaining_for_updates(free, true), MIN_UPDATE_BYTES, "pages come first");
+    assert_eq!(meter.remaining_for_updates(free, false), UPDATES_BELOW);
 }
--- a/crates/membership/src/page/tests.rs
+++ b/crates/membership/src/page/tests.rs
@@ -2,11 +2,11 @@
 use sableloom_types::Time;
 
 use super::*;
-use crate::book::Health;
-use crate::wire::MAX_PAGE;
+use crate::codec::MAX_PAGE;
+use crate::peer::Health;
 
-fn peer(key: Key, life: u32, health: Health) -> Peer {
-    Peer { life, health, ..Peer::unknown(key, Time(0), 0) }
+fn peer(key: Key, process_incarnation: u32, health: Health) -> Peer {
+    Peer { process_incarnation, health, ..Peer::unknown(key, Time(0), 0) }
 }
 
 /// Members in the order of their keys, some of whom nothing was heard.
@@ -35,23 +35,28 @@
         };
         let request = request(1, from, salt, grouping, from_on(own).iter());
         let page = answer(&request, 1000, MAX_PAGE, from_on(others).iter()).expect("a page");
-        assert!(page.entries.len() + PAGE_HEAD <= MAX_PAGE && page.until >= from);
+        assert!(page.entries.len() + PAGE_HEAD <= MAX_PAGE && page.last_key >= from);
         for entry in read(&page, from).expect("its own") {
             entries += 1;
-            if let Some(known) = own.iter_mut().find(|peer| peer.key == entry.of) {
-                let found = others.iter().find(|peer| peer.key == entry.of).expect("it is told");
-                assert_eq!((entry.life, entry.incarnation), (found.life, found.incarnation));
-                (known.life, known.health) = (found.life, found.health.clone());
+            if let Some(known) = own.iter_mut().find(|peer| peer.key == entry.member) {
+                let found =
+                    others.iter().find(|peer| peer.key == entry.member).expect("it is told");
+                assert_eq!(
+                    (entry.process_incarnation, entry.incarnation),
+                    (found.process_incarnation, found.incarnation)
+                );
+                (known.process_incarnation, known.health) =
+                    (found.process_incarnation, found.health.clone());
             }
         }
         pages += 1;
-        let Some(next) = page.until.checked_add(1) else { return (pages, entries) };
+        let Some(next) = page.last_key.checked_add(1) else { return (pages, entries) };
         from = next;
     }
 }
 
 fn differ(own: &[Peer], others: &[Peer]) -> usize {
-    let part = |peer: &Peer| part_of_digest(peer.key, peer.life, &peer.health);
+    let part = |peer: &Peer| member_digest(peer.key, peer.process_incarnation, &peer.health);
     own.iter()
         .zip(others)
         .filter(|(a, b)| part(a) != part(b) && b.health != Health::Unknown)
@@ -61,7 +66,7 @@
 /// From an empty table, and from one that differs in some: after a few exchanges, each with a salt of its own,
 /// nothing differs, whatever groups collide by chance.
 #[test]
-fn what_differs_is_told_and_little_else() {
+fn pulls_transfer_what_differs_and_little_else() {
     for seed in 0..300u128 {
         let mut rng = Rand64::new(seed);
         let count = 1 + rng.rand_range(0..1500) as usize;
@@ -73,7 +78,7 @@
         let mut changed = 0;
         for peer in own.iter_mut().filter(|peer| peer.health == Health::Alive) {
             if rng.rand_range(0..20) == 0 {
-                peer.life -= 1;
+                peer.process_incarnation -= 1;
                 changed += 1;
             }
         }
@@ -91,8 +96,8 @@
 fn groups_that_collide_are_told_apart_by_another_salt() {
     let others: Vec<Peer> = (0..4).map(|i| peer(i << 30, 1000, Health::Alive)).collect();
     let mut own = others.clone();
-    own[2].life -= 1;
-    let digest = |peers: &[Peer], salt| digest_of(peers[2..3].iter(), salt);
+    own[2].process_incarnation -= 1;
+    let digest = |peers: &[Peer], salt| group_digest(peers[2..3].iter(), salt);
     let collides = |salt: &u32| digest(&own, *salt) == digest(&others, *salt);
     let salt = (0..100_000).find(collides).expect("a salt under which they collide");
     assert_eq!(pull(&mut own.clone(), &others, salt).1, 0, "they seem to agree");
@@ -104,10 +109,10 @@
 
 /// Pages that are cut off anywhere, changed, or do not fit what was asked for.
 #[test]
-fn a_page_that_no_member_writes_is_none() {
+fn invalid_pages_are_rejected() {
     let mut rng = Rand64::new(4);
     let others = table(&mut rng, 150);
-    let request = Pull { seq: 1, from: 0, salt: 0, bits: 5, digests: Vec::new() };
+    let request = Pull { seq: 1, first_key: 0, salt: 0, prefix_bits: 5, digests: Vec::new() };
     let page = answer(&request, 1000, MAX_PAGE, others.iter()).expect("a page");
     let whole = read(&page, 0).expect("its own");
     assert!(whole.len() > 100);
@@ -116,11 +121,21 @@
         let read = read(&Page { entries, ..page.clone() }, 0);
         assert!(read.is_none_or(|entries| whole.starts_with(&entries)), "cut to {cut}");
     }
-    let until = whole[50].of;
-    assert!(read(&Page { until, ..page.clone() }, 0).is_none(), "keys beyond what it covers");
-    assert!(read(&Page { until: 5, ..page.clone() }, 6).is_none(), "it ends before its beginning");
-    assert!(read(&Page { base: u32::MAX, ..page.clone() }, 0).is_none(), "no life is so late");
-    let packed = |distance| Packed { distance, life: 0, word: 0 };
+    let last_key = whole[50].member;
+    assert!(read(&Page { last_key, ..page.clone() }, 0).is_none(), "keys beyond what it covers");
+    assert!(
+        read(&Page { last_key: 5, ..page.clone() }, 6).is_none(),
+        "it ends before its beginning"
+    );
+    assert!(
+        read(&Page { base_incarnation: u32::MAX, ..page.clone() }, 0).is_none(),
+        "no life is so late"
+    );
+    let packed = |distance| PackedEntry {
+        key_distance: distance,
+        process_incarnation_offset: 0,
+        incarnation_and_state: 0,
+    };
     let entries = [postcard::to_allocvec(&packed(9)), postcard::to_allocvec(&packed(0))];
     let entries: Vec<u8> = entries.into_iter().flatten().flatten().collect();
     assert!(read(&Page { entries, ..page.clone() }, 0).is_none(), "one key twice");
@@ -134,7 +149,7 @@
 
 /// Requests that no member makes are not answered, and an answer never passes what there is room for.
 #[test]
-fn a_request_is_answered_within_its_room_or_not_at_all() {
+fn answers_stay_within_their_budget_and_invalid_requests_get_none() {
     let mut rng = Rand64::new(9);
     let others = table(&mut rng, 400);
     for _ in 0..5000 {
@@ -142,15 +157,25 @@
         let from = rng.rand_u64() as Key;
         let bits = rng.rand_range(0..20) as u8;
         let digests = (0..groups).map(|_| rng.rand_u64() as u8).collect();
-        let pull = Pull { seq: 1, from, salt: rng.rand_u64() as u32, bits, digests };
+        let pull = Pull {
+            seq: 1,
+            first_key: from,
+            salt: rng.rand_u64() as u32,
+            prefix_bits: bits,
+            digests,
+        };
         let most = rng.rand_range(0..1300) as usize;
         let from_on = others.iter().filter(|peer| peer.key >= from);
         let Some(page) = answer(&pull, 1000, most, from_on) else { continue };
-        assert!(bits <= MAX_BITS && groups <= MAX_GROUPS, "{bits} bits, {groups} groups");
+        assert!(bits <= MAX_PREFIX_BITS && groups <= MAX_GROUPS, "{bits} bits, {groups} groups");
         assert!(page.entries.is_empty() || page.entries.len() + PAGE_HEAD <= most);
         assert!(read(&page, from).is_some());
     }
-    let none =
-        answer(&Pull { seq: 1, from: 0, salt: 0, bits: 255, digests: vec![] }, 0, 1200, [].iter());
+    let none = answer(
+        &Pull { seq: 1, first_key: 0, salt: 0, prefix_bits: 255, digests: vec![] },
+        0,
+        1200,
+        [].iter(),
+    );
     assert_eq!(none, None);
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,5 +1,4 @@
-//! The members of the list and what is known of each, indexed so that no question about all of them takes
-//! longer the more there are.
+//! The members of the list and what is known of each, indexed: no call goes over all members, but those that return all.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,136 +7,65 @@
 use oorandom::Rand64;
 use sableloom_types::Time;
 
-use crate::book::{Health, Peer, part_of_digest};
-use crate::list::{Listed, MemberList};
-use crate::wire::Key;
-
-/// What a member is counted among.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Group {
-    /// It is there, doubted or not.
-    There,
-    /// It is not there any more.
-    Gone,
-    /// Nothing was ever heard of it.
-    Unknown,
-    /// It is this very process.
-    Own,
+use crate::digest::member_digest;
+use crate::groups::{Group, Groups};
+use crate::list::{ListedMember, MemberList};
+use crate::message::Key;
+use crate::peer::{Health, Peer};
+
+/// The members that a process which was suspended has heard again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Resync {
+    /// When the process was resumed.
+    pub(crate) since: Time,
+    /// How many of the reachable members it has heard since.
+    pub(crate) heard: usize,
 }
 
-const GROUPS: usize = 4;
-
-impl Group {
-    fn of(health: &Health) -> Self {
-        match health {
-            Health::Alive | Health::Suspect(_) => Group::There,
-            Health::Dead | Health::Left => Group::Gone,
-            Health::Unknown => Group::Unknown,
-        }
-    }
-}
-
-/// The places of the table by group, one group behind the other: to move one, to count a group and to draw
-/// from it take the same time whatever the table's size.
-#[derive(Clone, Debug, Default)]
-struct Groups {
-    order: Vec<u32>,
-    /// Where each place is in that order.
-    positions: Vec<u32>,
-    /// Where each group ends.
-    ends: [usize; GROUPS],
-}
-
-impl Groups {
-    /// So many places, all of the first group.
-    fn new(places: usize) -> Self {
-        let order: Vec<u32> = (0..places as u32).collect();
-        Self { positions: order.clone(), order, ends: [places; GROUPS] }
-    }
-
-    fn start(&self, group: Group) -> usize {
-        (group as usize).checked_sub(1).map_or(0, |before| self.ends[before])
-    }
-
-    fn of(&self, group: Group) -> &[u32] {
-        &self.order[self.start(group)..self.ends[group as usize]]
-    }
-
-    fn swap(&mut self, a: usize, b: usize) {
-        self.order.swap(a, b);
-        for position in [a, b] {
-            self.positions[self.order[position] as usize] = position as u32;
-        }
-    }
-
-    /// Moves a place from one group to another, past those between.
-    fn shift(&mut self, place: usize, from: Group, to: Group) {
-        for group in from as usize..to as usize {
-            // The last of its group becomes the first of the next.
-            self.ends[group] -= 1;
-            self.swap(self.positions[place] as usize, self.ends[group]);
-        }
-        for group in (to as usize..from as usize).rev() {
-            // The first of its group becomes the last of the one before.
-            self.swap(self.positions[place] as usize, self.ends[group]);
-            self.ends[group] += 1;
-        }
-    }
-
-    /// The n-th of an order of a group that is drawn as it is asked for, each place once.
-    fn drawn(&mut self, group: Group, n: usize, rng: &mut Rand64) -> Option<usize> {
-        let (first, end) = (self.start(group) + n, self.ends[group as usize]);
-        let left = end.checked_sub(first).filter(|left| *left > 0)?;
-        self.swap(first, first + rng.rand_range(0..left as u64) as usize);
-        Some(self.order[first] as usize)
-    }
-}
-
-/// The others on the list.
+/// The other members of the list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberTable {
     list: Arc<MemberList>,
     /// In the order of the list.
     peers: Vec<Peer>,
-    /// Where this process is itself, if it is on the list.
+    /// The position of this process itself, if it is on the list.
     own: Option<usize>,
     groups: Groups,
-    /// When each doubt ends.
+    /// When each suspicion ends.
     suspicions: BTreeSet<(Time, usize)>,
-    /// All whose life is not certain: missing or doubted.
-    unsure: BTreeSet<Key>,
+    /// All members that are not confirmed to be alive: missing or suspected.
+    unconfirmed: BTreeSet<Key>,
     left: usize,
     digest: u32,
-    /// Since when they have to be heard again, and how many of those that are there were.
-    awaited: Option<(Time, usize)>,
+    resync: Option<Resync>,
 }
 
 impl MemberTable {
-    /// A table of this list, of which this process is not one of the others; what is known of each comes from
-    /// the function.
+    /// A table of this list, with what `known` says of each member. `own` is the key of this process, which is not one
+    /// of the others.
     pub(crate) fn new(
         list: Arc<MemberList>,
         own: Key,
-        mut known: impl FnMut(&(Key, Listed)) -> Peer,
-        awaited_since: Option<Time>,
+        mut known: impl FnMut(&(Key, ListedMember)) -> Peer,
+        resumed: Option<Time>,
     ) -> Self {
         let peers: Vec<Peer> = list.members().iter().map(&mut known).collect();
         let mut table = Self {
-            own: list.place(own),
+            own: list.position(own),
             groups: Groups::new(peers.len()),
-            awaited: awaited_since.map(|since| (since, 0)),
+            resync: resumed.map(|since| Resync { since, heard: 0 }),
             peers,
             list,
             ..Self::default()
         };
         if let Some(own) = table.own {
-            table.groups.shift(own, Group::There, Group::Own);
+            table.groups.shift(own, Group::Reachable, Group::Own);
         }
         let own = table.own;
-        for place in (0..table.peers.len()).filter(|place| Some(*place) != own) {
-            let group = Group::of(&table.peers[place].health);
-            table.groups.shift(place, Group::There, group);
-            table.index(place);
+        for position in (0..table.peers.len()).filter(|position| Some(*position) != own) {
+            let group = Group::of(&table.peers[position].health);
+            table.groups.shift(position, Group::Reachable, group);
+            table.index(position);
         }
         table
     }
@@ -145,14 +73,14 @@
     /// All of them, in the order of the list.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Peer> {
         let own = self.own;
-        let others = self.peers.iter().enumerate().filter(move |(place, _)| Some(*place) != own);
-        others.map(|(_, peer)| peer)
+        let others = self.peers.iter().enumerate();
+        others.filter(move |(position, _)| Some(*position) != own).map(|(_, peer)| peer)
     }
 
     /// All of them from this key on, in the order of their keys.
     pub(crate) fn peers_from(&self, key: Key) -> impl Iterator<Item = &Peer> {
-        let others = self.list.places_from(key).filter(|place| Some(*place) != self.own);
-        others.map(|place| &self.peers[place])
+        let others = self.list.positions_from(key).filter(|position| Some(*position) != self.own);
+        others.map(|position| &self.peers[position])
     }
 
     /// The list, and what was known of its members.
@@ -164,35 +92,35 @@
         self.peers.len() - usize::from(self.own.is_some())
     }
 
-    pub(crate) fn place(&self, key: Key) -> Option<usize> {
-        self.list.place(key).filter(|place| Some(*place) != self.own)
+    pub(crate) fn position(&self, key: Key) -> Option<usize> {
+        self.list.position(key).filter(|position| Some(*position) != self.own)
     }
 
-    pub(crate) fn place_at(&self, address: SocketAddr) -> Option<usize> {
-        self.list.place_at(address).filter(|place| Some(*place) != self.own)
+    pub(crate) fn position_at(&self, address: SocketAddr) -> Option<usize> {
+        self.list.position_at(address).filter(|position| Some(*position) != self.own)
     }
 
-    pub(crate) fn at(&self, place: usize) -> &Peer {
-        &self.peers[place]
+    pub(crate) fn at(&self, position: usize) -> &Peer {
+        &self.peers[position]
     }
 
     pub(crate) fn peer(&self, key: Key) -> Option<&Peer> {
-        self.place(key).map(|place| &self.peers[place])
+        self.position(key).map(|position| &self.peers[position])
     }
 
-    /// Its name and address.
-    pub(crate) fn listed(&self, key: Key) -> Option<&Listed> {
+    /// The name and address of a member.
+    pub(crate) fn listed(&self, key: Key) -> Option<&ListedMember> {
         self.list.listed(key)
     }
 
-    /// How many are there, the doubted among them.
-    pub(crate) fn there(&self) -> usize {
-        self.groups.of(Group::There).len()
+    /// How many are reachable, the suspected among them.
+    pub(crate) fn reachable(&self) -> usize {
+        self.groups.positions(Group::Reachable).len()
     }
 
-    /// How many nothing was ever heard of.
+    /// How many this process has never heard of.
     pub(crate) fn unknown(&self) -> usize {
-        self.groups.of(Group::Unknown).len()
+        self.groups.positions(Group::Unknown).len()
     }
 
     /// How many have left.
@@ -205,125 +133,114 @@
         self.digest
     }
 
-    /// The places of all that are there, in no order that means anything.
-    pub(crate) fn places_there(&self) -> impl Iterator<Item = usize> {
-        self.groups.of(Group::There).iter().map(|place| *place as usize)
-    }
-
-    /// The n-th of those that are there, in an order that is drawn as it is asked for.
-    pub(crate) fn draw_there(&mut self, n: usize, rng: &mut Rand64) -> Option<Key> {
-        self.draw(Group::There, n, rng)
-    }
-
-    /// The same of those that nothing was ever heard of.
-    pub(crate) fn draw_unknown(&mut self, n: usize, rng: &mut Rand64) -> Option<Key> {
-        self.draw(Group::Unknown, n, rng)
-    }
-
-    /// The same of those that are not there any more.
-    pub(crate) fn draw_gone(&mut self, n: usize, rng: &mut Rand64) -> Option<Key> {
-        self.draw(Group::Gone, n, rng)
+    /// The positions of all that are reachable, in no order that means anything.
+    pub(crate) fn reachable_positions(&self) -> impl Iterator<Item = usize> {
+        self.groups.positions(Group::Reachable).iter().map(|position| *position as usize)
     }
 
-    fn draw(&mut self, group: Group, n: usize, rng: &mut Rand64) -> Option<Key> {
-        self.groups.drawn(group, n, rng).map(|place| self.peers[place].key)
+    /// The n-th member of a random order of a group. Calls with 0, 1, 2, … draw each member once.
+    pub(crate) fn random_peer(&mut self, group: Group, n: usize, rng: &mut Rand64) -> Option<Key> {
+        self.groups.random(group, n, rng).map(|position| self.peers[position].key)
     }
 
-    /// Any of those that are not there, whether or not they ever were.
-    pub(crate) fn any_missing(&self, rng: &mut Rand64) -> Option<Key> {
-        let (gone, unknown) = (self.groups.of(Group::Gone), self.groups.of(Group::Unknown));
-        let count = (gone.len() + unknown.len()) as u64;
-        let lot = (count > 0).then(|| rng.rand_range(0..count) as usize)?;
-        let place = gone.get(lot).or_else(|| unknown.get(lot - gone.len()))?;
-        Some(self.peers[*place as usize].key)
+    /// A random one of those that are not reachable.
+    pub(crate) fn random_missing_peer(&self, rng: &mut Rand64) -> Option<Key> {
+        let departed = self.groups.positions(Group::Departed);
+        let unknown = self.groups.positions(Group::Unknown);
+        let count = (departed.len() + unknown.len()) as u64;
+        let drawn = (count > 0).then(|| rng.rand_range(0..count) as usize)?;
+        let position = departed.get(drawn).or_else(|| unknown.get(drawn - departed.len()))?;
+        Some(self.peers[*position as usize].key)
     }
 
-    /// When the first doubt ends.
-    pub(crate) fn first_suspicion(&self) -> Option<Time> {
-        self.suspicions.first().map(|(until, _)| *until)
+    /// When the first suspicion ends.
+    pub(crate) fn first_suspicion_deadline(&self) -> Option<Time> {
+        self.suspicions.first().map(|(deadline, _)| *deadline)
     }
 
-    /// The places of those whose doubt has ended by now.
-    pub(crate) fn suspicions_over(&self, now: Time) -> Vec<usize> {
-        let over = self.suspicions.iter().take_while(|(until, _)| *until <= now);
-        over.map(|(_, place)| *place).collect()
+    /// The positions of those whose suspicion has ended by now.
+    pub(crate) fn expired_suspicions(&self, now: Time) -> Vec<usize> {
+        let expired = self.suspicions.iter().take_while(|(deadline, _)| *deadline <= now);
+        expired.map(|(_, position)| *position).collect()
     }
 
-    /// The places of all that are doubted.
+    /// The positions of all that are suspected.
     pub(crate) fn suspects(&self) -> Vec<usize> {
-        self.suspicions.iter().map(|(_, place)| *place).collect()
+        self.suspicions.iter().map(|(_, position)| *position).collect()
     }
 
-    /// Those whose life is not certain, in the order of their keys from this one on, and round.
-    pub(crate) fn unsure_from(&self, key: Key) -> impl Iterator<Item = Key> {
-        self.unsure.range(key..).chain(self.unsure.range(..key)).copied()
+    /// Those that are not confirmed to be alive, in the order of their keys from this one on, and then those before it.
+    pub(crate) fn unconfirmed_from(&self, key: Key) -> impl Iterator<Item = Key> {
+        self.unconfirmed.range(key..).chain(self.unconfirmed.range(..key)).copied()
     }
 
     /// How many those are.
-    pub(crate) fn unsure(&self) -> usize {
-        self.unsure.len()
+    pub(crate) fn unconfirmed(&self) -> usize {
+        self.unconfirmed.len()
     }
 
-    /// From now on it is counted which of those that are there are heard again.
-    pub(crate) fn await_all(&mut self, since: Option<Time>) {
-        let heard = |p: &&Peer| since.is_some_and(|since| heard_since(p, since));
-        self.awaited = since.map(|since| (since, self.peers().filter(heard).count()));
+    /// Counts which of the reachable members are heard from this time on, or no longer counts them.
+    pub(crate) fn set_resync(&mut self, since: Option<Time>) {
+        self.resync = since.map(|since| {
+            let heard = self.peers().filter(|peer| is_heard_since(peer, since)).count();
+            Resync { since, heard }
+        });
     }
 
-    /// Since when it is counted, and how many were heard.
-    pub(crate) fn awaited(&self) -> Option<(Time, usize)> {
-        self.awaited
+    /// The members heard since this process was resumed, if they are counted.
+    pub(crate) fn resync(&self) -> Option<Resync> {
+        self.resync
     }
 
-    /// Changes what is known of one.
-    pub(crate) fn change<R>(&mut self, place: usize, change: impl FnOnce(&mut Peer) -> R) -> R {
-        let before = Group::of(&self.peers[place].health);
-        self.unindex(place);
-        let result = change(&mut self.peers[place]);
-        self.index(place);
-        self.groups.shift(place, before, Group::of(&self.peers[place].health));
+    /// Changes what is known of a member.
+    pub(crate) fn change<R>(&mut self, position: usize, change: impl FnOnce(&mut Peer) -> R) -> R {
+        let before = Group::of(&self.peers[position].health);
+        self.unindex(position);
+        let result = change(&mut self.peers[position]);
+        self.index(position);
+        self.groups.shift(position, before, Group::of(&self.peers[position].health));
         result
     }
 
-    fn index(&mut self, place: usize) {
-        let peer = &self.peers[place];
+    fn index(&mut self, position: usize) {
+        let peer = &self.peers[position];
         match &peer.health {
             Health::Suspect(suspicion) => {
-                self.suspicions.insert((suspicion.until, place));
+                self.suspicions.insert((suspicion.deadline, position));
             }
             Health::Left => self.left += 1,
             Health::Unknown | Health::Alive | Health::Dead => {}
         }
         if peer.health != Health::Alive {
-            self.unsure.insert(peer.key);
+            self.unconfirmed.insert(peer.key);
         }
-        self.digest ^= part_of_digest(peer.key, peer.life, &peer.health);
-        if let Some((since, heard)) = &mut self.awaited {
-            *heard += usize::from(heard_since(peer, *since));
+        self.digest ^= member_digest(peer.key, peer.process_incarnation, &peer.health);
+        if let Some(resync) = &mut self.resync {
+            resync.heard += usize::from(is_heard_since(peer, resync.since));
         }
     }
 
-    fn unindex(&mut self, place: usize) {
-        let peer = &self.peers[place];
+    fn unindex(&mut self, position: usize) {
+        let peer = &self.peers[position];
         match &peer.health {
             Health::Suspect(suspicion) => {
-                self.suspicions.remove(&(suspicion.until, place));
+                self.suspicions.remove(&(suspicion.deadline, position));
             }
             Health::Left => self.left -= 1,
             Health::Unknown | Health::Alive | Health::Dead => {}
         }
         if peer.health != Health::Alive {
-            self.unsure.remove(&peer.key);
+            self.unconfirmed.remove(&peer.key);
         }
-        self.digest ^= part_of_digest(peer.key, peer.life, &peer.health);
-        if let Some((since, heard)) = &mut self.awaited {
-            *heard -= usize::from(heard_since(peer, *since));
+        self.digest ^= member_digest(peer.key, peer.process_incarnation, &peer.health);
+        if let Some(resync) = &mut self.resync {
+            resync.heard -= usize::from(is_heard_since(peer, resync.since));
         }
     }
 }
 
-fn heard_since(peer: &Peer, since: Time) -> bool {
-    peer.health.is_there() && peer.heard.is_some_and(|at| at >= since)
+fn is_heard_since(peer: &Peer, since: Time) -> bool {
+    peer.health.is_reachable() && peer.last_heard.is_some_and(|at| at >= since)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/table/tests.rs
+++ b/crates/membership/src/table/tests.rs
@@ -4,14 +4,16 @@
 use sableloom_types::Span;
 
 use super::*;
-use crate::book::Suspicion;
-use crate::wire::key_of;
+use crate::message::key_of;
+use crate::peer::Suspicion;
 
 const MEMBERS: usize = 40;
 
 fn list() -> Arc<MemberList> {
     let address = |i| SocketAddr::from(([127, 0, 0, 1], 7000 + i as u16));
-    MemberList::new((0..=MEMBERS).map(|i| Listed { name: format!("m{i}"), address: address(i) }))
+    MemberList::new(
+        (0..=MEMBERS).map(|i| ListedMember { name: format!("m{i}"), address: address(i) }),
+    )
 }
 
 /// This process is the last of the list.
@@ -27,85 +29,86 @@
         2 => Health::Dead,
         3 => Health::Left,
         _ => {
-            let until = now.plus(Span(lot as i64));
-            let accusers = ArrayVec::new();
-            Health::Suspect(Box::new(Suspicion { accusers, until, from: now }))
+            let deadline = now.plus(Span(lot as i64));
+            let confirmers = ArrayVec::new();
+            Health::Suspect(Box::new(Suspicion { confirmers, deadline, started: now }))
         }
     }
 }
 
-/// All that the table says at once is what a look at each member says.
-fn check(table: &MemberTable, seed: u128) {
+/// What the indexes say is what a look at each member says.
+fn check_indexes(table: &MemberTable, seed: u128) {
     let peers: Vec<&Peer> = table.peers().collect();
     assert_eq!((peers.len(), table.len()), (MEMBERS, MEMBERS));
     let count = |which: &dyn Fn(&Peer) -> bool| peers.iter().filter(|p| which(p)).count();
-    assert_eq!(table.there(), count(&|p| p.health.is_there()), "seed {seed}");
-    let gone = count(&|p| matches!(p.health, Health::Dead | Health::Left));
-    assert_eq!(table.groups.of(Group::Gone).len(), gone, "seed {seed}");
+    assert_eq!(table.reachable(), count(&|p| p.health.is_reachable()), "seed {seed}");
+    let departed = count(&|p| matches!(p.health, Health::Dead | Health::Left));
+    assert_eq!(table.groups.positions(Group::Departed).len(), departed, "seed {seed}");
     assert_eq!(table.unknown(), count(&|p| p.health == Health::Unknown), "seed {seed}");
     assert_eq!(table.left(), count(&|p| p.health == Health::Left), "seed {seed}");
-    let digest = peers.iter().map(|p| part_of_digest(p.key, p.life, &p.health));
+    let digest = peers.iter().map(|p| member_digest(p.key, p.process_incarnation, &p.health));
     assert_eq!(table.digest(), digest.fold(0, |a, b| a ^ b), "seed {seed}");
-    let ends = peers.iter().filter_map(|p| match p.health {
-        Health::Suspect(ref suspicion) => Some(suspicion.until),
+    let deadlines = peers.iter().filter_map(|p| match p.health {
+        Health::Suspect(ref suspicion) => Some(suspicion.deadline),
         _ => None,
     });
-    assert_eq!(table.first_suspicion(), ends.min(), "seed {seed}");
-    let unsure = peers.iter().filter(|p| p.health != Health::Alive).map(|p| p.key);
+    assert_eq!(table.first_suspicion_deadline(), deadlines.min(), "seed {seed}");
+    let unconfirmed = peers.iter().filter(|p| p.health != Health::Alive).map(|p| p.key);
     let from = peers[7].key;
-    let found: Vec<Key> = table.unsure_from(from).collect();
-    assert_eq!(found.iter().copied().collect::<HashSet<_>>(), unsure.collect(), "seed {seed}");
+    let found: Vec<Key> = table.unconfirmed_from(from).collect();
+    assert_eq!(found.iter().copied().collect::<HashSet<_>>(), unconfirmed.collect(), "seed {seed}");
     assert!(found.iter().map(|key| key.wrapping_sub(from)).is_sorted(), "seed {seed}");
-    if let Some((since, heard)) = table.awaited() {
-        let again = |p: &Peer| p.health.is_there() && p.heard.is_some_and(|at| at >= since);
+    if let Some(Resync { since, heard }) = table.resync() {
+        let again =
+            |p: &Peer| p.health.is_reachable() && p.last_heard.is_some_and(|at| at >= since);
         assert_eq!(heard, count(&again), "seed {seed}");
     }
 }
 
 #[test]
-fn what_is_kept_at_hand_is_what_a_look_at_all_members_says() {
+fn indexes_agree_with_a_look_at_all_members() {
     for seed in 0..50u128 {
         let mut rng = Rand64::new(seed);
         let mut table = table();
         for step in 0..300 {
             let now = Time(step);
-            let place = rng.rand_range(0..MEMBERS as u64) as usize;
+            let position = rng.rand_range(0..MEMBERS as u64) as usize;
             match rng.rand_range(0..10) {
-                0 => table.await_all(Some(now)),
-                1 => table.await_all(None),
-                2 | 3 => table.change(place, |p| p.heard = Some(now)),
-                4 => table.change(place, |p| p.life += 1),
+                0 => table.set_resync(Some(now)),
+                1 => table.set_resync(None),
+                2 | 3 => table.change(position, |p| p.last_heard = Some(now)),
+                4 => table.change(position, |p| p.process_incarnation += 1),
                 _ => {
                     let health = health(rng.rand_range(0..8), now);
-                    table.change(place, |p| p.health = health);
+                    table.change(position, |p| p.health = health);
                 }
             }
-            check(&table, seed);
+            check_indexes(&table, seed);
         }
-        let awaited = table.awaited().map(|(since, _)| since);
+        let resumed = table.resync().map(|resync| resync.since);
         let (list, peers) = table.into_parts();
-        let known = |(key, _): &(Key, Listed)| {
+        let known = |(key, _): &(Key, ListedMember)| {
             peers.iter().find(|peer| peer.key == *key).expect("on the list").clone()
         };
         let own = peers[MEMBERS].key;
-        check(&MemberTable::new(list.clone(), own, known, awaited), seed);
+        check_indexes(&MemberTable::new(list.clone(), own, known, resumed), seed);
     }
 }
 
 #[test]
-fn each_is_drawn_once_and_all_come_first_about_as_often() {
+fn each_member_is_drawn_once_and_all_are_first_about_as_often() {
     let mut rng = Rand64::new(3);
     let mut table = table();
     let mut first = vec![0; MEMBERS];
     for _ in 0..4000 {
         let mut drawn = Vec::new();
-        while let Some(key) = table.draw_unknown(drawn.len(), &mut rng) {
+        while let Some(key) = table.random_peer(Group::Unknown, drawn.len(), &mut rng) {
             drawn.push(key);
         }
         assert_eq!(drawn.iter().collect::<HashSet<_>>().len(), MEMBERS);
-        first[table.place(drawn[0]).expect("a member")] += 1;
+        first[table.position(drawn[0]).expect("a member")] += 1;
     }
     // A hundred each, give or take five times what chance gives.
     assert!(first.iter().all(|count| (50..150).contains(count)), "{first:?}");
-    assert_eq!(table.draw_there(0, &mut rng), None);
+    assert_eq!(table.random_peer(Group::Reachable, 0, &mut rng), None);
 }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use sableloom_membership::{
-    Body, Fleet, Listed, MemberList, MemberState, Message, Out, Page, Pull, Times, Update, decode,
-    encode, key_of,
+    Body, ListedMember, MemberList, MemberState, Membership, Message, Output, Page, Pull, Timing,
+    Update, decode, encode, key_of,
 };
 use sableloom_simulated_network::{address, on_all_cores};
 use sableloom_types::{Span, Time};
@@ -29,15 +29,16 @@
     format!("m{i}")
 }
 
-fn member(own: usize, listed: usize) -> Fleet {
-    let list = MemberList::new((0..listed).map(|i| Listed { name: name(i), address: address(i) }));
+fn member(own: usize, listed: usize) -> Membership {
+    let list =
+        MemberList::new((0..listed).map(|i| ListedMember { name: name(i), address: address(i) }));
     // What was told before the talk began does not make it doubt itself.
-    let times = Times { has_local_health: false, ..Times::default() };
-    Fleet::new("points", &name(own), 9, list, times, own as u64 + 1, Time(0))
+    let times = Timing { has_local_health: false, ..Timing::default() };
+    Membership::new("points", &name(own), 9, list, times, own as u64 + 1, Time(0))
 }
 
 /// Datagrams to this address, read.
-fn to(out: &mut Out, at: usize) -> Vec<Message> {
+fn to(out: &mut Output, at: usize) -> Vec<Message> {
     let meant = |(to, _): &(SocketAddr, Vec<u8>)| *to == address(at);
     let all: Vec<_> = std::mem::take(&mut out.datagrams);
     all.iter()
@@ -46,50 +47,50 @@
         .collect()
 }
 
-fn deliver(fleet: &mut Fleet, now: Time, from: usize, message: &Message) -> Out {
-    let mut out = Out::default();
-    fleet.datagram(now, address(from), &encode(message).0, &mut out);
+fn deliver(fleet: &mut Membership, now: Time, from: usize, message: &Message) -> Output {
+    let mut out = Output::default();
+    fleet.receive(now, address(from), &encode(message).0, &mut out);
     out
 }
 
 /// A member that knows all others, all alive in their lives of this number, by the word of another.
-fn knows_all(own: usize, life: u32) -> Fleet {
+fn knows_all(own: usize, life: u32) -> Membership {
     let mut fleet = member(own, LISTED);
     let teller = 3;
-    let mut out = Out::default();
-    fleet.call(key_of(&name(teller)), &mut out);
+    let mut out = Output::default();
+    fleet.ping(key_of(&name(teller)), &mut out);
     let nonce = to(&mut out, teller)[0].nonce;
     for some in others().collect::<Vec<_>>().chunks(8) {
         let alive = |i: &usize| Update {
-            of: key_of(&name(*i)),
-            life,
+            member: key_of(&name(*i)),
+            process_incarnation: life,
             incarnation: 0,
             state: MemberState::Alive,
-            by: key_of(&name(teller)),
+            reported_by: key_of(&name(teller)),
         };
         let message = Message {
             fleet: key_of("points"),
-            from: key_of(&name(teller)),
-            life: 9,
+            sender: key_of(&name(teller)),
+            process_incarnation: 9,
             incarnation: 0,
             nonce: 77,
-            echo: nonce,
-            digest: 0,
-            listed: LISTED as u16,
-            servers: 0,
+            receiver_nonce: nonce,
+            view_digest: 0,
+            list_length: LISTED as u16,
+            endpoints_digest: 0,
             body: Body::Leave,
-            news: some.iter().map(alive).collect(),
+            updates: some.iter().map(alive).collect(),
         };
         deliver(&mut fleet, Time(0), teller, &message);
     }
-    assert!(fleet.count_there() >= others().len());
+    assert!(fleet.count_reachable() >= others().len());
     fleet
 }
 
 /// The first calls the second, which answers; what the first asks of the second then.
-fn asks(first: &mut Fleet, second: &mut Fleet, second_is: usize, now: Time) -> Message {
-    let mut out = Out::default();
-    first.call(key_of(&name(second_is)), &mut out);
+fn asks(first: &mut Membership, second: &mut Membership, second_is: usize, now: Time) -> Message {
+    let mut out = Output::default();
+    first.ping(key_of(&name(second_is)), &mut out);
     let call = to(&mut out, second_is).remove(0);
     let answer = to(&mut deliver(second, now, 0, &call), 0).remove(0);
     let mut asked = deliver(first, now, second_is, &answer);
@@ -113,8 +114,8 @@
 
 /// Carries what both say to each other until neither says more, calling the first when it is due.
 fn carry(
-    first: &mut Fleet,
-    second: &mut Fleet,
+    first: &mut Membership,
+    second: &mut Membership,
     second_is: usize,
     mut asked: Message,
     mut now: Time,
@@ -123,7 +124,7 @@
         let answer = to(&mut deliver(second, now, 0, &asked), 0).remove(0);
         let mut out = deliver(first, now, second_is, &answer);
         while out.datagrams.is_empty() {
-            if first.count_there() >= others().len() {
+            if first.count_reachable() >= others().len() {
                 return;
             }
             now = now.plus(Span(PERIOD / 2));
@@ -137,10 +138,10 @@
 }
 
 /// The next request for a page, to this one, and when it comes.
-fn next_pull(fleet: &mut Fleet, at: usize, mut now: Time) -> (Message, Time) {
+fn next_pull(fleet: &mut Membership, at: usize, mut now: Time) -> (Message, Time) {
     for _ in 0..30 {
         now = now.plus(Span(PERIOD / 2));
-        let mut out = Out::default();
+        let mut out = Output::default();
         fleet.tick(now, &mut out);
         let asked = to(&mut out, at).into_iter().find(|m| matches!(m.body, Body::Pull(_)));
         if let Some(asked) = asked {
@@ -156,15 +157,15 @@
 fn the_first_that_answers_tells_all() {
     let (mut a, mut b) = (member(0, LISTED), knows_all(1, 5));
     let asked = asks(&mut a, &mut b, 1, BEGIN);
-    assert!(a.count_there() < 30, "but for what its answer has room for");
+    assert!(a.count_reachable() < 30, "but for what its answer has room for");
     carry(&mut a, &mut b, 1, asked, BEGIN);
     for i in others() {
-        let known = a.known(key_of(&name(i))).expect("on the list");
-        assert_eq!((known.health.is_there(), known.life), (true, 5));
-        assert_eq!((known.heard, known.nonce), (None, 0), "it was not heard itself");
+        let known = a.peer(key_of(&name(i))).expect("on the list");
+        assert_eq!((known.health.is_reachable(), known.process_incarnation), (true, 5));
+        assert_eq!((known.last_heard, known.nonce), (None, 0), "it was not heard itself");
     }
-    assert!(a.updates() < 30, "{} to pass on", a.updates());
-    assert!(b.known(key_of(&name(0))).is_some_and(|peer| peer.heard.is_some()), "b knows a");
+    assert!(a.queued_updates() < 30, "{} to pass on", a.queued_updates());
+    assert!(b.peer(key_of(&name(0))).is_some_and(|peer| peer.last_heard.is_some()), "b knows a");
 }
 
 /// Pages that were not asked for, late ones, of another member, cut off, and again.
@@ -175,32 +176,34 @@
     let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     let page = page_of(&answer);
     let with = |page: Page| Message { body: Body::Page(page), ..answer.clone() };
-    let known = |fleet: &Fleet| {
+    let known = |fleet: &Membership| {
         others()
-            .filter(|i| fleet.known(key_of(&name(*i))).is_some_and(|peer| peer.life == 5))
+            .filter(|i| {
+                fleet.peer(key_of(&name(*i))).is_some_and(|peer| peer.process_incarnation == 5)
+            })
             .count()
     };
-    let (number, known_before) = (a.number(), known(&a));
+    let (number, known_before) = (a.view_version(), known(&a));
     let late = with(Page { seq: page.seq.wrapping_sub(1), ..page.clone() });
     deliver(&mut a, BEGIN, 1, &late);
-    let of_another = Message { from: key_of(&name(2)), ..answer.clone() };
+    let of_another = Message { sender: key_of(&name(2)), ..answer.clone() };
     deliver(&mut a, BEGIN, 2, &of_another);
     assert_eq!(known(&a), known_before, "neither counts");
     deliver(&mut a, BEGIN, 1, &answer);
     let known_by_one = known(&a);
     assert!(known_by_one > 100, "{known_by_one}");
-    assert!(a.number() > number);
+    assert!(a.view_version() > number);
     let (next, now) = next_pull(&mut a, 1, BEGIN);
-    assert_eq!(pull_of(&next).from, page.until + 1, "from behind the page on");
-    let number = a.number();
+    assert_eq!(pull_of(&next).first_key, page.last_key + 1, "from behind the page on");
+    let number = a.view_version();
     let out = deliver(&mut a, now, 1, &answer);
-    assert!(a.number() == number && out.datagrams.is_empty(), "it came twice");
+    assert!(a.view_version() == number && out.datagrams.is_empty(), "it came twice");
 }
 
 /// The first knows a second one too that answers: it calls it while it pulls from another.
-fn meets(first: &mut Fleet, other: &mut Fleet, other_is: usize, now: Time) {
-    let mut out = Out::default();
-    first.call(key_of(&name(other_is)), &mut out);
+fn meets(first: &mut Membership, other: &mut Membership, other_is: usize, now: Time) {
+    let mut out = Output::default();
+    first.ping(key_of(&name(other_is)), &mut out);
     let call = to(&mut out, other_is).remove(0);
     let answer = to(&mut deliver(other, now, 0, &call), 0).remove(0);
     let out = deliver(first, now, other_is, &answer);
@@ -218,15 +221,15 @@
         let mut page = page_of(&answer);
         match broken {
             0 => page.entries.truncate(page.entries.len() - 1),
-            1 => page.until = 0,
+            1 => page.last_key = 0,
             // No life can be less than none.
-            _ => page.base = 0,
+            _ => page.base_incarnation = 0,
         }
-        let number = a.number();
+        let number = a.view_version();
         deliver(&mut a, BEGIN, 1, &Message { body: Body::Page(page), ..answer });
-        assert_eq!(a.number(), number, "broken in way {broken}");
+        assert_eq!(a.view_version(), number, "broken in way {broken}");
         let (asked, _) = next_pull(&mut a, 2, BEGIN);
-        assert_eq!(pull_of(&asked).from, 0, "of another, from the beginning");
+        assert_eq!(pull_of(&asked).first_key, 0, "of another, from the beginning");
     }
 }
 
@@ -237,14 +240,14 @@
     let asked = asks(&mut a, &mut b, 1, BEGIN);
     meets(&mut a, &mut c, 2, BEGIN);
     let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
-    let covered = page_of(&answer).until;
+    let covered = page_of(&answer).last_key;
     deliver(&mut a, BEGIN, 1, &answer);
     let (asked, now) = next_pull(&mut a, 2, BEGIN);
-    assert_eq!(pull_of(&asked).from, covered + 1);
+    assert_eq!(pull_of(&asked).first_key, covered + 1);
     // The dead one's answer to a request of then comes after all.
-    let number = a.number();
+    let number = a.view_version();
     deliver(&mut a, now, 1, &answer);
-    assert_eq!(a.number(), number);
+    assert_eq!(a.view_version(), number);
     carry(&mut a, &mut c, 2, asked, now);
 }
 
@@ -255,10 +258,13 @@
     let asked = asks(&mut a, &mut b, 1, BEGIN);
     let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     assert!(page_of(&answer).entries.len() > 500, "they differ in all");
-    let number = a.number();
+    let number = a.view_version();
     deliver(&mut a, BEGIN, 1, &answer);
-    assert_eq!(a.number(), number);
-    assert!(others().all(|i| a.known(key_of(&name(i))).is_some_and(|peer| peer.life == 8)));
+    assert_eq!(a.view_version(), number);
+    assert!(
+        others()
+            .all(|i| a.peer(key_of(&name(i))).is_some_and(|peer| peer.process_incarnation == 8))
+    );
 }
 
 /// Who is named on a page and not on the own list is passed over.
@@ -268,13 +274,14 @@
     let asked = asks(&mut a, &mut b, 1, BEGIN);
     let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     deliver(&mut a, BEGIN, 1, &answer);
-    assert!(a.count_there() > 10 && a.peers().count() == 99, "{} there", a.count_there());
+    assert!(a.count_reachable() > 10 && a.peers().count() == 99, "{} there", a.count_reachable());
 }
 
 /// Members with lists too long to call all, of which every second one passes no updates on.
 fn start(sim: &mut Sim, i: usize, of: usize, seed: u64) {
-    let pass_on = if seed.is_multiple_of(2) { 0.0 } else { Times::default().pass_on };
-    sim.start_as(i, of, Times { all_called: 0, pass_on, ..Times::default() });
+    let retransmit_factor =
+        if seed.is_multiple_of(2) { 0.0 } else { Timing::default().retransmit_factor };
+    sim.start_as(i, of, Timing { max_short_list: 0, retransmit_factor, ..Timing::default() });
 }
 
 /// The longest time in which all have to agree once the net is whole: as with calls of all, and the longest pause
@@ -283,13 +290,15 @@
 
 /// What each member believes of the others, for the report of a failure.
 fn views(sim: &Sim) -> Vec<String> {
-    let health = |fleet: &Fleet| -> Vec<String> {
+    let health = |fleet: &Membership| -> Vec<String> {
         fleet
             .peers()
-            .map(|peer| format!("{:?} {} {}", peer.health, peer.life, peer.nonce))
+            .map(|peer| format!("{:?} {} {}", peer.health, peer.process_incarnation, peer.nonce))
             .collect()
     };
-    sim.fleets().map(|(i, fleet)| format!("{i} {}: {:?}", fleet.life(), health(fleet))).collect()
+    sim.fleets()
+        .map(|(i, fleet)| format!("{i} {}: {:?}", fleet.process_incarnation(), health(fleet)))
+        .collect()
 }
 
 /// Nine seconds of loss, late and doubled datagrams, cuts, stops, kills and restarts, some with a shorter list.
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use sableloom_membership::{
-    Body, Fleet, KNOCK, Listed, MemberList, MemberState, Message, Out, Page, Pull, Refused, Times,
-    Update, decode, encode, key_of,
+    ABSENCE_QUERY, Body, DropReason, ListedMember, MemberList, MemberState, Membership, Message,
+    Output, Page, Pull, Timing, Update, decode, encode, key_of,
 };
 use sableloom_types::Time;
 
@@ -14,7 +14,13 @@
 const RECORDED: &str = include_str!("data/datagrams.txt");
 
 fn update(of: &str, state: MemberState, number: u32) -> Update {
-    Update { of: key_of(of), life: 700_000 + number, incarnation: number, state, by: key_of("b") }
+    Update {
+        member: key_of(of),
+        process_incarnation: 700_000 + number,
+        incarnation: number,
+        state,
+        reported_by: key_of("b"),
+    }
 }
 
 /// An update of each state.
@@ -30,34 +36,40 @@
 fn message(body: Body, news: Vec<Update>) -> Message {
     Message {
         fleet: key_of("points"),
-        from: key_of("b"),
-        life: 712_345,
+        sender: key_of("b"),
+        process_incarnation: 712_345,
         incarnation: 3,
         nonce: 0xfeed_beef,
-        echo: 0x0102_0304,
-        digest: 0x8000_0001,
-        listed: 7600,
-        servers: 0xcafe_f00d,
+        receiver_nonce: 0x0102_0304,
+        view_digest: 0x8000_0001,
+        list_length: 7600,
+        endpoints_digest: 0xcafe_f00d,
         body,
-        news,
+        updates: news,
     }
 }
 
 /// A message of each kind.
 fn messages() -> Vec<(&'static str, Message)> {
     let digests: Vec<u8> = (0..60).map(|number| number * 4 + 1).collect();
-    let pull = Pull { seq: 77, from: 0x1234_5678, salt: 0x9abc_def0, bits: 11, digests };
-    let first_pull = Pull { seq: 1, from: 0, salt: 5, bits: 0, digests: Vec::new() };
+    let pull =
+        Pull { seq: 77, first_key: 0x1234_5678, salt: 0x9abc_def0, prefix_bits: 11, digests };
+    let first_pull = Pull { seq: 1, first_key: 0, salt: 5, prefix_bits: 0, digests: Vec::new() };
     let entries: Vec<u8> = (0..1000u32).map(|number| (number * 31) as u8).collect();
-    let page = Page { seq: 77, until: 0x7fff_ffff, base: 712_345, entries };
-    let first =
-        Message { echo: 0, digest: 0, listed: 1, servers: 0, ..message(Body::Leave, vec![]) };
+    let page = Page { seq: 77, last_key: 0x7fff_ffff, base_incarnation: 712_345, entries };
+    let first = Message {
+        receiver_nonce: 0,
+        view_digest: 0,
+        list_length: 1,
+        endpoints_digest: 0,
+        ..message(Body::Leave, vec![])
+    };
     let kinds = [
         ("ping", Body::Ping { seq: 1 }),
         ("ack", Body::Ack { seq: 300 }),
-        ("ask", Body::Ask { seq: 70_000, of: key_of("c") }),
-        ("answered", Body::Answered { seq: u32::MAX, of: key_of("d") }),
-        ("silent", Body::Silent { seq: 0 }),
+        ("ask", Body::PingRequest { seq: 70_000, target: key_of("c") }),
+        ("answered", Body::IndirectAck { seq: u32::MAX, target: key_of("d") }),
+        ("silent", Body::Nack { seq: 0 }),
         ("leave", Body::Leave),
         ("pull", Body::Pull(pull)),
         ("first_pull", Body::Pull(first_pull)),
@@ -90,27 +102,27 @@
 }
 
 /// What a member answers to this message from `b`.
-fn answers(member: &mut Fleet, message: &Message) -> Vec<Vec<u8>> {
-    let mut out = Out::default();
-    member.datagram(Time(0), address(2), &encode(message).0, &mut out);
+fn answers(member: &mut Membership, message: &Message) -> Vec<Vec<u8>> {
+    let mut out = Output::default();
+    member.receive(Time(0), address(2), &encode(message).0, &mut out);
     out.datagrams.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
 /// The page that a member sends of a table with a member in each state, and the answer to a first ping.
 fn page_of_a_member() -> Vec<(&'static str, Vec<u8>)> {
-    let listed = |(number, name): (usize, &str)| Listed {
+    let listed = |(number, name): (usize, &str)| ListedMember {
         name: name.to_string(),
         address: address(number as u8 + 1),
     };
     let list = ["a", "b", "c", "d", "e", "f", "g"].into_iter().enumerate().map(listed);
     let list = MemberList::new(list);
-    let times = Times::default();
-    let mut member = Fleet::new("points", "a", 710_000, list, times, 42, Time(0));
-    let first = Message { echo: 0, ..message(Body::Ping { seq: 1 }, Vec::new()) };
+    let times = Timing::default();
+    let mut member = Membership::new("points", "a", 710_000, list, times, 42, Time(0));
+    let first = Message { receiver_nonce: 0, ..message(Body::Ping { seq: 1 }, Vec::new()) };
     let ack = answers(&mut member, &first).pop().expect("an answer");
     let echo = decode(&ack).expect("a message").nonce;
-    let pull = Pull { seq: 2, from: 0, salt: 9, bits: 1, digests: Vec::new() };
-    let pull = Message { echo, ..message(Body::Pull(pull), updates()) };
+    let pull = Pull { seq: 2, first_key: 0, salt: 9, prefix_bits: 1, digests: Vec::new() };
+    let pull = Message { receiver_nonce: echo, ..message(Body::Pull(pull), updates()) };
     let page = answers(&mut member, &pull).pop().expect("a page");
     vec![("member_ack", ack), ("member_page", page)]
 }
@@ -121,7 +133,7 @@
     for (name, message) in messages() {
         assert_eq!(decode(&recorded[name]), Ok(message), "{name}");
     }
-    assert_eq!(decode(&recorded["absence_probe"]), Err(Refused::Knock));
+    assert_eq!(decode(&recorded["absence_probe"]), Err(DropReason::AbsenceQuery));
 }
 
 #[test]
@@ -129,12 +141,12 @@
     let mut written = String::new();
     for (name, message) in messages() {
         let (bytes, updates) = encode(&message);
-        assert_eq!(updates, message.news.len(), "{name}");
+        assert_eq!(updates, message.updates.len(), "{name}");
         written += &format!("{name} {}\n", hexadecimal(&bytes));
     }
     for (name, bytes) in page_of_a_member() {
         written += &format!("{name} {}\n", hexadecimal(&bytes));
     }
-    written += &format!("absence_probe {}\n", hexadecimal(&KNOCK));
+    written += &format!("absence_probe {}\n", hexadecimal(&ABSENCE_QUERY));
     assert_eq!(written, RECORDED);
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -5,16 +5,18 @@
 use std::net::SocketAddr;
 use std::ops::{Deref, DerefMut};
 
-use sableloom_membership::{Change, Fleet, Key, Listed, MemberList, Out, Times, decode, key_of};
+use sableloom_membership::{
+    Change, Key, ListedMember, MemberList, Membership, Output, Timing, decode, key_of,
+};
 use sableloom_simulated_network::{Net, Process, Sent, address};
 use sableloom_types::Time;
 
-pub use sableloom_simulated_network::{MS, S};
+pub(crate) use sableloom_simulated_network::{MS, S};
 
 /// A member alone, without what is made of its view.
-pub struct Member(pub Fleet);
+pub(crate) struct Member(pub(crate) Membership);
 
-fn passed(out: Out, sent: &mut Sent<Change>) {
+fn passed(out: Output, sent: &mut Sent<Change>) {
     // 256 bytes, a page 1,200: what is too long is not read.
     assert!(out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()), "a datagram too long");
     sent.datagrams.extend(out.datagrams);
@@ -25,23 +27,23 @@
     type Change = Change;
 
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
-        let mut out = Out::default();
-        self.0.datagram(now, from, bytes, &mut out);
+        let mut out = Output::default();
+        self.0.receive(now, from, bytes, &mut out);
         passed(out, sent);
     }
 
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
-        let mut out = Out::default();
+        let mut out = Output::default();
         self.0.tick(now, &mut out);
         passed(out, sent);
     }
 
     fn next(&self) -> Time {
-        self.0.next()
+        self.0.next_wakeup()
     }
 }
 
-pub struct Sim {
+pub(crate) struct Sim {
     net: Net<Member>,
     keys: HashMap<Key, usize>,
 }
@@ -59,32 +61,32 @@
     }
 }
 
-pub fn name(i: usize) -> String {
+pub(crate) fn name(i: usize) -> String {
     format!("balancer-{}", i + 1)
 }
 
-pub fn key(i: usize) -> Key {
+pub(crate) fn key(i: usize) -> Key {
     key_of(&name(i))
 }
 
-pub fn listed(n: usize) -> Vec<Listed> {
-    (0..n).map(|i| Listed { name: name(i), address: address(i) }).collect()
+pub(crate) fn listed(n: usize) -> Vec<ListedMember> {
+    (0..n).map(|i| ListedMember { name: name(i), address: address(i) }).collect()
 }
 
 impl Sim {
-    pub fn new(n: usize, seed: u64, drift: f64) -> Self {
+    pub(crate) fn new(n: usize, seed: u64, drift: f64) -> Self {
         Self { net: Net::new(n, seed, drift), keys: (0..n).map(|i| (key(i), i)).collect() }
     }
 
     /// Its process starts, after an earlier one with this many names on its list.
-    pub fn start(&mut self, i: usize, of: usize) {
-        self.start_as(i, of, Times::default());
+    pub(crate) fn start(&mut self, i: usize, of: usize) {
+        self.start_as(i, of, Timing::default());
     }
 
     /// The same with times of its own.
-    pub fn start_as(&mut self, i: usize, of: usize, times: Times) {
+    pub(crate) fn start_as(&mut self, i: usize, of: usize, times: Timing) {
         self.net.start(i, |life, seed, now| {
-            Member(Fleet::new(
+            Member(Membership::new(
                 "points",
                 &name(i),
                 life,
@@ -97,35 +99,35 @@
     }
 
     /// Who runs, and what it knows.
-    pub fn fleets(&self) -> impl Iterator<Item = (usize, &Fleet)> {
+    pub(crate) fn fleets(&self) -> impl Iterator<Item = (usize, &Membership)> {
         let places = self.places.iter().enumerate();
         places.filter_map(|(i, place)| Some((i, &place.process.as_ref()?.0)))
     }
 
-    pub fn fleet(&self, i: usize) -> &Fleet {
+    pub(crate) fn fleet(&self, i: usize) -> &Membership {
         &self.places[i].process.as_ref().expect("it runs").0
     }
 
     /// Its list has this many names from now on.
-    pub fn takes_list(&mut self, i: usize, of: usize) {
+    pub(crate) fn takes_list(&mut self, i: usize, of: usize) {
         self.call(i, |member, now, sent| {
-            let mut out = Out::default();
-            member.0.list(now, MemberList::new(listed(of)), &mut out);
+            let mut out = Output::default();
+            member.0.update_list(now, MemberList::new(listed(of)), &mut out);
             passed(out, sent);
         });
     }
 
     /// One of them leaves on purpose.
-    pub fn leave(&mut self, i: usize) {
+    pub(crate) fn leave(&mut self, i: usize) {
         self.call(i, |member, _, sent| {
-            let mut out = Out::default();
+            let mut out = Output::default();
             member.0.leave(&mut out);
             passed(out, sent);
         });
     }
 
     /// Whether all that run agree, and on what is true.
-    pub fn agree(&self) -> bool {
+    pub(crate) fn agree(&self) -> bool {
         let mut digests = self.fleets().map(|(_, fleet)| fleet.digest());
         let first = digests.next();
         let same = digests.all(|d| Some(d) == first);
@@ -133,17 +135,17 @@
     }
 
     /// Whether all that run are right about all on their lists.
-    pub fn views_are_true(&self) -> bool {
+    pub(crate) fn views_are_true(&self) -> bool {
         self.fleets().all(|(own, fleet)| {
             fleet.peers().all(|peer| {
                 let i = self.keys[&peer.key];
-                i == own || peer.health.is_there() == self.places[i].process.is_some()
+                i == own || peer.health.is_reachable() == self.places[i].process.is_some()
             })
         })
     }
 
     /// Runs until all agree; how long that took, or `None` if it took longer than this.
-    pub fn until_agreed(&mut self, most: i64) -> Option<i64> {
+    pub(crate) fn until_agreed(&mut self, most: i64) -> Option<i64> {
         let from = self.now;
         while self.now < from + most {
             let until = self.now + 100 * MS;
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,9 +1,9 @@
 //! Thousands of schedules of loss, cuts, stops, crashes and drift, each made by one seed, which a failure
-//! names. Times are the model's.
+//! names. Timing are the model's.
 
 mod sim;
 
-use sableloom_membership::{Change, Health, Standing};
+use sableloom_membership::{Change, Health, Reachability};
 use sableloom_simulated_network::on_all_cores;
 
 use sim::{MS, S, Sim, key};
@@ -72,7 +72,7 @@
                 Health::Left => 'l',
             };
             let row: String = f.view().peers.iter().map(health).collect();
-            format!("{i}: {row} doubt {}", f.doubt())
+            format!("{i}: {row} doubt {}", f.local_health())
         });
         told.collect::<Vec<_>>()
     };
@@ -140,7 +140,8 @@
         sim.run(until);
         let others = (0..n).filter(|i| *i != 2);
         for i in others.clone() {
-            let died = |c: &(i64, Change)| matches!(c.1, Change::Died(of, _) if of == key(2));
+            let died =
+                |c: &(i64, Change)| matches!(c.1, Change::Died { member, .. } if member == key(2));
             assert!(sim.places[i].changes.iter().any(died), "seed {seed}: {i} did not miss it");
         }
         let woken = sim.now;
@@ -151,13 +152,17 @@
         let since =
             |i: usize| sim.places[i].changes.iter().filter(move |c| c.0 >= woken).map(|c| c.1);
         for i in 0..n {
-            let threw_out = since(i).find(|c| matches!(c, Change::Died(of, _) if *of != key(2)));
+            let threw_out =
+                since(i).find(|c| matches!(c, Change::Died { member, .. } if *member != key(2)));
             assert_eq!(threw_out, None, "seed {seed}: at {i}");
         }
         let own: Vec<Change> = since(2).collect();
-        let doubts = own.iter().position(|c| *c == Change::Standing(Standing::JustWoken));
+        let doubts = own.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
         assert!(doubts.is_some(), "seed {seed}: it trusted what it knew: {own:?}");
-        assert!(own[doubts.unwrap_or(0)..].contains(&Change::Standing(Standing::Whole)), "{own:?}");
+        assert!(
+            own[doubts.unwrap_or(0)..].contains(&Change::Reachability(Reachability::Complete)),
+            "{own:?}"
+        );
     });
 }
 
@@ -172,7 +177,7 @@
         assert!(took.is_some(), "seed {seed}: not agreed");
         for i in 6..n {
             let view = sim.fleet(i).view();
-            assert_eq!(view.standing, Standing::Part { hears: 4, of: 10 });
+            assert_eq!(view.reachability, Reachability::Partial { reachable: 4, listed: 10 });
         }
     });
 }
@@ -189,8 +194,8 @@
         let until = sim.now + 20 * S;
         sim.run(until);
         for (_, fleet) in sim.fleets() {
-            let standing = fleet.view().standing;
-            assert_eq!(standing, Standing::Part { hears: 4, of: 8 }, "seed {seed}");
+            let standing = fleet.view().reachability;
+            assert_eq!(standing, Reachability::Partial { reachable: 4, listed: 8 }, "seed {seed}");
         }
         sim.heal();
         let took = sim.until_agreed(30 * S);
@@ -213,7 +218,9 @@
         assert!(took.is_some(), "seed {seed}: not agreed");
         let life = sim.places[1].life;
         for i in (0..n).filter(|i| *i != 1) {
-            let new = |c: &(i64, Change)| c.0 >= before && c.1 == Change::Joined(key(1), life);
+            let new = |c: &(i64, Change)| {
+                c.0 >= before && c.1 == Change::Joined { member: key(1), process_incarnation: life }
+            };
             assert!(sim.places[i].changes.iter().any(new), "seed {seed}: {i} did not see it");
         }
     });
@@ -235,7 +242,7 @@
         assert!(took.is_some(), "seed {seed}: not agreed");
         let view = sim.fleet(0).view();
         let peer = view.peers.iter().find(|p| p.key == key(3)).expect("on the list");
-        assert!(peer.life > 101, "seed {seed}: life {}", peer.life);
+        assert!(peer.process_incarnation > 101, "seed {seed}: life {}", peer.process_incarnation);
     });
 }
 
@@ -251,7 +258,8 @@
         sim.kill(4);
         let took = sim.until_agreed(10 * S).expect("agreed");
         assert!(took < 5 * S, "seed {seed}: {took}");
-        let doubted = |c: &(i64, Change)| matches!(c.1, Change::Doubted(of, _) if of == key(4));
+        let doubted =
+            |c: &(i64, Change)| matches!(c.1, Change::Suspected { member, .. } if member == key(4));
         assert!(sim.places.iter().all(|place| !place.changes.iter().any(doubted)), "seed {seed}");
     });
 }
--- a/crates/membership/tests/talk.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use sableloom_membership::{
-    Body, Change, Fleet, Health, Listed, MAX_PAGE, MemberList, MemberState, Message, Out, Refused,
-    Times, Update, decode, encode, key_of,
+    Body, Change, DropReason, Health, ListedMember, MAX_PAGE, MemberList, MemberState, Membership,
+    Message, Output, Timing, Update, decode, encode, key_of,
 };
 use sableloom_types::Time;
 
@@ -14,25 +14,28 @@
     SocketAddr::from(([127, 0, 0, i], 7000))
 }
 
-fn listed(names: &[(&str, u8)]) -> Vec<Listed> {
-    names.iter().map(|(name, i)| Listed { name: name.to_string(), address: address(*i) }).collect()
+fn listed(names: &[(&str, u8)]) -> Vec<ListedMember> {
+    names
+        .iter()
+        .map(|(name, i)| ListedMember { name: name.to_string(), address: address(*i) })
+        .collect()
 }
 
-fn member(own: &str, life: u32, seed: u64) -> Fleet {
+fn member(own: &str, life: u32, seed: u64) -> Membership {
     let all = listed(&[("a", 1), ("b", 2), ("c", 3)]);
-    Fleet::new("points", own, life, MemberList::new(all), Times::default(), seed, Time(0))
+    Membership::new("points", own, life, MemberList::new(all), Timing::default(), seed, Time(0))
 }
 
 /// What it sends to this address, read.
-fn sent(out: &mut Out, to: u8) -> Vec<Message> {
+fn sent(out: &mut Output, to: u8) -> Vec<Message> {
     let all = std::mem::take(&mut out.datagrams);
     let meant = all.into_iter().filter(|(at, _)| *at == address(to));
     meant.map(|(_, bytes)| decode(&bytes).expect("its own")).collect()
 }
 
 /// Two that have just met each other know each other's nonces.
-fn met(a: &mut Fleet, b: &mut Fleet) -> (Message, Message, Time) {
-    let mut out = Out::default();
+fn met(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
+    let mut out = Output::default();
     a.tick(Time(0), &mut out);
     // All are missing at first: one of them is called.
     let mut at = 0;
@@ -43,12 +46,12 @@
         at += 200 * MS;
         a.tick(Time(at), &mut out);
     };
-    assert_eq!(ping.echo, 0, "it knows nobody yet");
-    b.datagram(Time(at), address(1), &encode(&ping).0, &mut out);
+    assert_eq!(ping.receiver_nonce, 0, "it knows nobody yet");
+    b.receive(Time(at), address(1), &encode(&ping).0, &mut out);
     let ack = sent(&mut out, 1).pop().expect("an answer");
-    assert_eq!(ack.echo, ping.nonce);
-    a.datagram(Time(at), address(2), &encode(&ack).0, &mut out);
-    let known = |f: &Fleet, name| {
+    assert_eq!(ack.receiver_nonce, ping.nonce);
+    a.receive(Time(at), address(2), &encode(&ack).0, &mut out);
+    let known = |f: &Membership, name| {
         f.view().peers.iter().find(|p| p.key == key_of(name)).map(|p| p.health.clone())
     };
     assert_eq!(known(a, "b"), Some(Health::Alive));
@@ -63,14 +66,14 @@
         at += 200 * MS;
         a.tick(Time(at), &mut out);
     };
-    assert_eq!(again.echo, ack.nonce);
-    b.datagram(Time(at), address(1), &encode(&again).0, &mut out);
+    assert_eq!(again.receiver_nonce, ack.nonce);
+    b.receive(Time(at), address(1), &encode(&again).0, &mut out);
     assert_eq!(known(b, "a"), Some(Health::Alive));
     (again, ack, Time(at))
 }
 
-fn deaths(out: &Out) -> usize {
-    out.changes.iter().filter(|c| matches!(c, Change::Died(..))).count()
+fn deaths(out: &Output) -> usize {
+    out.changes.iter().filter(|c| matches!(c, Change::Died { .. })).count()
 }
 
 #[test]
@@ -78,46 +81,46 @@
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, now) = met(&mut a, &mut b);
     let dead = Update {
-        of: key_of("c"),
-        life: 5,
+        member: key_of("c"),
+        process_incarnation: 5,
         incarnation: 0,
         state: MemberState::Dead,
-        by: key_of("a"),
+        reported_by: key_of("a"),
     };
-    let forged = Message { news: vec![dead], ..ping.clone() };
-    let mut out = Out::default();
-    let number = b.view().number;
+    let forged = Message { updates: vec![dead], ..ping.clone() };
+    let mut out = Output::default();
+    let number = b.view().version;
     let bytes = |m: &Message| encode(m).0;
-    b.datagram(now, address(9), &bytes(&forged), &mut out);
-    b.datagram(now, address(3), &bytes(&forged), &mut out);
-    b.datagram(
+    b.receive(now, address(9), &bytes(&forged), &mut out);
+    b.receive(now, address(3), &bytes(&forged), &mut out);
+    b.receive(
         now,
         address(1),
         &bytes(&Message { fleet: key_of("other"), ..forged.clone() }),
         &mut out,
     );
-    b.datagram(
+    b.receive(
         now,
         address(1),
-        &bytes(&Message { echo: forged.echo ^ 1, ..forged.clone() }),
+        &bytes(&Message { receiver_nonce: forged.receiver_nonce ^ 1, ..forged.clone() }),
         &mut out,
     );
-    b.datagram(now, address(1), &bytes(&forged)[..20], &mut out);
-    b.datagram(now, address(1), &[1, 1, 1], &mut out);
-    b.datagram(now, address(1), &[2; MAX_PAGE + 1], &mut out);
+    b.receive(now, address(1), &bytes(&forged)[..20], &mut out);
+    b.receive(now, address(1), &[1, 1, 1], &mut out);
+    b.receive(now, address(1), &[2; MAX_PAGE + 1], &mut out);
     for why in [
-        Refused::Address,
-        Refused::Name,
-        Refused::Fleet,
-        Refused::Echo,
-        Refused::Malformed,
-        Refused::Version,
-        Refused::TooLong,
+        DropReason::UnknownAddress,
+        DropReason::WrongSender,
+        DropReason::OtherFleet,
+        DropReason::StaleNonce,
+        DropReason::Malformed,
+        DropReason::OtherVersion,
+        DropReason::TooLong,
     ] {
         assert_eq!(b.dropped(why), 1, "{why:?}");
     }
-    assert_eq!((deaths(&out), b.view().number), (0, number), "none of it counted");
-    b.datagram(now, address(1), &bytes(&forged), &mut out);
+    assert_eq!((deaths(&out), b.view().version), (0, number), "none of it counted");
+    b.receive(now, address(1), &bytes(&forged), &mut out);
     assert_eq!(deaths(&out), 1, "with the echo and from its address it does");
 }
 
@@ -127,13 +130,17 @@
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, _) = met(&mut a, &mut b);
     let mut next = member("b", 10, 3);
-    let mut out = Out::default();
-    next.datagram(Time(0), address(1), &encode(&ping).0, &mut out);
-    assert_eq!(next.dropped(Refused::Echo), 1);
+    let mut out = Output::default();
+    next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
+    assert_eq!(next.dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
     // Yet the sender is told whom it speaks to now.
     let told = sent(&mut out, 1).pop().expect("an answer");
-    assert!(told.echo == ping.nonce && told.nonce != ping.echo && told.life == 10);
+    assert!(
+        told.receiver_nonce == ping.nonce
+            && told.nonce != ping.receiver_nonce
+            && told.process_incarnation == 10
+    );
 }
 
 /// An accusation is answered by an objection that counts more, whoever passes it on.
@@ -141,29 +148,36 @@
 fn the_accused_objects() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, now) = met(&mut a, &mut b);
-    let before = b.doubt();
+    let before = b.local_health();
     for (state, incarnation) in
         [(MemberState::Suspect, 0), (MemberState::Dead, 1), (MemberState::Left, 2)]
     {
-        let accused = Update { of: key_of("b"), life: 9, incarnation, state, by: key_of("c") };
-        let message = Message { news: vec![accused], body: Body::Ping { seq: 70 }, ..ping.clone() };
-        let mut out = Out::default();
-        b.datagram(now, address(1), &encode(&message).0, &mut out);
+        let accused = Update {
+            member: key_of("b"),
+            process_incarnation: 9,
+            incarnation,
+            state,
+            reported_by: key_of("c"),
+        };
+        let message =
+            Message { updates: vec![accused], body: Body::Ping { seq: 70 }, ..ping.clone() };
+        let mut out = Output::default();
+        b.receive(now, address(1), &encode(&message).0, &mut out);
         let answer = sent(&mut out, 1).pop().expect("an answer");
         assert_eq!(answer.incarnation, incarnation + 1, "{state:?}");
-        a.datagram(now, address(2), &encode(&answer).0, &mut out);
+        a.receive(now, address(2), &encode(&answer).0, &mut out);
     }
-    assert_eq!(b.doubt(), before + 3, "each made it doubt itself");
+    assert_eq!(b.local_health(), before + 3, "each made it doubt itself");
     // An old accusation is none.
     let old = Update {
-        of: key_of("b"),
-        life: 9,
+        member: key_of("b"),
+        process_incarnation: 9,
         incarnation: 1,
         state: MemberState::Dead,
-        by: key_of("c"),
+        reported_by: key_of("c"),
     };
-    let mut out = Out::default();
-    b.datagram(now, address(1), &encode(&Message { news: vec![old], ..ping }).0, &mut out);
+    let mut out = Output::default();
+    b.receive(now, address(1), &encode(&Message { updates: vec![old], ..ping }).0, &mut out);
     assert_eq!(sent(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
 }
 
@@ -172,24 +186,24 @@
 fn a_twin_is_told() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, now) = met(&mut a, &mut b);
-    let mut out = Out::default();
+    let mut out = Output::default();
     for life in [9, 30, 60] {
         let other = Update {
-            of: key_of("b"),
-            life,
+            member: key_of("b"),
+            process_incarnation: life,
             incarnation: 0,
             state: MemberState::Alive,
-            by: key_of("b"),
+            reported_by: key_of("b"),
         };
-        b.datagram(
+        b.receive(
             now,
             address(1),
-            &encode(&Message { news: vec![other], ..ping.clone() }).0,
+            &encode(&Message { updates: vec![other], ..ping.clone() }).0,
             &mut out,
         );
     }
     assert_eq!(out.changes.iter().filter(|c| **c == Change::DuplicateIdentity).count(), 1);
-    assert_eq!(sent(&mut out, 1).pop().map(|m| m.life), Some(61));
+    assert_eq!(sent(&mut out, 1).pop().map(|m| m.process_incarnation), Some(61));
 }
 
 /// The list changes: whoever is no longer on it is forgotten, whoever moved has to be met anew.
@@ -197,23 +211,23 @@
 fn the_operators_list_decides_who_can_be_a_member() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (_, ack, now) = met(&mut a, &mut b);
-    let mut out = Out::default();
-    a.list(now, MemberList::new(listed(&[("b", 4), ("d", 5)])), &mut out);
+    let mut out = Output::default();
+    a.update_list(now, MemberList::new(listed(&[("b", 4), ("d", 5)])), &mut out);
     let names: Vec<String> =
         a.view().peers.iter().filter_map(|p| Some(a.listed(p.key)?.name.clone())).collect();
     assert_eq!(names, ["b", "d"]);
-    a.datagram(now, address(2), &encode(&ack).0, &mut out);
-    assert_eq!(a.dropped(Refused::Address), 1, "where it was before is nobody's address");
+    a.receive(now, address(2), &encode(&ack).0, &mut out);
+    assert_eq!(a.dropped(DropReason::UnknownAddress), 1, "where it was before is nobody's address");
     let c = Update {
-        of: key_of("c"),
-        life: 5,
+        member: key_of("c"),
+        process_incarnation: 5,
         incarnation: 0,
         state: MemberState::Alive,
-        by: key_of("b"),
+        reported_by: key_of("b"),
     };
-    let number = a.view().number;
-    a.datagram(now, address(4), &encode(&Message { news: vec![c], ..ack }).0, &mut out);
-    assert_eq!(a.view().number, number, "news of one that is not on the list is passed over");
+    let number = a.view().version;
+    a.receive(now, address(4), &encode(&Message { updates: vec![c], ..ack }).0, &mut out);
+    assert_eq!(a.view().version, number, "news of one that is not on the list is passed over");
 }
 
 /// The bound that docs/design/members.md states, without the bytes of its name.
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -11,7 +11,7 @@
 use sableloom_capacity_share::Timing;
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Status, Told, status_of};
-use sableloom_membership::{Listed, MemberList, Times as Talk};
+use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use sableloom_site_config::Fleet;
 use sableloom_types::settings::span;
 
@@ -61,9 +61,9 @@
 }
 
 /// The others on the list.
-pub fn others(fleet: &Fleet) -> Vec<Listed> {
+pub fn others(fleet: &Fleet) -> Vec<ListedMember> {
     let others = fleet.members.iter().filter(|m| m.name != fleet.own);
-    others.map(|m| Listed { name: m.name.clone(), address: m.address }).collect()
+    others.map(|m| ListedMember { name: m.name.clone(), address: m.address }).collect()
 }
 
 /// Takes this balancer's place among the others.
@@ -80,10 +80,10 @@
     let setup = Setup {
         fleet: fleet.name.clone(),
         own: fleet.own.clone(),
-        talk: Talk {
-            period: span(fleet.period_ms),
-            answer: span(fleet.answer_ms),
-            ..Talk::default()
+        talk: MembershipTiming {
+            probe_interval: span(fleet.period_ms),
+            probe_timeout: span(fleet.answer_ms),
+            ..MembershipTiming::default()
         },
         share: Timing {
             lease,
--- a/crates/sableloom/tests/fleet/direct.rs
+++ b/crates/sableloom/tests/fleet/direct.rs
@@ -184,16 +184,16 @@
     balancer.says(&["part: 1 of 2"]);
     let message = |fleet: &str, from: &str, echo: u32| Message {
         fleet: key_of(fleet),
-        from: key_of(from),
-        life: 7,
+        sender: key_of(from),
+        process_incarnation: 7,
         incarnation: 0,
         nonce: 5,
-        echo,
-        digest: 0,
-        listed: 60_000,
-        servers: 0,
+        receiver_nonce: echo,
+        view_digest: 0,
+        list_length: 60_000,
+        endpoints_digest: 0,
         body: Body::Leave,
-        news: Vec::new(),
+        updates: Vec::new(),
     };
     let bytes = |message: Message| encode(&message).0;
     let other_version = [&[1][..], &[0; 40]].concat();
--- a/crates/scale-test/src/members.rs
+++ b/crates/scale-test/src/members.rs
@@ -10,7 +10,7 @@
 use sableloom_capacity_share::{Share, ShareReason, Timing};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told, Traffic};
-use sableloom_membership::{Listed, MemberList, Times as ProbeTimes};
+use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use serde::{Deserialize, Serialize};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -167,8 +167,10 @@
     pub fn start(self: &Rc<Self>, set: MemberSet) {
         let own = self.clone();
         spawn_local(async move {
-            let listed = (0..set.listed)
-                .map(|number| Listed { name: name(number), address: address(number, set.port) });
+            let listed = (0..set.listed).map(|number| ListedMember {
+                name: name(number),
+                address: address(number, set.port),
+            });
             let list = MemberList::new(listed);
             let clock = Clock::new();
             let begun = Instant::now();
@@ -192,7 +194,7 @@
             setup: Setup {
                 fleet: FLEET.to_string(),
                 own: name(number),
-                talk: ProbeTimes::default(),
+                talk: MembershipTiming::default(),
                 share: Timing::default(),
             },
             address: address(number, set.port),
@@ -305,8 +307,8 @@
     /// each other; in a longer one proofs of absence hold for few of the missing at one time.
     pub fn all_know(&self, members: usize) -> bool {
         let all = members as u32;
-        let shares_are_exact =
-            members > ProbeTimes::default().all_called || self.share_of == Some((all, all));
+        let shares_are_exact = members > MembershipTiming::default().max_short_list
+            || self.share_of == Some((all, all));
         self.started == members
             && self.agreeing() == members
             && self.sharing == members
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -9,8 +9,8 @@
 use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_fleet::{Core, Out, Setup};
 use sableloom_membership::{
-    Change, Health, Key, Listed, MemberList, Refused, Standing as Place, Times as MemberTimes,
-    key_of,
+    Change, DropReason, Health, Key, ListedMember, MemberList, Reachability,
+    Timing as MembershipTiming, key_of,
 };
 use sableloom_types::{Span, Time};
 
@@ -159,7 +159,7 @@
     queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
     next_event: u64,
     list: Arc<MemberList>,
-    member_times: MemberTimes,
+    member_timing: MembershipTiming,
     share_timing: Timing,
     /// Datagrams that are lost, in a thousand.
     loss: u64,
@@ -184,7 +184,9 @@
 }
 
 fn list(members: impl Iterator<Item = usize>) -> Arc<MemberList> {
-    MemberList::new(members.map(|member| Listed { name: name(member), address: address(member) }))
+    MemberList::new(
+        members.map(|member| ListedMember { name: name(member), address: address(member) }),
+    )
 }
 
 impl Network {
@@ -197,11 +199,11 @@
             clock_ahead: (member % 5) as i64 * 37 * MILLISECOND,
             tick_at: -1,
         };
-        let member_times = MemberTimes {
-            period: Span([100, 200, 400][seed as usize % 3] * MILLISECOND),
-            answer: Span([40, 80, 160][seed as usize % 3] * MILLISECOND),
+        let member_timing = MembershipTiming {
+            probe_interval: Span([100, 200, 400][seed as usize % 3] * MILLISECOND),
+            probe_timeout: Span([40, 80, 160][seed as usize % 3] * MILLISECOND),
             has_local_health: !seed.is_multiple_of(9),
-            ..MemberTimes::default()
+            ..MembershipTiming::default()
         };
         let mut network = Self {
             loss: rng.rand_range(0..200),
@@ -212,7 +214,7 @@
             queue: BinaryHeap::new(),
             next_event: 0,
             list: list(0..members),
-            member_times,
+            member_timing,
             share_timing: Timing::default(),
             cuts: Vec::new(),
             replay: None,
@@ -312,7 +314,7 @@
         let setup = Setup {
             fleet: "points".to_string(),
             own: name(member),
-            talk: self.member_times,
+            talk: self.member_timing,
             share: self.share_timing,
         };
         let seed = self.rng.rand_u64();
@@ -411,7 +413,10 @@
         }
         record_share(trace, core.share(), now);
         let members = core.members();
-        integers(trace, &[core.next().0, members.number() as i64, i64::from(members.digest())]);
+        integers(
+            trace,
+            &[core.next().0, members.view_version() as i64, i64::from(members.digest())],
+        );
         let tick_at = (core.next().0 - clock_ahead).max(self.now + 1);
         if host.tick_at < 0 || tick_at < host.tick_at {
             host.tick_at = tick_at;
@@ -451,33 +456,35 @@
             integers(
                 trace,
                 &[
-                    i64::from(members.life()),
-                    i64::from(members.doubt()),
-                    members.updates() as i64,
-                    members.count_there() as i64,
+                    i64::from(members.process_incarnation()),
+                    i64::from(members.local_health()),
+                    members.queued_updates() as i64,
+                    members.count_reachable() as i64,
                     members.count_left() as i64,
-                    members.count_unsure() as i64,
-                    i64::from(members.servers()),
+                    members.count_unconfirmed() as i64,
+                    i64::from(members.endpoints_digest()),
                 ],
             );
             for why in [
-                Refused::TooLong,
-                Refused::Version,
-                Refused::Malformed,
-                Refused::Fleet,
-                Refused::Address,
-                Refused::Name,
-                Refused::Echo,
-                Refused::Knock,
+                DropReason::TooLong,
+                DropReason::OtherVersion,
+                DropReason::Malformed,
+                DropReason::OtherFleet,
+                DropReason::UnknownAddress,
+                DropReason::WrongSender,
+                DropReason::StaleNonce,
+                DropReason::AbsenceQuery,
             ] {
                 trace.integer(members.dropped(why) as i64);
             }
-            record_place(trace, members.standing());
+            record_reachability(trace, members.reachability());
             for peer in members.view().peers {
                 let (state, confirmers, ends) = match &peer.health {
                     Health::Unknown => (0, 0, 0),
                     Health::Alive => (1, 0, 0),
-                    Health::Suspect(doubt) => (2, doubt.accusers.len(), doubt.until.0),
+                    Health::Suspect(suspicion) => {
+                        (2, suspicion.confirmers.len(), suspicion.deadline.0)
+                    }
                     Health::Dead => (3, 0, 0),
                     Health::Left => (4, 0, 0),
                 };
@@ -485,16 +492,16 @@
                     trace,
                     &[
                         i64::from(peer.key),
-                        i64::from(peer.life),
+                        i64::from(peer.process_incarnation),
                         i64::from(peer.incarnation),
                         state,
                         confirmers as i64,
                         ends,
                         peer.since.0,
-                        i64::from(peer.by),
-                        peer.heard.map_or(-1, |heard| heard.0),
-                        i64::from(peer.listed),
-                        i64::from(peer.servers),
+                        i64::from(peer.reported_by),
+                        peer.last_heard.map_or(-1, |heard| heard.0),
+                        i64::from(peer.list_length),
+                        i64::from(peer.endpoints_digest),
                     ],
                 );
             }
@@ -502,26 +509,28 @@
     }
 }
 
-fn record_place(trace: &mut Trace, place: Place) {
-    let values = match place {
-        Place::Whole => [0, 0, 0],
-        Place::Part { hears, of } => [1, hears as i64, of as i64],
-        Place::Alone => [2, 0, 0],
-        Place::JustWoken => [3, 0, 0],
+fn record_reachability(trace: &mut Trace, reachability: Reachability) {
+    let values = match reachability {
+        Reachability::Complete => [0, 0, 0],
+        Reachability::Partial { reachable, listed } => [1, reachable as i64, listed as i64],
+        Reachability::Isolated => [2, 0, 0],
+        Reachability::Resumed => [3, 0, 0],
     };
     integers(trace, &values);
 }
 
 fn record_change(trace: &mut Trace, change: Change) {
     let values = match change {
-        Change::Joined(key, life) => [1, i64::from(key), i64::from(life)],
-        Change::Doubted(key, by) => [2, i64::from(key), i64::from(by)],
-        Change::Cleared(key) => [3, i64::from(key), 0],
-        Change::Died(key, by) => [4, i64::from(key), i64::from(by)],
+        Change::Joined { member, process_incarnation } => {
+            [1, i64::from(member), i64::from(process_incarnation)]
+        }
+        Change::Suspected { member, reported_by } => [2, i64::from(member), i64::from(reported_by)],
+        Change::Refuted(key) => [3, i64::from(key), 0],
+        Change::Died { member, reported_by } => [4, i64::from(member), i64::from(reported_by)],
         Change::Left(key) => [5, i64::from(key), 0],
-        Change::Standing(place) => {
+        Change::Reachability(reachability) => {
             trace.integer(6);
-            return record_place(trace, place);
+            return record_reachability(trace, reachability);
         }
         Change::DuplicateIdentity => [7, 0, 0],
     };
