--- a/crates/distribution/src/codec.rs
+++ b/crates/distribution/src/codec.rs
@@ -1,36 +1,37 @@
-//! Frames: a length of four bytes (big endian), the protocol's version, the message in postcard.
+//! Frames: a length of four bytes (big endian), the version of the protocol, the message in postcard.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::message::{PublisherMessage, SubscriberMessage};
 
-/// The version of the format, in each frame. A kind of resource that programs from before can't decode raises it:
-/// they refuse the frame by its version, and neither skip the resource nor take the frame for garbage. 1 had pools,
-/// servers and routes; 2 has tenants as well.
+/// The version of the protocol, in each frame. It is raised with each kind of resource that earlier programs can't
+/// decode: they then refuse the frame by its version, and neither skip the resource nor report the frame as malformed.
+/// Version 1 has pools, servers and routes; version 2 has tenants as well.
 pub const PROTOCOL_VERSION: u8 = 2;
-/// Bytes before the message: length and version.
+/// The bytes of a frame before its message: length and version.
 pub const FRAME_HEADER_BYTES: usize = 5;
 /// The most bytes of a frame's version and message together.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// The most bytes that a reader keeps: an unfinished frame and one large read.
+/// The most bytes that a reader buffers: an incomplete frame and one large read.
 pub const MAX_BUFFERED_BYTES: usize = 2 * MAX_FRAME_BYTES;
 
 const LENGTH_BYTES: usize = 4;
+const VERSION_BYTES: usize = FRAME_HEADER_BYTES - LENGTH_BYTES;
 
-/// Why a stream of frames cannot be read any further.
+/// Why no further frame of a stream can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
     /// A frame claims more bytes than [`MAX_FRAME_BYTES`].
     #[error("a frame of {0} bytes, at most {MAX_FRAME_BYTES} are allowed")]
     TooLong(usize),
-    /// A frame without a version.
+    /// A frame has no version.
     #[error("an empty frame")]
     Empty,
-    /// A frame of another version of the protocol.
+    /// A frame has another version of the protocol.
     #[error("protocol version {0}, expected {PROTOCOL_VERSION}")]
     Version(u8),
-    /// A frame that is no message, or has bytes behind it.
+    /// A frame does not decode to a message, or has bytes after the message.
     #[error("a frame that is no message")]
     Malformed,
     /// More bytes were pushed than [`MAX_BUFFERED_BYTES`] without reading the frames.
@@ -38,7 +39,7 @@
     Overflow,
 }
 
-/// A message that goes in a frame.
+/// A message that a frame may hold.
 pub trait Message: Serialize + DeserializeOwned + private::Sealed {}
 
 impl Message for SubscriberMessage {}
@@ -50,7 +51,7 @@
     impl Sealed for crate::PublisherMessage {}
 }
 
-/// Writes a message as a frame. The bounds of messages keep it within [`MAX_FRAME_BYTES`].
+/// Encodes a message as a frame. The bounds of the messages keep it within [`MAX_FRAME_BYTES`].
 pub fn encode<M: Message>(message: &M) -> Vec<u8> {
     let header = vec![0, 0, 0, 0, PROTOCOL_VERSION];
     let mut frame = postcard::to_extend(message, header).unwrap_or_default();
@@ -61,8 +62,8 @@
     frame
 }
 
-/// Takes bytes as they come and gives messages. After an error it gives the same error for good: a stream has no
-/// place from which it could be read on.
+/// Splits a stream of bytes into messages. After an error it returns the same error forever: a stream has no mark from
+/// which reading could be resumed.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
@@ -76,7 +77,7 @@
         Self::default()
     }
 
-    /// Takes bytes. [`Self::next`] is to be called until it gives none before more are pushed.
+    /// Buffers bytes. The caller reads all messages by [`Self::next`] before it pushes more.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.failed.is_some() {
             return;
@@ -90,10 +91,14 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message, if there is a whole one.
+    /// The next message, if a complete one is buffered.
+    ///
+    /// # Errors
+    ///
+    /// If the stream is no sequence of frames of this protocol version, or too many bytes were pushed.
     #[expect(
         clippy::should_implement_trait,
-        reason = "the type of message is the caller's choice, so it is no iterator"
+        reason = "the caller chooses the type of message at each call, so it is no iterator"
     )]
     pub fn next<M: Message>(&mut self) -> Result<Option<M>, CodecError> {
         if let Some(error) = self.failed {
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Bytes that are kept.
+    /// The bytes that are buffered.
     pub fn buffered(&self) -> usize {
         self.buffer.len() - self.start
     }
@@ -131,7 +136,7 @@
         if length > MAX_FRAME_BYTES {
             return Err(CodecError::TooLong(length));
         }
-        // The version is judged before the frame is whole: another protocol need not be waited for.
+        // The version is checked before the frame is complete: a frame of another protocol may never be.
         match rest.first() {
             Some(&PROTOCOL_VERSION) => {}
             Some(version) => return Err(CodecError::Version(*version)),
@@ -140,7 +145,7 @@
         let Some(frame) = rest.get(..length) else {
             return Ok(None);
         };
-        let message = decode(&frame[1..])?;
+        let message = decode(&frame[VERSION_BYTES..])?;
         self.start += LENGTH_BYTES + length;
         Ok(Some(message))
     }
--- a/crates/distribution/src/digest.rs
+++ b/crates/distribution/src/digest.rs
@@ -1,5 +1,5 @@
-//! The hashes by which two sides see that they have the same. Not against forgers: against bit flips, lost
-//! changes and mistaken copies.
+//! The hashes by which a control machine and a subscriber detect that their state differs. They guard against bit
+//! flips, lost changes and copies of another log; they are no defence against forgery.
 
 use crate::name::{ResourceKind, ServiceName};
 use crate::resource::Resource;
@@ -7,8 +7,8 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-fn fnv(hash: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(hash, |h, b| (h ^ u64::from(*b)).wrapping_mul(FNV_PRIME))
+fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
+    bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
 /// The finalizer of MurmurHash3: every bit of the input changes about half of the bits of the output, so that
@@ -23,10 +23,10 @@
 
 /// A 64-bit hash of bytes, the same in every build: FNV-1a and a finalizer.
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
-    finish(fnv(FNV_OFFSET, bytes))
+    finish(fnv1a(FNV_OFFSET, bytes))
 }
 
-/// A resource's part of its service's digest: a hash of kind, key, version and body.
+/// The term of a resource in its service's digest: a hash of kind, key, version and body.
 pub fn resource_digest(resource: &Resource) -> u64 {
     let kind = match resource.name.kind {
         ResourceKind::Pool => 0u8,
@@ -34,27 +34,27 @@
         ResourceKind::Route => 2,
         ResourceKind::Tenant => 3,
     };
-    let mut hash = fnv(FNV_OFFSET, &[kind]);
-    hash = fnv(hash, &(resource.name.key.len() as u32).to_le_bytes());
-    hash = fnv(hash, resource.name.key.as_bytes());
-    hash = fnv(hash, &resource.version.to_le_bytes());
-    hash = fnv(hash, resource.body.as_slice());
+    let mut hash = fnv1a(FNV_OFFSET, &[kind]);
+    hash = fnv1a(hash, &(resource.name.key.len() as u32).to_le_bytes());
+    hash = fnv1a(hash, resource.name.key.as_bytes());
+    hash = fnv1a(hash, &resource.version.to_le_bytes());
+    hash = fnv1a(hash, resource.body.as_slice());
     finish(hash)
 }
 
-/// A service's part of the digest over all that a subscriber has.
+/// The term of a service in the digest over a subscriber's whole scope.
 pub fn scope_digest_term(service: &ServiceName, version: u64, digest: u64) -> u64 {
-    let mut hash = fnv(FNV_OFFSET, service.as_str().as_bytes());
-    hash = fnv(hash, &version.to_le_bytes());
-    hash = fnv(hash, &digest.to_le_bytes());
+    let mut hash = fnv1a(FNV_OFFSET, service.as_str().as_bytes());
+    hash = fnv1a(hash, &version.to_le_bytes());
+    hash = fnv1a(hash, &digest.to_le_bytes());
     finish(hash)
 }
 
-/// The running hash over a history with one more change file.
+/// The running hash over a log with one more change file.
 pub fn next_chain_hash(chain: u64, epoch: u32, number: u64, hash: u64) -> u64 {
-    let mut next = fnv(FNV_OFFSET, &chain.to_le_bytes());
-    next = fnv(next, &epoch.to_le_bytes());
-    next = fnv(next, &number.to_le_bytes());
-    next = fnv(next, &hash.to_le_bytes());
+    let mut next = fnv1a(FNV_OFFSET, &chain.to_le_bytes());
+    next = fnv1a(next, &epoch.to_le_bytes());
+    next = fnv1a(next, &number.to_le_bytes());
+    next = fnv1a(next, &hash.to_le_bytes());
     finish(next)
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,29 +1,96 @@
-//! Distribution of configuration by resource, version and subscription. No I/O and no clock: bytes,
-//! messages and times come in, messages and orders go out.
+//! Distribution of configuration: how 7,600 balancers come to have what operators say of 2,500 services, each just the
+//! services that it serves, within seconds of a change, and without storms when a control machine or a region returns.
 //!
-//! - [`Store`]: all resources by service, with a bounded log of changes (control machine).
-//! - [`Publisher`]: the sessions of a control machine's subscribers over one store.
-//! - [`Subscriber`]: a balancer's side: which control machine, what it holds, what it applies.
-//! - [`encode`] and [`FrameReader`]: the frames in which the two talk.
+//! A control machine reads the operators' numbered change files into a [`Store`] and serves the sessions of its
+//! subscribers by a [`Publisher`]. A balancer runs a [`Subscriber`] that connects to one of the control machines,
+//! subscribes to its services and gets transactions, which it applies as a whole and acknowledges (ACK) or rejects
+//! (NACK). It resumes by version and digest: a service that has not changed costs nothing, one within the log of the
+//! store a delta, any other a snapshot of that service alone. This is incremental xDS with the resource versions and
+//! bookmarks of Kubernetes' watch.
 //!
-//! Why it is so stands in `docs/design/distribution.md`.
+//! Never: no I/O, no clock and no threads. Bytes, messages and times come in, frames and outputs go out, and the same
+//! calls give the same outputs. No queue grows with the number of changes, and nothing is allocated for a length that
+//! a frame only claims.
+//!
+//! | module | holds |
+//! | --- | --- |
+//! | `name`, `body`, `resource`, `log_entry`, `position`, `rejection` | the vocabulary |
+//! | `digest` | the hashes by which two sides detect that their state differs |
+//! | `message`, `status`, `codec`, `bounded_text` | what is sent, and its encoding as frames |
+//! | `store`, `service_state` | all resources by service, with a bounded log of changes |
+//! | `publisher` | the sessions of a control machine's subscribers |
+//! | `subscriber` | the connection and the applied state of a balancer |
+//!
+//! Invariants: a subscriber's position never goes back; a transaction is applied completely or not at all; the last good
+//! state stays in force after a rejection and without any control machine; all services of a scope that one change has
+//! touched are in one transaction as long as the log holds the change. The state machines of a publisher's session and
+//! of a subscriber, and why they are as they are, are in `docs/design/distribution.md`.
+//!
+//! ```
+//! use sableloom_distribution::{
+//!     Change, LogEntry, Origin, Publisher, PublisherOptions, Resource, ResourceName, ServiceName, SessionId, Store,
+//!     StoreLimits, Subscriber, SubscriberName, SubscriberOptions, SubscriberOutput,
+//! };
+//! use sableloom_types::Time;
+//!
+//! let points = ServiceName::try_from("points")?;
+//! let mut publisher = Publisher::new(Store::new(StoreLimits::default()), PublisherOptions::default());
+//! let resource = Resource {
+//!     name: ResourceName::server(points.clone(), "points-1"),
+//!     version: 1,
+//!     origin: Origin { file: "00000001.toml".into(), line: 3 },
+//!     body: b"10.0.0.1:9001".as_slice().into(),
+//! };
+//! let entry = LogEntry { number: 1, epoch: 1, changes: vec![Change::Set(resource)], hash: 0 };
+//! publisher.append(Time(0), entry, &mut Vec::new())?;
+//!
+//! let name = SubscriberName::try_from("balancer-1")?;
+//! let mut subscriber = Subscriber::new(SubscriberOptions::new(name, 1, vec![points], 7));
+//! let mut outputs = Vec::new();
+//! subscriber.start(Time(0), &mut outputs);
+//! let due = subscriber.due().expect("a first connection");
+//! subscriber.tick(due, &mut outputs);
+//! assert_eq!(outputs, [SubscriberOutput::Connect { control: 0 }]);
+//!
+//! // The caller connects, and carries the messages to the other side.
+//! publisher.connected(due, SessionId(1));
+//! outputs.clear();
+//! subscriber.connected(due, &mut outputs);
+//! let mut frames = Vec::new();
+//! for output in outputs {
+//!     if let SubscriberOutput::Send(message) = output {
+//!         publisher.message(due, SessionId(1), message, &mut frames);
+//!     }
+//! }
+//! // A welcome, and a snapshot of the service: begin, changes, commit.
+//! assert_eq!(frames.len(), 4);
+//! # Ok::<(), Box<dyn std::error::Error>>(())
+//! ```
 
+mod body;
+mod bounded_text;
 mod codec;
 mod digest;
+mod log_entry;
 mod message;
 mod name;
+mod position;
 mod publisher;
+mod rejection;
 mod resource;
-mod service;
+mod service_state;
 mod status;
 mod store;
 mod subscriber;
 
+pub use body::{MAX_BODY_BYTES, ResourceBody};
+pub use bounded_text::MAX_TEXT_BYTES;
 pub use codec::{
     CodecError, FRAME_HEADER_BYTES, FrameReader, MAX_BUFFERED_BYTES, MAX_FRAME_BYTES, Message,
     PROTOCOL_VERSION, encode,
 };
 pub use digest::{hash_bytes, next_chain_hash, resource_digest, scope_digest_term};
+pub use log_entry::LogEntry;
 pub use message::{
     Base, MAX_CHANGES_PER_MESSAGE, MAX_REJECTIONS, MAX_SERVICES_PER_MESSAGE, NackReason,
     PublisherMessage, Refusal, ServiceBase, StatusQuery, SubscriberMessage,
@@ -32,13 +99,12 @@
     MAX_KEY_BYTES, MAX_NAME_BYTES, NameError, ResourceKind, ResourceName, ServiceName,
     SubscriberName,
 };
+pub use position::{Position, ServiceVersion};
 pub use publisher::{
     CloseReason, Publisher, PublisherCounters, PublisherOptions, PublisherOutput, SessionId,
 };
-pub use resource::{
-    Change, LogEntry, MAX_BODY_BYTES, MAX_TEXT_BYTES, Origin, Position, Rejection, Resource,
-    ResourceBody, ServiceVersion,
-};
+pub use rejection::Rejection;
+pub use resource::{Change, Origin, Resource};
 pub use status::{
     LagStatus, LogStatus, MAX_LISTED_PER_SESSION, MAX_SESSIONS_PER_PAGE, MachineStatus,
     PublisherStatus, RejectionStatus, SessionStatus, StatusPage, StatusRows,
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,73 +1,76 @@
-//! What a subscriber and a control machine say to each other.
+//! The messages between a subscriber and a control machine. They are encoded by position: the order of fields and
+//! variants is the wire format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Change, Position, Rejection, ServiceVersion};
+use crate::position::{Position, ServiceVersion};
+use crate::rejection::Rejection;
+use crate::resource::Change;
 use crate::status::StatusPage;
 
-/// The most services named in one message; with the longest names they fit into a frame.
+/// The most services named in one message. Even with the longest names they fit into a frame.
 pub const MAX_SERVICES_PER_MESSAGE: usize = 1_024;
 /// The most changes in one message.
 pub const MAX_CHANGES_PER_MESSAGE: usize = 4_096;
-/// The most problems told in one refusal of a transaction.
+/// The most problems in one rejection of a transaction.
 pub const MAX_REJECTIONS: usize = 16;
 
-/// From a subscriber, or from a tool that asks for the status, to a control machine.
+/// A message to a control machine, from a subscriber or from a tool that requests the status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberMessage {
-    /// First of a subscriber's messages on a connection.
+    /// The first of a subscriber's messages on a connection.
     Hello {
-        /// Who.
+        /// The subscriber's name.
         subscriber: SubscriberName,
-        /// The furthest position that it has seen at any control machine.
+        /// The furthest position that the subscriber has seen at any control machine.
         position: Position,
     },
-    /// Services that are subscribed to from now on, or no longer; also names a service again to have it mended.
-    /// A long scope comes in several messages; nothing is sent before the last.
+    /// A change of the scope, the services that are subscribed to; a service may be added again to have it repaired.
+    /// A long scope comes in several messages, and nothing is sent before the last.
     Scope {
-        /// Counts the scope messages of a connection, from 1.
+        /// The number of the scope message on this connection, from 1.
         generation: u32,
-        /// Subscribed, with what the subscriber has of them.
+        /// Services subscribed to, with the version that the subscriber has applied.
         add: Vec<ServiceVersion>,
-        /// No longer subscribed.
+        /// Services no longer subscribed to.
         remove: Vec<ServiceName>,
-        /// What the subscriber has refused of them: not to be sent again.
+        /// Versions of them that the subscriber has rejected: they are not to be sent again.
         rejected: Vec<ServiceVersion>,
-        /// No further message of this scope follows.
+        /// Whether this is the last message of the scope.
         last: bool,
     },
-    /// The transaction is in force.
+    /// The transaction has been applied.
     Ack {
-        /// Which.
+        /// The transaction.
         transfer: u64,
     },
-    /// Nothing of the transaction is in force.
+    /// Nothing of the transaction has been applied.
     Nack {
-        /// Which.
+        /// The transaction.
         transfer: u64,
-        /// Why.
+        /// Why not.
         reason: NackReason,
     },
-    /// Answer me.
+    /// A request for a [`PublisherMessage::Pong`]; it shows that the subscriber is alive.
     Ping {
-        /// To be returned.
+        /// Returned in the answer.
         sequence: u32,
     },
-    /// A page of the status, please. Needs no hello.
+    /// A request for a page of the status. It needs no hello.
     StatusRequest(StatusQuery),
 }
 
 /// Why a transaction was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NackReason {
-    /// Its content is wrong: at most [`MAX_REJECTIONS`] problems.
+    /// The subscriber rejects the content: at most [`MAX_REJECTIONS`] problems.
     Rejected(Vec<Rejection>),
-    /// It did not fit what the subscriber has, or its digest was wrong: what the subscriber has instead.
+    /// The base or the digest does not match the state of the subscriber: the versions that it has applied.
     Mismatch(Vec<ServiceVersion>),
 }
 
-/// Which part of the status is asked for.
+/// The part of the status that is requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusQuery {
     /// Sessions from this id on.
@@ -77,111 +80,112 @@
     },
     /// Services after this one.
     Services {
-        /// The last that is known; none for the first page.
+        /// The last service of the page before; none for the first page.
         after: Option<ServiceName>,
     },
-    /// How the control machine gets on with its log, and why it has closed connections.
+    /// The control machine's progress in its log, and why it has closed connections.
     Machine,
 }
 
-/// From a control machine to a subscriber.
+/// A message from a control machine to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublisherMessage {
     /// The answer to a hello.
     Welcome {
-        /// How far the control machine is.
+        /// The position of the control machine.
         position: Position,
     },
-    /// The answer to a hello that cannot be served; the connection ends.
+    /// The answer to a hello or a scope that cannot be served; the connection ends.
     Refused(Refusal),
-    /// A transaction starts, or takes in further services.
+    /// The start of a transaction, or further services of it.
     Begin {
-        /// Which.
+        /// The transaction.
         transfer: u64,
-        /// The last scope message that was taken in.
+        /// The last scope message that the control machine had processed.
         generation: u32,
         /// What each service's changes are based on.
         services: Vec<ServiceBase>,
     },
     /// Changes of the transaction, in order.
     Changes {
-        /// Which.
+        /// The transaction.
         transfer: u64,
         /// At most [`MAX_CHANGES_PER_MESSAGE`].
         changes: Vec<Change>,
     },
-    /// The transaction is whole.
+    /// The transaction is complete.
     Commit {
-        /// Which.
+        /// The transaction.
         transfer: u64,
-        /// How far the control machine was.
+        /// The position of the control machine.
         position: Position,
-        /// What the subscriber has of each service of the transaction, once it is applied.
+        /// The version of each service of the transaction once it is applied.
         services: Vec<ServiceVersion>,
     },
-    /// A bookmark: all of the scope has been sent and acknowledged (or refused) up to this position.
+    /// A bookmark: every change of the scope up to this position has been acknowledged or rejected.
     Current {
-        /// How far.
+        /// The position.
         position: Position,
-        /// The last scope message that was taken in.
+        /// The last scope message that the control machine had processed.
         generation: u32,
-        /// The sum of [`crate::scope_digest_term`] over the scope, as the control machine knows it.
+        /// The sum of [`crate::scope_digest_term`] over the scope, by the versions that the control machine believes to
+        /// be applied.
         digest: u64,
     },
     /// The answer to a ping.
     Pong {
-        /// As it came.
+        /// As in the ping.
         sequence: u32,
     },
     /// The answer to a status request.
     Status(StatusPage),
 }
 
-/// Why a subscriber is not served.
+/// Why a control machine does not serve a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The control machine has not got as far as the subscriber has seen.
+    /// The control machine is behind the position that the subscriber has seen.
     Behind {
-        /// How far it is.
+        /// The position of the control machine.
         position: Position,
     },
-    /// The control machine has read another change under that number.
+    /// The control machine has read another change under the same number.
     Diverged {
-        /// What it has read there.
+        /// Its position at that number.
         position: Position,
     },
-    /// It has as many sessions as it may.
+    /// The control machine has as many sessions as it may.
     Full,
-    /// The scope has more services than it may.
+    /// The scope has too many services.
     ScopeTooLarge {
-        /// How many it may have.
+        /// The most that it may have.
         max: u32,
     },
-    /// It speaks another version of the protocol. Its answer is a frame of its own version, by which the other side,
-    /// which can't read on, names both versions.
+    /// The control machine speaks another version of the protocol. The frame of this answer has that version, so that
+    /// a subscriber that can't decode the message can still log both versions.
     Version {
-        /// The version that it speaks.
+        /// The version that the control machine speaks.
         expected: u8,
     },
 }
 
-/// What the changes of a service are based on.
+/// A service of a transaction, with the state that its changes apply to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceBase {
-    /// Which service.
+    /// The service.
     pub service: ServiceName,
-    /// On what.
+    /// The state that the changes apply to.
     pub base: Base,
 }
 
-/// The ground for changes.
+/// The state that the changes of a service apply to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Base {
-    /// What the subscriber has at this version.
+    /// The state that the subscriber has applied.
     Delta {
-        /// The version.
+        /// The version of that state.
         from: u64,
     },
-    /// Nothing: the changes are all that the service has.
+    /// An empty service: the changes are all of its resources.
     Snapshot,
 }
--- a/crates/distribution/src/name.rs
+++ b/crates/distribution/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of services, subscribers and resources, checked where they are made and where they are read.
+//! Names of services, subscribers and resources, checked where they are made and where they are decoded.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -12,16 +12,19 @@
 /// The most bytes of a resource's key (a server's id, a route's name).
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Why a text is no name.
+/// The most bytes that the kind and the two lengths of a [`ResourceName`] take in a message.
+const ENCODING_OVERHEAD: usize = 5;
+
+/// Why a text is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
-    /// It has no bytes.
+    /// The text is empty.
     #[error("a name may not be empty")]
     Empty,
-    /// It is longer than [`MAX_NAME_BYTES`].
+    /// The text is longer than [`MAX_NAME_BYTES`].
     #[error("a name has at most {MAX_NAME_BYTES} bytes, this one has {0}")]
     TooLong(usize),
-    /// It has a character other than `a-z`, `0-9`, `.`, `_` and `-`.
+    /// The text has a character other than `a-z`, `0-9`, `.`, `_` and `-`.
     #[error("a name is made of a-z, 0-9, '.', '_' and '-', not {0:?}")]
     Character(char),
 }
@@ -89,7 +92,7 @@
 
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-                // Borrowed, so that nothing is allocated before the length has been checked.
+                // Borrowed: a name that claims to be long must not be allocated before its length has been checked.
                 let text = <&str>::deserialize(deserializer)?;
                 Self::try_from(text).map_err(D::Error::custom)
             }
@@ -107,25 +110,25 @@
     SubscriberName
 }
 
-/// What a resource is.
+/// The kind of a resource. Frames and digests hold its number: the order of the variants must stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ResourceKind {
-    /// Settings of a service's pool; one a service, with an empty key.
+    /// The settings of a service's pool: one per service, with an empty key.
     Pool,
-    /// A server of the pool; the key is its id.
+    /// A server of the pool; the key is the server's id.
     Server,
-    /// A route to the pool; the key is its name.
+    /// A route to the pool; the key is the route's name.
     Route,
-    /// The limit of a tenant of the service; the key is the tenant's name.
+    /// The rate limit of a tenant of the service; the key is the tenant's name.
     Tenant,
 }
 
 /// The full name of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ResourceName {
-    /// The service that it belongs to.
+    /// The service that the resource belongs to.
     pub service: ServiceName,
-    /// What it is.
+    /// The kind of the resource.
     pub kind: ResourceKind,
     /// Empty for a pool, a server's id, a route's or tenant's name; at most [`MAX_KEY_BYTES`].
     #[serde(with = "key_text")]
@@ -148,14 +151,14 @@
         ResourceName { service, kind: ResourceKind::Route, key: name.into() }
     }
 
-    /// The limit of a tenant of a service.
+    /// The rate limit of a tenant of a service.
     pub fn tenant(service: ServiceName, name: &str) -> Self {
         ResourceName { service, kind: ResourceKind::Tenant, key: name.into() }
     }
 
-    /// Bytes that it takes in a message, about.
+    /// An upper estimate of the bytes that the name takes in a message.
     pub fn encoded_size(&self) -> usize {
-        self.service.as_str().len() + self.key.len() + 5
+        self.service.as_str().len() + self.key.len() + ENCODING_OVERHEAD
     }
 }
 
@@ -170,6 +173,7 @@
     }
 }
 
+/// A key in a message: checked for its length before it is allocated.
 mod key_text {
     use std::sync::Arc;
 
@@ -178,11 +182,16 @@
 
     use super::MAX_KEY_BYTES;
 
-    pub fn serialize<S: Serializer>(key: &Arc<str>, serializer: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(
+        key: &Arc<str>,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(key)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<str>, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Arc<str>, D::Error> {
         let text = <&str>::deserialize(deserializer)?;
         if text.len() > MAX_KEY_BYTES {
             return Err(D::Error::custom("key too long"));
--- /dev/null
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -0,0 +1,206 @@
+//! What each message of a subscriber does.
+
+use rustc_hash::FxHashMap;
+use sableloom_types::Time;
+
+use super::Publisher;
+use super::output::{CloseReason, PublisherOutput, SessionId};
+use super::session::Session;
+use crate::message::{
+    MAX_SERVICES_PER_MESSAGE, NackReason, PublisherMessage, Refusal, SubscriberMessage,
+};
+use crate::name::{ServiceName, SubscriberName};
+use crate::position::{Position, ServiceVersion};
+
+/// Connections beyond [`crate::PublisherOptions::max_sessions`] that may be open before their hello, for tools that
+/// request the status.
+const SPARE_CONNECTIONS: usize = 64;
+
+/// Why the session is closed, if it is.
+type Handled = Result<(), CloseReason>;
+
+const NO_SESSION: CloseReason = CloseReason::Violation("no session");
+
+/// One scope message.
+struct ScopeChange {
+    generation: u32,
+    add: Vec<ServiceVersion>,
+    remove: Vec<ServiceName>,
+    rejected: Vec<ServiceVersion>,
+    is_last: bool,
+}
+
+/// The answer to a transaction.
+enum Answer {
+    Applied,
+    NotApplied(NackReason),
+}
+
+impl Publisher {
+    /// Handles a message.
+    pub(super) fn handle(
+        &mut self,
+        now: Time,
+        session: SessionId,
+        message: SubscriberMessage,
+        out: &mut Vec<PublisherOutput>,
+    ) -> Handled {
+        match message {
+            SubscriberMessage::Hello { subscriber, position } => {
+                self.handle_hello(now, session, subscriber, position, out)
+            }
+            SubscriberMessage::Scope { generation, add, remove, rejected, last } => {
+                let scope = ScopeChange { generation, add, remove, rejected, is_last: last };
+                self.handle_scope(now, session, scope, out)
+            }
+            SubscriberMessage::Ack { transfer } => {
+                self.handle_answer(now, session, transfer, Answer::Applied, out)
+            }
+            SubscriberMessage::Nack { transfer, reason } => {
+                self.handle_answer(now, session, transfer, Answer::NotApplied(reason), out)
+            }
+            SubscriberMessage::Ping { sequence } => {
+                self.reply(now, session, &PublisherMessage::Pong { sequence }, out);
+                self.send_bookmark_if_moved(now, session, out);
+                Ok(())
+            }
+            SubscriberMessage::StatusRequest(query) => {
+                let page = self.status_page(now, &query);
+                self.reply(now, session, &PublisherMessage::Status(page), out);
+                Ok(())
+            }
+        }
+    }
+
+    fn handle_hello(
+        &mut self,
+        now: Time,
+        session: SessionId,
+        subscriber: SubscriberName,
+        seen: Position,
+        out: &mut Vec<PublisherOutput>,
+    ) -> Handled {
+        let state = self.sessions.get_mut(&session).ok_or(NO_SESSION)?;
+        if state.subscriber.is_some() {
+            return Err(CloseReason::Violation("a second hello"));
+        }
+        if self.sessions.len() > self.options.max_sessions + SPARE_CONNECTIONS {
+            return self.refuse(now, session, Refusal::Full, out);
+        }
+        if let Err(refusal) = self.store.check_resume(seen) {
+            return self.refuse(now, session, refusal, out);
+        }
+        let state = self.sessions.get_mut(&session).ok_or(NO_SESSION)?;
+        state.subscriber = Some(subscriber);
+        self.shared.counters.sessions += 1;
+        let position = self.store.position();
+        self.reply(now, session, &PublisherMessage::Welcome { position }, out);
+        Ok(())
+    }
+
+    fn refuse(
+        &mut self,
+        now: Time,
+        session: SessionId,
+        refusal: Refusal,
+        out: &mut Vec<PublisherOutput>,
+    ) -> Handled {
+        self.reply(now, session, &PublisherMessage::Refused(refusal), out);
+        Err(CloseReason::Refused)
+    }
+
+    fn handle_scope(
+        &mut self,
+        now: Time,
+        session: SessionId,
+        scope: ScopeChange,
+        out: &mut Vec<PublisherOutput>,
+    ) -> Handled {
+        let max = self.options.max_scope_services;
+        let named = scope.add.len() + scope.remove.len() + scope.rejected.len();
+        let state = welcomed_session(&mut self.sessions, session)?;
+        if scope.generation != state.scope_generation.wrapping_add(1) {
+            return Err(CloseReason::Violation("scope messages out of order"));
+        }
+        if named > MAX_SERVICES_PER_MESSAGE {
+            return Err(CloseReason::Violation("a scope message with too many services"));
+        }
+        if state.exceeds_scope(&scope.add, named, max) {
+            return self.refuse(now, session, Refusal::ScopeTooLarge { max: max as u32 }, out);
+        }
+        let removed = self.apply_scope(now, session, scope)?;
+        for service in &removed {
+            self.remove_subscriber(service, session);
+        }
+        self.release_snapshot_slot(now, session, out);
+        self.flush(now, session, out);
+        Ok(())
+    }
+
+    /// Changes the scope of a session; returns the services that were in it and are not any more.
+    fn apply_scope(
+        &mut self,
+        now: Time,
+        session: SessionId,
+        scope: ScopeChange,
+    ) -> Result<Vec<ServiceName>, CloseReason> {
+        let state = self.sessions.get_mut(&session).ok_or(NO_SESSION)?;
+        state.scope_generation = scope.generation;
+        for added in &scope.add {
+            self.subscribers.entry(added.service.clone()).or_default().insert(session);
+        }
+        state.add_to_scope(scope.add, scope.rejected);
+        let removed: Vec<ServiceName> =
+            scope.remove.into_iter().filter(|service| state.unsubscribe(service)).collect();
+        if scope.is_last {
+            state.resume(now, &self.store);
+        }
+        Ok(removed)
+    }
+
+    fn handle_answer(
+        &mut self,
+        now: Time,
+        session: SessionId,
+        transaction: u64,
+        answer: Answer,
+        out: &mut Vec<PublisherOutput>,
+    ) -> Handled {
+        let Publisher { sessions, store, shared, options, .. } = self;
+        let state = welcomed_session(sessions, session)?;
+        let targets = state
+            .take_answered(transaction)
+            .ok_or(CloseReason::Violation("an answer to no transaction"))?;
+        match answer {
+            Answer::Applied => {
+                shared.counters.acks += 1;
+                state.acknowledged(&targets, store);
+            }
+            Answer::NotApplied(NackReason::Rejected(rejections)) => {
+                shared.counters.rejections += 1;
+                state.rejected(&targets, &rejections, store);
+            }
+            Answer::NotApplied(NackReason::Mismatch(applied)) => {
+                shared.counters.mismatches += 1;
+                if state.mismatched(&targets, &applied, store) >= options.max_mismatches {
+                    return Err(CloseReason::Mismatch);
+                }
+            }
+        }
+        self.release_snapshot_slot(now, session, out);
+        self.flush(now, session, out);
+        Ok(())
+    }
+}
+
+/// A session after its hello.
+fn welcomed_session(
+    sessions: &mut FxHashMap<SessionId, Session>,
+    session: SessionId,
+) -> Result<&mut Session, CloseReason> {
+    let state = sessions.get_mut(&session).ok_or(NO_SESSION)?;
+    if state.subscriber.is_none() {
+        return Err(CloseReason::Violation("no hello"));
+    }
+    Ok(state)
+}
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -1,13 +1,20 @@
-//! The control machine's side: sessions over one [`Store`].
+//! The control machine's side: the sessions of its subscribers over one [`Store`].
 
-mod answers;
+mod bandwidth;
+mod counters;
+mod flush;
+mod handlers;
 mod options;
-mod sending;
+mod output;
 mod session;
-mod status;
-mod traffic;
+mod shared;
+mod snapshot_slots;
+mod status_page;
+mod token_bucket;
 
-pub use options::{CloseReason, PublisherCounters, PublisherOptions, PublisherOutput, SessionId};
+pub use counters::PublisherCounters;
+pub use options::PublisherOptions;
+pub use output::{CloseReason, PublisherOutput, SessionId};
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,33 +22,33 @@
 use sableloom_types::Time;
 
 use crate::codec::{CodecError, PROTOCOL_VERSION};
+use crate::log_entry::LogEntry;
 use crate::message::{PublisherMessage, Refusal, SubscriberMessage};
 use crate::name::ServiceName;
-use crate::resource::LogEntry;
 use crate::status::LogStatus;
 use crate::store::{AppendError, Appended, Store};
-use session::{Session, Turn};
-use traffic::Traffic;
-
-/// Connections beyond the most sessions that may be open before their hello, for tools that ask for the status.
-const SPARE_CONNECTIONS: usize = 64;
+use session::Session;
+use shared::{FrameSink, Shared};
+use snapshot_slots::SnapshotSlot;
 
 /// The sessions of a control machine's subscribers over one store.
+///
+/// The caller owns connections, clock and log: it reports what happens, carries out the [`PublisherOutput`]s in order,
+/// and calls [`Self::tick`] when [`Self::due`] says so.
 #[derive(Debug)]
 pub struct Publisher {
     store: Store,
     options: PublisherOptions,
     sessions: FxHashMap<SessionId, Session>,
-    /// Which sessions have a service in their scope.
+    /// The sessions that have a service in their scope.
     subscribers: FxHashMap<ServiceName, BTreeSet<SessionId>>,
     timers: BTreeSet<(Time, SessionId)>,
-    traffic: Traffic,
-    next_transfer: u64,
+    shared: Shared,
     log_status: LogStatus,
 }
 
 impl Publisher {
-    /// Over a store, with no session.
+    /// A publisher over a store, with no session.
     pub fn new(store: Store, options: PublisherOptions) -> Self {
         Publisher {
             store,
@@ -49,8 +56,7 @@
             sessions: FxHashMap::default(),
             subscribers: FxHashMap::default(),
             timers: BTreeSet::new(),
-            traffic: Traffic::new(&options),
-            next_transfer: 1,
+            shared: Shared::new(&options),
             log_status: LogStatus::default(),
         }
     }
@@ -60,15 +66,15 @@
         &self.store
     }
 
-    /// How the shell gets on with reading the log, for the status.
+    /// Sets the progress of the caller in reading the log, as the status reports it.
     pub fn set_log_status(&mut self, status: LogStatus) {
         self.log_status = status;
     }
 
-    /// A connection has been taken. Ids are never reused.
+    /// A connection has been accepted. Session ids are never reused.
     pub fn connected(&mut self, now: Time, session: SessionId) {
         self.sessions.insert(session, Session::new(session, now));
-        self.set_timer(session);
+        self.reschedule(session);
     }
 
     /// A message has come.
@@ -79,17 +85,17 @@
         message: SubscriberMessage,
         out: &mut Vec<PublisherOutput>,
     ) {
-        let Some(known) = self.sessions.get_mut(&session) else {
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        known.heard = now;
-        if let Err(reason) = self.take(now, session, message, out) {
+        state.last_heard = now;
+        if let Err(reason) = self.handle(now, session, message, out) {
             self.close(now, session, reason, out);
         }
     }
 
-    /// What came is no message: the session is closed and counted. One of another version of the protocol is answered
-    /// first, so that its log names the version and not just a connection that ended.
+    /// A malformed frame has come: the session is closed and counted. A subscriber of another protocol version is
+    /// refused first, so that it can log the version and not just a connection that ended.
     pub fn malformed(
         &mut self,
         now: Time,
@@ -99,18 +105,22 @@
     ) {
         if let CodecError::Version(_) = error {
             let refusal = Refusal::Version { expected: PROTOCOL_VERSION };
-            self.answer(now, session, &PublisherMessage::Refused(refusal), out);
+            self.reply(now, session, &PublisherMessage::Refused(refusal), out);
         }
         self.close(now, session, CloseReason::Malformed(error), out);
     }
 
     /// The connection has ended. Not to be called after [`PublisherOutput::Close`].
     pub fn disconnected(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
-        self.forget(now, session, out);
+        self.remove_session(now, session, out);
     }
 
-    /// Takes the next change into the store and sends it to whom it concerns. Work by what it touches and by the
-    /// sessions that subscribe to that.
+    /// Appends the next change to the store and sends it to the sessions that subscribe to it. The cost follows the
+    /// resources that the change touches and these sessions.
+    ///
+    /// # Errors
+    ///
+    /// If the store can't append the change; nothing of it has been applied.
     pub fn append(
         &mut self,
         now: Time,
@@ -118,13 +128,14 @@
         out: &mut Vec<PublisherOutput>,
     ) -> Result<Appended, AppendError> {
         let appended = self.store.append(entry)?;
-        for (session, services) in self.concerned(&appended.services) {
-            self.changed(now, session, &services, out);
+        for (session, services) in self.subscribed_sessions(&appended.services) {
+            self.services_changed(now, session, &services, out);
         }
         Ok(appended)
     }
 
-    /// Another history has been read (a raised epoch): every session is closed and resumes from what it has.
+    /// Replaces the store, as a log of a higher epoch has been read: every session is closed, and each subscriber
+    /// resumes from the state that it has.
     pub fn replace_store(&mut self, now: Time, store: Store, out: &mut Vec<PublisherOutput>) {
         self.store = store;
         let mut sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
@@ -134,7 +145,7 @@
         }
     }
 
-    /// So many bytes of what was handed out have been written to the connection.
+    /// Bytes of the queued frames have been written to the connection.
     pub fn written(
         &mut self,
         now: Time,
@@ -142,72 +153,73 @@
         bytes: usize,
         out: &mut Vec<PublisherOutput>,
     ) {
-        let Some(known) = self.sessions.get_mut(&session) else {
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        known.queued = known.queued.saturating_sub(bytes);
-        if bytes > 0 {
-            known.stalled_since = now;
-        }
-        self.pump(now, session, out);
+        state.bytes_written(now, bytes);
+        self.flush(now, session, out);
     }
 
-    /// Does what is due; gives when it is to be called next. To be asked again after every other call by [`Self::due`].
+    /// Closes sessions whose timeout has ended and sends what waited for bandwidth; returns [`Self::due`].
     pub fn tick(&mut self, now: Time, out: &mut Vec<PublisherOutput>) -> Option<Time> {
         while let Some((at, session)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, session));
-            self.check_session(now, session, out);
+            self.timer_fired(now, session, out);
         }
         self.serve_waiting(now, out);
         self.due()
     }
 
-    /// When [`Self::tick`] is to be called.
+    /// When [`Self::tick`] is to be called; each other call may change it.
     pub fn due(&self) -> Option<Time> {
         let timer = self.timers.first().map(|(at, _)| *at);
-        [timer, self.traffic.due()].into_iter().flatten().min()
+        [timer, self.shared.bandwidth.due()].into_iter().flatten().min()
     }
 
-    /// What was counted.
+    /// The counters since the start.
     pub fn counters(&self) -> PublisherCounters {
-        self.traffic.counters
+        self.shared.counters
     }
 
-    /// The sessions that have any of these services in their scope, with those that they have.
-    fn concerned(&self, services: &[ServiceName]) -> BTreeMap<SessionId, Vec<ServiceName>> {
-        let mut concerned: BTreeMap<SessionId, Vec<ServiceName>> = BTreeMap::new();
+    /// The sessions that have any of these services in their scope, each with those services.
+    fn subscribed_sessions(
+        &self,
+        services: &[ServiceName],
+    ) -> BTreeMap<SessionId, Vec<ServiceName>> {
+        let mut subscribed: BTreeMap<SessionId, Vec<ServiceName>> = BTreeMap::new();
         for service in services {
             for session in self.subscribers.get(service).into_iter().flatten() {
-                concerned.entry(*session).or_default().push(service.clone());
+                subscribed.entry(*session).or_default().push(service.clone());
             }
         }
-        concerned
+        subscribed
     }
 
-    fn check_session(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
-        let Some(known) = self.sessions.get_mut(&session) else {
+    fn timer_fired(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        known.timer = None;
-        match known.overdue(now, &self.options) {
+        state.timer = None;
+        match state.overdue(now, &self.options) {
             Some(reason) => self.close(now, session, reason, out),
-            None => self.set_timer(session),
+            None => self.reschedule(session),
         }
     }
 
-    fn set_timer(&mut self, session: SessionId) {
-        let Some(known) = self.sessions.get_mut(&session) else {
+    /// Sets the timer of a session to its deadline. A timer that is set for an earlier time stays: it is set anew when
+    /// it fires.
+    fn reschedule(&mut self, session: SessionId) {
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        let at = known.deadline(&self.options);
-        // An earlier timer looks again when it comes.
-        if known.timer.is_none_or(|timer| at < timer) {
-            if let Some(timer) = known.timer {
-                self.timers.remove(&(timer, session));
-            }
-            known.timer = Some(at);
-            self.timers.insert((at, session));
+        let deadline = state.deadline(&self.options);
+        if state.timer.is_some_and(|timer| timer <= deadline) {
+            return;
         }
+        if let Some(timer) = state.timer.replace(deadline) {
+            self.timers.remove(&(timer, session));
+        }
+        self.timers.insert((deadline, session));
     }
 
     fn close(
@@ -220,36 +232,27 @@
         if !self.sessions.contains_key(&session) {
             return;
         }
-        let counters = &mut self.traffic.counters;
-        match reason {
-            CloseReason::Refused => counters.refused += 1,
-            CloseReason::Stalled => counters.stalled += 1,
-            CloseReason::Unacknowledged => counters.unacknowledged += 1,
-            CloseReason::Silent => counters.silent += 1,
-            CloseReason::Violation(_) | CloseReason::Malformed(_) => counters.violations += 1,
-            CloseReason::Mismatch | CloseReason::Replaced => {}
-        }
-        counters.closed += 1;
+        self.shared.counters.count_close(reason);
         out.push(PublisherOutput::Close { session, reason });
-        self.forget(now, session, out);
+        self.remove_session(now, session, out);
     }
 
-    fn forget(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
-        let Some(known) = self.sessions.remove(&session) else {
+    fn remove_session(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
+        let Some(state) = self.sessions.remove(&session) else {
             return;
         };
-        for service in known.services.keys() {
-            self.forget_subscriber(service, session);
+        for service in state.subscriptions.keys() {
+            self.remove_subscriber(service, session);
         }
-        if let Some(timer) = known.timer {
+        if let Some(timer) = state.timer {
             self.timers.remove(&(timer, session));
         }
-        if known.turn == Turn::Taken {
-            self.give_turn(now, out);
+        if state.snapshot_slot == SnapshotSlot::Held {
+            self.pass_on_snapshot_slot(now, out);
         }
     }
 
-    fn forget_subscriber(&mut self, service: &ServiceName, session: SessionId) {
+    fn remove_subscriber(&mut self, service: &ServiceName, session: SessionId) {
         if let Some(sessions) = self.subscribers.get_mut(service) {
             sessions.remove(&session);
             if sessions.is_empty() {
@@ -258,20 +261,20 @@
         }
     }
 
-    /// Hands out a message that is an answer, unless the session reads nothing: then it is dropped.
-    fn answer(
+    /// Queues a reply. It is dropped if the subscriber does not read: requests must not grow the queue without bound.
+    fn reply(
         &mut self,
         now: Time,
         session: SessionId,
         message: &PublisherMessage,
         out: &mut Vec<PublisherOutput>,
     ) {
-        let Some(known) = self.sessions.get_mut(&session) else {
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        if known.queued < self.options.max_queued_bytes {
-            known.send(now, message, &mut self.traffic, out);
-            self.set_timer(session);
+        if state.queued_bytes() < self.options.max_queued_bytes {
+            state.send(message, &mut FrameSink { now, shared: &mut self.shared, out });
+            self.reschedule(session);
         }
     }
 }
--- /dev/null
+++ b/crates/distribution/src/publisher/session/answers.rs
@@ -0,0 +1,96 @@
+//! What the answer to a transaction changes in a session.
+
+use super::Session;
+use super::subscription::RejectedVersion;
+use super::transaction::{TransactionId, TransactionTarget};
+use crate::name::ServiceName;
+use crate::position::ServiceVersion;
+use crate::rejection::Rejection;
+use crate::store::Store;
+
+impl Session {
+    /// Takes a transaction as answered; returns the versions that it led to, without services that have left the scope
+    /// or were added again since. None if there is no such transaction.
+    pub(in crate::publisher) fn take_answered(
+        &mut self,
+        transaction: TransactionId,
+    ) -> Option<Vec<ServiceVersion>> {
+        let sent = self.unacknowledged.remove(&transaction)?;
+        self.bookmark_due = true;
+        for target in &sent.targets {
+            if let Some(subscription) = self.subscriptions.get_mut(&target.version.service)
+                && subscription.transaction == Some(transaction)
+            {
+                subscription.transaction = None;
+            }
+        }
+        let is_still_subscribed = |target: &TransactionTarget| {
+            self.subscriptions
+                .get(&target.version.service)
+                .is_some_and(|subscription| subscription.generation == target.generation)
+        };
+        let targets = sent.targets.into_iter().filter(is_still_subscribed);
+        Some(targets.map(|target| target.version).collect())
+    }
+
+    /// The subscriber has applied a transaction.
+    pub(in crate::publisher) fn acknowledged(&mut self, targets: &[ServiceVersion], store: &Store) {
+        self.consecutive_mismatches = 0;
+        for target in targets {
+            self.set_applied(target);
+            let Some(subscription) = self.subscriptions.get_mut(&target.service) else {
+                continue;
+            };
+            if !subscription.lags(&target.service, store) {
+                subscription.lagging_since = None;
+            }
+            subscription.needs_snapshot = false;
+            subscription.rejected = None;
+        }
+    }
+
+    /// The subscriber has rejected the content of a transaction.
+    pub(in crate::publisher) fn rejected(
+        &mut self,
+        targets: &[ServiceVersion],
+        rejections: &[Rejection],
+        store: &Store,
+    ) {
+        self.consecutive_mismatches = 0;
+        for target in targets {
+            let own =
+                rejections.iter().find(|rejection| rejection.resource.service == target.service);
+            let problem = own.or(rejections.first()).cloned();
+            if let Some(subscription) = self.subscriptions.get_mut(&target.service) {
+                subscription.rejected = Some(RejectedVersion { version: target.version, problem });
+            }
+        }
+        self.set_aside(service_names(targets), store);
+    }
+
+    /// A transaction did not match the subscriber's state, which has applied other versions; returns how many
+    /// transactions in a row that makes.
+    pub(in crate::publisher) fn mismatched(
+        &mut self,
+        targets: &[ServiceVersion],
+        applied: &[ServiceVersion],
+        store: &Store,
+    ) -> u32 {
+        self.consecutive_mismatches += 1;
+        for version in applied {
+            if !targets.iter().any(|target| target.service == version.service) {
+                continue;
+            }
+            self.set_applied(version);
+            if let Some(subscription) = self.subscriptions.get_mut(&version.service) {
+                subscription.needs_snapshot = true;
+            }
+        }
+        self.mark_pending(&service_names(targets), store);
+        self.consecutive_mismatches
+    }
+}
+
+fn service_names(versions: &[ServiceVersion]) -> Vec<ServiceName> {
+    versions.iter().map(|version| version.service.clone()).collect()
+}
--- /dev/null
+++ b/crates/distribution/src/publisher/session/resume.rs
@@ -0,0 +1,118 @@
+//! What a scope changes in a session, and what is pending once the scope is complete.
+
+use std::collections::BTreeSet;
+
+use sableloom_types::Time;
+
+use super::Session;
+use crate::name::ServiceName;
+use crate::position::ServiceVersion;
+use crate::store::Store;
+
+impl Session {
+    /// Whether the scope would have more services than it may, also counting those that its messages have only named.
+    pub(in crate::publisher) fn exceeds_scope(
+        &self,
+        added: &[ServiceVersion],
+        named: usize,
+        max: usize,
+    ) -> bool {
+        let is_new = |added: &&ServiceVersion| !self.subscriptions.contains_key(&added.service);
+        let new = added.iter().filter(is_new).count();
+        let named_before = self.services_to_resume.len().max(self.reported_rejections.len());
+        self.subscriptions.len() + new > max || named_before + named > 2 * max
+    }
+
+    /// Adds services of a scope message.
+    pub(in crate::publisher) fn add_to_scope(
+        &mut self,
+        added: Vec<ServiceVersion>,
+        rejected: Vec<ServiceVersion>,
+    ) {
+        self.reported_rejections.extend(rejected);
+        self.services_to_resume.extend(added.iter().map(|version| version.service.clone()));
+        for applied in added {
+            self.subscribe(applied);
+        }
+    }
+
+    /// The scope is complete: of the services that it has added, those in which the subscriber lags are pending. What
+    /// one change in the log has touched is pending together.
+    pub(in crate::publisher) fn resume(&mut self, now: Time, store: &Store) {
+        self.scope_complete = true;
+        self.bookmark_due = true;
+        let services = std::mem::take(&mut self.services_to_resume);
+        let lagging: Vec<ServiceName> =
+            services.into_iter().filter(|service| self.lags(service, store)).collect();
+        self.mark_lagging(now, &lagging);
+        let mut seen_changes = BTreeSet::new();
+        for service in &lagging {
+            self.mark_pending(std::slice::from_ref(service), store);
+            self.join_changed_together(service, &mut seen_changes, store);
+        }
+        for rejected in self.reported_rejections.clone() {
+            self.set_aside_if_rejected(&rejected.service, store);
+        }
+        self.reported_rejections = Vec::new();
+    }
+
+    /// Services of the scope have changed.
+    pub(in crate::publisher) fn services_changed(
+        &mut self,
+        now: Time,
+        services: &[ServiceName],
+        max_transaction_bytes: usize,
+        store: &Store,
+    ) -> ChangeEffect {
+        // A service of a scope that is not complete is compared when it is.
+        let is_resumed = |service: &&ServiceName| !self.services_to_resume.contains(*service);
+        let services: Vec<ServiceName> = services.iter().filter(is_resumed).cloned().collect();
+        if services.is_empty() {
+            return ChangeEffect::None;
+        }
+        self.mark_lagging(now, &services);
+        if self.absorb(&services, max_transaction_bytes, store) {
+            return ChangeEffect::Absorbed;
+        }
+        self.mark_pending(&services, store);
+        ChangeEffect::Pending
+    }
+
+    /// Joins a service with the services that the changes since its base have touched together with it.
+    fn join_changed_together(
+        &mut self,
+        service: &ServiceName,
+        seen_changes: &mut BTreeSet<u64>,
+        store: &Store,
+    ) {
+        let Some(subscription) = self.subscriptions.get(service) else {
+            return;
+        };
+        if !subscription.accepts_delta(service, store) {
+            return;
+        }
+        for (number, touched) in store.changes_since(service, subscription.version) {
+            if touched.len() < 2 || !seen_changes.insert(number) {
+                continue;
+            }
+            let lacks_change = |service: &&ServiceName| {
+                self.subscriptions.get(*service).is_some_and(|subscription| {
+                    subscription.version < number && subscription.accepts_delta(service, store)
+                })
+            };
+            let together: Vec<ServiceName> = touched.iter().filter(lacks_change).cloned().collect();
+            self.mark_pending(&together, store);
+        }
+    }
+}
+
+/// What a change does to a session.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::publisher) enum ChangeEffect {
+    /// Nothing yet: the scope is not complete.
+    None,
+    /// The change was added to the transaction that is being sent.
+    Absorbed,
+    /// The services are pending.
+    Pending,
+}
--- /dev/null
+++ b/crates/distribution/src/publisher/session/timeouts.rs
@@ -0,0 +1,36 @@
+//! When a session is closed because its subscriber does not read, answer or send.
+
+use sableloom_types::{Span, Time};
+
+use super::Session;
+use crate::publisher::options::PublisherOptions;
+use crate::publisher::output::CloseReason;
+
+impl Session {
+    /// When a timeout ends, unless something happens before.
+    pub(in crate::publisher) fn deadline(&self, options: &PublisherOptions) -> Time {
+        let silent = self.last_heard.plus(options.silence_timeout);
+        let stalled =
+            (self.queued_bytes > 0).then(|| self.stalled_since.plus(options.stall_timeout));
+        let oldest = self.unacknowledged.first_key_value();
+        let unanswered = oldest.map(|(_, sent)| sent.sent.plus(options.acknowledge_timeout));
+        [Some(silent), stalled, unanswered].into_iter().flatten().min().unwrap_or(silent)
+    }
+
+    /// Why the session is to be closed, if a timeout has ended.
+    pub(in crate::publisher) fn overdue(
+        &self,
+        now: Time,
+        options: &PublisherOptions,
+    ) -> Option<CloseReason> {
+        let has_passed = |since: Time, timeout: Span| now.since(since) >= timeout;
+        if self.queued_bytes > 0 && has_passed(self.stalled_since, options.stall_timeout) {
+            return Some(CloseReason::Stalled);
+        }
+        let oldest = self.unacknowledged.first_key_value();
+        if oldest.is_some_and(|(_, sent)| has_passed(sent.sent, options.acknowledge_timeout)) {
+            return Some(CloseReason::Unacknowledged);
+        }
+        has_passed(self.last_heard, options.silence_timeout).then_some(CloseReason::Silent)
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/publisher/shared.rs
@@ -0,0 +1,61 @@
+//! What all sessions of a publisher share.
+
+use sableloom_types::Time;
+
+use super::bandwidth::Bandwidth;
+use super::counters::PublisherCounters;
+use super::options::PublisherOptions;
+use super::output::{PublisherOutput, SessionId};
+use super::snapshot_slots::SnapshotSlots;
+use crate::codec::encode;
+use crate::message::PublisherMessage;
+
+/// The bandwidth, the snapshot slots, the counters and the ids of transactions.
+#[derive(Debug)]
+pub(super) struct Shared {
+    pub(super) bandwidth: Bandwidth,
+    pub(super) snapshot_slots: SnapshotSlots,
+    pub(super) counters: PublisherCounters,
+    next_transaction: u64,
+}
+
+impl Shared {
+    pub(super) fn new(options: &PublisherOptions) -> Self {
+        Shared {
+            bandwidth: Bandwidth::new(options),
+            snapshot_slots: SnapshotSlots::new(options.max_snapshots),
+            counters: PublisherCounters::default(),
+            next_transaction: 1,
+        }
+    }
+
+    /// The id that the next transaction will have.
+    pub(super) fn next_transaction(&self) -> u64 {
+        self.next_transaction
+    }
+
+    /// A transaction with the id of [`Self::next_transaction`] has been opened.
+    pub(super) fn transaction_opened(&mut self) {
+        self.next_transaction += 1;
+    }
+}
+
+/// Where the frames of one call go.
+pub(super) struct FrameSink<'a> {
+    pub(super) now: Time,
+    pub(super) shared: &'a mut Shared,
+    pub(super) out: &'a mut Vec<PublisherOutput>,
+}
+
+impl FrameSink<'_> {
+    /// Queues a message for a session; returns the bytes of its frame.
+    pub(super) fn send(&mut self, session: SessionId, message: &PublisherMessage) -> usize {
+        let frame = encode(message);
+        let bytes = frame.len();
+        self.shared.bandwidth.spend(bytes);
+        self.shared.counters.frames += 1;
+        self.shared.counters.bytes += bytes as u64;
+        self.out.push(PublisherOutput::Send { session, frame });
+        bytes
+    }
+}
--- a/crates/distribution/src/publisher/status.rs
+++ b/crates/distribution/src/publisher/status_page.rs
@@ -1,9 +1,11 @@
-//! What a publisher reports.
+//! The pages of a publisher's status.
 
 use sableloom_types::Time;
 
 use super::Publisher;
-use super::session::{Session, Subscription, Turn};
+use super::output::SessionId;
+use super::session::{Session, Subscription};
+use super::snapshot_slots::SnapshotSlot;
 use crate::message::{MAX_SERVICES_PER_MESSAGE, StatusQuery};
 use crate::name::{ServiceName, SubscriberName};
 use crate::status::{
@@ -12,10 +14,12 @@
 };
 use crate::store::Store;
 
+const MICROSECONDS_PER_MILLISECOND: i64 = 1_000;
+
 impl Publisher {
-    /// What holds for all sessions. Work by the number of sessions.
+    /// The totals of the store and of all sessions. The cost follows the number of sessions.
     pub fn status(&self) -> PublisherStatus {
-        let counters = self.traffic.counters;
+        let counters = self.shared.counters;
         let count = |condition: &dyn Fn(&Session) -> bool| {
             let sessions = self.sessions.values().filter(|session| session.subscriber.is_some());
             sessions.filter(|session| condition(session)).count() as u64
@@ -30,9 +34,9 @@
             sessions: count(&|_| true),
             lagging: count(&|session| !session.is_idle() || session.is_rejecting()),
             rejecting: count(&Session::is_rejecting),
-            snapshots: self.traffic.snapshot_turns as u64,
-            waiting_for_snapshot: count(&|session| session.turn == Turn::Waiting),
-            waiting_for_bandwidth: self.traffic.waiting() as u64,
+            snapshots: self.shared.snapshot_slots.in_use() as u64,
+            waiting_for_snapshot: count(&|session| session.snapshot_slot == SnapshotSlot::Waiting),
+            waiting_for_bandwidth: self.shared.bandwidth.waiting() as u64,
             transactions: counters.transactions,
             bytes: counters.bytes,
             acks: counters.acks,
@@ -53,7 +57,7 @@
     }
 
     fn machine_status(&self) -> MachineStatus {
-        let counters = self.traffic.counters;
+        let counters = self.shared.counters;
         MachineStatus {
             log: self.log_status.clone(),
             refused: counters.refused,
@@ -65,14 +69,14 @@
     }
 
     fn session_rows(&self, now: Time, from: u64) -> StatusRows {
-        let greeted = |session: &Session| Some((session.id.0, session.subscriber.clone()?));
+        let welcomed = |session: &Session| Some((session.id.0, session.subscriber.clone()?));
         let mut ids: Vec<(u64, SubscriberName)> =
-            self.sessions.values().filter_map(greeted).filter(|(id, _)| *id >= from).collect();
+            self.sessions.values().filter_map(welcomed).filter(|(id, _)| *id >= from).collect();
         ids.sort_unstable_by_key(|(id, _)| *id);
         let next = ids.get(MAX_SESSIONS_PER_PAGE).map(|(id, _)| *id);
         ids.truncate(MAX_SESSIONS_PER_PAGE);
         let row = |(id, name)| {
-            let session = self.sessions.get(&super::SessionId(id))?;
+            let session = self.sessions.get(&SessionId(id))?;
             Some(session.status(now, name, &self.store))
         };
         StatusRows::Sessions { sessions: ids.into_iter().filter_map(row).collect(), next }
@@ -82,40 +86,40 @@
         let mut rows = self.store.services_after(after);
         let services: Vec<_> = rows.by_ref().take(MAX_SERVICES_PER_MESSAGE).collect();
         let more = rows.next().is_some();
-        let next = services.last().filter(|_| more).map(|held| held.service.clone());
+        let next = services.last().filter(|_| more).map(|last| last.service.clone());
         StatusRows::Services { services, next }
     }
 }
 
 impl Session {
     fn status(&self, now: Time, subscriber: SubscriberName, store: &Store) -> SessionStatus {
-        let lags = || self.services.iter().filter(|(service, _)| self.lags(service, store));
-        let refusals =
-            || self.services.iter().filter(|(_, subscription)| subscription.refused.is_some());
+        let lags = || self.subscriptions.iter().filter(|(service, _)| self.lags(service, store));
+        let rejections = || {
+            self.subscriptions.iter().filter(|(_, subscription)| subscription.rejected.is_some())
+        };
         SessionStatus {
             session: self.id.0,
             subscriber,
-            services: self.services.len() as u32,
-            current: self.bookmark,
-            queued_bytes: self.queued as u64,
-            silent_ms: (now.since(self.heard).0 / 1_000).max(0) as u64,
+            services: self.subscriptions.len() as u32,
+            current: self.last_bookmark,
+            queued_bytes: self.queued_bytes() as u64,
+            silent_ms: milliseconds_since(self.last_heard, now),
             lagging: lags().count() as u32,
             lags: lags()
                 .take(MAX_LISTED_PER_SESSION)
-                .map(|(service, s)| lag_status(now, service, s, store))
+                .map(|(service, subscription)| lag_status(now, service, subscription, store))
                 .collect(),
-            rejecting: refusals().count() as u32,
-            rejections: refusals()
+            rejecting: rejections().count() as u32,
+            rejections: rejections()
                 .take(MAX_LISTED_PER_SESSION)
-                .filter_map(|(service, s)| rejection_status(now, service, s))
+                .filter_map(|(service, subscription)| rejection_status(now, service, subscription))
                 .collect(),
         }
     }
 }
 
-fn behind_ms(now: Time, subscription: &Subscription) -> u64 {
-    let since = subscription.behind_since.unwrap_or(now);
-    (now.since(since).0 / 1_000).max(0) as u64
+fn lagging_ms(now: Time, subscription: &Subscription) -> u64 {
+    milliseconds_since(subscription.lagging_since.unwrap_or(now), now)
 }
 
 fn lag_status(
@@ -128,7 +132,7 @@
         service: service.clone(),
         applied_version: subscription.version,
         latest_version: store.service_version(service).version,
-        behind_ms: behind_ms(now, subscription),
+        behind_ms: lagging_ms(now, subscription),
     }
 }
 
@@ -137,12 +141,16 @@
     service: &ServiceName,
     subscription: &Subscription,
 ) -> Option<RejectionStatus> {
-    let refused = subscription.refused.as_ref()?;
+    let rejected = subscription.rejected.as_ref()?;
     Some(RejectionStatus {
         service: service.clone(),
         applied_version: subscription.version,
-        rejected_version: refused.version,
-        behind_ms: behind_ms(now, subscription),
-        problem: refused.problem.clone(),
+        rejected_version: rejected.version,
+        behind_ms: lagging_ms(now, subscription),
+        problem: rejected.problem.clone(),
     })
 }
+
+fn milliseconds_since(since: Time, now: Time) -> u64 {
+    (now.since(since).0 / MICROSECONDS_PER_MILLISECOND).max(0) as u64
+}
--- a/crates/distribution/src/status.rs
+++ b/crates/distribution/src/status.rs
@@ -1,21 +1,23 @@
-//! What a control machine reports of itself: versions, who has which, who lags, who refused and why.
+//! The status that a control machine reports: the versions of its services, and which subscribers lag or have rejected
+//! a version and why. It is encoded by position: the order of fields and variants is the wire format.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::{ServiceName, SubscriberName};
-use crate::resource::{Position, Rejection, ServiceVersion};
+use crate::position::{Position, ServiceVersion};
+use crate::rejection::Rejection;
 
 /// The most sessions in one page of the status.
 pub const MAX_SESSIONS_PER_PAGE: usize = 16;
-/// The most lagging and the most refused services listed of one session.
+/// The most lagging and the most rejected services listed of one session.
 pub const MAX_LISTED_PER_SESSION: usize = 4;
 
 /// One page of the status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusPage {
-    /// What holds for all.
+    /// The totals.
     pub status: PublisherStatus,
     /// The rows of this page.
     pub rows: StatusRows,
@@ -28,140 +30,140 @@
     Sessions {
         /// At most [`MAX_SESSIONS_PER_PAGE`].
         sessions: Vec<SessionStatus>,
-        /// From where the next page starts, if there is more.
+        /// The id from which the next page starts, if there is one.
         next: Option<u64>,
     },
     /// Services in the order of their names.
     Services {
         /// At most [`crate::MAX_SERVICES_PER_MESSAGE`].
         services: Vec<ServiceVersion>,
-        /// The last of this page, if there is more.
+        /// The last service of this page, if there is another page.
         next: Option<ServiceName>,
     },
     /// The control machine itself.
     Machine(MachineStatus),
 }
 
-/// How a control machine gets on with its log, and why it has closed connections.
+/// The progress of a control machine in its log, and why it has closed connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineStatus {
-    /// Its log.
+    /// The progress in the log.
     pub log: LogStatus,
-    /// Hellos refused.
+    /// Sessions that were refused.
     pub refused: u64,
-    /// Sessions closed for not reading.
+    /// Sessions closed because the subscriber did not read.
     pub stalled: u64,
-    /// Sessions closed for not acknowledging.
+    /// Sessions closed because the subscriber did not answer a transaction.
     pub unacknowledged: u64,
-    /// Sessions closed for silence.
+    /// Sessions closed because no message came.
     pub silent: u64,
-    /// Sessions closed for messages that may not be said, or for bytes that are no message.
+    /// Sessions closed for a message that the protocol does not allow at that point, or for a malformed frame.
     pub violations: u64,
 }
 
-/// How reading the log goes.
+/// The progress of reading the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStatus {
-    /// The number of the change that is to be read next.
+    /// The number of the change that is read next.
     pub next: u64,
-    /// The largest number of a change that is there.
+    /// The largest number of the change files that exist.
     pub latest: u64,
-    /// Why the next change can't be taken; empty if there is none or nothing is wrong. At most
+    /// Why the next change can't be read; empty if there is no next change or nothing is wrong. At most
     /// [`crate::MAX_TEXT_BYTES`].
-    #[serde(with = "crate::resource::shared_text")]
+    #[serde(with = "crate::bounded_text")]
     pub blocked_reason: Arc<str>,
 }
 
-/// What a control machine has and does.
+/// The totals of a control machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublisherStatus {
-    /// How far it has read the log.
+    /// The position up to which it has read the log.
     pub position: Position,
-    /// Services that it knows, emptied ones included.
+    /// Services, empty ones included.
     pub services: u64,
-    /// Resources that it has.
+    /// Resources.
     pub resources: u64,
     /// Of these, limits of tenants.
     pub tenants: u64,
-    /// Changes that its log holds.
+    /// Changes in its log.
     pub log_entries: u64,
-    /// Bytes that its log takes, about.
+    /// An estimate of the bytes of its log.
     pub log_bytes: u64,
     /// Sessions after a hello.
     pub sessions: u64,
-    /// Sessions that have something pending, on the way or refused.
+    /// Sessions with a change that is pending, in flight or rejected.
     pub lagging: u64,
-    /// Sessions that have refused something.
+    /// Sessions with a rejected change.
     pub rejecting: u64,
-    /// Sessions that are being sent a snapshot.
+    /// Sessions that hold a snapshot slot.
     pub snapshots: u64,
-    /// Sessions that wait for their turn at that.
+    /// Sessions that wait for a snapshot slot.
     pub waiting_for_snapshot: u64,
-    /// Sessions that wait because the bytes of this second are spent.
+    /// Sessions that wait for tokens of the bandwidth limit.
     pub waiting_for_bandwidth: u64,
-    /// Transactions sent whole.
+    /// Transactions sent completely.
     pub transactions: u64,
-    /// Bytes of frames handed out for sending.
+    /// Bytes of the frames that were queued for sending.
     pub bytes: u64,
-    /// Transactions in force.
+    /// Transactions that were acknowledged.
     pub acks: u64,
-    /// Transactions refused for their content.
+    /// Transactions that were rejected for their content.
     pub rejections: u64,
-    /// Transactions that did not fit or had a wrong digest.
+    /// Transactions whose base or digest did not match the subscriber's state.
     pub mismatches: u64,
     /// Sessions ended by the control machine.
     pub closed: u64,
 }
 
-/// What a control machine knows of a subscriber.
+/// The state of a subscriber's session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionStatus {
     /// The session's id.
     pub session: u64,
-    /// Who.
+    /// The name of the subscriber.
     pub subscriber: SubscriberName,
     /// Services in its scope.
     pub services: u32,
-    /// The position of the last bookmark: all of the scope is in force up to there, but for what was refused.
+    /// The position of the last bookmark: every change of the scope up to it has been applied or rejected.
     pub current: Position,
-    /// Bytes handed out and not yet written.
+    /// Bytes queued and not yet written to the connection.
     pub queued_bytes: u64,
-    /// Milliseconds since its last message.
+    /// Milliseconds since the subscriber's last message.
     pub silent_ms: u64,
-    /// How many services it lags in.
+    /// The number of services in which it lags.
     pub lagging: u32,
     /// The first of them, at most [`MAX_LISTED_PER_SESSION`].
     pub lags: Vec<LagStatus>,
-    /// How many services it has refused.
+    /// The number of services of which it has rejected a version.
     pub rejecting: u32,
     /// The first of them, at most [`MAX_LISTED_PER_SESSION`].
     pub rejections: Vec<RejectionStatus>,
 }
 
-/// A service in which a subscriber lags.
+/// A service of which a subscriber has not applied the latest version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LagStatus {
-    /// Which.
+    /// The service.
     pub service: ServiceName,
-    /// The version in force at the subscriber.
+    /// The version that the subscriber has applied.
     pub applied_version: u64,
-    /// The version of the control machine.
+    /// The version that the control machine has.
     pub latest_version: u64,
-    /// Milliseconds since the control machine has had more, or since the session began.
+    /// Milliseconds since the control machine has had a later version, or since the session began.
     pub behind_ms: u64,
 }
 
-/// A service that a subscriber has refused.
+/// A service of which a subscriber has rejected a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectionStatus {
-    /// Which.
+    /// The service.
     pub service: ServiceName,
-    /// The version that stays in force at the subscriber.
+    /// The version that the subscriber has applied and keeps.
     pub applied_version: u64,
-    /// The version that it refused.
+    /// The version that it has rejected.
     pub rejected_version: u64,
-    /// Milliseconds since the control machine has had more, or since the session began.
+    /// Milliseconds since the control machine has had a later version, or since the session began.
     pub behind_ms: u64,
-    /// The first problem, if it has told one on this connection.
+    /// The first problem, if the subscriber has sent one on this connection.
     pub problem: Option<Rejection>,
 }
--- /dev/null
+++ b/crates/distribution/src/store/stored_service.rs
@@ -0,0 +1,112 @@
+//! A service in a store, with the log of the changes that touched it.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::name::ServiceName;
+use crate::position::ServiceVersion;
+use crate::resource::Change;
+use crate::service_state::{ResourceKey, ServiceState};
+
+/// The part of one change that touched the service.
+#[derive(Debug)]
+struct TouchedKeys {
+    /// Version and digest of the service after the change.
+    version: u64,
+    digest: u64,
+    keys: Box<[ResourceKey]>,
+}
+
+#[derive(Debug, Default)]
+pub(super) struct StoredService {
+    pub(super) state: ServiceState,
+    /// Version and digest before the first change that the log still holds.
+    base_version: u64,
+    base_digest: u64,
+    log: VecDeque<TouchedKeys>,
+}
+
+impl StoredService {
+    pub(super) fn version(&self, name: &ServiceName) -> ServiceVersion {
+        ServiceVersion {
+            service: name.clone(),
+            version: self.state.version,
+            digest: self.state.digest,
+        }
+    }
+
+    /// Applies the changes of one change file; returns the bytes that they take in the log.
+    pub(super) fn apply(&mut self, number: u64, changes: Vec<Change>) -> usize {
+        let keys: Box<[ResourceKey]> = changes.iter().filter_map(resource_key).collect();
+        for change in changes {
+            self.state.apply(change);
+        }
+        self.state.version = number;
+        let key_bytes = |key: &ResourceKey| size_of::<ResourceKey>() + key.text_bytes();
+        let bytes = size_of::<TouchedKeys>() + keys.iter().map(key_bytes).sum::<usize>();
+        self.log.push_back(TouchedKeys { version: number, digest: self.state.digest, keys });
+        bytes
+    }
+
+    /// Drops the oldest change of the service's log.
+    pub(super) fn drop_oldest(&mut self) {
+        if let Some(touched) = self.log.pop_front() {
+            self.base_version = touched.version;
+            self.base_digest = touched.digest;
+        }
+    }
+
+    /// Whether the log holds all changes since a version, and the service had this digest then.
+    pub(super) fn has_base(&self, version: u64, digest: u64) -> bool {
+        if version == 0 {
+            return false;
+        }
+        if (version, digest) == (self.base_version, self.base_digest)
+            || (version, digest) == (self.state.version, self.state.digest)
+        {
+            return true;
+        }
+        match self.log.binary_search_by_key(&version, |touched| touched.version) {
+            Ok(index) => self.log[index].digest == digest,
+            Err(_) => false,
+        }
+    }
+
+    /// The versions of the changes since a version, the oldest first.
+    pub(super) fn versions_since(&self, from: u64) -> impl Iterator<Item = u64> + '_ {
+        self.log_since(from).map(|touched| touched.version)
+    }
+
+    /// The changes since a version, at most one for each resource: its present state, or its removal.
+    pub(super) fn delta(&self, name: &ServiceName, from: u64) -> Vec<Change> {
+        let mut last_touched: BTreeMap<&ResourceKey, u64> = BTreeMap::new();
+        for touched in self.log_since(from) {
+            last_touched.extend(touched.keys.iter().map(|key| (key, touched.version)));
+        }
+        let present = |(key, version): (&ResourceKey, u64)| match self.state.resources.get(key) {
+            Some(resource) => Change::Set(resource.clone()),
+            None => Change::Remove { name: key.in_service(name), version },
+        };
+        last_touched.into_iter().map(present).collect()
+    }
+
+    /// The changes of the latest change file; none if the log does not hold it.
+    pub(super) fn latest_changes(&self, name: &ServiceName) -> Vec<Change> {
+        let before_latest =
+            self.log.iter().rev().nth(1).map_or(self.base_version, |touched| touched.version);
+        self.delta(name, before_latest)
+    }
+
+    fn log_since(&self, from: u64) -> impl Iterator<Item = &TouchedKeys> + '_ {
+        let start = self.log.partition_point(|touched| touched.version <= from);
+        self.log.range(start..)
+    }
+}
+
+/// The key of the resource that a change touches; none for the removal of a service.
+pub(super) fn resource_key(change: &Change) -> Option<ResourceKey> {
+    match change {
+        Change::Set(resource) => Some(ResourceKey::of(&resource.name)),
+        Change::Remove { name, .. } => Some(ResourceKey::of(name)),
+        Change::RemoveService { .. } => None,
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -0,0 +1,183 @@
+//! Transactions and bookmarks of the control machine: buffered within a bound, checked by digest, handed to the caller
+//! only when they are complete.
+
+use super::Subscriber;
+use super::disconnect_reason::DisconnectReason;
+use super::event::SubscriberEvent;
+use super::output::{ServiceUpdate, SubscriberOutput, Transaction};
+use super::service_transfer::ServiceTransfer;
+use super::transaction::{IncomingTransaction, PendingTransaction};
+use crate::message::{MAX_REJECTIONS, NackReason, ServiceBase, SubscriberMessage};
+use crate::name::ServiceName;
+use crate::position::{Position, ServiceVersion};
+use crate::rejection::Rejection;
+use crate::resource::Change;
+
+/// Consecutive bookmarks that do not match the applied state, after which the connection is closed: the first leads to
+/// the complete scope being sent again.
+const MAX_MISMATCHED_BOOKMARKS: u32 = 1;
+
+impl Subscriber {
+    /// A transaction starts, or takes in further services.
+    pub(super) fn begin_transaction(
+        &mut self,
+        id: u64,
+        generation: u32,
+        services: Vec<ServiceBase>,
+    ) -> Result<(), DisconnectReason> {
+        let incoming =
+            self.incoming.get_or_insert_with(|| IncomingTransaction::new(id, generation));
+        incoming.begin(id, generation, services)?;
+        self.check_buffer()
+    }
+
+    /// Changes of the incoming transaction have come.
+    pub(super) fn add_changes(
+        &mut self,
+        id: u64,
+        changes: Vec<Change>,
+    ) -> Result<(), DisconnectReason> {
+        let incoming = self.incoming.as_mut().filter(|incoming| incoming.id() == id);
+        let Some(incoming) = incoming else {
+            return Err(DisconnectReason::violation("changes of no transaction"));
+        };
+        incoming.add_changes(changes)?;
+        self.check_buffer()
+    }
+
+    /// The incoming transaction is complete: it is answered, or handed to the caller.
+    pub(super) fn commit_transaction(
+        &mut self,
+        id: u64,
+        position: Position,
+        targets: Vec<ServiceVersion>,
+        out: &mut Vec<SubscriberOutput>,
+    ) -> Result<(), DisconnectReason> {
+        let Some(incoming) = self.incoming.take().filter(|incoming| incoming.id() == id) else {
+            return Err(DisconnectReason::violation("the end of no transaction"));
+        };
+        let bytes = incoming.bytes;
+        let mut transfers = incoming.commit(position, targets)?;
+        transfers.retain(|transfer| self.applied.expects(transfer));
+        let mismatched: Vec<ServiceName> = transfers
+            .iter()
+            .filter(|transfer| !self.applied.matches(transfer))
+            .map(|transfer| transfer.target.service.clone())
+            .collect();
+        if !mismatched.is_empty() {
+            self.report_mismatch(id, mismatched, out);
+            return Ok(());
+        }
+        if transfers.is_empty() {
+            out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transfer: id }));
+            return Ok(());
+        }
+        let services = transfers.iter().map(|transfer| self.update(transfer)).collect();
+        self.pending.push_back(PendingTransaction { id, transfers, bytes });
+        out.push(SubscriberOutput::Apply(Transaction { transfer: id, position, services }));
+        Ok(())
+    }
+
+    /// The caller has applied a transaction.
+    pub(super) fn acknowledge(
+        &mut self,
+        transaction: PendingTransaction,
+        out: &mut Vec<SubscriberOutput>,
+    ) {
+        self.counters.applied += 1;
+        for transfer in transaction.transfers {
+            self.counters.snapshots += u64::from(transfer.is_snapshot());
+            self.applied.apply(transfer);
+        }
+        out.push(SubscriberOutput::Save);
+        self.answer(SubscriberMessage::Ack { transfer: transaction.id }, out);
+    }
+
+    /// The caller has rejected a transaction.
+    pub(super) fn reject(
+        &mut self,
+        transaction: PendingTransaction,
+        mut rejections: Vec<Rejection>,
+        out: &mut Vec<SubscriberOutput>,
+    ) {
+        self.counters.rejected += 1;
+        rejections.truncate(MAX_REJECTIONS);
+        for transfer in &transaction.transfers {
+            self.applied.note_rejected(transfer);
+        }
+        let services = transaction.services().cloned().collect();
+        let event = SubscriberEvent::Rejected { services, rejections: rejections.clone() };
+        out.push(SubscriberOutput::Event(event));
+        let reason = NackReason::Rejected(rejections);
+        self.answer(SubscriberMessage::Nack { transfer: transaction.id, reason }, out);
+    }
+
+    /// A bookmark has come: if it does not match the applied state, the complete scope is sent again, once.
+    pub(super) fn check_bookmark(
+        &mut self,
+        position: Position,
+        generation: u32,
+        digest: u64,
+        out: &mut Vec<SubscriberOutput>,
+    ) -> Result<(), DisconnectReason> {
+        // The bookmark of an earlier scope, or one that does not know of the last answers, can't match.
+        if generation != self.scope_generation
+            || !self.pending.is_empty()
+            || self.incoming.is_some()
+        {
+            return Ok(());
+        }
+        if digest != self.applied.scope_digest() {
+            self.mismatched_bookmarks += 1;
+            if self.mismatched_bookmarks > MAX_MISMATCHED_BOOKMARKS {
+                return Err(DisconnectReason::violation("bookmarks do not fit what is held"));
+            }
+            self.send_complete_scope(out);
+            return Ok(());
+        }
+        self.mismatched_bookmarks = 0;
+        self.bookmark = position;
+        self.selector.succeeded();
+        if self.link.becomes_current() {
+            out.push(SubscriberOutput::Event(SubscriberEvent::Current { position }));
+        }
+        Ok(())
+    }
+
+    /// Answers that the transaction does not match, with the versions that have been applied: the control machine then
+    /// sends snapshots of these services.
+    fn report_mismatch(
+        &mut self,
+        id: u64,
+        services: Vec<ServiceName>,
+        out: &mut Vec<SubscriberOutput>,
+    ) {
+        self.counters.mismatches += 1;
+        let versions = services.iter().filter_map(|service| self.applied.version(service));
+        let reason = NackReason::Mismatch(versions.collect());
+        out.push(SubscriberOutput::Send(SubscriberMessage::Nack { transfer: id, reason }));
+        out.push(SubscriberOutput::Event(SubscriberEvent::Mismatch { services }));
+    }
+
+    fn update(&self, transfer: &ServiceTransfer) -> ServiceUpdate {
+        transfer.update(self.applied.state(&transfer.target.service))
+    }
+
+    /// Sends the answer to a transaction, unless its connection has ended since.
+    fn answer(&self, message: SubscriberMessage, out: &mut Vec<SubscriberOutput>) {
+        if self.link.scope_sent() {
+            out.push(SubscriberOutput::Send(message));
+        }
+    }
+
+    /// Bounds the memory for transactions: one that is incoming, and as much again that the caller has not answered.
+    fn check_buffer(&self) -> Result<(), DisconnectReason> {
+        let incoming = self.incoming.as_ref().map_or(0, |incoming| incoming.bytes);
+        if incoming > self.max_transaction_bytes
+            || self.buffered_bytes() > 2 * self.max_transaction_bytes
+        {
+            return Err(DisconnectReason::TooLarge);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/subscriber/transaction.rs
@@ -0,0 +1,113 @@
+//! Transactions on their way: the one of which not all has come, and those that the caller applies.
+
+use std::collections::BTreeMap;
+
+use super::disconnect_reason::DisconnectReason;
+use super::service_transfer::{ResourceChanges, ServiceTransfer};
+use crate::message::{Base, ServiceBase};
+use crate::name::ServiceName;
+use crate::position::{Position, ServiceVersion};
+use crate::resource::Change;
+use crate::service_state::ResourceKey;
+
+/// A transaction of which not all has come.
+#[derive(Debug)]
+pub(super) struct IncomingTransaction {
+    id: u64,
+    /// The last scope message that the control machine had processed.
+    generation: u32,
+    services: BTreeMap<ServiceName, IncomingService>,
+    /// An estimate of the bytes that are buffered.
+    pub(super) bytes: usize,
+}
+
+#[derive(Debug)]
+struct IncomingService {
+    base: Base,
+    changes: ResourceChanges,
+}
+
+/// A transaction that the caller has been told to apply and has not answered.
+#[derive(Debug)]
+pub(super) struct PendingTransaction {
+    pub(super) id: u64,
+    pub(super) transfers: Vec<ServiceTransfer>,
+    pub(super) bytes: usize,
+}
+
+impl PendingTransaction {
+    pub(super) fn services(&self) -> impl Iterator<Item = &ServiceName> {
+        self.transfers.iter().map(|transfer| &transfer.target.service)
+    }
+}
+
+impl IncomingTransaction {
+    pub(super) fn new(id: u64, generation: u32) -> Self {
+        IncomingTransaction { id, generation, services: BTreeMap::new(), bytes: 0 }
+    }
+
+    pub(super) fn id(&self) -> u64 {
+        self.id
+    }
+
+    /// Adds services: at the start, and later as long as it is the same transaction.
+    pub(super) fn begin(
+        &mut self,
+        id: u64,
+        generation: u32,
+        services: Vec<ServiceBase>,
+    ) -> Result<(), DisconnectReason> {
+        if self.id != id || self.generation != generation {
+            return Err(DisconnectReason::violation("a transaction begins within another"));
+        }
+        for ServiceBase { service, base } in services {
+            self.bytes += service.as_str().len() + size_of::<IncomingService>();
+            let incoming = IncomingService { base, changes: ResourceChanges::new() };
+            self.services.insert(service, incoming);
+        }
+        Ok(())
+    }
+
+    /// Adds changes; a later change of a resource replaces an earlier one.
+    pub(super) fn add_changes(&mut self, changes: Vec<Change>) -> Result<(), DisconnectReason> {
+        for change in changes {
+            self.bytes += change.encoded_size();
+            let Some(incoming) = self.services.get_mut(change.service()) else {
+                let what = "a change of a service that is not in the transaction";
+                return Err(DisconnectReason::violation(what));
+            };
+            let (key, resource) = match change {
+                Change::Set(resource) => (ResourceKey::of(&resource.name), Some(resource)),
+                Change::Remove { name, .. } => (ResourceKey::of(&name), None),
+                Change::RemoveService { .. } => {
+                    return Err(DisconnectReason::violation("the removal of a service"));
+                }
+            };
+            incoming.changes.insert(key, resource);
+        }
+        Ok(())
+    }
+
+    /// The transaction is complete: its services with their targets.
+    pub(super) fn commit(
+        mut self,
+        position: Position,
+        targets: Vec<ServiceVersion>,
+    ) -> Result<Vec<ServiceTransfer>, DisconnectReason> {
+        let mut transfers = Vec::with_capacity(targets.len());
+        for target in targets {
+            let Some(incoming) = self.services.remove(&target.service) else {
+                let what = "a transaction without one of its services";
+                return Err(DisconnectReason::violation(what));
+            };
+            let IncomingService { base, changes } = incoming;
+            let (epoch, generation) = (position.epoch, self.generation);
+            transfers.push(ServiceTransfer { target, epoch, generation, base, changes });
+        }
+        if !self.services.is_empty() {
+            let what = "a transaction that does not end all of its services";
+            return Err(DisconnectReason::violation(what));
+        }
+        Ok(transfers)
+    }
+}
--- a/crates/distribution/tests/frames/messages.rs
+++ b/crates/distribution/tests/frames/messages.rs
@@ -54,7 +54,7 @@
 }
 
 /// From a subscriber to a control machine.
-pub fn subscriber_messages() -> Vec<(&'static str, SubscriberMessage)> {
+pub(crate) fn subscriber_messages() -> Vec<(&'static str, SubscriberMessage)> {
     let hello = SubscriberMessage::Hello { subscriber: subscriber("east-7"), position: position() };
     let scope = SubscriberMessage::Scope {
         generation: 300,
@@ -89,7 +89,7 @@
 }
 
 /// From a control machine to a subscriber.
-pub fn publisher_messages() -> Vec<(&'static str, PublisherMessage)> {
+pub(crate) fn publisher_messages() -> Vec<(&'static str, PublisherMessage)> {
     let refused = PublisherMessage::Refused;
     let mut changes: Vec<Change> = resources().into_iter().map(Change::Set).collect();
     for resource in resources() {
@@ -129,7 +129,7 @@
 }
 
 /// A balancer's saved state, as it is stored.
-pub fn saved_state() -> SavedState {
+pub(crate) fn saved_state() -> SavedState {
     let saved = SavedService {
         service: service("points"),
         epoch: 3,
