--- a/crates/emulator/src/keys.rs
+++ b/crates/emulator/src/cached_keys.rs
@@ -6,13 +6,13 @@
 use sableloom_types::{Span, Time};
 
 #[derive(Debug, Default)]
-pub(crate) struct Keys {
+pub(crate) struct CachedKeys {
     last: FxHashMap<u64, Time>,
     /// Every sighting in order; outdated ones are skipped.
     order: VecDeque<(Time, u64)>,
 }
 
-impl Keys {
+impl CachedKeys {
     /// Records a key; true if it was in the cache.
     pub(crate) fn see(&mut self, now: Time, key: u64, most: usize, keep: Span) -> bool {
         let known = self.last.insert(key, now).is_some_and(|at| now.since(at) <= keep);
--- a/crates/emulator/src/cores.rs
+++ b/crates/emulator/src/cores.rs
@@ -48,14 +48,14 @@
     /// It got a slot.
     Started,
     /// It waits in the queue.
-    Waits,
+    Queued,
     /// The queue is full.
     Full,
 }
 
 #[derive(Debug, PartialEq)]
 struct Running {
-    /// The value of `given` at which this request is done.
+    /// The value of `work_done` at which this request is done.
     done_at: f64,
     id: u64,
 }
@@ -80,11 +80,11 @@
 pub struct Cores {
     capacity: NodeCapacity,
     running: BinaryHeap<Running>,
-    waiting: VecDeque<Job>,
+    queued: VecDeque<Job>,
     /// Slots in use, by requests that run and by those that wait for another system.
-    held: usize,
+    slots_in_use: usize,
     /// Work that a request running since the beginning would have received.
-    given: f64,
+    work_done: f64,
     at: Time,
     /// Share of their speed that is available now.
     share: f64,
@@ -93,8 +93,8 @@
 impl Cores {
     /// Idle cores at their full speed.
     pub fn new(capacity: NodeCapacity, now: Time) -> Self {
-        let (running, waiting) = (BinaryHeap::new(), VecDeque::new());
-        Self { capacity, running, waiting, held: 0, given: 0.0, at: now, share: 1.0 }
+        let (running, queued) = (BinaryHeap::new(), VecDeque::new());
+        Self { capacity, running, queued, slots_in_use: 0, work_done: 0.0, at: now, share: 1.0 }
     }
 
     /// Their capacity.
@@ -103,13 +103,13 @@
     }
 
     /// Number of requests, queued ones included.
-    pub fn here(&self) -> usize {
-        self.held + self.waiting.len()
+    pub fn occupancy(&self) -> usize {
+        self.slots_in_use + self.queued.len()
     }
 
     /// Number of queued requests.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn queued(&self) -> usize {
+        self.queued.len()
     }
 
     /// Whether any request runs.
@@ -132,7 +132,7 @@
 
     /// Computes the work up to now; from now on the cores run at this share of their speed.
     pub fn advance(&mut self, now: Time, share: f64) {
-        self.given += now.since(self.at).as_micros_f64().max(0.0) * self.rate();
+        self.work_done += now.since(self.at).as_micros_f64().max(0.0) * self.rate();
         self.at = self.at.max(now);
         self.share = share;
     }
@@ -144,12 +144,12 @@
 
     /// Offers a request.
     pub fn offer(&mut self, job: Job) -> Admission {
-        if self.held < self.capacity.slots {
+        if self.slots_in_use < self.capacity.slots {
             self.start(job);
             Admission::Started
-        } else if self.waiting.len() < self.capacity.queue_limit {
-            self.waiting.push_back(job);
-            Admission::Waits
+        } else if self.queued.len() < self.capacity.queue_limit {
+            self.queued.push_back(job);
+            Admission::Queued
         } else {
             Admission::Full
         }
@@ -157,38 +157,38 @@
 
     /// Adds work that needs no slot, such as a handshake.
     pub fn charge(&mut self, job: Job) {
-        self.running.push(Running { done_at: self.given + job.work, id: job.id });
+        self.running.push(Running { done_at: self.work_done + job.work, id: job.id });
     }
 
     /// Removes a queued request; false if it is not queued.
     pub fn withdraw(&mut self, id: u64) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|job| job.id != id);
-        self.waiting.len() < before
+        let before = self.queued.len();
+        self.queued.retain(|job| job.id != id);
+        self.queued.len() < before
     }
 
     fn start(&mut self, job: Job) {
-        self.held += 1;
+        self.slots_in_use += 1;
         self.charge(job);
     }
 
     /// When the next request will have received its work, if nothing changes.
     pub fn next(&self) -> Option<Time> {
-        let left = (self.running.peek()?.done_at - self.given).max(0.0);
-        Some(self.at.plus(Span((left / self.rate()).ceil().min(FAR) as i64)))
+        let abandoned = (self.running.peek()?.done_at - self.work_done).max(0.0);
+        Some(self.at.plus(Span((abandoned / self.rate()).ceil().min(FAR) as i64)))
     }
 
     /// A request that has received its work; it keeps its slot until [`Cores::release`].
     pub fn worked(&mut self) -> Option<u64> {
         // Half a microsecond of work allows for rounding.
-        self.running.peek().filter(|r| r.done_at <= self.given + 0.5)?;
+        self.running.peek().filter(|r| r.done_at <= self.work_done + 0.5)?;
         self.running.pop().map(|r| r.id)
     }
 
     /// Frees a slot; the first queued request takes it, and is returned.
     pub fn release(&mut self) -> Option<u64> {
-        self.held -= 1;
-        let job = self.waiting.pop_front()?;
+        self.slots_in_use -= 1;
+        let job = self.queued.pop_front()?;
         self.start(job);
         Some(job.id)
     }
--- a/crates/emulator/src/cores/tests.rs
+++ b/crates/emulator/src/cores/tests.rs
@@ -23,7 +23,7 @@
     let done = run(&mut server);
     assert_eq!(done.iter().map(|d| d.1).collect::<Vec<_>>(), [0, 1, 2, 3]);
     assert_eq!((done[2].0, done[3].0), (Time(3000), Time(5000)));
-    assert_eq!(server.here(), 0);
+    assert_eq!(server.occupancy(), 0);
 }
 
 #[test]
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -7,8 +7,11 @@
 use rustc_hash::FxHashMap;
 use sableloom_types::{Span, Time};
 
-use crate::cores::{Admission, Cores, Job, NodeCapacity};
-use crate::keys::Keys;
+use crate::attempt::{AttemptOutcome, Completion, NodeRequest};
+use crate::cached_keys::CachedKeys;
+use crate::cold_load::ColdLoad;
+use crate::cores::{Admission, Cores, Job};
+use crate::profile::{Fault, NodeProfile};
 
 /// The job number of handshakes: no attempt has it.
 const HANDSHAKE: u64 = u64::MAX;
@@ -18,122 +21,6 @@
 /// Minimum share of its speed that a node keeps.
 const MIN_SHARE: f64 = 1e-6;
 
-/// The capacity, limits and warm-up of a node.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NodeProfile {
-    /// Its capacity when warm.
-    pub capacity: NodeCapacity,
-    /// Maximum number of open connections.
-    pub connections: usize,
-    /// Work of a new connection, in microseconds of a core of speed 1.
-    pub handshake: f64,
-    /// Share of its capacity right after a start.
-    pub cold_from: f64,
-    /// Time until it is warm; its capacity grows linearly.
-    pub warm: Span,
-    /// A cold node crashes when the work that it is sent in a window exceeds so many times what it can do then.
-    pub multiple: f64,
-    /// The length of that window.
-    pub window: Span,
-    /// Maximum number of cached keys.
-    pub keys: usize,
-    /// How long a key stays cached.
-    pub key_time: Span,
-    /// Share of the work that a cached key saves.
-    pub key_saving: f64,
-    /// Whether a queued request is dropped when its client has gone.
-    pub abandons: bool,
-    /// Mean work of a request, in microseconds of a core of speed 1. If given, the node crashes only beyond
-    /// what is attributed to chance ([`Node::excess`]); 0 if unknown.
-    pub mean: f64,
-}
-
-impl NodeProfile {
-    /// A node with the middle values of the operators' figures.
-    pub fn of(capacity: NodeCapacity) -> Self {
-        Self {
-            capacity,
-            connections: 160,
-            handshake: 2250.0,
-            cold_from: 0.13,
-            warm: Span(24_000_000),
-            multiple: 3.0,
-            window: Span(1_500_000),
-            keys: 2000,
-            key_time: Span(5_000_000),
-            key_saving: 0.5,
-            abandons: true,
-            mean: 0.0,
-        }
-    }
-}
-
-/// One attempt as it arrives.
-#[derive(Clone, Debug)]
-pub struct NodeRequest<I> {
-    /// The request's id.
-    pub id: I,
-    /// The attempt's number, of the shell's choosing and used once.
-    pub attempt: u64,
-    /// Its class.
-    pub class: usize,
-    /// Work in microseconds of a core of speed 1.
-    pub work: f64,
-    /// How long it waits for other systems while it holds its slot.
-    pub wait: Span,
-    /// Its key.
-    pub key: Option<u64>,
-    /// Whether it has an effect, so that its executions are counted.
-    pub effect: bool,
-    /// Uniform from 0 to 1: decides which fault of its class affects it.
-    pub draw: f64,
-}
-
-/// How an attempt ended at the node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptOutcome {
-    /// A good answer.
-    Served,
-    /// An error; it may have run.
-    Error,
-    /// An invalid answer.
-    Spoilt,
-    /// An answer that ends early.
-    Cut,
-    /// Rejected without running.
-    TurnedAway,
-    /// The node went down, and the connection with it.
-    Reset,
-}
-
-/// An attempt that has ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Completion {
-    /// The attempt.
-    pub attempt: u64,
-    /// How it ended.
-    pub outcome: AttemptOutcome,
-}
-
-/// A fault of a node for a class. The shares add up to at most 1.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fault {
-    /// Factor on the work.
-    pub slower: f64,
-    /// Share that is answered with an error at once.
-    pub failing: f64,
-    /// Share with an invalid answer.
-    pub spoilt: f64,
-    /// Share whose answer ends early.
-    pub cut: f64,
-}
-
-impl Default for Fault {
-    fn default() -> Self {
-        Self { slower: 1.0, failing: 0.0, spoilt: 0.0, cut: 0.0 }
-    }
-}
-
 /// Whether a node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -142,7 +29,7 @@
     /// It was stopped.
     Down,
     /// It crashed from overload, and stays down until it is started.
-    Fallen,
+    Crashed,
 }
 
 /// A node.
@@ -156,7 +43,7 @@
     /// Requests that have received their work and wait for other systems.
     waits: BinaryHeap<Reverse<(Time, u64)>>,
     /// Attempts whose client has gone.
-    left: rustc_hash::FxHashSet<u64>,
+    abandoned: rustc_hash::FxHashSet<u64>,
     paused: Option<Time>,
     /// Requests that arrived while it was paused.
     inbox: VecDeque<NodeRequest<I>>,
@@ -164,17 +51,14 @@
     /// Share of its speed that its neighbours leave it.
     share: f64,
     faults: Vec<Fault>,
-    keys: Keys,
+    cached_keys: CachedKeys,
     connections: usize,
-    /// Work that was sent within the window while it was cold.
-    pushed: VecDeque<(Time, f64)>,
-    peak: f64,
-    excess: f64,
-    falls: u32,
-    turned_away: u64,
+    cold_load: ColdLoad,
+    crashes: u32,
+    rejected: u64,
     sent: f64,
     /// Executions by request; survives crashes.
-    runs: FxHashMap<I, u32>,
+    executions: FxHashMap<I, u32>,
 }
 
 impl<I: Clone + Eq + Hash> Node<I> {
@@ -186,21 +70,19 @@
             cores: Cores::new(profile.capacity, now),
             requests: FxHashMap::default(),
             waits: BinaryHeap::new(),
-            left: Default::default(),
+            abandoned: Default::default(),
             paused: None,
             inbox: VecDeque::new(),
             started: None,
             share: 1.0,
             faults: vec![Fault::default(); classes],
-            keys: Keys::default(),
+            cached_keys: CachedKeys::default(),
             connections: 0,
-            pushed: VecDeque::new(),
-            peak: 0.0,
-            excess: 0.0,
-            falls: 0,
-            turned_away: 0,
+            cold_load: ColdLoad::default(),
+            crashes: 0,
+            rejected: 0,
             sent: 0.0,
-            runs: FxHashMap::default(),
+            executions: FxHashMap::default(),
         }
     }
 
@@ -215,46 +97,47 @@
     }
 
     /// Requests that hold a slot or wait.
-    pub fn here(&self) -> usize {
-        self.cores.here() + self.inbox.len()
+    pub fn occupancy(&self) -> usize {
+        self.cores.occupancy() + self.inbox.len()
     }
 
     /// Attempts whose client still waits.
-    pub fn attended(&self) -> impl Iterator<Item = &NodeRequest<I>> {
+    pub fn awaited_attempts(&self) -> impl Iterator<Item = &NodeRequest<I>> {
         let held_attempts = self.requests.values().chain(&self.inbox);
-        held_attempts.filter(|request| !self.left.contains(&request.attempt))
+        held_attempts.filter(|request| !self.abandoned.contains(&request.attempt))
     }
 
     /// Share of its capacity that warm-up has reached by now.
-    pub fn present(&self, now: Time) -> f64 {
-        let NodeProfile { cold_from, warm, .. } = self.profile;
+    pub fn capacity_share(&self, now: Time) -> f64 {
+        let NodeProfile { slow_start_initial_share, slow_start, .. } = self.profile;
         self.started.map_or(1.0, |started| {
             let steps = now.since(started).0 / STEP.0;
-            let grown = (steps * STEP.0) as f64 / warm.as_micros_f64().max(1.0);
-            (cold_from + (1.0 - cold_from) * grown).clamp(cold_from, 1.0)
+            let grown = (steps * STEP.0) as f64 / slow_start.as_micros_f64().max(1.0);
+            (slow_start_initial_share + (1.0 - slow_start_initial_share) * grown)
+                .clamp(slow_start_initial_share, 1.0)
         })
     }
 
     /// Peak work that it was sent in a window while cold, in multiples of what it could do then; beyond
-    /// [`NodeProfile::multiple`] it crashes.
-    pub fn peak(&self) -> f64 {
-        self.peak
+    /// [`NodeProfile::overload_factor`] it crashes.
+    pub fn peak_load_factor(&self) -> f64 {
+        self.cold_load.peak_load_factor()
     }
 
     /// Peak excess over its budget of N requests of mean work in a window while cold, divided by
     /// 2 x sqrt(N) + 2, which is attributed to chance. Above 1 the ramp was violated.
     pub fn excess(&self) -> f64 {
-        self.excess
+        self.cold_load.excess()
     }
 
     /// How often it crashed from overload.
-    pub fn falls(&self) -> u32 {
-        self.falls
+    pub fn crashes(&self) -> u32 {
+        self.crashes
     }
 
     /// Number of attempts that it rejected.
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
     /// Total work that it was sent, in microseconds of a core of speed 1.
@@ -268,12 +151,12 @@
     }
 
     /// How often each request with an effect has run.
-    pub fn runs(&self) -> &FxHashMap<I, u32> {
-        &self.runs
+    pub fn executions(&self) -> &FxHashMap<I, u32> {
+        &self.executions
     }
 
     fn speed(&self, now: Time) -> f64 {
-        (self.present(now) * self.share).max(MIN_SHARE)
+        (self.capacity_share(now) * self.share).max(MIN_SHARE)
     }
 
     /// When it changes next by itself, if nothing else happens.
@@ -283,7 +166,7 @@
         }
         let mut next = self.cores.next();
         if let Some(started) = self.started.filter(|_| self.cores.busy())
-            && self.present(self.cores.at()) < 1.0
+            && self.capacity_share(self.cores.at()) < 1.0
         {
             let steps = self.cores.at().since(started).0 / STEP.0 + 1;
             let step = started.plus(Span(steps * STEP.0));
@@ -299,7 +182,7 @@
             if self.paused.take().is_some() {
                 self.cores.skip(at);
                 for request in std::mem::take(&mut self.inbox) {
-                    self.take_in(at, request, out);
+                    self.accept(at, request, out);
                 }
             }
             self.step(at, out);
@@ -322,27 +205,27 @@
             self.waits.pop();
             self.finish(attempt, out);
             if let Some(next) = self.cores.release() {
-                self.begun(next);
+                self.execution_began(next);
             }
         }
     }
 
-    fn begun(&mut self, attempt: u64) {
+    fn execution_began(&mut self, attempt: u64) {
         if let Some(request) = self.requests.get(&attempt).filter(|request| request.effect) {
-            *self.runs.entry(request.id.clone()).or_default() += 1;
+            *self.executions.entry(request.id.clone()).or_default() += 1;
         }
     }
 
     fn finish(&mut self, attempt: u64, out: &mut Vec<Completion>) {
         let Some(request) = self.requests.remove(&attempt) else { return };
-        if self.left.remove(&attempt) {
+        if self.abandoned.remove(&attempt) {
             return;
         }
         let Fault { failing, spoilt, cut, .. } = self.faults[request.class];
         let outcome = match request.draw - failing {
             draw if draw < 0.0 => AttemptOutcome::Error,
-            draw if draw < spoilt => AttemptOutcome::Spoilt,
-            draw if draw < spoilt + cut => AttemptOutcome::Cut,
+            draw if draw < spoilt => AttemptOutcome::Invalid,
+            draw if draw < spoilt + cut => AttemptOutcome::Truncated,
             _ => AttemptOutcome::Served,
         };
         out.push(Completion { attempt, outcome });
@@ -374,90 +257,66 @@
         } else if self.paused.is_some() {
             self.inbox.push_back(request);
         } else {
-            self.take_in(now, request, out);
+            self.accept(now, request, out);
         }
     }
 
-    fn take_in(&mut self, now: Time, request: NodeRequest<I>, out: &mut Vec<Completion>) {
+    fn accept(&mut self, now: Time, request: NodeRequest<I>, out: &mut Vec<Completion>) {
         let NodeRequest { attempt, class, .. } = request;
         if self.phase != Phase::Up {
             return out.push(Completion { attempt, outcome: AttemptOutcome::Reset });
         }
-        if self.left.contains(&attempt) && self.profile.abandons {
-            self.left.remove(&attempt);
+        if self.abandoned.contains(&attempt) && self.profile.drops_abandoned {
+            self.abandoned.remove(&attempt);
             return;
         }
         let fault = self.faults[class];
         if request.draw < fault.failing {
             if request.effect {
-                *self.runs.entry(request.id).or_default() += 1;
+                *self.executions.entry(request.id).or_default() += 1;
             }
-            if !self.left.remove(&attempt) {
+            if !self.abandoned.remove(&attempt) {
                 out.push(Completion { attempt, outcome: AttemptOutcome::Error });
             }
             return;
         }
         let mut work = request.work * fault.slower;
-        let NodeProfile { keys, key_time, key_saving, .. } = self.profile;
+        let NodeProfile { cached_keys, cached_key_time, cached_key_saving, .. } = self.profile;
         if let Some(key) = request.key
-            && keys > 0
-            && self.keys.see(now, key, keys, key_time)
+            && cached_keys > 0
+            && self.cached_keys.see(now, key, cached_keys, cached_key_time)
         {
-            work *= 1.0 - key_saving;
+            work *= 1.0 - cached_key_saving;
         }
         self.sent += work;
         let admission = self.cores.offer(Job { id: attempt, work });
         if admission == Admission::Full {
-            self.turned_away += 1;
-            if !self.left.remove(&attempt) {
-                out.push(Completion { attempt, outcome: AttemptOutcome::TurnedAway });
+            self.rejected += 1;
+            if !self.abandoned.remove(&attempt) {
+                out.push(Completion { attempt, outcome: AttemptOutcome::Rejected });
             }
             return;
         }
         self.requests.insert(attempt, request);
         if admission == Admission::Started {
-            self.begun(attempt);
-        }
-        if self.overloaded_while_cold(now, work) {
-            self.falls += 1;
-            self.end(Phase::Fallen, now, out);
-        }
-    }
-
-    /// Checks whether this work overloads the node while it is cold.
-    fn overloaded_while_cold(&mut self, now: Time, work: f64) -> bool {
-        let present = self.present(now);
-        if present >= 1.0 {
-            self.pushed.clear();
-            return false;
-        }
-        let NodeProfile { capacity, multiple, window, mean, .. } = self.profile;
-        self.pushed.push_back((now, work));
-        while self.pushed.front().is_some_and(|(at, _)| now.since(*at) > window) {
-            self.pushed.pop_front();
+            self.execution_began(attempt);
         }
-        let sent: f64 = self.pushed.iter().map(|p| p.1).sum();
-        let times = sent / (capacity.work_rate() * present * window.as_micros_f64());
-        self.peak = self.peak.max(times);
-        if mean > 0.0 {
-            let budget = capacity.work_rate() * present * window.as_micros_f64() * multiple / mean;
-            let chance = 2.0 * budget.sqrt() + 2.0;
-            let excess = (sent / mean - budget) / chance;
-            self.excess = self.excess.max(excess);
-            return excess > 1.0;
+        let share = self.capacity_share(now);
+        if self.cold_load.add(now, work, share, &self.profile) {
+            self.crashes += 1;
+            self.end(Phase::Crashed, now, out);
         }
-        times > multiple
     }
 
     /// The client of an attempt has gone. An attempt that runs continues.
-    pub fn leave(&mut self, now: Time, attempt: u64, out: &mut Vec<Completion>) {
+    pub fn client_left(&mut self, now: Time, attempt: u64, out: &mut Vec<Completion>) {
         self.advance(now, out);
-        if self.profile.abandons && self.cores.withdraw(attempt) {
+        if self.profile.drops_abandoned && self.cores.withdraw(attempt) {
             self.requests.remove(&attempt);
         } else if self.requests.contains_key(&attempt)
             || self.inbox.iter().any(|request| request.attempt == attempt)
         {
-            self.left.insert(attempt);
+            self.abandoned.insert(attempt);
         }
     }
 
@@ -466,15 +325,18 @@
         let mut held_attempts: Vec<u64> =
             held_attempts.chain(self.inbox.drain(..).map(|request| request.attempt)).collect();
         held_attempts.sort_unstable();
-        let held = held_attempts.into_iter().filter(|attempt| !self.left.contains(attempt));
-        out.extend(held.map(|attempt| Completion { attempt, outcome: AttemptOutcome::Reset }));
-        self.left.clear();
+        let slots_in_use =
+            held_attempts.into_iter().filter(|attempt| !self.abandoned.contains(attempt));
+        out.extend(
+            slots_in_use.map(|attempt| Completion { attempt, outcome: AttemptOutcome::Reset }),
+        );
+        self.abandoned.clear();
         self.waits.clear();
         self.cores = Cores::new(self.profile.capacity, now);
-        self.keys = Keys::default();
+        self.cached_keys = CachedKeys::default();
         self.paused = None;
         self.connections = 0;
-        self.pushed.clear();
+        self.cold_load.clear();
         self.phase = phase;
     }
 
@@ -508,7 +370,7 @@
     }
 
     /// Sets the share of its cores' time that its neighbours leave it.
-    pub fn neighbours(&mut self, now: Time, share: f64, out: &mut Vec<Completion>) {
+    pub fn set_core_share(&mut self, now: Time, share: f64, out: &mut Vec<Completion>) {
         self.advance(now, out);
         self.share = share;
         // The new share applies from now on.
@@ -516,12 +378,12 @@
     }
 
     /// Sets its fault for a class.
-    pub fn fault(&mut self, class: usize, fault: Fault) {
+    pub fn set_fault(&mut self, class: usize, fault: Fault) {
         self.faults[class] = fault;
     }
 
     /// Its fault for a class.
-    pub fn faulty(&self, class: usize) -> Fault {
+    pub fn fault(&self, class: usize) -> Fault {
         self.faults[class]
     }
 }
--- a/crates/emulator/tests/faults.rs
+++ b/crates/emulator/tests/faults.rs
@@ -55,16 +55,16 @@
     node.pause(Time(4 * MS), Time(2004 * MS), &mut out);
     (3..6).for_each(|a| node.arrive(Time(1000 * MS), request(a, 0.9), &mut out));
     assert!(out.is_empty(), "nothing ends while it is paused: {out:?}");
-    assert_eq!(node.runs().len(), 2, "what waits has not run");
+    assert_eq!(node.executions().len(), 2, "what waits has not run");
     let ends = settle(&mut node, out, Time(1000 * MS));
     // Two share the core: 20 ms of it, 4 before the pause; then each waits 5 ms with its slot.
     assert_eq!(ends[&0], (2025, AttemptOutcome::Served));
     assert_eq!(ends[&1], (2025, AttemptOutcome::Served));
     // One waited held_attempts, one finds the other place in the queue_limit, and of those at the door two are
     // turned away as it wakes.
-    assert_eq!(ends.values().filter(|e| e.1 == AttemptOutcome::TurnedAway).count(), 2);
+    assert_eq!(ends.values().filter(|e| e.1 == AttemptOutcome::Rejected).count(), 2);
     assert_eq!(ends.len(), 6);
-    assert_eq!(node.runs().values().sum::<u32>(), 4);
+    assert_eq!(node.executions().values().sum::<u32>(), 4);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     node.stop(Time(MS), &mut out);
     assert_eq!(out.len(), 4);
     assert!(out.iter().all(|d| d.outcome == AttemptOutcome::Reset));
-    assert_eq!(node.runs().len(), 2, "two had begun");
+    assert_eq!(node.executions().len(), 2, "two had begun");
     out.clear();
     node.arrive(Time(2 * MS), request(9, 0.9), &mut out);
     assert_eq!(out, [Completion { attempt: 9, outcome: AttemptOutcome::Reset }]);
@@ -83,7 +83,7 @@
     node.start(Time(3 * MS), &mut out);
     // The same id once more, as a balancer must not send it: the count tells.
     node.arrive(Time(3 * MS), NodeRequest { id: 0, ..request(10, 0.9) }, &mut out);
-    assert_eq!(node.runs()[&0], 2);
+    assert_eq!(node.executions()[&0], 2);
     // Cold: a hundredth and a bit of a second's work takes 1 / 0.13 times as long.
     let ends = settle(&mut node, out, Time(3 * MS));
     assert!((79..=85).contains(&ends[&10].0), "{ends:?}");
@@ -95,14 +95,14 @@
     for (class, draw, outcome) in [
         (0, 0.05, AttemptOutcome::Served),
         (1, 0.05, AttemptOutcome::Error),
-        (1, 0.25, AttemptOutcome::Spoilt),
-        (1, 0.55, AttemptOutcome::Cut),
+        (1, 0.25, AttemptOutcome::Invalid),
+        (1, 0.55, AttemptOutcome::Truncated),
         (1, 0.65, AttemptOutcome::Served),
     ] {
         let mut out = Vec::new();
         let at = Time(0);
         let mut node: Node<u64> = Node::new(profile(), 2, at);
-        node.fault(1, fault);
+        node.set_fault(1, fault);
         node.arrive(at, NodeRequest { class, ..request(1, draw) }, &mut out);
         let ends = settle(&mut node, out, at);
         assert_eq!(ends[&1].1, outcome, "class {class}, draw {draw}");
@@ -111,7 +111,7 @@
     }
     // Neighbours on its machine leave it a quarter of the core.
     let mut node: Node<u64> = Node::new(profile(), 1, Time(0));
-    node.neighbours(Time(0), 0.25, &mut Vec::new());
+    node.set_core_share(Time(0), 0.25, &mut Vec::new());
     let mut out = Vec::new();
     node.arrive(Time(1_000 * MS), request(2, 0.9), &mut out);
     assert_eq!(settle(&mut node, out, Time(1_000 * MS))[&2].0, 1045);
@@ -119,17 +119,18 @@
 
 #[test]
 fn what_waits_is_dropped_with_its_client_only_where_that_is_so() {
-    for abandons in [true, false] {
-        let mut node: Node<u64> = Node::new(NodeProfile { abandons, ..profile() }, 1, Time(0));
+    for drops_abandoned in [true, false] {
+        let mut node: Node<u64> =
+            Node::new(NodeProfile { drops_abandoned, ..profile() }, 1, Time(0));
         let mut out = Vec::new();
         (0..3).for_each(|a| node.arrive(Time(0), request(a, 0.9), &mut out));
         // One that runs and the one that waits lose their clients.
-        node.leave(Time(MS), 0, &mut out);
-        node.leave(Time(MS), 2, &mut out);
+        node.client_left(Time(MS), 0, &mut out);
+        node.client_left(Time(MS), 2, &mut out);
         let ends = settle(&mut node, out, Time(MS));
         assert_eq!(ends.keys().copied().collect::<Vec<_>>(), [1], "only one is still waited for");
-        assert_eq!(node.runs().len(), if abandons { 2 } else { 3 });
-        assert_eq!(node.here(), 0);
+        assert_eq!(node.executions().len(), if drops_abandoned { 2 } else { 3 });
+        assert_eq!(node.occupancy(), 0);
     }
 }
 
@@ -168,8 +169,8 @@
     ) {
         let play = |chunk: i64| {
             let mut node: Node<u64> = Node::new(profile(), 2, Time(0));
-            node.fault(1, Fault { slower: 2.0, failing: 0.2, spoilt: 0.2, cut: 0.2 });
-            let (mut now, mut out, mut sent, mut left) = (0, Vec::new(), 0, Vec::new());
+            node.set_fault(1, Fault { slower: 2.0, failing: 0.2, spoilt: 0.2, cut: 0.2 });
+            let (mut now, mut out, mut sent, mut abandoned) = (0, Vec::new(), 0, Vec::new());
             for (step, gap) in &moves {
                 let end = now + gap * MS;
                 while now < end {
@@ -183,14 +184,14 @@
                         sent += 1;
                     }
                     Move::Leave(attempt) if *attempt < sent => {
-                        left.push(*attempt);
-                        node.leave(at, *attempt, &mut out);
+                        abandoned.push(*attempt);
+                        node.client_left(at, *attempt, &mut out);
                     }
                     Move::Leave(_) => {}
                     Move::Pause(ms) => node.pause(at, Time(now + ms * MS), &mut out),
                     Move::Stop => node.stop(at, &mut out),
                     Move::Start => node.start(at, &mut out),
-                    Move::Share(share) => node.neighbours(at, *share, &mut out),
+                    Move::Share(share) => node.set_core_share(at, *share, &mut out),
                     Move::Connect => drop(node.connect(at, &mut out)),
                 }
             }
@@ -200,17 +201,17 @@
                 events += 1;
                 assert!(events < 10_000, "it comes to rest");
             }
-            assert_eq!(node.here(), 0);
-            assert!(node.runs().values().all(|n| *n == 1), "{:?}", node.runs());
+            assert_eq!(node.occupancy(), 0);
+            assert!(node.executions().values().all(|n| *n == 1), "{:?}", node.executions());
             let mut ended: Vec<_> = out.iter().map(|d| (d.attempt, d.outcome)).collect();
             ended.sort_by_key(|d| d.0);
             let once = ended.windows(2).all(|w| w[0].0 < w[1].0);
             assert!(once, "an attempt ended twice: {ended:?}");
             for attempt in 0..sent {
                 let over = ended.iter().any(|d| d.0 == attempt);
-                assert!(over || left.contains(&attempt), "attempt {attempt} never ended");
+                assert!(over || abandoned.contains(&attempt), "attempt {attempt} never ended");
             }
-            (ended, node.phase() == Phase::Fallen)
+            (ended, node.phase() == Phase::Crashed)
         };
         prop_assert_eq!(play(chunk), play(1000), "steps of {} ms and of a second", chunk);
     }
--- a/crates/emulator/tests/figures.rs
+++ b/crates/emulator/tests/figures.rs
@@ -28,7 +28,7 @@
     let end = from.plus(Span(S));
     node.advance(from, &mut out);
     while now < end {
-        while node.here() < 4 {
+        while node.occupancy() < 4 {
             *next += 1;
             node.arrive(now, request(*next, WORK, Span(0)), &mut out);
         }
@@ -44,8 +44,11 @@
 #[test]
 fn a_cold_node_has_an_eighth_of_its_capacity_and_all_after_24_s() {
     // Nothing falls over here: what is measured is what it does.
-    let mut node =
-        Node::new(NodeProfile { multiple: f64::MAX, ..NodeProfile::of(CAPACITY) }, 1, Time(0));
+    let mut node = Node::new(
+        NodeProfile { overload_factor: f64::MAX, ..NodeProfile::of(CAPACITY) },
+        1,
+        Time(0),
+    );
     node.start(Time(0), &mut Vec::new());
     let (mut next, full) = (0, CAPACITY.work_rate() * S as f64);
     // In its first second it grows from 0.13 by 0.87 / 24, so that the mean lies half of that above.
@@ -64,7 +67,7 @@
 fn a_cold_node_falls_past_three_times_its_present_capacity_for_a_second_and_a_half() {
     let push = |times: f64, seconds: f64| {
         let mut node = Node::new(
-            NodeProfile { warm: Span(i64::MAX / 4), ..NodeProfile::of(CAPACITY) },
+            NodeProfile { slow_start: Span(i64::MAX / 4), ..NodeProfile::of(CAPACITY) },
             1,
             Time(0),
         );
@@ -78,22 +81,22 @@
                 break;
             }
             // The room must not be what spares it.
-            node.leave(Time(at as i64), attempt, &mut out);
+            node.client_left(Time(at as i64), attempt, &mut out);
             node.arrive(Time(at as i64), request(attempt, 5000.0, Span(0)), &mut out);
             at += gap;
-            if node.here() > 40 {
-                let ids: Vec<u64> = node.attended().map(|a| a.attempt).collect();
-                ids.into_iter().for_each(|id| node.leave(Time(at as i64), id, &mut out));
+            if node.occupancy() > 40 {
+                let ids: Vec<u64> = node.awaited_attempts().map(|a| a.attempt).collect();
+                ids.into_iter().for_each(|id| node.client_left(Time(at as i64), id, &mut out));
             }
         }
-        (node.phase(), at / S as f64, node.peak(), out)
+        (node.phase(), at / S as f64, node.peak_load_factor(), out)
     };
     assert_eq!(push(2.7, 10.0).0, Phase::Up);
-    let (phase, _, peak, _) = push(2.7, 10.0);
+    let (phase, _, peak_load_factor, _) = push(2.7, 10.0);
     assert_eq!(phase, Phase::Up);
-    within_a_tenth(peak, 2.7, "the peak that is told");
+    within_a_tenth(peak_load_factor, 2.7, "the peak that is told");
     let (phase, after, _, out) = push(3.3, 10.0);
-    assert_eq!(phase, Phase::Fallen);
+    assert_eq!(phase, Phase::Crashed);
     within_a_tenth(after, 1.5 * 3.0 / 3.3, "seconds until it falls at 3.3 times");
     assert!(out.iter().any(|d| d.outcome == AttemptOutcome::Reset), "what it held is reset");
     assert_eq!(push(30.0, 0.1).0, Phase::Up, "a short burst of ten times is borne");
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -16,7 +16,7 @@
 fn mean_wait(slots: usize, load: f64, work: impl Fn(&mut Rand64) -> f64, seed: u64) -> f64 {
     let capacity = NodeCapacity { cores: slots as f64, speed: 1.0, slots, queue_limit: usize::MAX };
     let mut node: Node<u64> =
-        Node::new(NodeProfile { keys: 0, ..NodeProfile::of(capacity) }, 1, Time(0));
+        Node::new(NodeProfile { cached_keys: 0, ..NodeProfile::of(capacity) }, 1, Time(0));
     let mut rng = Rand64::new(u128::from(seed));
     let (mut at, mut out) = (0.0, Vec::new());
     let (mut arrived, mut spent, mut worked, mut ended) = (Vec::new(), 0.0, 0.0, 0u32);
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -253,10 +253,11 @@
         }
         let mut runs: HashMap<usize, u32> = HashMap::new();
         for server_state in &self.servers {
-            let multiple = server_state.node.profile().multiple;
+            let multiple = server_state.node.profile().overload_factor;
             self.tally.excess = self.tally.excess.max(server_state.node.excess());
-            self.tally.pushed = self.tally.pushed.max(server_state.node.peak() / multiple);
-            for (id, times) in server_state.node.runs() {
+            self.tally.pushed =
+                self.tally.pushed.max(server_state.node.peak_load_factor() / multiple);
+            for (id, times) in server_state.node.executions() {
                 *runs.entry(*id).or_default() += times;
             }
         }
--- a/crates/fleet-sim/src/world/attempts.rs
+++ b/crates/fleet-sim/src/world/attempts.rs
@@ -194,6 +194,6 @@
     pub(super) fn leave(&mut self, attempt: usize) {
         self.release_connection(attempt, false);
         let server = self.attempts[attempt].server;
-        self.with_node(server, |node, now, out| node.leave(now, attempt as u64, out));
+        self.with_node(server, |node, now, out| node.client_left(now, attempt as u64, out));
     }
 }
--- a/crates/fleet-sim/src/world/requests.rs
+++ b/crates/fleet-sim/src/world/requests.rs
@@ -102,12 +102,13 @@
             let there = p.up && p.node.phase() == Phase::Up;
             let seen =
                 p.status == EndpointStatus::Live && there && !self.is_partitioned(zone, p.zone);
-            let fault = p.node.faulty(request_state.class);
+            let fault = p.node.fault(request_state.class);
             if !seen || fault.failing > 0.2 {
                 continue;
             }
-            let speed = p.node.profile().capacity.speed * p.node.present(now) / fault.slower;
-            let crowd = ((p.node.here() + 1) as f64 / p.node.profile().capacity.cores).max(1.0);
+            let speed = p.node.profile().capacity.speed * p.node.capacity_share(now) / fault.slower;
+            let crowd =
+                ((p.node.occupancy() + 1) as f64 / p.node.profile().capacity.cores).max(1.0);
             let takes = WORK[request_state.class].0 * crowd / speed
                 + request_state.wait.as_micros_f64()
                 + 2.0 * DELAY_ACROSS_ZONES;
--- a/crates/fleet-sim/src/world/script.rs
+++ b/crates/fleet-sim/src/world/script.rs
@@ -42,14 +42,14 @@
     /// Lets every `step`th server from `first` on fail, for both classes.
     fn spoil(&mut self, first: usize, step: usize, fault: Fault) {
         for server in self.servers.iter_mut().skip(first).step_by(step) {
-            (0..2).for_each(|class| server.node.fault(class, fault));
+            (0..2).for_each(|class| server.node.set_fault(class, fault));
         }
     }
 
     fn slow_kind(&mut self, kind: u32, class: usize, times: f64) {
         for server in self.servers.iter_mut().filter(|server| server.kind == kind) {
-            let fault = Fault { slower: times, ..server.node.faulty(class) };
-            server.node.fault(class, fault);
+            let fault = Fault { slower: times, ..server.node.fault(class) };
+            server.node.set_fault(class, fault);
         }
     }
 
--- a/crates/fleet-sim/src/world/servers.rs
+++ b/crates/fleet-sim/src/world/servers.rs
@@ -16,7 +16,7 @@
         let server_state = &mut self.servers[server];
         server_state.version += 1;
         let (version, zone) = (server_state.version, server_state.zone);
-        if server_state.node.phase() == Phase::Fallen
+        if server_state.node.phase() == Phase::Crashed
             && server_state.up
             && self.crashed_servers.insert(server)
         {
@@ -31,8 +31,8 @@
             let outcome = match outcome {
                 AttemptOutcome::Served => Outcome::Ok,
                 AttemptOutcome::Error => Outcome::Error,
-                AttemptOutcome::TurnedAway => Outcome::Rejected,
-                AttemptOutcome::Spoilt | AttemptOutcome::Cut | AttemptOutcome::Reset => {
+                AttemptOutcome::Rejected => Outcome::Rejected,
+                AttemptOutcome::Invalid | AttemptOutcome::Truncated | AttemptOutcome::Reset => {
                     Outcome::Reset
                 }
             };
@@ -86,13 +86,13 @@
     NodeProfile {
         connections: case.connections.unwrap_or(usize::MAX),
         handshake: if case.connections.is_some() { plain.handshake } else { 0.0 },
-        cold_from: rules.slow_start_initial_share,
-        warm: rules.slow_start,
-        multiple: rules.overload_factor,
-        window: rules.overload_window,
-        keys: 0,
-        abandons: false,
-        mean: mean_work(),
+        slow_start_initial_share: rules.slow_start_initial_share,
+        slow_start: rules.slow_start,
+        overload_factor: rules.overload_factor,
+        overload_window: rules.overload_window,
+        cached_keys: 0,
+        drops_abandoned: false,
+        mean_work: mean_work(),
         ..plain
     }
 }
--- a/crates/harness/src/play/faults.rs
+++ b/crates/harness/src/play/faults.rs
@@ -97,8 +97,8 @@
             StepAction::NodePause(n, time) => {
                 self.nodes[*n].pause(Duration::from_micros(*time as u64));
             }
-            StepAction::NodeFault(n, class, fault) => self.nodes[*n].fault(*class, *fault),
-            StepAction::NodeShare(n, share) => self.nodes[*n].neighbours(*share),
+            StepAction::NodeFault(n, class, fault) => self.nodes[*n].set_fault(*class, *fault),
+            StepAction::NodeShare(n, share) => self.nodes[*n].set_core_share(*share),
             StepAction::NodeDrain(n, drains) => {
                 self.registry[*n].drains = *drains;
                 self.publish();
--- a/crates/harness/src/play/samples.rs
+++ b/crates/harness/src/play/samples.rs
@@ -22,9 +22,9 @@
         self.sampled = now;
         let at = self.micros(now);
         for (n, node) in self.nodes.iter().enumerate() {
-            let present = node.present();
-            let (sent, here, capacity) =
-                node.look(|node| (node.sent(), node.here(), node.profile().capacity.work_rate()));
+            let present = node.capacity_share();
+            let (sent, here, capacity) = node
+                .look(|node| (node.sent(), node.occupancy(), node.profile().capacity.work_rate()));
             let bears = (capacity * present * gap).max(1.0);
             let row = NodeRow {
                 at,
@@ -103,11 +103,11 @@
                 self.facts.arrived.push(Arrived { id, node: n, from, at });
             }
             node.look(|node| {
-                for (id, times) in node.runs() {
+                for (id, times) in node.executions() {
                     *self.facts.runs.entry(id.clone()).or_default() += times;
                 }
-                self.facts.peaks.push(node.peak());
-                self.facts.falls.push(node.falls());
+                self.facts.peaks.push(node.peak_load_factor());
+                self.facts.falls.push(node.crashes());
             });
         }
         // The workers delivered their tries one after the other.
--- a/crates/harness/src/site.rs
+++ b/crates/harness/src/site.rs
@@ -125,10 +125,10 @@
              drain_ms = {drain}\nreread_ms = 1000\n\n[pool.cold]\nfrom = {}\ntime_ms = {}\n\
              multiple = {}\nwindow_ms = {}\n\n[[route]]\nname = \"points\"\npath.prefix = [\"/\"]\n\
              pool = \"points\"",
-            profile.cold_from.max(0.01),
-            milliseconds(profile.warm.0).min(3_600_000.0),
-            profile.multiple.clamp(1.0, 100.0),
-            milliseconds(profile.window.0).max(1.0),
+            profile.slow_start_initial_share.max(0.01),
+            milliseconds(profile.slow_start.0).min(3_600_000.0),
+            profile.overload_factor.clamp(1.0, 100.0),
+            milliseconds(profile.overload_window.0).max(1.0),
         );
         self.replace("site.toml", &text)
     }
@@ -173,9 +173,9 @@
                     "MaxRetryAfter": 1000.0, "MaxOpen": 1000
                 },
                 "Safety": {
-                    "AskEvery": 10_000.0, "Cold": milliseconds(profile.warm.0),
-                    "ColdFrom": profile.cold_from, "DrainGrace": DRAIN.as_millis() as f64,
-                    "FallMultiple": profile.multiple, "TipAfter": milliseconds(profile.window.0)
+                    "AskEvery": 10_000.0, "Cold": milliseconds(profile.slow_start.0),
+                    "ColdFrom": profile.slow_start_initial_share, "DrainGrace": DRAIN.as_millis() as f64,
+                    "FallMultiple": profile.overload_factor, "TipAfter": milliseconds(profile.overload_window.0)
                 }
             }
         });
--- a/crates/rehearsal/src/read/fleet.rs
+++ b/crates/rehearsal/src/read/fleet.rs
@@ -113,15 +113,17 @@
             capacity,
             connections: connections.as_ref().map_or(plain.connections, |n| n.value),
             handshake: handshake.as_ref().map_or(plain.handshake, |n| n.value * 1e3),
-            cold_from: cold_from.as_ref().map_or(plain.cold_from, |n| n.value),
-            warm: warm.map_or(plain.warm, Span),
-            multiple: multiple.as_ref().map_or(plain.multiple, |n| n.value),
-            window: window.map_or(plain.window, Span),
-            keys: keys.as_ref().map_or(plain.keys, |n| n.value),
-            key_time: key_time.map_or(plain.key_time, Span),
-            key_saving: key_saving.unwrap_or(plain.key_saving),
-            abandons: abandons.as_ref().is_none_or(|a| a.value),
-            mean: plain.mean,
+            slow_start_initial_share: cold_from
+                .as_ref()
+                .map_or(plain.slow_start_initial_share, |n| n.value),
+            slow_start: warm.map_or(plain.slow_start, Span),
+            overload_factor: multiple.as_ref().map_or(plain.overload_factor, |n| n.value),
+            overload_window: window.map_or(plain.overload_window, Span),
+            cached_keys: keys.as_ref().map_or(plain.cached_keys, |n| n.value),
+            cached_key_time: key_time.map_or(plain.cached_key_time, Span),
+            cached_key_saving: key_saving.unwrap_or(plain.cached_key_saving),
+            drops_abandoned: abandons.as_ref().is_none_or(|a| a.value),
+            mean_work: plain.mean_work,
         }
     };
     Some(Nodes {
--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -76,7 +76,11 @@
             let capacity = NodeCapacity { cores: 2.0, speed: 1.0, slots: 2, queue_limit: 16 };
             let node = Node::start(NodeOptions {
                 name: name.clone(),
-                profile: NodeProfile { handshake: 0.0, keys: 0, ..NodeProfile::of(capacity) },
+                profile: NodeProfile {
+                    handshake: 0.0,
+                    cached_keys: 0,
+                    ..NodeProfile::of(capacity)
+                },
                 classes: vec![class("balance", 8.0, false), class("redeem", 15.0, true)],
                 seed: n,
             });
@@ -113,13 +117,13 @@
     outcomes.try_iter().for_each(|outcome| tally.add(outcome));
     print!("{}", tally.table());
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
-    for (id, times) in nodes.iter().flat_map(|(_, node)| node.runs()) {
+    for (id, times) in nodes.iter().flat_map(|(_, node)| node.executions()) {
         *runs.entry(id).or_default() += times;
     }
-    let turned_away: u64 = nodes.iter().map(|(_, node)| node.turned_away()).sum();
+    let rejected: u64 = nodes.iter().map(|(_, node)| node.rejected()).sum();
     let twice = runs.values().filter(|times| **times > 1).count();
     println!("redeems that ran {}, more than once {twice}", runs.len());
-    println!("attempts that nodes turned away unseen {turned_away}");
+    println!("attempts that nodes turned away unseen {rejected}");
     if options.stay {
         println!(
             "\nThe balancer stays up until SIGINT or SIGTERM. Ask it, each time with a new id:"
--- a/crates/stand-ins/src/node.rs
+++ b/crates/stand-ins/src/node.rs
@@ -70,14 +70,14 @@
     }
 
     /// Number of requests that it rejected without running them.
-    pub fn turned_away(&self) -> u64 {
-        self.on(|shell| shell.look(Emulated::turned_away)).unwrap_or_default()
+    pub fn rejected(&self) -> u64 {
+        self.on(|shell| shell.look(Emulated::rejected)).unwrap_or_default()
     }
 
     /// How often it has run each request with an effect, by id.
-    pub fn runs(&self) -> HashMap<String, u32> {
+    pub fn executions(&self) -> HashMap<String, u32> {
         let runs = |node: &Emulated<String>| {
-            node.runs().iter().map(|(id, times)| (id.clone(), *times)).collect()
+            node.executions().iter().map(|(id, times)| (id.clone(), *times)).collect()
         };
         self.on(move |shell| shell.look(runs)).unwrap_or_default()
     }
--- a/crates/stand-ins/src/shell.rs
+++ b/crates/stand-ins/src/shell.rs
@@ -141,7 +141,7 @@
         let mut state = self.shell.state.borrow_mut();
         if state.waiting.remove(&self.attempt).is_some() {
             let ShellState { node, done, .. } = &mut *state;
-            node.leave(now, self.attempt, done);
+            node.client_left(now, self.attempt, done);
             drop(state);
             self.shell.changed.notify_one();
         }
@@ -257,17 +257,17 @@
     }
 
     /// Injects a fault, for one class or for all.
-    pub fn fault(&self, class: Option<usize>, fault: Fault) {
+    pub fn set_fault(&self, class: Option<usize>, fault: Fault) {
         let classes = 0..self.classes.len();
         self.act(|node, _, _| {
             let meant = classes.filter(|c| class.is_none_or(|class| class == *c));
-            meant.for_each(|c| node.fault(c, fault));
+            meant.for_each(|c| node.set_fault(c, fault));
         });
     }
 
     /// Sets the share of its cores that its neighbours leave it.
-    pub fn neighbours(&self, share: f64) {
-        self.act(|node, now, out| node.neighbours(now, share, out));
+    pub fn set_core_share(&self, share: f64) {
+        self.act(|node, now, out| node.set_core_share(now, share, out));
     }
 
     /// Reads from the node.
@@ -276,8 +276,8 @@
     }
 
     /// Share of its full capacity that is available now.
-    pub fn present(&self) -> f64 {
-        self.state.borrow().node.present(self.now())
+    pub fn capacity_share(&self) -> f64 {
+        self.state.borrow().node.capacity_share(self.now())
     }
 
     /// The requests that have arrived since the last call.
@@ -300,7 +300,7 @@
     pub fn holds_effect(&self, from: usize) -> bool {
         let state = self.state.borrow();
         let of = |id: &String| state.arrivals.iter().rev().any(|a| a.from == from && a.id == *id);
-        state.node.attended().any(|ask| ask.effect && of(&ask.id))
+        state.node.awaited_attempts().any(|ask| ask.effect && of(&ask.id))
     }
 
     /// Serves a connection to its end; false if the node is down. `sent` holds the time at which the sender
@@ -406,12 +406,12 @@
         Ok(match outcome {
             Ok(AttemptOutcome::Served) => answer(),
             Ok(AttemptOutcome::Error) => plain(StatusCode::INTERNAL_SERVER_ERROR, String::new()),
-            Ok(AttemptOutcome::TurnedAway) => turned_away(),
-            Ok(AttemptOutcome::Spoilt) => {
+            Ok(AttemptOutcome::Rejected) => turned_away(),
+            Ok(AttemptOutcome::Invalid) => {
                 fault.set(WriteFault::Garble);
                 answer()
             }
-            Ok(AttemptOutcome::Cut) => {
+            Ok(AttemptOutcome::Truncated) => {
                 fault.set(WriteFault::CutAfter(CUT_ANSWER_BYTES));
                 answer()
             }
