--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use sableloom_capacity_share::Part;
+use sableloom_capacity_share::Share;
 use sableloom_distribution::ServiceName;
 use sableloom_exchange::{
     Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
@@ -43,7 +43,7 @@
     /// Pools that are no longer in force and have requests open.
     pub(super) ending: RefCell<Vec<Rc<RunningPool>>>,
     /// The part of the servers that the pools have been told last.
-    part: Cell<Option<Part>>,
+    part: Cell<Option<Share>>,
     pub(super) clock: Clock,
 }
 
@@ -128,12 +128,12 @@
     }
 
     /// This balancer's part of the fleet, once it has been told.
-    pub(super) fn part(&self) -> Option<Part> {
+    pub(super) fn part(&self) -> Option<Share> {
         self.part.get()
     }
 
     /// All pools share their servers with so many.
-    pub(super) fn shared_by(&self, part: Part) {
+    pub(super) fn shared_by(&self, part: Share) {
         self.part.set(Some(part));
         self.pools().iter().for_each(|pool| self.share_with(pool));
     }
@@ -143,7 +143,8 @@
         let Some(part) = self.part.get() else { return };
         // A part of nothing is told as one of a multitude: the module keeps one lane whatever it is told.
         let told = |n: u32| if n == 0 { MULTITUDE } else { n };
-        let expires = part.until.map(|at| ShareExpiry { at, balancers_after: told(part.after) });
+        let expires =
+            part.until.map(|at| ShareExpiry { at, balancers_after: told(part.balancers_after) });
         pool.exchange.set_balancers(told(part.balancers), expires);
     }
 
@@ -201,8 +202,8 @@
 pub(super) struct ToPools(pub(super) Rc<Router>);
 
 impl Told for ToPools {
-    fn part(&self, part: Part) {
-        self.0.shared_by(part);
+    fn share(&self, share: Share) {
+        self.0.shared_by(share);
     }
 
     fn line(&self, line: &str) {
