--- a/crates/msgpack-rpc/src/call.rs
+++ b/crates/msgpack-rpc/src/call.rs
@@ -1,49 +1,41 @@
-//! What calls say beside their method, and what answers say: the mapping of
-//! `docs/specs/msgpack-rpc.md`.
+//! The params of a call, and its result or error: the mapping that `docs/specs/msgpack-rpc.md` specifies.
 
 use bytes::Bytes;
 use rmp::encode::{
     write_array_len, write_bin, write_bool, write_map_len, write_nil, write_str, write_uint,
 };
 
-use crate::Raw;
 use crate::encode::Out;
+use crate::{FormatError, Raw};
 
 /// Most names in a call's meta.
-const NAMES: usize = 100;
+const MAX_NAMES: usize = 100;
+/// Most characters of a name in a message of an error.
+const MAX_DISPLAYED_CHARACTERS: usize = 40;
 /// Longest name or value in it, in bytes.
-const VALUE: usize = 8 << 10;
+const MAX_TEXT_BYTES: usize = 8 << 10;
 
-/// Why params, results or errors make no sense.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct Wrong(pub String);
-
-fn wrong<T>(what: impl Into<String>) -> Result<T, Wrong> {
-    Err(Wrong(what.into()))
-}
-
-/// What a call or an answer carries.
+/// The body of a call or of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Bytes, as HTTP has them.
+    /// Bytes, like a body of HTTP.
     Octets(Bytes),
     /// A value of MessagePack, as bytes of the media type `application/msgpack`.
     Value(Raw),
 }
 
-/// What a call says.
+/// The params of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// Its id.
     pub id: Option<Bytes>,
     /// How long its client waits, in milliseconds.
     pub expires_ms: Option<u64>,
-    /// What it is about, for those who keep things near each other.
+    /// Its routing key.
     pub key: Option<Bytes>,
-    /// By which servers know repeats of a keyed call.
+    /// By which servers recognise repeats of it.
     pub idempotency_key: Option<Bytes>,
-    /// On whose behalf.
+    /// Its tenant.
     pub tenant: Option<Bytes>,
     /// A path with its query, for servers that want one.
     pub target: Option<Bytes>,
@@ -73,20 +65,23 @@
     /// # Errors
     ///
     /// If the params are no array of a map and a body.
-    pub fn read(params: &Raw, bare: bool) -> Result<Self, Wrong> {
-        let Some(parts) = params.array() else { return wrong("params are no array") };
+    pub fn read(params: &Raw, bare: bool) -> Result<Self, FormatError> {
+        let Some(parts) = params.array() else { return Err(FormatError::ParamsNotArray) };
         if bare {
             return Ok(Self::bare(Body::Value(params.clone())));
         }
         let [meta, body] = parts.as_slice() else {
-            return wrong(format!("expected the params [meta, body], found {}", parts.len()));
+            return Err(FormatError::ParamsLength(parts.len()));
         };
         let mut call = Self::bare(read_body(body)?);
         for (name, value) in entries(meta)? {
             let text = || match value.octets() {
-                Some(text) if text.len() <= VALUE => Ok(Some(text)),
-                Some(_) => wrong(format!("{} is over {VALUE} bytes", shown(&name))),
-                None => wrong(format!("{} is no text", shown(&name))),
+                Some(text) if text.len() <= MAX_TEXT_BYTES => Ok(Some(text)),
+                Some(_) => {
+                    let name = displayed(&name);
+                    Err(FormatError::ValueTooLong { name, limit: MAX_TEXT_BYTES })
+                }
+                None => Err(FormatError::ValueNotText(displayed(&name))),
             };
             match &name[..] {
                 b"id" => call.id = text()?,
@@ -96,7 +91,7 @@
                 b"target" => call.target = text()?,
                 b"expires_ms" => match value.uint() {
                     Some(ms) => call.expires_ms = Some(ms),
-                    None => return wrong("expires_ms is no whole number from 0"),
+                    None => return Err(FormatError::ExpiresNotNumber),
                 },
                 _ => call.fields.extend(text()?.map(|text| (name.clone(), text))),
             }
@@ -136,7 +131,7 @@
     }
 }
 
-/// What an answer says that gave something.
+/// The result of a call that was served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Served {
     /// Names and values, as header fields.
@@ -151,17 +146,17 @@
     /// # Errors
     ///
     /// If the result is no array of a map and a body.
-    pub fn read(result: &Raw, bare: bool) -> Result<Self, Wrong> {
+    pub fn read(result: &Raw, bare: bool) -> Result<Self, FormatError> {
         if bare {
             return Ok(Self { fields: Vec::new(), body: Body::Value(result.clone()) });
         }
         let parts = result.array().unwrap_or_default();
-        let [meta, body] = parts.as_slice() else { return wrong("no result [meta, body]") };
+        let [meta, body] = parts.as_slice() else { return Err(FormatError::ResultNotPair) };
         let mut fields = Vec::new();
         for (name, value) in entries(meta)? {
-            match value.octets().filter(|text| text.len() <= VALUE) {
+            match value.octets().filter(|text| text.len() <= MAX_TEXT_BYTES) {
                 Some(text) => fields.push((name, text)),
-                None => return wrong(format!("{} is no text", shown(&name))),
+                None => return Err(FormatError::ValueNotText(displayed(&name))),
             }
         }
         Ok(Self { fields, body: read_body(body)? })
@@ -179,31 +174,31 @@
     }
 }
 
-/// What kind of failure a call met.
+/// The kind of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
-    /// It never ran, and is harmless to ask again: HTTP's 503.
-    Refused = 1,
-    /// It is given up and may have run: HTTP's 502.
+pub enum FailureCode {
+    /// Rejected: it was not executed and may be repeated, like HTTP's 503.
+    Rejected = 1,
+    /// Failed: it may have been executed, like HTTP's 502.
     Failed = 2,
-    /// It makes no sense as it is: HTTP's 400.
+    /// It is malformed: HTTP's 400.
     Malformed = 3,
     /// No method of this name: HTTP's 404.
     NoMethod = 4,
-    /// Its id is another's that is open: HTTP's 409.
-    SameId = 5,
+    /// Its id is that of another open call: HTTP's 409.
+    DuplicateId = 5,
     /// It or its body is too large: HTTP's 413.
     TooLarge = 6,
 }
 
-impl Code {
-    const ALL: [Code; 6] = [
-        Code::Refused,
-        Code::Failed,
-        Code::Malformed,
-        Code::NoMethod,
-        Code::SameId,
-        Code::TooLarge,
+impl FailureCode {
+    const ALL: [FailureCode; 6] = [
+        FailureCode::Rejected,
+        FailureCode::Failed,
+        FailureCode::Malformed,
+        FailureCode::NoMethod,
+        FailureCode::DuplicateId,
+        FailureCode::TooLarge,
     ];
 }
 
@@ -211,13 +206,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// Its kind.
-    pub code: Code,
-    /// For people.
+    pub code: FailureCode,
+    /// A message for people.
     pub text: String,
-    /// It never ran: asking again can't make it run twice.
-    pub may_try_again: bool,
-    /// When to come back, in milliseconds, if that is said.
-    pub come_back_ms: Option<u64>,
+    /// It was not executed: a repeat can't have its effect twice.
+    pub safe_to_retry: bool,
+    /// When to come back, in milliseconds, if that is stated.
+    pub retry_after_ms: Option<u64>,
 }
 
 impl Failure {
@@ -226,19 +221,21 @@
     /// # Errors
     ///
     /// If the error is no array of a code, a text, a flag and a delay.
-    pub fn read(error: &Raw) -> Result<Self, Wrong> {
+    pub fn read(error: &Raw) -> Result<Self, FormatError> {
         let parts = error.array().unwrap_or_default();
-        let [code, text, again, back] = parts.as_slice() else {
-            return wrong("no error [code, text, may_try_again, come_back_ms]");
+        let [code, text, safe_to_retry, retry_after] = parts.as_slice() else {
+            return Err(FormatError::ErrorNotFour);
         };
-        let code = code.uint().and_then(|n| Code::ALL.into_iter().find(|c| *c as u64 == n));
+        let code = code.uint().and_then(|n| FailureCode::ALL.into_iter().find(|c| *c as u64 == n));
         let text = text.text().map(|t| String::from_utf8_lossy(&t).into_owned());
-        let back_ms = back.uint();
-        match (code, text, again.flag()) {
-            (Some(code), Some(text), Some(may_try_again)) if back_ms.is_some() || back.is_nil() => {
-                Ok(Self { code, text, may_try_again, come_back_ms: back_ms })
+        let states_delay = retry_after.uint().is_some();
+        match (code, text, safe_to_retry.flag()) {
+            (Some(code), Some(text), Some(safe_to_retry))
+                if states_delay || retry_after.is_nil() =>
+            {
+                Ok(Self { code, text, safe_to_retry, retry_after_ms: retry_after.uint() })
             }
-            _ => wrong("an error with parts that are not as specified"),
+            _ => Err(FormatError::ErrorPart),
         }
     }
 
@@ -247,39 +244,41 @@
         let _ = write_array_len(out, 4);
         let _ = write_uint(out, self.code as u64);
         let _ = write_str(out, &self.text);
-        let _ = write_bool(out, self.may_try_again);
-        let _ = match self.come_back_ms {
+        let _ = write_bool(out, self.safe_to_retry);
+        let _ = match self.retry_after_ms {
             Some(ms) => write_uint(out, ms).is_ok(),
             None => write_nil(out).is_ok(),
         };
     }
 }
 
-fn shown(name: &[u8]) -> String {
-    let name: String = String::from_utf8_lossy(name).chars().take(40).collect();
+/// A name for a message, cut to a length that fits one line.
+fn displayed(name: &[u8]) -> String {
+    let name: String =
+        String::from_utf8_lossy(name).chars().take(MAX_DISPLAYED_CHARACTERS).collect();
     format!("{name:?}")
 }
 
 /// A map's entries with texts for names, each once.
-fn entries(meta: &Raw) -> Result<Vec<(Bytes, Raw)>, Wrong> {
-    let Some(map) = meta.map() else { return wrong("meta is no map") };
-    if map.len() > NAMES {
-        return wrong(format!("meta has over {NAMES} names"));
+fn entries(meta: &Raw) -> Result<Vec<(Bytes, Raw)>, FormatError> {
+    let Some(map) = meta.map() else { return Err(FormatError::MetaNotMap) };
+    if map.len() > MAX_NAMES {
+        return Err(FormatError::TooManyNames(MAX_NAMES));
     }
     let mut entries: Vec<(Bytes, Raw)> = Vec::with_capacity(map.len());
     for (name, value) in map {
-        let Some(name) = name.text().filter(|n| n.len() <= VALUE) else {
-            return wrong("meta has a name that is no text");
+        let Some(name) = name.text().filter(|n| n.len() <= MAX_TEXT_BYTES) else {
+            return Err(FormatError::NameNotText);
         };
         if entries.iter().any(|(other, _)| *other == name) {
-            return wrong(format!("meta has {} twice", shown(&name)));
+            return Err(FormatError::DuplicateName(displayed(&name)));
         }
         entries.push((name, value));
     }
     Ok(entries)
 }
 
-fn read_body(body: &Raw) -> Result<Body, Wrong> {
+fn read_body(body: &Raw) -> Result<Body, FormatError> {
     if body.is_nil() {
         return Ok(Body::Octets(Bytes::new()));
     }
--- a/crates/msgpack-rpc/src/decoder.rs
+++ b/crates/msgpack-rpc/src/decoder.rs
@@ -1,17 +1,17 @@
-//! Messages out of bytes as they come.
+//! Decodes messages from bytes as they come.
 
 use arrayvec::ArrayVec;
 use bytes::{Bytes, BytesMut};
 
 use crate::scan::{Scan, Shape, Step, head};
-use crate::{Error, Limits, Raw};
+use crate::{DecodeError, Limits, Raw};
 
-/// A message as it came. What it asks for or answers is not judged yet.
+/// A decoded message; its method, params, error and result are not interpreted yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// A call that is to be answered.
     Request {
-        /// By which its response is known, among those that are open on the connection.
+        /// Identifies its response among the open calls of the connection.
         msgid: u32,
         /// The method; a str, if the peer keeps to the specification.
         method: Raw,
@@ -22,9 +22,9 @@
     Response {
         /// Which call.
         msgid: u32,
-        /// Nil, or what went wrong.
+        /// Nil, or the error.
         error: Raw,
-        /// What the call gave.
+        /// The result of the call.
         result: Raw,
     },
     /// A call that is not to be answered.
@@ -36,7 +36,7 @@
     },
 }
 
-/// Makes messages of bytes that may be cut anywhere.
+/// Decodes messages from bytes that may be split anywhere.
 #[derive(Debug)]
 pub struct Decoder {
     limits: Limits,
@@ -46,7 +46,7 @@
     ends: ArrayVec<usize, 4>,
     /// The length of the message's head, once that is there.
     begun: Option<usize>,
-    failed: Option<Error>,
+    failed: Option<DecodeError>,
 }
 
 impl Decoder {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// More bytes have come. They are looked at by [`Decoder::message`], which is to be called until
-    /// it needs more: what is buffered is then less than a message.
+    /// Adds received bytes. They are decoded by [`Decoder::message`], to be called until it needs more: then less than
+    /// a message is buffered.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.failed.is_none() {
             self.buffer.extend_from_slice(bytes);
@@ -80,13 +80,13 @@
         !self.buffer.is_empty()
     }
 
-    /// The next whole message; `None` if more bytes are needed. After an error the rest of the
-    /// connection means nothing, and the error is told again.
+    /// The next complete message; `None` if more bytes are needed. After an error nothing more of the connection can
+    /// be decoded, and every call returns the error.
     ///
     /// # Errors
     ///
     /// If the bytes are no message, or exceed a limit.
-    pub fn message(&mut self) -> Result<Option<Message>, Error> {
+    pub fn message(&mut self) -> Result<Option<Message>, DecodeError> {
         if let Some(failed) = self.failed {
             return Err(failed);
         }
@@ -98,12 +98,12 @@
         next
     }
 
-    fn scan_on(&mut self) -> Result<Option<Message>, Error> {
+    fn scan_on(&mut self) -> Result<Option<Message>, DecodeError> {
         if self.begun.is_none() {
             let Some((shape, len)) = head(&self.buffer)? else { return Ok(None) };
-            // Told by the first byte mostly: whoever speaks another protocol is not waited for.
+            // Mostly decided by the first byte: no more is awaited of a peer that speaks another protocol.
             if !matches!(shape, Shape::Array(3 | 4)) {
-                return Err(Error::NoMessage);
+                return Err(DecodeError::NoMessage);
             }
             self.begun = Some(len);
         }
@@ -128,9 +128,8 @@
         start..ends[i].min(whole.len())
     }
 
-    /// The kind is told as soon as it is there, and an id behind it: a response to nothing is not
-    /// read to its end.
-    fn check_kind(&self) -> Result<(), Error> {
+    /// Checks the kind and the id as soon as they are there, so that an invalid message is not buffered to its end.
+    fn check_kind(&self) -> Result<(), DecodeError> {
         let begun = self.begun.unwrap_or(0);
         let value = |i: usize| {
             let range = Self::part(&self.buffer, begun, &self.ends, i);
@@ -139,29 +138,29 @@
         match self.ends.len() {
             1 => match value(0) {
                 Some(0..=2) => Ok(()),
-                _ => Err(Error::NoMessage),
+                _ => Err(DecodeError::NoMessage),
             },
             2 if value(0) != Some(2) => match value(1) {
                 Some(id) if id <= u64::from(u32::MAX) => Ok(()),
-                _ => Err(Error::NoId),
+                _ => Err(DecodeError::NoId),
             },
             _ => Ok(()),
         }
     }
 
-    /// Cuts the whole message out of the buffer.
-    fn take(&mut self, end: usize) -> Result<Message, Error> {
+    /// Cuts the complete message out of the buffer.
+    fn take(&mut self, end: usize) -> Result<Message, DecodeError> {
         let whole = self.buffer.split_to(end).freeze();
         let ends = std::mem::take(&mut self.ends);
         let begun = self.begun.take().unwrap_or(0);
         self.scan = Scan::default();
         let part = |i: usize| Raw::scanned(whole.slice(Self::part(&whole, begun, &ends, i)));
-        let id = || part(1).uint().and_then(|id| u32::try_from(id).ok()).ok_or(Error::NoId);
+        let id = || part(1).uint().and_then(|id| u32::try_from(id).ok()).ok_or(DecodeError::NoId);
         match (part(0).uint(), ends.len()) {
             (Some(0), 4) => Ok(Message::Request { msgid: id()?, method: part(2), params: part(3) }),
             (Some(1), 4) => Ok(Message::Response { msgid: id()?, error: part(2), result: part(3) }),
             (Some(2), 3) => Ok(Message::Notification { method: part(1), params: part(2) }),
-            _ => Err(Error::NoMessage),
+            _ => Err(DecodeError::NoMessage),
         }
     }
 }
--- a/crates/msgpack-rpc/src/raw.rs
+++ b/crates/msgpack-rpc/src/raw.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use crate::scan::{Shape, head, length};
-use crate::{Error, Limits};
+use crate::{DecodeError, Limits};
 
 /// One whole value. Its parts are cut out of the same buffer; none is copied.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,10 +20,10 @@
     /// # Errors
     ///
     /// If the bytes are no value, exceed a limit, or something follows the value.
-    pub fn read(bytes: Bytes, limits: &Limits) -> Result<Self, Error> {
+    pub fn read(bytes: Bytes, limits: &Limits) -> Result<Self, DecodeError> {
         match length(&bytes, limits)? {
             Some(end) if end == bytes.len() => Ok(Self(bytes)),
-            _ => Err(Error::NoMessage),
+            _ => Err(DecodeError::NoMessage),
         }
     }
 
--- a/crates/msgpack-rpc/src/scan.rs
+++ b/crates/msgpack-rpc/src/scan.rs
@@ -1,8 +1,8 @@
-//! Finds where a value ends, however its bytes are cut, looking at each of them once.
+//! Finds where a value ends, however its bytes are split, and scans each of them once.
 
 use rmp::Marker;
 
-use crate::{Error, Limits};
+use crate::{DecodeError, Limits};
 
 /// What a value's first bytes announce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 
 /// The shape of the value that begins here and the length of its head; `None` if more bytes are
 /// needed to tell.
-pub(crate) fn head(bytes: &[u8]) -> Result<Option<(Shape, usize)>, Error> {
+pub(crate) fn head(bytes: &[u8]) -> Result<Option<(Shape, usize)>, DecodeError> {
     let Some(first) = bytes.first() else { return Ok(None) };
     // The big-endian number behind the first byte.
     let number = |len: usize| -> Option<usize> {
@@ -55,7 +55,7 @@
         Marker::FixMap(n) => Some((Shape::Map(usize::from(n)), 1)),
         Marker::Map16 => number(2).map(|n| (Shape::Map(n), 3)),
         Marker::Map32 => number(4).map(|n| (Shape::Map(n), 5)),
-        Marker::Reserved => return Err(Error::NeverUsed),
+        Marker::Reserved => return Err(DecodeError::NeverUsed),
     })
 }
 
@@ -86,12 +86,12 @@
         bytes: &[u8],
         limits: &Limits,
         depth: usize,
-    ) -> Result<Step, Error> {
+    ) -> Result<Step, DecodeError> {
         while !self.done {
             let Some((shape, len)) = head(&bytes[self.at..])? else {
-                // A head that is not whole must not go past the limit either.
+                // An incomplete head must not exceed the limit either.
                 return if bytes.len() > limits.bytes {
-                    Err(Error::TooLong)
+                    Err(DecodeError::TooLong)
                 } else {
                     Ok(Step::Needs)
                 };
@@ -100,7 +100,7 @@
                 Shape::Plain(more) => {
                     let end = self.at.saturating_add(len).saturating_add(more);
                     if end > limits.bytes {
-                        return Err(Error::TooLong);
+                        return Err(DecodeError::TooLong);
                     }
                     if end > bytes.len() {
                         return Ok(Step::Needs);
@@ -121,16 +121,16 @@
         Ok(Step::Ended { at: self.at, depth: 0 })
     }
 
-    fn enter(&mut self, len: usize, inside: usize, limits: &Limits) -> Result<usize, Error> {
+    fn enter(&mut self, len: usize, inside: usize, limits: &Limits) -> Result<usize, DecodeError> {
         if self.at + len > limits.bytes {
-            return Err(Error::TooLong);
+            return Err(DecodeError::TooLong);
         }
         self.elements = self.elements.saturating_add(inside);
         if self.elements > limits.elements {
-            return Err(Error::TooMany);
+            return Err(DecodeError::TooMany);
         }
         if self.open.len() >= limits.depth {
-            return Err(Error::TooDeep);
+            return Err(DecodeError::TooDeep);
         }
         self.at += len;
         if inside > 0 {
@@ -139,8 +139,8 @@
         Ok(inside)
     }
 
-    /// A value has ended, and with it those of which it was the last part. Tells of the outermost,
-    /// unless all of them lie deeper than is asked for.
+    /// A value has ended, and with it those of which it was the last part. Returns the outermost, unless all of them
+    /// lie deeper than `most`.
     fn close(&mut self, most: usize) -> Option<Step> {
         loop {
             let depth = self.open.len();
@@ -162,7 +162,7 @@
 }
 
 /// The length of the value that these bytes begin with.
-pub(crate) fn length(bytes: &[u8], limits: &Limits) -> Result<Option<usize>, Error> {
+pub(crate) fn length(bytes: &[u8], limits: &Limits) -> Result<Option<usize>, DecodeError> {
     match Scan::default().step(bytes, limits, 0)? {
         Step::Needs => Ok(None),
         Step::Ended { at, .. } => Ok(Some(at)),
--- a/crates/msgpack-rpc/tests/call.rs
+++ b/crates/msgpack-rpc/tests/call.rs
@@ -1,5 +1,5 @@
-//! The mapping of calls, results and errors: the vectors of docs/specs/msgpack-rpc.md, and what is
-//! wrong in each way.
+//! The mapping of calls, results and errors: the vectors of docs/specs/msgpack-rpc.md, and every way in which they
+//! can be wrong.
 
 use bytes::Bytes;
 use sableloom_msgpack_rpc::*;
@@ -68,19 +68,19 @@
         (
             "refused",
             Failure {
-                code: Code::Refused,
+                code: FailureCode::Rejected,
                 text: "busy".into(),
-                may_try_again: true,
-                come_back_ms: Some(250),
+                safe_to_retry: true,
+                retry_after_ms: Some(250),
             },
         ),
         (
             "failed",
             Failure {
-                code: Code::Failed,
+                code: FailureCode::Failed,
                 text: "given up".into(),
-                may_try_again: false,
-                come_back_ms: None,
+                safe_to_retry: false,
+                retry_after_ms: None,
             },
         ),
     ] {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn params_of_the_wrong_shape_say_what_is_wrong() {
+fn params_of_the_wrong_shape_have_an_error_that_names_the_part() {
     for (params, says) in [
         ("c0", "params are no array"),
         ("80", "params are no array"),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn errors_that_are_not_as_specified_are_told_apart() {
+fn errors_that_are_not_as_specified_are_rejected() {
     for error in [
         "c0",
         "a2 6e 6f",
--- a/crates/msgpack-rpc/tests/codec.rs
+++ b/crates/msgpack-rpc/tests/codec.rs
@@ -10,7 +10,7 @@
     Limits { bytes: 4096, depth: 8, elements: 256 }
 }
 
-fn all(limits: Limits, bytes: &[u8], chunk: usize) -> Result<Vec<Message>, Error> {
+fn all(limits: Limits, bytes: &[u8], chunk: usize) -> Result<Vec<Message>, DecodeError> {
     let mut decoder = Decoder::new(limits);
     let mut messages = Vec::new();
     for part in bytes.chunks(chunk.max(1)) {
@@ -137,38 +137,38 @@
         assert!(rest.is_empty(), "{value:02x?}");
         for cut in 0..value.len() {
             let cut = Raw::read(Bytes::copy_from_slice(&value[..cut]), &small());
-            assert_eq!(cut, Err(Error::NoMessage), "{value:02x?}");
+            assert_eq!(cut, Err(DecodeError::NoMessage), "{value:02x?}");
         }
     }
-    assert_eq!(Raw::read(Bytes::from_static(&[0xc1]), &small()), Err(Error::NeverUsed));
+    assert_eq!(Raw::read(Bytes::from_static(&[0xc1]), &small()), Err(DecodeError::NeverUsed));
 }
 
 #[test]
-fn what_is_no_message_is_refused_as_soon_as_that_is_known() {
+fn bytes_that_are_no_message_are_an_error_as_early_as_possible() {
     let four_gib = "ff ff ff ff";
     for (text, error) in [
-        ("47", Error::NoMessage), // "G" of a GET
-        ("c0", Error::NoMessage),
-        ("92", Error::NoMessage),
-        ("95", Error::NoMessage),
-        ("c1", Error::NeverUsed),
-        ("94 03", Error::NoMessage),
-        ("94 ff", Error::NoMessage), // -1
-        ("94 a1 30", Error::NoMessage),
-        ("94 00 a1 30", Error::NoId),
-        ("94 00 ff", Error::NoId),
-        ("94 00 cf 00 00 00 01 00 00 00 00", Error::NoId), // 2^32
-        ("94 01 cb 00 00 00 00 00 00 00 00", Error::NoId),
-        ("94 02 a1 61 90 c0", Error::NoMessage),
-        ("93 00 01 a1 61", Error::NoMessage),
-        (&format!("94 00 01 db {four_gib}"), Error::TooLong),
-        (&format!("94 00 01 c6 {four_gib}"), Error::TooLong),
-        (&format!("94 00 01 c9 {four_gib}"), Error::TooLong),
-        (&format!("94 00 01 a1 61 dd {four_gib}"), Error::TooMany),
-        (&format!("94 00 01 a1 61 df {four_gib}"), Error::TooMany),
-        (&format!("dd {four_gib}"), Error::NoMessage),
-        ("94 00 01 a1 61 91 91 91 91 91 91 91 91", Error::TooDeep),
-        ("94 00 01 a1 61 c1", Error::NeverUsed),
+        ("47", DecodeError::NoMessage), // "G" of a GET
+        ("c0", DecodeError::NoMessage),
+        ("92", DecodeError::NoMessage),
+        ("95", DecodeError::NoMessage),
+        ("c1", DecodeError::NeverUsed),
+        ("94 03", DecodeError::NoMessage),
+        ("94 ff", DecodeError::NoMessage), // -1
+        ("94 a1 30", DecodeError::NoMessage),
+        ("94 00 a1 30", DecodeError::NoId),
+        ("94 00 ff", DecodeError::NoId),
+        ("94 00 cf 00 00 00 01 00 00 00 00", DecodeError::NoId), // 2^32
+        ("94 01 cb 00 00 00 00 00 00 00 00", DecodeError::NoId),
+        ("94 02 a1 61 90 c0", DecodeError::NoMessage),
+        ("93 00 01 a1 61", DecodeError::NoMessage),
+        (&format!("94 00 01 db {four_gib}"), DecodeError::TooLong),
+        (&format!("94 00 01 c6 {four_gib}"), DecodeError::TooLong),
+        (&format!("94 00 01 c9 {four_gib}"), DecodeError::TooLong),
+        (&format!("94 00 01 a1 61 dd {four_gib}"), DecodeError::TooMany),
+        (&format!("94 00 01 a1 61 df {four_gib}"), DecodeError::TooMany),
+        (&format!("dd {four_gib}"), DecodeError::NoMessage),
+        ("94 00 01 a1 61 91 91 91 91 91 91 91 91", DecodeError::TooDeep),
+        ("94 00 01 a1 61 c1", DecodeError::NeverUsed),
     ] {
         let bytes = hex(text);
         for chunk in [1, bytes.len()] {
@@ -186,29 +186,27 @@
         bytes
     };
     assert_eq!(all(small(), &message(4096), 7).map(|m| m.len()), Ok(1));
-    assert_eq!(all(small(), &message(4097), 7), Err(Error::TooLong));
-    // An error is told again, and nothing more is kept.
+    assert_eq!(all(small(), &message(4097), 7), Err(DecodeError::TooLong));
+    // Every later call returns the error, and nothing more is kept.
     let mut decoder = Decoder::new(small());
     decoder.push(b"GET / HTTP/1.1\r\n");
-    assert_eq!(decoder.message(), Err(Error::NoMessage));
+    assert_eq!(decoder.message(), Err(DecodeError::NoMessage));
     decoder.push(&hex("94 01 07 c0 2a"));
-    assert_eq!((decoder.message(), decoder.buffered()), (Err(Error::NoMessage), 0));
+    assert_eq!((decoder.message(), decoder.buffered()), (Err(DecodeError::NoMessage), 0));
 }
 
 #[test]
-fn nesting_a_hundred_thousand_deep_is_refused_and_costs_nothing() {
+fn nesting_a_hundred_thousand_deep_is_an_error_without_recursion() {
     let mut bytes = hex("94 00 01 a1 61");
     bytes.resize(100_000, 0x91);
     let limits = Limits { bytes: 1 << 20, elements: 1 << 20, ..small() };
-    assert_eq!(all(limits, &bytes, 4096), Err(Error::TooDeep));
-    // Where that depth is let in, it is no recursion either.
+    assert_eq!(all(limits, &bytes, 4096), Err(DecodeError::TooDeep));
+    // Where that depth is allowed, there is no recursion either.
     let deep = Limits { depth: 200_000, ..limits };
     bytes.push(0xc0);
     assert_eq!(all(deep, &bytes, 4096).map(|m| m.len()), Ok(1));
 }
 
-// ---------------------------------------------------------------- seeded
-
 fn value(rng: &mut Rand64, depth: u32) -> Value {
     let most = if depth == 0 { 8 } else { 10 };
     let n = rng.rand_range(0..40) as usize;
@@ -270,7 +268,7 @@
 }
 
 #[test]
-fn what_another_implementation_writes_is_read_alike_however_it_is_cut() {
+fn messages_of_another_implementation_are_decoded_alike_at_every_split() {
     for seed in 0..1000 {
         let mut rng = Rand64::new(seed);
         let sent: Vec<Value> = (0..4).map(|_| message(&mut rng)).collect();
@@ -312,7 +310,7 @@
 }
 
 #[test]
-fn two_hundred_thousand_mutations_never_panic_and_never_pass_the_bounds() {
+fn mutated_messages_never_panic_and_never_exceed_the_limits() {
     let replay = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
     let seeds = replay.map_or(0..200_000u64, |seed| seed..seed + 1);
     let (mut read, mut refused) = (0, 0);
