--- a/crates/sableloom/tests/sockets/bad_input.rs
+++ b/crates/sableloom/tests/sockets/bad_input.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Peer, config, entry, ok, post, read, spawn};
 
 /// The program's exit code and all that it says, for a configuration that it can't run with.
 fn refused(config: &str) -> String {
--- a/crates/sableloom/tests/sockets/bulk.rs
+++ b/crates/sableloom/tests/sockets/bulk.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Conn, LONG, Peer, config, eventually, ok, post, read};
 
 /// Past what the protocol has.
 const LONG_BODY: usize = 3 << 30;
--- a/crates/sableloom/tests/sockets/discovery.rs
+++ b/crates/sableloom/tests/sockets/discovery.rs
@@ -4,7 +4,10 @@
 
 use serde_json::{Value, json};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{
+    Balancer, Discovery, HeldBack, LONG, Peer, Told, config, entry, eventually, list, named, ok,
+    post, read,
+};
 
 fn asking(discovery: &Discovery, upstreams: &[&Peer], mode: &str) -> Value {
     let mut config = config(&upstreams.iter().map(|u| u.address).collect::<Vec<_>>());
--- a/crates/sableloom/tests/sockets/ends.rs
+++ b/crates/sableloom/tests/sockets/ends.rs
@@ -9,7 +9,10 @@
 
 use serde_json::{Value, json};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{
+    Balancer, Conn, Discovery, HeldBack, LONG, Message, Peer, Told, answer, config, entry,
+    eventually, list, named, ok, post, read,
+};
 
 /// One server that answers when the test says so, with what the test says, and tells of each request.
 fn told_what_to_say() -> (Peer, Receiver<Message>, Sender<String>) {
--- a/crates/sableloom/tests/sockets/limits.rs
+++ b/crates/sableloom/tests/sockets/limits.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Conn, LONG, Message, Peer, config, ok, post, read};
 
 /// Sockets of the small balancers here: 46 places, of which clients that ask may hold 33.
 const SOCKETS: usize = 100;
--- a/crates/sableloom/tests/sockets/outcomes.rs
+++ b/crates/sableloom/tests/sockets/outcomes.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{
+    Balancer, Conn, LONG, Peer, answer, config, ok, only_own_times, post, read,
+};
 
 /// Time of a request that a fault ends, in milliseconds: none is given up for the want of it.
 const PATIENT_MS: u32 = 25_000;
--- a/crates/sableloom/tests/sockets/reload.rs
+++ b/crates/sableloom/tests/sockets/reload.rs
@@ -2,7 +2,9 @@
 
 use serde_json::{Value, json};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{
+    Balancer, ConfigFile, Discovery, Peer, Told, config, entry, list, named, read,
+};
 
 /// A balancer that knows one server, with two discoveries: it is told of the first, and on SIGHUP
 /// of the second, which knows another server.
--- a/crates/sableloom/tests/sockets/requests.rs
+++ b/crates/sableloom/tests/sockets/requests.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{
+    Balancer, LONG, Peer, answer, config, eventually, ok, only_own_times, post, read,
+};
 
 #[test]
 fn each_effect_is_served() {
--- a/crates/sableloom/tests/sockets/second_answers.rs
+++ b/crates/sableloom/tests/sockets/second_answers.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Peer, ok, post, read};
 
 /// For how long a connection shows, after an answer, whether another comes (`RESTED` in crates/http1/src/reuse.rs).
 const RESTED: Duration = Duration::from_millis(5);
--- a/crates/sableloom/tests/sockets/server_files.rs
+++ b/crates/sableloom/tests/sockets/server_files.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Message, Peer, Site, ok, read, servers};
 
 pub const CLASSES: &str = r#"
 [[listener]]
--- a/crates/sableloom/tests/sockets/server_files/list_changes.rs
+++ b/crates/sableloom/tests/sockets/server_files/list_changes.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Peer, Site, named, ok, post, read, servers};
 
 use super::{list, one_pool, serves, start, waiting};
 
--- a/crates/sableloom/tests/sockets/server_files/load.rs
+++ b/crates/sableloom/tests/sockets/server_files/load.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use oorandom::Rand64;
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Peer, Site, named, read, servers};
 
 use super::{one_pool, serves};
 
--- a/crates/sableloom/tests/sockets/server_files/main_file.rs
+++ b/crates/sableloom/tests/sockets/server_files/main_file.rs
@@ -1,6 +1,6 @@
 //! The main file: routes to pools, its changes by SIGHUP, and what is wrong with it at the start.
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Site, named, program, read};
 
 use super::{CLASSES, list, one_pool, pool, waiting};
 
--- a/crates/sableloom/tests/sockets/server_files/watching.rs
+++ b/crates/sableloom/tests/sockets/server_files/watching.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::os::unix::fs::symlink;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Site, eventually, named};
 
 use super::{list, one_pool, serves, start};
 
--- a/crates/sableloom/tests/sockets/shadow.rs
+++ b/crates/sableloom/tests/sockets/shadow.rs
@@ -9,7 +9,7 @@
 use std::process::{Command, Output};
 use std::sync::mpsc::Receiver;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Message, Peer, Site, answer, eventually, program};
 use serde_json::Value;
 
 use crate::server_files::{CLASSES, list, pool};
--- a/crates/sableloom/tests/sockets/shadow/comparison.rs
+++ b/crates/sableloom/tests/sockets/shadow/comparison.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Conn, LONG, Message, Peer, Site, eventually, post, read};
 
 use super::{answering, ended, json, keyed, record, report, said, site, start};
 use crate::server_files::list;
--- a/crates/sableloom/tests/sockets/shadow/isolation.rs
+++ b/crates/sableloom/tests/sockets/shadow/isolation.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 use oorandom::Rand64;
-use sableloom_testkit::*;
+use sableloom_testkit::{Conn, LONG, Peer, Site, answer, eventually, ok, post, program, read};
 use serde_json::Value;
 
 use super::{answering, json, keyed, record, site, start, started};
--- a/crates/sableloom/tests/sockets/shadow/reload.rs
+++ b/crates/sableloom/tests/sockets/shadow/reload.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Peer, Site, eventually, read};
 
 use super::{answering, ended, json, record, site};
 use crate::server_files::list;
--- a/crates/sableloom/tests/sockets/shutdown.rs
+++ b/crates/sableloom/tests/sockets/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, LONG, Message, Peer, ok, post, read};
 
 /// An upstream that answers when the test says so.
 fn waiting() -> (Peer, std::sync::mpsc::Receiver<Message>, std::sync::mpsc::Sender<()>) {
--- a/crates/sableloom/tests/sockets/sizes.rs
+++ b/crates/sableloom/tests/sockets/sizes.rs
@@ -5,7 +5,9 @@
 
 use serde_json::json;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{
+    Balancer, Discovery, Peer, Site, Told, config, entry, eventually, list, named, read, servers,
+};
 
 const MANY: usize = 1024;
 
--- a/crates/testkit/examples/footprint.rs
+++ b/crates/testkit/examples/footprint.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use sableloom_testkit::*;
+use sableloom_testkit::{ForwardingProbe, read};
 
 const IDLE: usize = 200;
 const ROUNDS: usize = 4;
--- a/crates/testkit/examples/reload.rs
+++ b/crates/testkit/examples/reload.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Peer, Site, named, read, servers};
 
 const ROUNDS: usize = 100;
 const COUNT: usize = 5000;
--- a/crates/testkit/examples/reuse.rs
+++ b/crates/testkit/examples/reuse.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Peer, config, ok, read};
 
 /// How long each program plays each case.
 const PLAY: Duration = Duration::from_secs(8);
--- a/crates/testkit/examples/shadow.rs
+++ b/crates/testkit/examples/shadow.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sableloom_testkit::*;
+use sableloom_testkit::{Balancer, Peer, Site, answer, read, servers};
 use serde_json::Value;
 
 const CLIENTS: u32 = 4;
--- a/crates/testkit/examples/sizes.rs
+++ b/crates/testkit/examples/sizes.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 
-use sableloom_testkit::*;
+use sableloom_testkit::ForwardingProbe;
 
 const SERVERS: [usize; 4] = [10, 100, 350, 1024];
 const ROUNDS: usize = 4;
