--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -3,9 +3,11 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use sableloom_capacity_share::Part;
+use sableloom_capacity_share::Share;
 use sableloom_distribution::ServiceName;
-use sableloom_exchange::{Clock, Message, Reply, RequestContext, RequestRejection, Service, Work};
+use sableloom_exchange::{
+    Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
+};
 use sableloom_fleet::{Running as Fleet, Told};
 use sableloom_routes::{Head, Table};
 use sableloom_site_config::{Site, Target};
@@ -41,7 +43,7 @@
     /// Pools that are no longer in force and have requests open.
     pub(super) ending: RefCell<Vec<Rc<RunningPool>>>,
     /// The part of the servers that the pools have been told last.
-    part: Cell<Option<Part>>,
+    part: Cell<Option<Share>>,
     pub(super) clock: Clock,
 }
 
@@ -50,7 +52,7 @@
         self: Rc<Self>,
         asked: RequestContext,
         message: Message,
-    ) -> Result<Work<Reply>, RequestRejection> {
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let routing = self.routing.borrow().clone();
         if routing.site.control.is_some() {
             let found = with_head(&asked, &message, |head| self.subscribed.borrow().target(head));
@@ -87,7 +89,7 @@
     look(&Head {
         host: &host,
         path: &message.target[..end.unwrap_or(message.target.len())],
-        method: &message.verb,
+        method: &message.method,
         class: asked.class,
         header: &has,
     })
@@ -126,12 +128,12 @@
     }
 
     /// This balancer's part of the fleet, once it has been told.
-    pub(super) fn part(&self) -> Option<Part> {
+    pub(super) fn part(&self) -> Option<Share> {
         self.part.get()
     }
 
     /// All pools share their servers with so many.
-    pub(super) fn shared_by(&self, part: Part) {
+    pub(super) fn shared_by(&self, part: Share) {
         self.part.set(Some(part));
         self.pools().iter().for_each(|pool| self.share_with(pool));
     }
@@ -141,12 +143,13 @@
         let Some(part) = self.part.get() else { return };
         // A part of nothing is told as one of a multitude: the module keeps one lane whatever it is told.
         let told = |n: u32| if n == 0 { MULTITUDE } else { n };
-        let ends = part.until.map(|until| (until, told(part.after)));
-        pool.exchange.shared_by(told(part.balancers), ends);
+        let expires =
+            part.until.map(|at| ShareExpiry { at, balancers_after: told(part.balancers_after) });
+        pool.exchange.set_balancers(told(part.balancers), expires);
     }
 
     pub(super) fn open(&self) -> usize {
-        self.pools().iter().map(|pool| pool.exchange.open()).sum()
+        self.pools().iter().map(|pool| pool.exchange.open_requests()).sum()
     }
 
     /// What it does now, as one line of JSON.
@@ -154,7 +157,7 @@
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
             let (list, version, servers) = pool.files()?.version();
-            Some(json!({"name": pool.name, "open": pool.exchange.open(), "list": list,
+            Some(json!({"name": pool.name, "open": pool.exchange.open_requests(), "list": list,
                    "version": version, "servers": servers}))
         };
         let mut status = json!({
@@ -185,7 +188,7 @@
     pub(super) fn sweep(&self) {
         self.pools().iter().for_each(|pool| pool.transport.sweep());
         self.ending.borrow_mut().retain(|pool| {
-            let open = pool.exchange.open() > 0;
+            let open = pool.exchange.open_requests() > 0;
             if !open {
                 pool.exchange.close();
                 eprintln!("sableloom: pool {}: ended", pool.name);
@@ -199,8 +202,8 @@
 pub(super) struct ToPools(pub(super) Rc<Router>);
 
 impl Told for ToPools {
-    fn part(&self, part: Part) {
-        self.0.shared_by(part);
+    fn share(&self, share: Share) {
+        self.0.shared_by(share);
     }
 
     fn line(&self, line: &str) {
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -41,7 +41,7 @@
                 Verdict::Within => return Ok(()),
                 Verdict::Over(after) => {
                     let after = Duration::from_micros(after.0.max(0) as u64);
-                    return Err(RequestRejection::OverLimit(after.min(MAX_RETRY_AFTER)));
+                    return Err(RequestRejection::OverTenantLimit(after.min(MAX_RETRY_AFTER)));
                 }
             }
         }
@@ -52,7 +52,7 @@
     fn tenant_share(&self, site: &Site, now: Time) -> Share {
         match (&site.fleet, self.part()) {
             (None, _) => Share::new(1.0 / f64::from(site.locality.balancers.max(1))),
-            (Some(_), Some(part)) => Share::new(part.share(now)),
+            (Some(_), Some(part)) => Share::new(part.fraction(now)),
             // The fleet has not said yet.
             (Some(_), None) => Share::NONE,
         }
