--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -307,3 +307,6 @@
         })),
     })
 }
+
+#[cfg(test)]
+mod tests;
