--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -2,16 +2,20 @@
 
 use std::path::Path;
 
-use sableloom_distribution::{Change, LogEntry, Position, Store, StoreLimits};
+use sableloom_distribution::{AppendError, Change, LogEntry, Position, Store, StoreLimits};
 use sableloom_resources::{is_finished, read_change};
 use sableloom_toml_diagnostics::Problem;
 
-use crate::folder::{NameKind, Notice, ReadError, check_number, file_name, numbers, read_bytes};
+use crate::change_file::{
+    NameKind, ReadError, check_number, file_name, list_files, name_kind, read_bytes,
+};
+use crate::folder::read_entry;
+use crate::notice::Notice;
 
-/// A log without a problem.
+/// The contents of a log that has no problem.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Checked {
-    /// How far it goes.
+pub struct LogSummary {
+    /// The position after its last change.
     pub position: Position,
     /// How many change files it has.
     pub files: usize,
@@ -23,103 +27,121 @@
     pub tenants: usize,
 }
 
-/// Checks a change file by itself. Whether it fits what comes before is seen by [`check_folder`].
+/// Checks a change file by itself. [`check_folder`] also checks that it fits the changes before it.
+///
+/// # Errors
+///
+/// All problems that were found in the file.
 pub fn check_file(path: &Path) -> Result<(), Vec<Problem>> {
     let shown = path.display().to_string();
-    let wrong = |cause: String| vec![Problem::of_file(&shown, cause)];
-    let bytes = read_bytes(path).map_err(|error| wrong(read_error(error)))?;
+    let bytes = read_bytes(path).map_err(|error| vec![unreadable(&shown, &error)])?;
     let change = read_change(&shown, &bytes)?;
     let name = path.file_name().map(|name| name.to_string_lossy().into_owned());
-    match name.as_deref().map(crate::folder::name_kind) {
+    match name.as_deref().map(name_kind) {
         Some(NameKind::Change(number)) => check_number(&change, number),
         _ => Ok(()),
     }
 }
 
-/// Checks a folder of change files as one log that begins with number `first`: all that is wrong with any of them.
-/// Files after a wrong one are judged against what the good ones say.
-pub fn check_folder(path: &Path, first: u64) -> Result<Checked, Vec<Problem>> {
+/// Checks a folder of change files as one log that begins with number `first`. A file after a wrong one is checked
+/// against the resources of the good ones.
+///
+/// # Errors
+///
+/// All problems that were found in any of the files.
+pub fn check_folder(path: &Path, first: u64) -> Result<LogSummary, Vec<Problem>> {
     let shown = path.display().to_string();
-    let names = numbers(path).map_err(|error| vec![Problem::of_file(&shown, error.to_string())])?;
-    let mut check = FolderCheck { store: Store::new(StoreLimits::default()), problems: Vec::new() };
-    let mut present = Vec::new();
-    for (kind, file) in names {
-        match kind {
-            NameKind::Change(number) => present.push(number),
-            NameKind::NotNumbered => check.notice(Notice::NotNumbered { file }),
+    let files =
+        list_files(path).map_err(|error| vec![Problem::of_file(&shown, error.to_string())])?;
+    let mut check = FolderCheck {
+        folder: path,
+        store: Store::new(StoreLimits::default()),
+        problems: Vec::new(),
+    };
+    let mut numbers = Vec::new();
+    for file in files {
+        match file.kind {
+            NameKind::Change(number) => numbers.push(number),
+            NameKind::NotNumbered => check.add_notice(&Notice::NotNumbered { file: file.name }),
             NameKind::Other => {}
         }
     }
-    present.sort_unstable();
-    check.contiguous(&present, first);
-    for number in &present {
-        check.file(path, *number);
+    numbers.sort_unstable();
+    check.check_contiguous(&numbers, first);
+    for number in &numbers {
+        check.check_change(*number);
     }
     if !check.problems.is_empty() {
         return Err(check.problems);
     }
     let store = check.store;
-    Ok(Checked {
+    Ok(LogSummary {
         position: store.position(),
-        files: present.len(),
+        files: numbers.len(),
         services: store.service_count(),
         resources: store.resource_count(),
         tenants: store.tenant_count(),
     })
 }
 
-struct FolderCheck {
+/// A folder while it is checked.
+struct FolderCheck<'f> {
+    folder: &'f Path,
+    /// The resources after the changes that were checked so far.
     store: Store,
     problems: Vec<Problem>,
 }
 
-impl FolderCheck {
-    fn notice(&mut self, notice: Notice) {
+impl FolderCheck<'_> {
+    fn add_notice(&mut self, notice: &Notice) {
         self.problems.push(Problem::of_file("", notice.to_string()));
     }
 
-    fn contiguous(&mut self, present: &[u64], first: u64) {
+    /// Reports each number below the first one and each gap.
+    fn check_contiguous(&mut self, numbers: &[u64], first: u64) {
         let mut expected = first;
-        for number in present {
+        for number in numbers {
             if *number < first {
                 let (file, first) = (file_name(*number), file_name(first));
-                self.notice(Notice::BeforeFirst { file, first });
+                self.add_notice(&Notice::BeforeFirst { file, first });
                 continue;
             }
             if *number > expected {
                 let (missing, latest) = (file_name(expected), file_name(*number));
-                self.notice(Notice::Gap { missing, latest });
+                self.add_notice(&Notice::Gap { missing, latest });
             }
             expected = number + 1;
         }
     }
 
-    fn file(&mut self, folder: &Path, number: u64) {
-        let name = file_name(number);
-        if let Err(problems) = self.take(folder, &name, number) {
+    fn check_change(&mut self, number: u64) {
+        if let Err(problems) = self.append_file(number) {
             self.problems.extend(problems);
         }
     }
 
-    fn take(&mut self, folder: &Path, name: &str, number: u64) -> Result<(), Vec<Problem>> {
-        let wrong = |cause: String| vec![Problem::of_file(name, cause)];
-        let bytes = read_bytes(&folder.join(name)).map_err(|error| wrong(read_error(error)))?;
-        let change = read_change(name, &bytes)?;
-        if !is_finished(&bytes) {
-            return Err(wrong("its last table is not [end], with a line end after it".to_string()));
-        }
-        check_number(&change, number)?;
-        let entry = change.resolve(&self.store)?;
-        self.append(entry).map_err(wrong)
+    fn append_file(&mut self, number: u64) -> Result<(), Vec<Problem>> {
+        let name = file_name(number);
+        let wrong = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
+        let bytes = read_bytes(&self.folder.join(&name))
+            .map_err(|error| vec![unreadable(&name, &error)])?;
+        // What is wrong in an unfinished file is reported before its missing end.
+        let entry = if is_finished(&bytes) {
+            read_entry(&name, number, &bytes, &self.store)?
+        } else {
+            read_change(&name, &bytes)?;
+            return Err(wrong("its last table is not [end], with a line end after it"));
+        };
+        self.append(entry).map_err(|error| wrong(&error.to_string()))
     }
 
-    /// Takes an entry as if it followed, also after a gap or a wrong file, which have been named.
-    fn append(&mut self, mut entry: LogEntry) -> Result<(), String> {
+    /// Appends an entry as if it followed the last one, also after a gap or a wrong file: those have been reported.
+    fn append(&mut self, mut entry: LogEntry) -> Result<(), AppendError> {
         let expected = self.store.position().number + 1;
         if !self.problems.is_empty() {
             renumber(&mut entry, expected);
         }
-        self.store.append(entry).map(|_| ()).map_err(|error| error.to_string())
+        self.store.append(entry).map(|_| ())
     }
 }
 
@@ -135,9 +157,10 @@
     }
 }
 
-fn read_error(error: ReadError) -> String {
-    match error {
-        ReadError::Missing => "it is not there".to_string(),
-        ReadError::Other(cause) => format!("it can't be read: {cause}"),
-    }
+fn unreadable(file: &str, error: &ReadError) -> Problem {
+    let cause = match error {
+        ReadError::Missing => error.to_string(),
+        _ => format!("it can't be read: {error}"),
+    };
+    Problem::of_file(file, cause)
 }
--- /dev/null
+++ b/crates/control/src/sessions.rs
@@ -0,0 +1,174 @@
+//! The sessions of one publisher: its clock, its timer, and the connection that each of its outputs goes to.
+
+use std::cell::{Cell, Ref, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use rustc_hash::FxHashMap;
+use sableloom_distribution::{
+    CloseReason, CodecError, Publisher, PublisherOutput, SessionId, Store, SubscriberMessage,
+};
+use sableloom_types::Time;
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep_until};
+
+use crate::connection::ConnectionHandler;
+use crate::outbox::Outbox;
+
+/// The publisher with its connections.
+pub(crate) struct Sessions {
+    publisher: RefCell<Publisher>,
+    outboxes: RefCell<FxHashMap<SessionId, Rc<Outbox>>>,
+    next_session: Cell<u64>,
+    /// The zero of the publisher's time.
+    started: Instant,
+    /// The time at which the publisher is due has changed.
+    rescheduled: Notify,
+}
+
+impl Sessions {
+    pub(crate) fn new(publisher: Publisher) -> Rc<Self> {
+        Rc::new(Self {
+            publisher: RefCell::new(publisher),
+            outboxes: RefCell::default(),
+            next_session: Cell::new(1),
+            started: Instant::now(),
+            rescheduled: Notify::new(),
+        })
+    }
+
+    /// The resources that the publisher serves.
+    pub(crate) fn store(&self) -> Ref<'_, Store> {
+        Ref::map(self.publisher.borrow(), Publisher::store)
+    }
+
+    /// How many sessions are open.
+    pub(crate) fn count(&self) -> usize {
+        self.outboxes.borrow().len()
+    }
+
+    /// Calls the publisher, and applies its outputs.
+    pub(crate) fn with_publisher<R>(
+        &self,
+        call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>) -> R,
+    ) -> R {
+        let mut publisher = self.publisher.borrow_mut();
+        let due = publisher.due();
+        let mut outputs = Vec::new();
+        let result = call(&mut publisher, self.now(), &mut outputs);
+        if publisher.due() != due {
+            self.rescheduled.notify_one();
+        }
+        drop(publisher);
+        outputs.into_iter().for_each(|output| self.apply(output));
+        result
+    }
+
+    fn apply(&self, output: PublisherOutput) {
+        match output {
+            PublisherOutput::Send { session, frame } => {
+                if let Some(outbox) = self.outboxes.borrow().get(&session) {
+                    outbox.push(frame);
+                }
+            }
+            PublisherOutput::Close { session, reason } => {
+                if let Some(outbox) = self.outboxes.borrow_mut().remove(&session) {
+                    outbox.close(reason);
+                }
+            }
+        }
+    }
+
+    /// Opens a session for a connection that was accepted.
+    pub(crate) fn open(self: &Rc<Self>) -> SessionHandle {
+        let id = SessionId(self.next_session.get());
+        self.next_session.set(id.0 + 1);
+        let outbox = Rc::<Outbox>::default();
+        self.outboxes.borrow_mut().insert(id, outbox.clone());
+        self.with_publisher(|publisher, now, _| publisher.connected(now, id));
+        SessionHandle { sessions: self.clone(), id, outbox }
+    }
+
+    /// Calls the publisher whenever it is due.
+    pub(crate) async fn run_timer(&self) {
+        loop {
+            let due = self.publisher.borrow().due();
+            let wait = async {
+                match due {
+                    Some(due) => sleep_until(self.instant(due)).await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                () = self.rescheduled.notified() => {}
+                () = wait => self.tick(),
+            }
+        }
+    }
+
+    fn tick(&self) {
+        self.with_publisher(|publisher, now, outputs| _ = publisher.tick(now, outputs));
+    }
+
+    fn now(&self) -> Time {
+        Time(self.started.elapsed().as_micros() as i64)
+    }
+
+    fn instant(&self, time: Time) -> Instant {
+        self.started + Duration::from_micros(time.0.max(0) as u64)
+    }
+}
+
+/// A session as its connection sees it.
+pub(crate) struct SessionHandle {
+    sessions: Rc<Sessions>,
+    id: SessionId,
+    outbox: Rc<Outbox>,
+}
+
+impl SessionHandle {
+    pub(crate) fn id(&self) -> SessionId {
+        self.id
+    }
+
+    pub(crate) fn outbox(&self) -> &Outbox {
+        &self.outbox
+    }
+
+    /// The connection has ended. Gives the reason if the publisher had closed the session.
+    pub(crate) fn disconnected(&self) -> Option<CloseReason> {
+        // The publisher has no state left of a session that it has closed itself.
+        if self.sessions.outboxes.borrow_mut().remove(&self.id).is_some() {
+            self.sessions.with_publisher(|publisher, now, outputs| {
+                publisher.disconnected(now, self.id, outputs);
+            });
+        }
+        self.outbox.close_reason()
+    }
+
+    fn with_publisher(&self, call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>)) {
+        if self.outbox.close_reason().is_none() {
+            self.sessions.with_publisher(call);
+        }
+    }
+}
+
+impl ConnectionHandler for SessionHandle {
+    fn message(&self, message: SubscriberMessage) {
+        self.with_publisher(|publisher, now, outputs| {
+            publisher.message(now, self.id, message, outputs);
+        });
+    }
+
+    fn malformed(&self, error: CodecError) {
+        self.with_publisher(|publisher, now, outputs| {
+            publisher.malformed(now, self.id, error, outputs);
+        });
+    }
+
+    fn written(&self, bytes: usize) {
+        self.with_publisher(|publisher, now, outputs| {
+            publisher.written(now, self.id, bytes, outputs);
+        });
+    }
+}
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -7,32 +7,36 @@
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 use sableloom_types::Span;
 
-/// Connections beside the sessions: tools that ask for the status, and subscribers that have not said hello yet.
+/// Connections beside the sessions: tools that request the status, and subscribers that have not sent their hello yet.
 pub const CONNECTIONS_BESIDE_SESSIONS: usize = 64;
 
-/// What an operator sets for a control machine.
+/// The settings of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where subscribers connect.
+    /// The address that subscribers connect to.
     pub listen: SocketAddr,
-    /// The folder of change files, from the folder of the settings file.
+    /// The folder of change files, relative to the folder of the settings file.
     pub changes: String,
     /// The number of the change file that the log begins with.
     pub first: u64,
-    /// What the store may hold.
+    /// Bounds of the store.
     pub store: StoreLimits,
-    /// What the publisher may do.
+    /// Bounds and times of the publisher.
     pub publisher: PublisherOptions,
-    /// Connections at one time, sessions included; one more is closed at once.
+    /// Most connections at one time, sessions included; one more is closed at once.
     pub max_connections: usize,
 }
 
-/// Reads settings; `file` is what problems call it.
+/// Reads settings; `file` is their file's name in problems.
+///
+/// # Errors
+///
+/// All problems that were found in the text.
 pub fn read_settings(file: &str, text: &[u8]) -> Result<Settings, Vec<Problem>> {
-    toml_diagnostics::read(file, text, settings)
+    toml_diagnostics::read(file, text, read_root)
 }
 
-fn settings(root: &Table<'_>) -> Option<Settings> {
+fn read_root(root: &Table<'_>) -> Option<Settings> {
     let listen = root.need_address("listen");
     let changes = root.need_text("changes", "the folder of change files");
     if let Some(changes) = changes.as_ref().filter(|changes| changes.value.is_empty()) {
@@ -48,16 +52,17 @@
         max_connections: 0,
     };
     if let Some(table) = root.table("limits") {
-        limits(&table, &mut settings);
+        read_limits(&table, &mut settings);
         table.finish();
     }
     settings.max_connections = settings.publisher.max_sessions + CONNECTIONS_BESIDE_SESSIONS;
     Some(settings)
 }
 
-fn limits(table: &Table<'_>, settings: &mut Settings) {
-    let set = |field: &'static str, most: usize, unit: &str, value: &mut usize| {
-        if let Some(found) = table.whole(field, 1..=most, unit) {
+/// Reads the `[limits]` table.
+fn read_limits(table: &Table<'_>, settings: &mut Settings) {
+    let set = |field: &'static str, max: usize, unit: &str, value: &mut usize| {
+        if let Some(found) = table.whole(field, 1..=max, unit) {
             *value = found.value;
         }
     };
--- a/crates/control/tests/folder.rs
+++ b/crates/control/tests/folder.rs
@@ -1,15 +1,17 @@
-//! The folder of change files: what is taken, what waits, what is said, and that it is said once.
+//! The folder of change files: which change is read, which one waits, and that each notice is reported once.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use sableloom_control::{Folder, NameKind, Next, Notice, ReadChange, file_name, name_kind};
+use sableloom_control::{
+    ChangeFolder, NameKind, NextChange, Notice, ReadChange, file_name, name_kind,
+};
 use sableloom_distribution::{Store, StoreLimits};
 
-/// A folder of its own, gone once it is dropped, read into a store.
+/// A folder of its own, removed when it is dropped, and the store that its changes are read into.
 struct Log {
     path: PathBuf,
-    folder: Folder,
+    folder: ChangeFolder,
     store: Store,
 }
 
@@ -20,7 +22,7 @@
         let name = format!("sableloom-changes-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a folder");
-        let folder = Folder::new(path.clone(), first);
+        let folder = ChangeFolder::new(path.clone(), first);
         Self { path, folder, store: Store::new(StoreLimits::default()) }
     }
 
@@ -32,15 +34,15 @@
         self.write(&file_name(number), &text(number));
     }
 
-    /// Reads on as far as it goes, and gives what is said then.
-    fn read(&mut self) -> Option<Notice> {
+    /// Reads as many changes as it can, and gives the notice after the last one.
+    fn read_all(&mut self) -> Option<Notice> {
         loop {
             match self.folder.read_next(&self.store) {
-                Next::Waiting(notice) => return notice,
-                Next::Change(entry) => {
+                NextChange::Waiting(notice) => return notice,
+                NextChange::Ready(entry) => {
                     let read = ReadChange::of(&entry);
                     self.store.append(entry).expect("it follows");
-                    self.folder.taken(read);
+                    self.folder.accepted(read);
                 }
             }
         }
@@ -62,73 +64,73 @@
 }
 
 #[test]
-fn a_gap_is_said_once_and_what_comes_after_waits_for_it() {
+fn a_gap_is_reported_once_and_later_files_wait_for_it() {
     let mut log = Log::beginning_with(1);
     for number in [1, 2, 4, 5] {
         log.change(number);
     }
     assert_eq!(log.folder.list(), []);
     let gap = Notice::Gap { missing: file_name(3), latest: file_name(5) };
-    assert_eq!(log.read(), Some(gap));
-    assert_eq!((log.read(), log.position()), (None, 2));
+    assert_eq!(log.read_all(), Some(gap));
+    assert_eq!((log.read_all(), log.position()), (None, 2));
     log.change(3);
-    assert_eq!((log.read(), log.position()), (None, 5));
+    assert_eq!((log.read_all(), log.position()), (None, 5));
 }
 
 #[test]
-fn a_file_cut_at_any_byte_waits_and_is_never_taken_in_part() {
+fn a_file_cut_at_any_byte_waits_and_no_part_of_it_is_applied() {
     let mut log = Log::beginning_with(1);
-    let whole = text(1);
-    for cut in 0..whole.len() {
-        log.write(&file_name(1), &whole[..cut]);
-        let notice = log.read();
+    let complete = text(1);
+    for cut in 0..complete.len() {
+        log.write(&file_name(1), &complete[..cut]);
+        let notice = log.read_all();
         let unfinished = Notice::Unfinished { file: file_name(1) };
         assert_eq!(notice, (cut == 0).then_some(unfinished), "cut at {cut}");
         assert_eq!(log.position(), 0);
     }
-    log.write(&file_name(1), &whole);
-    assert_eq!((log.read(), log.position()), (None, 1));
+    log.write(&file_name(1), &complete);
+    assert_eq!((log.read_all(), log.position()), (None, 1));
 }
 
 #[test]
-fn a_wrong_file_is_named_once_and_holds_the_order_until_it_is_mended() {
+fn a_wrong_file_is_reported_once_and_later_files_wait_until_it_is_corrected() {
     let mut log = Log::beginning_with(1);
     log.write(&file_name(1), &text(1).replace("epoch = 1", "epoch = \"one\""));
     log.change(2);
-    let Some(Notice::Wrong(problems)) = log.read() else { panic!("it is named") };
+    let Some(Notice::Wrong(problems)) = log.read_all() else { panic!("it is named") };
     assert_eq!((problems[0].line, problems[0].field.as_str()), (2, "epoch"));
-    assert_eq!(log.read(), None);
-    // Another mistake in its place is said anew.
+    assert_eq!(log.read_all(), None);
+    // Another mistake in its place is reported again.
     log.write(&file_name(1), &text(7));
-    let Some(Notice::Wrong(problems)) = log.read() else { panic!("it is named") };
+    let Some(Notice::Wrong(problems)) = log.read_all() else { panic!("it is named") };
     assert_eq!(problems[0].field, "number");
     assert_eq!(log.position(), 0);
     log.change(1);
-    assert_eq!((log.read(), log.position()), (None, 2));
+    assert_eq!((log.read_all(), log.position()), (None, 2));
 }
 
 #[test]
-fn what_happens_to_a_file_that_was_read_is_said_and_not_taken() {
+fn a_file_altered_or_removed_after_it_was_applied_is_reported_and_has_no_effect() {
     let mut log = Log::beginning_with(5);
     for number in 5..=7 {
         log.change(number);
     }
-    assert_eq!((log.read(), log.position()), (None, 7));
+    assert_eq!((log.read_all(), log.position()), (None, 7));
     log.change(6);
-    assert_eq!(log.folder.changed(&file_name(6)), None, "the same contents");
+    assert_eq!(log.folder.file_changed(&file_name(6)), None, "the same contents");
     log.write(&file_name(6), &(text(6) + "# altered\n"));
     let altered = Notice::Altered { file: file_name(6) };
-    assert_eq!(log.folder.changed(&file_name(6)), Some(altered));
-    // Renumbered: gone under its old number, and with a number inside that is not its name's.
+    assert_eq!(log.folder.file_changed(&file_name(6)), Some(altered));
+    // Renumbered: removed under its old number, and the number inside is not that of its name.
     std::fs::rename(log.path.join(file_name(6)), log.path.join(file_name(8))).expect("a rename");
     let removed = Notice::Removed { file: file_name(6) };
-    assert_eq!(log.folder.changed(&file_name(6)), Some(removed));
-    assert_eq!(log.folder.changed(&file_name(8)), None);
-    let Some(Notice::Wrong(problems)) = log.read() else { panic!("it is named") };
+    assert_eq!(log.folder.file_changed(&file_name(6)), Some(removed));
+    assert_eq!(log.folder.file_changed(&file_name(8)), None);
+    let Some(Notice::Wrong(problems)) = log.read_all() else { panic!("it is named") };
     assert!(problems[0].message.contains("6 is not the number of its name, 8"), "{problems:?}");
     log.change(4);
     let early = Notice::BeforeFirst { file: file_name(4), first: file_name(5) };
-    assert_eq!(log.folder.changed(&file_name(4)), Some(early));
+    assert_eq!(log.folder.file_changed(&file_name(4)), Some(early));
     assert_eq!(log.position(), 7);
 }
 
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use comfy_table::{Table, presets};
-use sableloom_control::{Report, Server, check_file, check_folder, fetch, read_settings};
+use sableloom_control::{Server, StatusReport, check_file, check_folder, fetch, read_settings};
 use sableloom_distribution::{
     LagStatus, LogStatus, MachineStatus, Position, PublisherStatus, RejectionStatus, SessionStatus,
 };
@@ -114,7 +114,7 @@
     Ok(())
 }
 
-fn as_text(at: SocketAddr, report: &Report) -> String {
+fn as_text(at: SocketAddr, report: &StatusReport) -> String {
     let mut text = head(at, &report.status);
     machine(&mut text, &report.machine);
     let mut table =
@@ -230,7 +230,7 @@
     }
 }
 
-fn as_json(report: &Report) -> Value {
+fn as_json(report: &StatusReport) -> Value {
     let status = &report.status;
     json!({
         "position": position(status.position),
--- a/crates/sableloom/src/control/tests.rs
+++ b/crates/sableloom/src/control/tests.rs
@@ -15,8 +15,8 @@
 }
 
 /// A status in which no two numbers are the same.
-fn report() -> Report {
-    Report {
+fn report() -> StatusReport {
+    StatusReport {
         status: PublisherStatus {
             position: place(1, 2, 3),
             services: 4,
