--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -38,7 +38,7 @@
             name: control.own.clone(),
             machines: control.machines.clone(),
             scope: control.services.clone(),
-            state: control.state.as_ref().map(|file| folder.join(file)),
+            state_file: control.state.as_ref().map(|file| folder.join(file)),
             seed: stable_hash(control.own.as_str()) ^ u64::from(std::process::id()).rotate_left(32),
             times: SubscriberTimes::default(),
         };
--- a/crates/scale-test/src/subscribers.rs
+++ b/crates/scale-test/src/subscribers.rs
@@ -152,7 +152,7 @@
             name: SubscriberName::try_from(format!("balancer-{number}").as_str()).ok()?,
             machines: set.machines.clone(),
             scope: scope.ok()?,
-            state: set.state.clone(),
+            state_file: set.state.clone(),
             seed: number as u64,
             times: SubscriberTimes::default(),
         };
--- a/crates/subscription/src/events.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -1,14 +1,14 @@
-//! What happens to a subscription, as lines for the log.
+//! The events of a subscription as lines of the log.
 
 use std::net::SocketAddr;
 
 use sableloom_distribution::{ServiceName, SubscriberEvent};
 
-/// Most services or problems that one line names.
-const MAX_NAMED: usize = 8;
+/// Most services or problems that one line lists.
+const MAX_LISTED: usize = 8;
 
-/// An event as a line of the log; `machines` are the control machines by their number.
-pub fn describe(event: &SubscriberEvent, machines: &[SocketAddr]) -> String {
+/// The line of an event; `machines` are the control machines by their number.
+pub(crate) fn describe(event: &SubscriberEvent, machines: &[SocketAddr]) -> String {
     let machine = |control: &usize| match machines.get(*control) {
         Some(address) => address.to_string(),
         None => format!("number {control}"),
@@ -30,28 +30,31 @@
         ),
         SubscriberEvent::Rejected { services, rejections } => format!(
             "rejected, nothing of it in force: {}: {}",
-            named(services),
-            listed(rejections.iter().map(ToString::to_string))
+            list_names(services),
+            list(rejections.iter().map(ToString::to_string))
         ),
         SubscriberEvent::Mismatch { services } => {
-            format!("changes that do not fit what is in force, asked for anew: {}", named(services))
+            format!(
+                "changes that do not match the state in force, requested again: {}",
+                list_names(services)
+            )
         }
         SubscriberEvent::Drift { service } => {
-            format!("{service} is not what its digest says, asked for anew")
+            format!("{service} does not match its digest, requested again")
         }
         SubscriberEvent::SavedStateDamaged { service } => {
-            format!("{service} of the saved state is not what its digest says, asked for anew")
+            format!("{service} of the saved state does not match its digest, requested again")
         }
     }
 }
 
-fn named(services: &[ServiceName]) -> String {
-    listed(services.iter().map(ToString::to_string))
+fn list_names(services: &[ServiceName]) -> String {
+    list(services.iter().map(ToString::to_string))
 }
 
-fn listed(texts: impl ExactSizeIterator<Item = String>) -> String {
-    let more = texts.len().saturating_sub(MAX_NAMED);
-    let mut text = texts.take(MAX_NAMED).collect::<Vec<_>>().join("; ");
+fn list(texts: impl ExactSizeIterator<Item = String>) -> String {
+    let more = texts.len().saturating_sub(MAX_LISTED);
+    let mut text = texts.take(MAX_LISTED).collect::<Vec<_>>().join("; ");
     if more > 0 {
         text += &format!("; and {more} more");
     }
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a control machine: frames in, frames out, both bounded.
+//! One connection to a control machine: messages in, messages out, both bounded.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -14,13 +14,13 @@
 
 /// Bytes read in one turn; between turns requests are served.
 const READ_BYTES: usize = 64 * 1024;
-/// Bytes that wait to be written at most: the scope of some ten thousand services, and the answers of a machine
-/// that sends without reading.
+/// Most bytes that wait to be written: enough for a scope of some ten thousand services. Guards against a control machine
+/// that sends without reading, whose responses would pile up here.
 const MAX_OUTGOING_BYTES: usize = 4 << 20;
 
 type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
-/// Bytes that a subscription has exchanged with control machines since its start, without headers of the network.
+/// The bytes that a subscription has exchanged with control machines since its start, without network headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// From control machines.
@@ -29,15 +29,15 @@
     pub sent_bytes: u64,
 }
 
-/// What a connection has come to.
+/// An event of a connection.
 pub(crate) enum LinkEvent {
-    /// It is up.
+    /// It is established.
     Connected,
-    /// Bytes have come; messages may be whole.
+    /// Bytes were received, so messages may be complete.
     Received,
-    /// It could not be made.
+    /// It could not be established.
     Failed(io::Error),
-    /// It has ended.
+    /// It has ended, in order or with an error.
     Ended(Option<io::Error>),
 }
 
@@ -47,11 +47,11 @@
     #[default]
     None,
     Connecting(Connecting),
-    Open(Open),
+    Open(OpenLink),
 }
 
-/// A connection that is up.
-pub(crate) struct Open {
+/// An established connection.
+pub(crate) struct OpenLink {
     stream: TcpStream,
     reader: FrameReader,
     outgoing: Vec<u8>,
@@ -59,21 +59,22 @@
 }
 
 impl Link {
+    /// Starts to connect.
     pub(crate) fn connect(address: SocketAddr) -> Self {
         Link::Connecting(Box::pin(TcpStream::connect(address)))
     }
 
-    /// Waits for what happens next; never ends without a connection. May be dropped at any time.
+    /// Waits for the next event; never ends without a connection. It may be dropped at any time.
     pub(crate) async fn next(&mut self, traffic: &Rc<Cell<Traffic>>) -> LinkEvent {
         match self {
             Link::None => pending().await,
             Link::Connecting(connecting) => match connecting.as_mut().await {
                 Ok(stream) => {
-                    // Acknowledgements are small and wanted at once.
+                    // Acknowledgements are small, and the control machine waits for them.
                     let _ = stream.set_nodelay(true);
                     let (reader, outgoing) = (FrameReader::new(), Vec::new());
                     let traffic = traffic.clone();
-                    *self = Link::Open(Open { stream, reader, outgoing, traffic });
+                    *self = Link::Open(OpenLink { stream, reader, outgoing, traffic });
                     LinkEvent::Connected
                 }
                 Err(error) => LinkEvent::Failed(error),
@@ -82,14 +83,14 @@
         }
     }
 
-    /// Puts a message into the queue. Whether there was room for it.
+    /// Queues a message. Whether the queue is still within its bound.
     pub(crate) fn send(&mut self, message: &SubscriberMessage) -> bool {
         let Link::Open(open) = self else { return true };
         open.outgoing.extend_from_slice(&encode(message));
         open.outgoing.len() <= MAX_OUTGOING_BYTES
     }
 
-    /// The next whole message that has come.
+    /// The next complete message that was received.
     pub(crate) fn message(&mut self) -> Result<Option<PublisherMessage>, CodecError> {
         match self {
             Link::Open(open) => open.reader.next(),
@@ -98,7 +99,7 @@
     }
 }
 
-impl Open {
+impl OpenLink {
     async fn next(&mut self) -> LinkEvent {
         loop {
             let step = tokio::select! {
--- /dev/null
+++ b/crates/subscription/src/restore.rs
@@ -0,0 +1,63 @@
+//! Puts the last good state of an earlier process in force.
+
+use std::path::Path;
+
+use sableloom_distribution::{
+    Change, Position, SavedService, SavedState, ServiceUpdate, Transaction,
+};
+
+use crate::applier::Applier;
+use crate::options::SubscriptionOptions;
+use crate::state_file::read_state;
+
+/// Reads the state file and puts its services in force one by one. A service that the applier rejects, or that is no
+/// longer in the scope, is left out: it is requested from a control machine.
+pub(crate) fn restore(options: &SubscriptionOptions, applier: &dyn Applier) -> Option<SavedState> {
+    let path = options.state_file.as_ref()?;
+    let saved = match read_state(path, &options.name) {
+        Ok(saved) => saved?,
+        Err(error) => {
+            applier.log(&format!("state file {}: not used: {error}", path.display()));
+            return None;
+        }
+    };
+    let position = saved.position;
+    let services = saved
+        .services
+        .into_iter()
+        .filter(|saved| options.scope.contains(&saved.service))
+        .filter(|saved| apply_saved(applier, path, saved, position))
+        .collect();
+    let restored = SavedState { position, services };
+    if restored.services.is_empty() {
+        return None;
+    }
+    let count = restored.services.len();
+    applier.log(&format!("{count} services at {position} in force from {}", path.display()));
+    Some(restored)
+}
+
+/// Puts one service in force. Whether the applier accepted it.
+fn apply_saved(
+    applier: &dyn Applier,
+    path: &Path,
+    saved: &SavedService,
+    position: Position,
+) -> bool {
+    let Err(rejections) = applier.apply(&snapshot_of(saved, position)) else { return true };
+    let problems: Vec<String> = rejections.iter().map(ToString::to_string).collect();
+    let (path, problems) = (path.display(), problems.join("; "));
+    applier.log(&format!("state file {path}: {} not used: {problems}", saved.service));
+    false
+}
+
+fn snapshot_of(saved: &SavedService, position: Position) -> Transaction {
+    let update = ServiceUpdate {
+        service: saved.service.clone(),
+        version: saved.version,
+        digest: saved.digest,
+        snapshot: true,
+        changes: saved.resources.iter().cloned().map(Change::Set).collect(),
+    };
+    Transaction { transfer: 0, position, services: vec![update] }
+}
--- /dev/null
+++ b/crates/subscription/src/shared.rs
@@ -0,0 +1,145 @@
+//! The state that a subscription's handle and its task share.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use sableloom_distribution::{Connection, Subscriber, SubscriberEvent, SubscriberOutput};
+use sableloom_types::Time;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+use crate::applier::Applier;
+use crate::event_lines::describe;
+use crate::link::Traffic;
+use crate::status::{StateOrigin, SubscriptionStatus};
+
+/// The state machine with its clock, and what is known of the subscription.
+pub(crate) struct Shared {
+    pub(crate) subscriber: RefCell<Subscriber>,
+    pub(crate) applier: Rc<dyn Applier>,
+    pub(crate) machines: Vec<SocketAddr>,
+    /// The zero of the state machine's time.
+    epoch: Instant,
+    /// Where the first state came from; `None` until there is one.
+    origin: Cell<Option<StateOrigin>>,
+    origin_known: Notify,
+    /// Outputs of calls that were made outside the task, for the task to apply.
+    queued_outputs: RefCell<Vec<SubscriberOutput>>,
+    outputs_queued: Notify,
+    /// That no control machine can be reached has been logged since the last contact.
+    unreachable_logged: Cell<bool>,
+    pub(crate) save_error: RefCell<Option<String>>,
+    pub(crate) longest_save: Cell<Duration>,
+    pub(crate) traffic: Rc<Cell<Traffic>>,
+}
+
+impl Shared {
+    /// Starts the state machine.
+    pub(crate) fn start(
+        subscriber: Subscriber,
+        applier: Rc<dyn Applier>,
+        machines: Vec<SocketAddr>,
+        origin: Option<StateOrigin>,
+    ) -> Rc<Self> {
+        let shared = Rc::new(Self {
+            subscriber: RefCell::new(subscriber),
+            applier,
+            machines,
+            epoch: Instant::now(),
+            origin: Cell::new(origin),
+            origin_known: Notify::new(),
+            queued_outputs: RefCell::default(),
+            outputs_queued: Notify::new(),
+            unreachable_logged: Cell::new(false),
+            save_error: RefCell::default(),
+            longest_save: Cell::default(),
+            traffic: Rc::default(),
+        });
+        shared.call_outside_task(Time(0), |subscriber, now, out| subscriber.start(now, out));
+        shared
+    }
+
+    pub(crate) fn now(&self) -> Time {
+        Time(self.epoch.elapsed().as_micros() as i64)
+    }
+
+    pub(crate) fn instant(&self, time: Time) -> Instant {
+        self.epoch + Duration::from_micros(time.0.max(0) as u64)
+    }
+
+    /// Calls the state machine, and returns its outputs.
+    pub(crate) fn call(
+        &self,
+        call: impl FnOnce(&mut Subscriber, Time, &mut Vec<SubscriberOutput>),
+    ) -> Vec<SubscriberOutput> {
+        let mut outputs = Vec::new();
+        call(&mut self.subscriber.borrow_mut(), self.now(), &mut outputs);
+        outputs
+    }
+
+    /// Calls the state machine, and leaves its outputs to the task.
+    pub(crate) fn call_outside_task(
+        &self,
+        now: Time,
+        call: impl FnOnce(&mut Subscriber, Time, &mut Vec<SubscriberOutput>),
+    ) {
+        call(&mut self.subscriber.borrow_mut(), now, &mut self.queued_outputs.borrow_mut());
+        self.outputs_queued.notify_one();
+    }
+
+    /// Waits until outputs are queued.
+    pub(crate) async fn outputs_queued(&self) {
+        self.outputs_queued.notified().await;
+    }
+
+    /// Takes the queued outputs out.
+    pub(crate) fn take_outputs(&self) -> Vec<SubscriberOutput> {
+        self.queued_outputs.take()
+    }
+
+    /// Logs an event of the state machine, and remembers where the first state came from.
+    pub(crate) fn handle_event(&self, event: &SubscriberEvent) {
+        match event {
+            SubscriberEvent::Connected { .. } => self.unreachable_logged.set(false),
+            SubscriberEvent::Unreachable => self.unreachable_logged.set(true),
+            // Attempts go on for hours; that no control machine can be reached has been logged.
+            SubscriberEvent::Disconnected { .. } if self.unreachable_logged.get() => return,
+            SubscriberEvent::Current { .. } if self.origin.get().is_none() => {
+                self.origin.set(Some(StateOrigin::Control));
+                self.origin_known.notify_waiters();
+            }
+            _ => {}
+        }
+        self.applier.log(&describe(event, &self.machines));
+    }
+
+    /// Waits until there is a state.
+    pub(crate) async fn origin(&self) -> StateOrigin {
+        loop {
+            if let Some(origin) = self.origin.get() {
+                return origin;
+            }
+            self.origin_known.notified().await;
+        }
+    }
+
+    pub(crate) fn status(&self) -> SubscriptionStatus {
+        let subscriber = self.subscriber.borrow().status(self.now());
+        let control = match subscriber.connection {
+            Connection::Idle | Connection::Waiting { .. } => None,
+            Connection::Connecting { control }
+            | Connection::Greeting { control }
+            | Connection::Syncing { control }
+            | Connection::Current { control } => Some(control),
+        };
+        SubscriptionStatus {
+            machine: control.and_then(|control| self.machines.get(control).copied()),
+            subscriber,
+            origin: self.origin.get(),
+            save_error: self.save_error.borrow().clone(),
+            longest_save: self.longest_save.get(),
+        }
+    }
+}
--- a/crates/subscription/src/state_file.rs
+++ b/crates/subscription/src/state_file.rs
@@ -1,7 +1,7 @@
 //! The last good state in a file.
 //!
-//! A balancer that starts while no control machine can be reached begins from it. It is written aside, synced
-//! and renamed into place, so that a crash leaves the old file or the new one. It is read whole or not at all:
+//! A balancer that starts while no control machine can be reached begins from it. It is written to a temporary file,
+//! synced and renamed into place, so that a crash leaves the old file or the new one. It is used only if it is complete:
 //! its length and checksum are checked, and it names its format and the subscriber that wrote it.
 
 use std::fs::{self, File};
@@ -13,17 +13,18 @@
 
 /// The first bytes of each state file.
 const MAGIC: [u8; 8] = *b"SLSTATE\n";
-/// The version of the format, after [`MAGIC`]. 1 had pools, servers and routes; 2 has tenants as well, which a program
-/// from before could not decode.
+/// The version of the format, after [`MAGIC`]. Version 1 had pools, servers and routes; version 2 has tenants as well,
+/// which a program of version 1 could not decode.
 const FORMAT_VERSION: u32 = 2;
-/// The oldest format that is read: what it can hold means the same in the present one, so that a balancer begins from
-/// its state also right after an upgrade.
+/// The oldest version that is read. What it can hold means the same in the present one, so a balancer starts from its
+/// state also right after an upgrade.
 const OLDEST_VERSION: u32 = 1;
-/// Bytes of the checksum at the end, over all before it.
+/// Bytes of the checksum at the end, over all bytes before it.
 const CHECKSUM_BYTES: usize = 32;
 /// Bytes before the subscriber's name: magic, version, length of the name, length of the state.
 const HEADER_BYTES: usize = 8 + 4 + 2 + 8;
-/// Longest file that is read or written: twice the memory that control may take at a balancer (32 MB).
+/// Longest file that is read or written: twice the memory that configuration may take at a balancer (32 MB). Guards
+/// against a wrong file in its place.
 pub const MAX_STATE_FILE_BYTES: u64 = 64 << 20;
 
 /// Why a state file is not used.
@@ -38,15 +39,15 @@
     /// It does not begin as a state file does.
     #[error("it is no state file of a subscription")]
     Foreign,
-    /// It was written by a program with another format.
+    /// It has a version of the format that this program does not know.
     #[error("its format is version {0}; this program knows {OLDEST_VERSION} to {FORMAT_VERSION}")]
     Version(u32),
-    /// It has fewer or more bytes than it says.
+    /// It has fewer or more bytes than its header says.
     #[error("it is torn: {actual} bytes where {expected} are said")]
     Torn {
-        /// By its header; 0 if not even that is whole.
+        /// The length by its header; 0 if the header itself is not complete.
         expected: u64,
-        /// In the file.
+        /// The length of the file.
         actual: u64,
     },
     /// Its checksum is not that of its bytes.
@@ -55,14 +56,14 @@
     /// Another subscriber wrote it.
     #[error("it is the state of subscriber {0:?}")]
     OtherSubscriber(String),
-    /// Its checksum fits, and yet it is no state.
+    /// Its checksum matches, but its state can't be decoded.
     #[error("its state can't be decoded")]
     Malformed,
 }
 
-/// The bytes of a state file.
+/// Encodes a state file.
 pub fn encode_state(subscriber: &SubscriberName, state: &SavedState) -> Vec<u8> {
-    // Appending to a vector of plain values has no way to fail.
+    // A state is made of values that postcard encodes without fail, into a vector that grows.
     let body = postcard::to_allocvec(state).unwrap_or_default();
     let name = subscriber.as_str().as_bytes();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + name.len() + body.len() + CHECKSUM_BYTES);
@@ -77,7 +78,11 @@
     bytes
 }
 
-/// The state in a file's bytes, if the subscriber of this name wrote them whole.
+/// Decodes a state file that the subscriber of this name wrote.
+///
+/// # Errors
+///
+/// Why the bytes are not used: see [`StateFileError`].
 pub fn decode_state(
     subscriber: &SubscriberName,
     bytes: &[u8],
@@ -121,7 +126,11 @@
     array
 }
 
-/// Reads a state file; none if there is no file.
+/// Reads a state file; `None` if there is no file.
+///
+/// # Errors
+///
+/// Why the file is not used: see [`StateFileError`].
 pub fn read_state(
     path: &Path,
     subscriber: &SubscriberName,
@@ -140,25 +149,30 @@
     decode_state(subscriber, &bytes).map(Some)
 }
 
-/// Writes a state file in place of the one that is there. Blocks until it is on the disk.
+/// Writes a state file in place of the one that is there. It blocks until the file is on the disk.
+///
+/// # Errors
+///
+/// The system's error, or [`io::ErrorKind::FileTooLarge`] if the state takes more than [`MAX_STATE_FILE_BYTES`]. The
+/// earlier file is still there then, unless only the sync of its folder failed.
 pub fn write_state(path: &Path, subscriber: &SubscriberName, state: &SavedState) -> io::Result<()> {
     let bytes = encode_state(subscriber, state);
     if bytes.len() as u64 > MAX_STATE_FILE_BYTES {
         let message = format!("the state has {} bytes, over {MAX_STATE_FILE_BYTES}", bytes.len());
         return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
     }
-    let aside = aside_of(path);
-    let mut file = File::create(&aside)?;
+    let temporary = temporary_path(path);
+    let mut file = File::create(&temporary)?;
     file.write_all(&bytes)?;
     file.sync_all()?;
-    fs::rename(&aside, path)?;
-    // The name itself is on the disk once the folder is.
+    fs::rename(&temporary, path)?;
+    // The rename survives a power loss only once the folder is synced.
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// Where a file is written before it takes its name.
-fn aside_of(path: &Path) -> PathBuf {
+/// Where a file is written before it is renamed into place.
+fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(".new");
     path.with_file_name(name)
--- /dev/null
+++ b/crates/subscription/src/task.rs
@@ -0,0 +1,190 @@
+//! The task of a subscription: it feeds the state machine with events, and applies its outputs.
+
+use std::collections::VecDeque;
+use std::io;
+use std::rc::Rc;
+
+use sableloom_distribution::{DisconnectReason, SubscriberOutput};
+use tokio::task::yield_now;
+use tokio::time::{Instant, sleep_until};
+
+use crate::link::{Link, LinkEvent};
+use crate::shared::Shared;
+use crate::state_writer::StateWriter;
+
+/// What woke the task.
+enum Wake {
+    Link(LinkEvent),
+    WriteFinished(io::Result<()>),
+    TickDue,
+    SaveDue,
+    OutputsQueued,
+}
+
+/// The connection and the state file, which only the task uses.
+pub(crate) struct SubscriptionTask {
+    shared: Rc<Shared>,
+    link: Link,
+    writer: Option<StateWriter>,
+}
+
+impl SubscriptionTask {
+    pub(crate) fn new(shared: Rc<Shared>, writer: Option<StateWriter>) -> Self {
+        Self { shared, link: Link::None, writer }
+    }
+
+    pub(crate) async fn run(mut self) {
+        loop {
+            match self.wait().await {
+                Wake::Link(event) => self.handle_link_event(event),
+                Wake::WriteFinished(result) => self.handle_write_result(result),
+                Wake::TickDue => {
+                    let outputs =
+                        self.shared.call(|subscriber, now, out| subscriber.tick(now, out));
+                    self.apply(outputs);
+                }
+                Wake::SaveDue => self.save(),
+                Wake::OutputsQueued => {
+                    let outputs = self.shared.take_outputs();
+                    self.apply(outputs);
+                }
+            }
+            // Requests are served between any two steps, however much a control machine sends.
+            yield_now().await;
+        }
+    }
+
+    async fn wait(&mut self) -> Wake {
+        let shared = self.shared.clone();
+        let tick = shared.subscriber.borrow().due().map(|due| shared.instant(due));
+        let save = self.writer.as_ref().and_then(StateWriter::due);
+        tokio::select! {
+            event = self.link.next(&shared.traffic) => Wake::Link(event),
+            result = write_finished(&mut self.writer) => Wake::WriteFinished(result),
+            () = sleep_until_or_forever(tick) => Wake::TickDue,
+            () = sleep_until_or_forever(save) => Wake::SaveDue,
+            () = shared.outputs_queued() => Wake::OutputsQueued,
+        }
+    }
+
+    fn handle_link_event(&mut self, event: LinkEvent) {
+        let reason = match event {
+            LinkEvent::Connected => {
+                let outputs =
+                    self.shared.call(|subscriber, now, out| subscriber.connected(now, out));
+                return self.apply(outputs);
+            }
+            LinkEvent::Received => return self.handle_received(),
+            LinkEvent::Failed(error) => DisconnectReason::ConnectFailed(error.to_string().into()),
+            LinkEvent::Ended(None) => DisconnectReason::Lost("it has ended".into()),
+            LinkEvent::Ended(Some(error)) => DisconnectReason::Lost(error.to_string().into()),
+        };
+        self.disconnect(reason);
+    }
+
+    fn disconnect(&mut self, reason: DisconnectReason) {
+        self.link = Link::None;
+        let outputs =
+            self.shared.call(|subscriber, now, out| subscriber.disconnected(now, reason, out));
+        self.apply(outputs);
+    }
+
+    fn handle_received(&mut self) {
+        loop {
+            let received = self.link.message();
+            let outputs = match received {
+                Ok(None) => return,
+                Ok(Some(message)) => {
+                    self.shared.call(|subscriber, now, out| subscriber.message(now, message, out))
+                }
+                Err(error) => {
+                    self.shared.call(|subscriber, now, out| subscriber.malformed(now, error, out))
+                }
+            };
+            // The outputs may close the connection, after which there is no further message.
+            self.apply(outputs);
+        }
+    }
+
+    fn apply(&mut self, outputs: Vec<SubscriberOutput>) {
+        let mut queue = VecDeque::from(outputs);
+        while let Some(output) = queue.pop_front() {
+            match output {
+                SubscriberOutput::Connect { control } => {
+                    if let Some(machine) = self.shared.machines.get(control) {
+                        self.link = Link::connect(*machine);
+                    }
+                }
+                SubscriberOutput::Send(message) => {
+                    if !self.link.send(&message) {
+                        self.disconnect(DisconnectReason::Lost("it takes nothing in".into()));
+                    }
+                }
+                SubscriberOutput::Close { .. } => self.link = Link::None,
+                SubscriberOutput::Apply(transaction) => {
+                    let result = self.shared.applier.apply(&transaction);
+                    queue.extend(self.shared.call(|subscriber, now, out| {
+                        subscriber.applied(now, transaction.transfer, result, out);
+                    }));
+                }
+                SubscriberOutput::Changed(event) => self.shared.handle_event(&event),
+                SubscriberOutput::Save => {
+                    if let Some(writer) = &mut self.writer {
+                        writer.schedule(Instant::now());
+                    }
+                }
+            }
+        }
+    }
+
+    /// Hands the state over to be written.
+    fn save(&mut self) {
+        let start = Instant::now();
+        let state = self.shared.subscriber.borrow().saved_state();
+        let longest = self.shared.longest_save.get().max(start.elapsed());
+        self.shared.longest_save.set(longest);
+        if let Some(writer) = &mut self.writer {
+            writer.write(Instant::now(), state);
+        }
+    }
+
+    /// A write has finished. A failed one is logged once for each cause, and repeated.
+    fn handle_write_result(&mut self, result: io::Result<()>) {
+        let Some(writer) = &mut self.writer else { return };
+        let path = writer.path().display().to_string();
+        let applier = &self.shared.applier;
+        let mut logged = self.shared.save_error.borrow_mut();
+        match result {
+            Ok(()) => {
+                if logged.take().is_some() {
+                    applier.log(&format!("state file {path}: written again"));
+                }
+            }
+            Err(error) => {
+                let error = error.to_string();
+                if logged.as_ref() != Some(&error) {
+                    applier.log(&format!(
+                        "state file {path}: not written, a restart without control would begin from an older \
+                         state: {error}"
+                    ));
+                }
+                *logged = Some(error);
+                writer.schedule(Instant::now());
+            }
+        }
+    }
+}
+
+async fn sleep_until_or_forever(at: Option<Instant>) {
+    match at {
+        Some(at) => sleep_until(at).await,
+        None => std::future::pending().await,
+    }
+}
+
+async fn write_finished(writer: &mut Option<StateWriter>) -> io::Result<()> {
+    match writer {
+        Some(writer) => writer.write_finished().await,
+        None => std::future::pending().await,
+    }
+}
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file: whole or not at all, whatever was done to it.
+//! The state file is used only if it is complete and unaltered.
 
 use sableloom_distribution::{
     Origin, Position, Resource, ResourceName, SavedService, SavedState, ServiceName, SubscriberName,
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_file_that_is_cut_anywhere_is_named_and_not_used() {
+fn a_truncated_state_file_is_reported_as_torn_and_not_used() {
     let own = subscriber("balancer-17");
     let bytes = encode_state(&own, &state(7));
-    assert_eq!(decode_state(&own, &bytes).expect("whole"), state(7));
+    assert_eq!(decode_state(&own, &bytes).expect("complete"), state(7));
     for cut in 0..bytes.len() {
         let error = decode_state(&own, &bytes[..cut]).expect_err("it is cut");
         assert!(matches!(error, StateFileError::Torn { .. }), "cut at {cut}: {error}");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_file_with_any_bit_altered_is_not_used() {
+fn a_state_file_with_any_bit_altered_is_not_used() {
     let own = subscriber("balancer-17");
     let bytes = encode_state(&own, &state(7));
     for at in 0..bytes.len() {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_foreign_file_is_not_used() {
+fn a_file_of_another_subscriber_format_or_version_is_not_used() {
     let own = subscriber("balancer-17");
     let other = encode_state(&subscriber("balancer-18"), &state(7));
     let error = decode_state(&own, &other).expect_err("another's");
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn a_file_of_the_version_before_is_read() {
-    // Written by a program that knew no tenants: subscriber, service and server of one letter each.
+fn a_state_file_of_the_previous_version_is_read() {
+    // Written by a program without tenants: subscriber, service and server of one letter each.
     const BEFORE: [u8; 86] = [
         b'S', b'L', b'S', b'T', b'A', b'T', b'E', b'\n', 0, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 31,
         b'b', // What follows is the state: position, then services.
@@ -93,12 +93,12 @@
 }
 
 #[test]
-fn a_write_that_broke_off_leaves_the_old_state() {
+fn an_interrupted_write_leaves_the_previous_state() {
     let folder = Site::new("");
     let (own, path) = (subscriber("balancer-17"), folder.path("state.bin"));
     assert!(read_state(&path, &own).expect("no file").is_none());
     write_state(&path, &own, &state(7)).expect("written");
-    // What was written aside of a newer state, before its name was taken.
+    // A newer state that was written in part to the temporary file, before the rename.
     let newer = encode_state(&own, &state(8));
     std::fs::write(folder.path("state.bin.new"), &newer[..newer.len() / 2]).expect("a file");
     assert_eq!(read_state(&path, &own).expect("a state"), Some(state(7)));
--- a/crates/subscription/tests/client.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -17,19 +17,19 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// Puts everything in force, but for services that it is told to refuse; tells of it and of each line.
+/// Accepts everything but the services in `rejected`, and sends each transaction and log line to the test.
 struct Recorder {
-    refused: RefCell<Vec<ServiceName>>,
+    rejected: RefCell<Vec<ServiceName>>,
     applied: UnboundedSender<Transaction>,
     lines: UnboundedSender<String>,
 }
 
 impl Applier for Recorder {
     fn apply(&self, transaction: &Transaction) -> Result<(), Vec<Rejection>> {
-        let refused = self.refused.borrow();
+        let rejected = self.rejected.borrow();
         for update in &transaction.services {
             if let (true, Some(Change::Set(resource))) =
-                (refused.contains(&update.service), update.changes.first())
+                (rejected.contains(&update.service), update.changes.first())
             {
                 return Err(vec![Rejection {
                     resource: resource.name.clone(),
@@ -56,7 +56,7 @@
 }
 
 impl Subscribed {
-    async fn says(&mut self, part: &str) -> String {
+    async fn wait_for_line(&mut self, part: &str) -> String {
         loop {
             let line = self.lines.recv().await.expect("a line");
             if line.contains(part) {
@@ -74,7 +74,7 @@
     SubscriberName::try_from("balancer-17").expect("a name")
 }
 
-/// Tries again at once, and gives a silent machine up after 2 s.
+/// Reconnects at once, and closes a silent connection after 2 s.
 fn times() -> SubscriberTimes {
     SubscriberTimes {
         first_delay: Span(0),
@@ -85,20 +85,20 @@
     }
 }
 
-fn subscribe(machines: Vec<SocketAddr>, folder: &Site, refused: Vec<ServiceName>) -> Subscribed {
+fn subscribe(machines: Vec<SocketAddr>, folder: &Site, rejected: Vec<ServiceName>) -> Subscribed {
     let (applied, transactions) = unbounded_channel();
-    let (lines, said) = unbounded_channel();
-    let recorder = Rc::new(Recorder { refused: RefCell::new(refused), applied, lines });
+    let (lines, logged) = unbounded_channel();
+    let recorder = Rc::new(Recorder { rejected: RefCell::new(rejected), applied, lines });
     let options = SubscriptionOptions {
         name: name(),
         machines,
         scope: vec![service()],
-        state: Some(folder.path("state.bin")),
+        state_file: Some(folder.path("state.bin")),
         seed: 1,
         times: times(),
     };
     let subscription = Subscription::start(options, recorder.clone());
-    Subscribed { subscription, recorder, applied: transactions, lines: said }
+    Subscribed { subscription, recorder, applied: transactions, lines: logged }
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
@@ -119,7 +119,7 @@
         Self { stream, reader: FrameReader::new() }
     }
 
-    /// The next message but pings; none at the end.
+    /// The next message that is no ping; `None` at the end.
     async fn next(&mut self) -> Option<SubscriberMessage> {
         loop {
             match self.reader.next().expect("a message") {
@@ -143,7 +143,7 @@
         let _ = self.stream.write_all(&encode(&message)).await;
     }
 
-    /// Answers a hello; gives what the subscriber says that it has.
+    /// Answers a hello, and returns the version that the subscriber has.
     async fn greet(&mut self, position: Position) -> ServiceVersion {
         assert!(matches!(self.next().await, Some(SubscriberMessage::Hello { .. })));
         let Some(SubscriberMessage::Scope { mut add, .. }) = self.next().await else {
@@ -153,7 +153,7 @@
         add.pop().expect("a service")
     }
 
-    /// Sends a snapshot of one resource, and gives the answer and what it comes to.
+    /// Sends a snapshot of one resource, and returns the answer and the service's version.
     async fn snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
         let resource = Resource {
             name: ResourceName::server(service(), "points-1"),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn what_is_in_force_is_in_the_file_and_a_restart_begins_from_it() {
+fn the_state_in_force_is_saved_and_a_restart_begins_from_it() {
     on_local_set(async {
         let folder = Site::new("");
         let (listener, address) = listener().await;
@@ -206,16 +206,16 @@
             }
         };
         assert_eq!((saved.position, saved.services.len()), (POSITION, 1));
-        // A further process has it in force before it is connected, and says that it has it.
+        // The next process has it in force before it connects, and says so in its scope.
         let mut second = subscribe(vec![address], &folder, Vec::new());
         assert_eq!(second.subscription.state().await, StateOrigin::File);
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
-        second.says("1 services at 1/7").await;
+        second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.greet(POSITION).await, held);
-        // One that can't take it names it, and asks for it.
+        // A process that rejects it logs why, and requests it again.
         let mut third = subscribe(vec![address], &folder, vec![service()]);
-        let said = third.says("points not used").await;
+        let said = third.wait_for_line("points not used").await;
         assert!(
             said.contains("00000007.toml:3: server points-1 of points, zone: no such zone"),
             "{said}"
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_messages_end_the_connection_and_nothing_else() {
+fn malformed_bytes_end_the_connection_and_have_no_other_effect() {
     on_local_set(async {
         let folder = Site::new("");
         let (listener, address) = listener().await;
@@ -251,23 +251,23 @@
         let mut session = Session::accept(&listener).await;
         session.stream.write_all(&frame[..frame.len() / 2]).await.expect("written");
         drop(session);
-        // A good one is followed.
+        // A correct control machine is followed.
         let mut session = Session::accept(&listener).await;
         session.greet(POSITION).await;
         let (_, held) = session.snapshot(POSITION).await;
         session.current(POSITION, &held).await;
-        subscribed.says("all is in force up to 1/7").await;
+        subscribed.wait_for_line("all is in force up to 1/7").await;
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
     });
 }
 
 #[test]
-fn a_silent_control_machine_is_left_for_another() {
+fn a_silent_control_machine_is_replaced_by_another() {
     on_local_set(async {
         let folder = Site::new("");
         let ((silent, first), (good, second)) = (listener().await, listener().await);
         let mut subscribed = subscribe(vec![first, second], &folder, Vec::new());
-        // Whichever is chosen first: the silent one takes connections and says nothing.
+        // Whichever is chosen first, the silent one accepts connections and sends nothing.
         let sessions = tokio::task::spawn_local(async move {
             let mut kept = Vec::new();
             loop {
@@ -278,10 +278,10 @@
         session.greet(POSITION).await;
         let (_, held) = session.snapshot(POSITION).await;
         session.current(POSITION, &held).await;
-        subscribed.says("all is in force up to 1/7").await;
+        subscribed.wait_for_line("all is in force up to 1/7").await;
         let status = subscribed.subscription.status();
         assert_eq!(status.machine, Some(second));
-        // It ends: the silent one is tried, given up, and the good one is told what is held.
+        // The connection ends: the silent one is tried and left, and the good one receives the version that is in force.
         drop(session);
         let mut again = Session::accept(&good).await;
         assert_eq!(again.greet(POSITION).await, held);
