--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -1,20 +1,20 @@
 //! `sableloom control`: a control machine, its status, and a check of change files.
 
-use std::fmt::Write;
+mod status_json;
+mod status_text;
+
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use comfy_table::{Table, presets};
-use sableloom_control::{Server, StatusReport, check_file, check_folder, fetch, read_settings};
-use sableloom_distribution::{
-    LagStatus, LogStatus, MachineStatus, Position, PublisherStatus, RejectionStatus, SessionStatus,
+use sableloom_control::{
+    Server, StartError, StatusError, check_file, check_folder, fetch, read_settings,
 };
 use sableloom_server_files::bytes_of;
 use sableloom_toml_diagnostics::Problem;
-use serde_json::{Value, json};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::check::shown;
+use crate::diagnostics::ProblemReport;
 
 /// What to do.
 #[derive(clap::Args)]
@@ -56,28 +56,77 @@
     first: u64,
 }
 
+/// Why the command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlError {
+    /// Neither a command nor settings were given.
+    #[error("--config is missing")]
+    MissingConfig,
+    /// The signal that ends it can't be handled.
+    #[error("SIGTERM: {0}")]
+    Signal(io::Error),
+    /// The file of settings can't be read.
+    #[error("{file}: {cause}")]
+    Unreadable {
+        /// The file.
+        file: String,
+        /// Why.
+        cause: String,
+    },
+    /// The settings or the change files are wrong.
+    #[error("{0}")]
+    Problems(ProblemReport),
+    /// The server can't start with these settings.
+    #[error("{file}: {cause}")]
+    Start {
+        /// The file of settings.
+        file: String,
+        /// Why.
+        cause: StartError,
+    },
+    /// The address of the server is unknown.
+    #[error("{file}: {cause}")]
+    Address {
+        /// The file of settings.
+        file: String,
+        /// Why.
+        cause: io::Error,
+    },
+    /// A control machine gave no status.
+    #[error("{address}: {cause}")]
+    Status {
+        /// The control machine.
+        address: SocketAddr,
+        /// Why.
+        cause: StatusError,
+    },
+}
+
 /// Runs a command.
-pub async fn run(options: Options) -> Result<(), String> {
+pub async fn run(options: Options) -> Result<(), ControlError> {
     match (options.command, options.config) {
         (Some(Command::Status(options)), _) => status(&options).await,
         (Some(Command::Check(options)), _) => check(&options),
         (None, Some(config)) => serve(&config).await,
-        (None, None) => Err("--config is missing".to_string()),
+        (None, None) => Err(ControlError::MissingConfig),
     }
 }
 
-async fn serve(config: &Path) -> Result<(), String> {
-    // Listened for before anything is started, so that an early signal is not lost.
-    let mut terminate =
-        signal(SignalKind::terminate()).map_err(|error| format!("SIGTERM: {error}"))?;
-    let shown_file = config.display().to_string();
-    let text = bytes_of(&config.to_path_buf()).map_err(|error| format!("{shown_file}: {error}"))?;
-    let settings = read_settings(&shown_file, &text).map_err(|wrong| shown(config, &wrong))?;
+async fn serve(config: &Path) -> Result<(), ControlError> {
+    // Handled before anything is started, so that an early signal is not lost.
+    let mut terminate = signal(SignalKind::terminate()).map_err(ControlError::Signal)?;
+    let file = config.display().to_string();
+    let text = bytes_of(&config.to_path_buf()).map_err(|cause| ControlError::Unreadable {
+        file: file.clone(),
+        cause: cause.to_string(),
+    })?;
+    let settings =
+        read_settings(&file, &text).map_err(|problems| problems_of(config, &problems))?;
     let base = config.parent().unwrap_or(Path::new(""));
-    let server =
-        Server::start(&settings, base).map_err(|error| format!("{shown_file}: {error}"))?;
+    let server = Server::start(&settings, base)
+        .map_err(|cause| ControlError::Start { file: file.clone(), cause })?;
     eprintln!("sableloom: changes read to {}", server.position());
-    let address = server.address().map_err(|error| format!("{shown_file}: {error}"))?;
+    let address = server.address().map_err(|cause| ControlError::Address { file, cause })?;
     eprintln!("sableloom: control listening on {address}");
     let shutdown = async { _ = terminate.recv().await };
     server.run(shutdown).await;
@@ -85,228 +134,37 @@
     Ok(())
 }
 
-fn check(options: &CheckOptions) -> Result<(), String> {
+fn check(options: &CheckOptions) -> Result<(), ControlError> {
     let path = &options.path;
     let name = path.display();
     if !path.is_dir() {
-        check_file(path).map_err(|wrong| shown(path, &wrong))?;
+        check_file(path).map_err(|problems| problems_of(path, &problems))?;
         println!(
             "{name}: good by itself; check its folder to see whether it fits what comes before"
         );
         return Ok(());
     }
-    let wrong = |problems: Vec<Problem>| shown(&path.join("00000001.toml"), &problems);
-    let checked = check_folder(path, options.first).map_err(wrong)?;
+    // Problems name files of the folder, so any path in it serves to find them.
+    let in_folder = path.join("00000001.toml");
+    let log =
+        check_folder(path, options.first).map_err(|problems| problems_of(&in_folder, &problems))?;
     println!(
         "{name}: good; {} changes to {}, {} services, {} resources, {} of them tenants",
-        checked.files, checked.position, checked.services, checked.resources, checked.tenants
+        log.files, log.position, log.services, log.resources, log.tenants
     );
     Ok(())
 }
 
-async fn status(options: &StatusOptions) -> Result<(), String> {
-    let at = options.at;
-    let report = fetch(at).await.map_err(|error| format!("{at}: {error}"))?;
-    match options.json {
-        true => println!("{}", as_json(&report)),
-        false => print!("{}", as_text(at, &report)),
-    }
-    Ok(())
-}
-
-fn as_text(at: SocketAddr, report: &StatusReport) -> String {
-    let mut text = head(at, &report.status);
-    machine(&mut text, &report.machine);
-    let mut table =
-        table(&["session", "balancer", "services", "has", "lags in", "queued", "silent"]);
-    for session in &report.sessions {
-        table.add_row(session_row(session));
-    }
-    _ = writeln!(text, "{table}");
-    for session in &report.sessions {
-        lags(&mut text, session);
-        refusals(&mut text, session);
-    }
-    text
-}
-
-fn head(at: SocketAddr, status: &PublisherStatus) -> String {
-    let mut text = format!(
-        "control machine {at}: position {}; {} services, {} resources, {} of them tenants; log of {} changes, {} \
-         bytes\n",
-        status.position,
-        status.services,
-        status.resources,
-        status.tenants,
-        status.log_entries,
-        status.log_bytes
-    );
-    _ = writeln!(
-        text,
-        "{} balancers, {} lag, {} have refused something; snapshots: {} under way, {} wait; {} wait for \
-         bandwidth",
-        status.sessions,
-        status.lagging,
-        status.rejecting,
-        status.snapshots,
-        status.waiting_for_snapshot,
-        status.waiting_for_bandwidth
-    );
-    _ = writeln!(
-        text,
-        "sent: {} transactions, {} bytes; in force {}, refused {}, not fitting {}",
-        status.transactions, status.bytes, status.acks, status.rejections, status.mismatches
-    );
-    text
-}
-
-fn machine(text: &mut String, machine: &MachineStatus) {
-    let LogStatus { next, latest, waits_for } = &machine.log;
-    if !waits_for.is_empty() {
-        _ = writeln!(text, "changes from {next} to {latest} wait: {waits_for}");
-    }
-    _ = writeln!(
-        text,
-        "closed: {} refused, {} did not read, {} did not acknowledge, {} silent, {} sent what is no message or \
-         may not be said",
-        machine.refused,
-        machine.stalled,
-        machine.unacknowledged,
-        machine.silent,
-        machine.violations
-    );
-}
-
-fn table(header: &[&str]) -> Table {
-    let mut table = Table::new();
-    table.load_preset(presets::NOTHING);
-    table.set_header(header);
-    table
-}
-
-fn session_row(session: &SessionStatus) -> [String; 7] {
-    [
-        session.session.to_string(),
-        session.subscriber.to_string(),
-        session.services.to_string(),
-        session.current.to_string(),
-        session.lagging.to_string(),
-        session.queued_bytes.to_string(),
-        seconds(session.silent_ms),
-    ]
+fn problems_of(path: &Path, problems: &[Problem]) -> ControlError {
+    ControlError::Problems(ProblemReport::new(path, problems))
 }
 
-fn seconds(ms: u64) -> String {
-    format!("{:.1} s", ms as f64 / 1e3)
-}
-
-fn lags(text: &mut String, session: &SessionStatus) {
-    for LagStatus { service, has, wants, behind_ms } in &session.lags {
-        let (subscriber, time) = (&session.subscriber, seconds(*behind_ms));
-        _ = writeln!(
-            text,
-            "{subscriber} lags in {service} for {time}: has {has}, is to have {wants}"
-        );
-    }
-    more(text, session, "lags in", session.lagging, session.lags.len());
-}
-
-fn refusals(text: &mut String, session: &SessionStatus) {
-    for RejectionStatus { service, has, refused, behind_ms, problem } in &session.rejections {
-        let (subscriber, time) = (&session.subscriber, seconds(*behind_ms));
-        _ = write!(text, "{subscriber} refused {service} {refused} {time} ago and keeps {has}");
-        match problem {
-            Some(problem) => _ = writeln!(text, ": {problem}"),
-            None => text.push('\n'),
-        }
-    }
-    more(text, session, "refused", session.rejecting, session.rejections.len());
-}
-
-fn more(text: &mut String, session: &SessionStatus, what: &str, all: u32, listed: usize) {
-    let unlisted = (all as usize).saturating_sub(listed);
-    if unlisted > 0 {
-        _ = writeln!(text, "{} {what} {unlisted} services more", session.subscriber);
+async fn status(options: &StatusOptions) -> Result<(), ControlError> {
+    let address = options.at;
+    let report = fetch(address).await.map_err(|cause| ControlError::Status { address, cause })?;
+    match options.json {
+        true => println!("{}", status_json::as_json(&report)),
+        false => print!("{}", status_text::as_text(address, &report)),
     }
+    Ok(())
 }
-
-fn as_json(report: &StatusReport) -> Value {
-    let status = &report.status;
-    json!({
-        "position": position(status.position),
-        "services": report.services.iter().map(|held| json!({
-            "service": held.service.as_str(),
-            "version": held.version,
-            "digest": format!("{:016x}", held.digest),
-        })).collect::<Vec<_>>(),
-        "resources": status.resources,
-        "tenants": status.tenants,
-        "log": { "changes": status.log_entries, "bytes": status.log_bytes },
-        "next": report.machine.log.next,
-        "latest": report.machine.log.latest,
-        "waits_for": &*report.machine.log.waits_for,
-        "sessions": report.sessions.iter().map(session_json).collect::<Vec<_>>(),
-        "lagging": status.lagging,
-        "rejecting": status.rejecting,
-        "snapshots": status.snapshots,
-        "waiting_for_snapshot": status.waiting_for_snapshot,
-        "waiting_for_bandwidth": status.waiting_for_bandwidth,
-        "transactions": status.transactions,
-        "bytes": status.bytes,
-        "acks": status.acks,
-        "rejections": status.rejections,
-        "mismatches": status.mismatches,
-        "closed": {
-            "all": status.closed,
-            "refused": report.machine.refused,
-            "stalled": report.machine.stalled,
-            "unacknowledged": report.machine.unacknowledged,
-            "silent": report.machine.silent,
-            "violations": report.machine.violations,
-        },
-    })
-}
-
-/// Hashes are texts: JSON's readers don't keep 64 bits of a number.
-fn position(position: Position) -> Value {
-    let Position { epoch, number, chain } = position;
-    json!({ "epoch": epoch, "number": number, "chain": format!("{chain:016x}") })
-}
-
-fn session_json(session: &SessionStatus) -> Value {
-    json!({
-        "session": session.session,
-        "balancer": session.subscriber.as_str(),
-        "services": session.services,
-        "has": position(session.current),
-        "queued_bytes": session.queued_bytes,
-        "silent_ms": session.silent_ms,
-        "lagging": session.lagging,
-        "lags": session.lags.iter().map(lag_json).collect::<Vec<_>>(),
-        "rejecting": session.rejecting,
-        "rejections": session.rejections.iter().map(rejection_json).collect::<Vec<_>>(),
-    })
-}
-
-fn lag_json(lag: &LagStatus) -> Value {
-    json!({ "service": lag.service.as_str(), "has": lag.has, "wants": lag.wants, "behind_ms": lag.behind_ms })
-}
-
-fn rejection_json(rejection: &RejectionStatus) -> Value {
-    json!({
-        "service": rejection.service.as_str(),
-        "has": rejection.has,
-        "refused": rejection.refused,
-        "behind_ms": rejection.behind_ms,
-        "problem": rejection.problem.as_ref().map(|problem| json!({
-            "file": &*problem.origin.file,
-            "line": problem.origin.line,
-            "resource": problem.resource.to_string(),
-            "field": &*problem.field,
-            "problem": &*problem.problem,
-        })),
-    })
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/sableloom/src/control/tests.rs
+++ b/crates/sableloom/src/control/status_json/tests.rs
@@ -1,7 +1,8 @@
 use std::sync::Arc;
 
 use sableloom_distribution::{
-    Origin, Rejection, ResourceName, ServiceName, ServiceVersion, SubscriberName,
+    LogStatus, MachineStatus, Origin, PublisherStatus, Rejection, ResourceName, ServiceName,
+    ServiceVersion, SubscriberName,
 };
 
 use super::*;
--- a/crates/sableloom/src/main.rs
+++ b/crates/sableloom/src/main.rs
@@ -4,9 +4,11 @@
 mod config;
 mod control;
 mod demo;
+mod diagnostics;
 mod fleet;
 mod platform;
 mod rehearse;
+mod route;
 mod serve;
 mod shadow;
 mod site_file;
@@ -38,7 +40,7 @@
     /// Says all that is wrong with a site's configuration and its files of servers
     Check(check::CheckOptions),
     /// Tells which route, pool and servers a request would meet, and why
-    Route(check::RouteOptions),
+    Route(route::RouteOptions),
     /// Shows what balancers that know each other know of their fleet
     #[command(subcommand)]
     Fleet(fleet::Command),
@@ -61,37 +63,42 @@
     if std::env::args_os().len() > 1 { Arguments::parse().command } else { None }
 }
 
+/// Why a command failed: the command's own error.
+type CommandError = Box<dyn std::error::Error>;
+
 fn main() -> ExitCode {
     let command = command();
     if command.is_none() && std::env::var_os("ROUTER_CONFIG").is_none() {
-        // Nothing to print to is no other failure.
+        // A closed output is no reason for another exit code.
         let _ = Arguments::command().print_long_help();
         return ExitCode::from(2);
     }
-    let work = async {
-        match command {
-            None => platform::run().await,
-            Some(Command::Demo(options)) => demo::run(options).await,
-            Some(Command::Serve(options)) => serve::run(options).await,
-            Some(Command::Check(options)) => check::check(&options),
-            Some(Command::Route(options)) => check::route(&options),
-            Some(Command::Fleet(command)) => return fleet::run(command).await,
-            Some(Command::Control(options)) => control::run(options).await,
-            Some(Command::Shadow(options)) => return shadow::run(options),
-            Some(Command::Rehearse(options)) => return Ok(rehearse::run(options).await),
-            Some(Command::Under(options)) => rehearse::under(options),
-        }
-        .map(|()| ExitCode::SUCCESS)
-    };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let done = runtime
-        .map_err(|e| format!("runtime: {e}"))
-        .and_then(|runtime| LocalSet::new().block_on(&runtime, work));
-    match done {
+    let result = runtime
+        .map_err(|error| format!("runtime: {error}").into())
+        .and_then(|runtime| LocalSet::new().block_on(&runtime, run(command)));
+    match result {
         Ok(code) => code,
-        Err(message) => {
-            eprintln!("sableloom: {message}");
+        Err(error) => {
+            eprintln!("sableloom: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+/// Runs a command, or without one the balancer that the platform starts.
+async fn run(command: Option<Command>) -> Result<ExitCode, CommandError> {
+    match command {
+        None => platform::run().await?,
+        Some(Command::Demo(options)) => demo::run(options).await?,
+        Some(Command::Serve(options)) => serve::run(options).await?,
+        Some(Command::Check(options)) => check::check(&options)?,
+        Some(Command::Route(options)) => route::route(&options)?,
+        Some(Command::Fleet(command)) => return Ok(fleet::run(command).await?),
+        Some(Command::Control(options)) => control::run(options).await?,
+        Some(Command::Shadow(options)) => return Ok(shadow::run(options)?),
+        Some(Command::Rehearse(options)) => return Ok(rehearse::run(options).await),
+        Some(Command::Under(options)) => rehearse::under(options)?,
+    }
+    Ok(ExitCode::SUCCESS)
+}
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -1,16 +1,22 @@
 //! A site's file, read and checked, with the files that it names.
 
 use std::path::Path;
+use std::sync::Arc;
 use std::time::Duration;
 
+use sableloom_exchange::Clock;
 use sableloom_routes::Table;
 use sableloom_server_files::{Files, bytes_of};
-use sableloom_server_list::Spec;
+use sableloom_server_list::{self as server_list, Lists, Spec};
 use sableloom_site_config::{Pool, Site};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::settings::span;
 
-/// A site's text, read and checked; or all that is wrong.
+/// Reads and checks a site's file, and compiles its routes.
+///
+/// # Errors
+///
+/// All problems of the file and of the list of members that it names.
 pub fn load(path: &Path) -> Result<(Site, Table), Vec<Problem>> {
     let name = path.display().to_string();
     let path = path.to_path_buf();
@@ -35,7 +41,7 @@
     Ok(site)
 }
 
-/// A pool's files, their paths taken from the folder that the site's file lies in.
+/// A pool's files of servers; their paths are relative to the folder of the site's file.
 pub fn files(path: &Path, site: &Site, pool: &Pool) -> Files {
     let folder = path.parent().unwrap_or(Path::new(""));
     let spec = Spec {
@@ -49,6 +55,31 @@
     Files { spec, paths, reread: Duration::from_secs_f64(pool.reread_ms / 1e3) }
 }
 
+/// Reads a pool's files of servers as a balancer would at its start.
+///
+/// # Errors
+///
+/// All problems of the files, or why the list would not come into force.
+pub fn read_lists(path: &Path, site: &Site, pool: &Pool) -> Result<Lists, Vec<Problem>> {
+    let files = files(path, site, pool);
+    let mut lists = Lists::new(files.spec.clone());
+    let named = files.spec.files.iter().zip(&files.paths);
+    let readings: Vec<_> = named
+        .map(|(name, path)| {
+            let bytes = bytes_of(path).map_err(|e| vec![Problem::of_file(name, e)])?;
+            server_list::read(name, &bytes, &files.spec).map(Arc::new)
+        })
+        .collect();
+    let offer = lists.offer(Clock::new().now(), &readings);
+    match (offer.problems, offer.waits) {
+        (problems, None) if problems.is_empty() => Ok(lists),
+        (problems, Some(waits)) if problems.is_empty() => {
+            Err(vec![Problem::of_file(&files.spec.files[0], waits)])
+        }
+        (problems, _) => Err(problems),
+    }
+}
+
 /// Problems as text, one a line.
 pub fn lines_of(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
