--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use sableloom_distribution::{AppendError, Change, LogEntry, Position, Store, StoreLimits};
-use sableloom_resources::{is_finished, read_change};
+use sableloom_resources::{is_complete, read_change};
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
@@ -126,7 +126,7 @@
         let bytes = read_bytes(&self.folder.join(&name))
             .map_err(|error| vec![unreadable(&name, &error)])?;
         // What is wrong in an unfinished file is reported before its missing end.
-        let entry = if is_finished(&bytes) {
+        let entry = if is_complete(&bytes) {
             read_entry(&name, number, &bytes, &self.store)?
         } else {
             read_change(&name, &bytes)?;
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use sableloom_distribution::{AppendError, LogEntry, LogStatus, hash_bytes};
-use sableloom_resources::{Inventory, is_finished, read_change};
+use sableloom_resources::{Inventory, is_complete, read_change};
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
@@ -70,8 +70,8 @@
     /// The progress of reading: the next number, and why it waits.
     pub fn status(&self) -> LogStatus {
         let notice = self.reported.as_ref().map(Notice::to_string).unwrap_or_default();
-        let waits_for = notice.lines().next().unwrap_or_default().into();
-        LogStatus { next: self.next, latest: self.latest, waits_for }
+        let blocked_reason = notice.lines().next().unwrap_or_default().into();
+        LogStatus { next: self.next, latest: self.latest, blocked_reason }
     }
 
     /// Lists the folder, and remembers the largest number in it.
@@ -135,7 +135,7 @@
         let next = self.next;
         let name = file_name(next);
         let notice = match read_bytes(&self.path.join(&name)) {
-            Ok(bytes) if !is_finished(&bytes) => Some(Notice::Unfinished { file: name }),
+            Ok(bytes) if !is_complete(&bytes) => Some(Notice::Unfinished { file: name }),
             Ok(bytes) => match read_entry(&name, next, &bytes, inventory) {
                 Ok(entry) => return NextChange::Ready(entry),
                 Err(problems) => Some(Notice::Wrong(problems)),
--- a/crates/sableloom/src/control/status_json.rs
+++ b/crates/sableloom/src/control/status_json.rs
@@ -19,7 +19,7 @@
         "log": { "changes": status.log_entries, "bytes": status.log_bytes },
         "next": report.machine.log.next,
         "latest": report.machine.log.latest,
-        "waits_for": &*report.machine.log.waits_for,
+        "waits_for": &*report.machine.log.blocked_reason,
         "sessions": report.sessions.iter().map(session_json).collect::<Vec<_>>(),
         "lagging": status.lagging,
         "rejecting": status.rejecting,
@@ -64,14 +64,14 @@
 }
 
 fn lag_json(lag: &LagStatus) -> Value {
-    json!({ "service": lag.service.as_str(), "has": lag.has, "wants": lag.wants, "behind_ms": lag.behind_ms })
+    json!({ "service": lag.service.as_str(), "has": lag.applied_version, "wants": lag.latest_version, "behind_ms": lag.behind_ms })
 }
 
 fn rejection_json(rejection: &RejectionStatus) -> Value {
     json!({
         "service": rejection.service.as_str(),
-        "has": rejection.has,
-        "refused": rejection.refused,
+        "has": rejection.applied_version,
+        "refused": rejection.rejected_version,
         "behind_ms": rejection.behind_ms,
         "problem": rejection.problem.as_ref().map(|problem| json!({
             "file": &*problem.origin.file,
--- a/crates/sableloom/src/control/status_json/tests.rs
+++ b/crates/sableloom/src/control/status_json/tests.rs
@@ -39,7 +39,11 @@
             closed: 20,
         },
         machine: MachineStatus {
-            log: LogStatus { next: 21, latest: 22, waits_for: "00000021.toml: missing".into() },
+            log: LogStatus {
+                next: 21,
+                latest: 22,
+                blocked_reason: "00000021.toml: missing".into(),
+            },
             refused: 23,
             stalled: 24,
             unacknowledged: 25,
@@ -66,20 +70,25 @@
         queued_bytes: 37,
         silent_ms: 38,
         lagging: 39,
-        lags: vec![LagStatus { service: service("orders"), has: 40, wants: 41, behind_ms: 42 }],
+        lags: vec![LagStatus {
+            service: service("orders"),
+            applied_version: 40,
+            latest_version: 41,
+            behind_ms: 42,
+        }],
         rejecting: 43,
         rejections: vec![
             RejectionStatus {
                 service: service("points"),
-                has: 44,
-                refused: 45,
+                applied_version: 44,
+                rejected_version: 45,
                 behind_ms: 46,
                 problem: Some(problem),
             },
             RejectionStatus {
                 service: service("partners"),
-                has: 47,
-                refused: 48,
+                applied_version: 47,
+                rejected_version: 48,
                 behind_ms: 49,
                 problem: None,
             },
--- a/crates/sableloom/src/control/status_text.rs
+++ b/crates/sableloom/src/control/status_text.rs
@@ -57,9 +57,9 @@
 }
 
 fn write_machine(text: &mut String, machine: &MachineStatus) {
-    let LogStatus { next, latest, waits_for } = &machine.log;
-    if !waits_for.is_empty() {
-        _ = writeln!(text, "changes from {next} to {latest} wait: {waits_for}");
+    let LogStatus { next, latest, blocked_reason } = &machine.log;
+    if !blocked_reason.is_empty() {
+        _ = writeln!(text, "changes from {next} to {latest} wait: {blocked_reason}");
     }
     _ = writeln!(
         text,
@@ -97,20 +97,25 @@
 }
 
 fn write_lags(text: &mut String, session: &SessionStatus) {
-    for LagStatus { service, has, wants, behind_ms } in &session.lags {
+    for LagStatus { service, applied_version, latest_version, behind_ms } in &session.lags {
         let (subscriber, time) = (&session.subscriber, seconds(*behind_ms));
         _ = writeln!(
             text,
-            "{subscriber} lags in {service} for {time}: has {has}, is to have {wants}"
+            "{subscriber} lags in {service} for {time}: has {applied_version}, is to have {latest_version}"
         );
     }
     write_unlisted(text, session, "lags in", session.lagging, session.lags.len());
 }
 
 fn write_rejections(text: &mut String, session: &SessionStatus) {
-    for RejectionStatus { service, has, refused, behind_ms, problem } in &session.rejections {
+    for RejectionStatus { service, applied_version, rejected_version, behind_ms, problem } in
+        &session.rejections
+    {
         let (subscriber, time) = (&session.subscriber, seconds(*behind_ms));
-        _ = write!(text, "{subscriber} refused {service} {refused} {time} ago and keeps {has}");
+        _ = write!(
+            text,
+            "{subscriber} refused {service} {rejected_version} {time} ago and keeps {applied_version}"
+        );
         match problem {
             Some(problem) => _ = writeln!(text, ": {problem}"),
             None => text.push('\n'),
--- a/crates/subscription/src/options.rs
+++ b/crates/subscription/src/options.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use sableloom_distribution::{ServiceName, SubscriberName, SubscriberTimes};
+use sableloom_distribution::{ServiceName, SubscriberName, SubscriberTiming};
 
 /// The options of a subscription.
 #[derive(Clone, Debug)]
@@ -19,5 +19,5 @@
     /// The seed of random delays; different at every balancer, so that they do not reconnect in step.
     pub seed: u64,
     /// Delays and timeouts.
-    pub times: SubscriberTimes,
+    pub timing: SubscriberTiming,
 }
--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sableloom_distribution::{Connection, Subscriber, SubscriberEvent, SubscriberOutput};
+use sableloom_distribution::{ConnectionState, Subscriber, SubscriberEvent, SubscriberOutput};
 use sableloom_types::Time;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -128,11 +128,11 @@
     pub(crate) fn status(&self) -> SubscriptionStatus {
         let subscriber = self.subscriber.borrow().status(self.now());
         let control = match subscriber.connection {
-            Connection::Idle | Connection::Waiting { .. } => None,
-            Connection::Connecting { control }
-            | Connection::Greeting { control }
-            | Connection::Syncing { control }
-            | Connection::Current { control } => Some(control),
+            ConnectionState::Idle | ConnectionState::Waiting { .. } => None,
+            ConnectionState::Connecting { control }
+            | ConnectionState::Greeting { control }
+            | ConnectionState::Syncing { control }
+            | ConnectionState::Current { control } => Some(control),
         };
         SubscriptionStatus {
             machine: control.and_then(|control| self.machines.get(control).copied()),
--- a/crates/subscription/src/subscription.rs
+++ b/crates/subscription/src/subscription.rs
@@ -26,7 +26,7 @@
         let origin = restored.as_ref().map(|_| StateOrigin::File);
         let subscriber = Subscriber::new(SubscriberOptions {
             restored,
-            times: options.times,
+            timing: options.timing,
             ..SubscriberOptions::new(
                 options.name.clone(),
                 options.machines.len(),
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -124,10 +124,10 @@
                 SubscriberOutput::Apply(transaction) => {
                     let result = self.shared.applier.apply(&transaction);
                     queue.extend(self.shared.call(|subscriber, now, out| {
-                        subscriber.applied(now, transaction.transfer, result, out);
+                        subscriber.apply_finished(now, transaction.transfer, result, out);
                     }));
                 }
-                SubscriberOutput::Changed(event) => self.shared.handle_event(&event),
+                SubscriberOutput::Event(event) => self.shared.handle_event(&event),
                 SubscriberOutput::Save => {
                     if let Some(writer) = &mut self.writer {
                         writer.schedule(Instant::now());
