--- a/crates/scale-test/src/subscribers.rs
+++ b/crates/scale-test/src/subscribers.rs
@@ -152,9 +152,9 @@
             name: SubscriberName::try_from(format!("balancer-{number}").as_str()).ok()?,
             machines: set.machines.clone(),
             scope: scope.ok()?,
-            state: set.state.clone(),
+            state_file: set.state.clone(),
             seed: number as u64,
-            times: SubscriberTiming::default(),
+            timing: SubscriberTiming::default(),
         };
         let recorder = Recorder { subscriber: number, in_force: self.in_force.clone() };
         Some(Subscription::start(options, Rc::new(recorder)))
