--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -3,15 +3,30 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use sableloom_exchange::Fields;
 
-/// What goes on with a message: all but what concerns one connection only, framing included
-/// (RFC 9110, section 7.6.1).
+/// Fields that concern one connection only (RFC 9110, section 7.6.1), and the length: what is forwarded gets a length of
+/// its own.
+const HOP_BY_HOP: [&str; 9] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "transfer-encoding",
+    "te",
+    "trailer",
+    "upgrade",
+    "expect",
+    "content-length",
+];
+
+/// The fields that are passed on with a message.
 pub(crate) fn end_to_end(mut headers: HeaderMap) -> Fields {
     strip_hop_by_hop(&mut headers);
-    Fields::collect(|| headers.iter().map(|(n, v)| (n.as_str().as_bytes(), v.as_bytes())))
+    Fields::collect(|| {
+        headers.iter().map(|(name, value)| (name.as_str().as_bytes(), value.as_bytes()))
+    })
 }
 
 /// Fields as hyper writes them. What is no HTTP field is left out: it comes from another protocol.
-pub(crate) fn headers(fields: &Fields) -> HeaderMap {
+pub(crate) fn to_headers(fields: &Fields) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in fields.iter() {
         let name = HeaderName::from_bytes(name);
@@ -23,28 +38,18 @@
 }
 
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(',').map(|n| n.trim().to_ascii_lowercase()))
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    // A header that carries the protocol is not given up, whatever the client lists.
-    for name in named.iter().filter(|n| !n.starts_with("x-") && *n != "idempotency-key") {
+    // The fields of the platform's protocol are kept, even if the client lists them.
+    let is_kept = |name: &str| name.starts_with("x-") || name == "idempotency-key";
+    for name in listed.iter().filter(|name| !is_kept(name)) {
         headers.remove(name);
     }
-    for name in [
-        "connection",
-        "keep-alive",
-        "proxy-connection",
-        "transfer-encoding",
-        "te",
-        "trailer",
-        "upgrade",
-        "expect",
-        // What is sent gets a length of its own.
-        "content-length",
-    ] {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/http1/src/front/body.rs
+++ b/crates/http1/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: of requests, read whole within a budget; of answers, on their way to the client.
+//! Bodies: of requests, read completely within a budget; of answers, on their way to the client.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -13,49 +13,59 @@
 use hyper::body::Incoming;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-use super::connection::Connection;
-use crate::wire::BODY_MAX;
+use super::client_handle::ClientHandle;
+use super::context::FrontContext;
+use crate::limits::MAX_BODY_BYTES;
 
-/// What each body may hold without drawing on the budget.
-const BODY_FREE: usize = 8 << 10;
+/// What each body may hold without drawing on the budget, in bytes.
+const UNBUDGETED_BODY_BYTES: usize = 8 << 10;
 
-/// Reads a body whole. `budget` comes to hold what it draws: all that it may need at once, so that
-/// bodies that wait for room hold none that others wait for.
+/// A complete body, with the permit for its share of the memory budget.
+pub(super) struct RequestBody {
+    pub(super) bytes: Bytes,
+    pub(super) memory: Option<OwnedSemaphorePermit>,
+}
+
+/// Reads a complete body, or returns the status that rejects it. It takes all the memory that it may need at once, so that
+/// bodies that wait for memory hold none that others wait for.
 pub(super) async fn read_body(
-    room: &Arc<Semaphore>,
+    memory_budget: &Arc<Semaphore>,
     mut body: Incoming,
-    budget: &mut Option<OwnedSemaphorePermit>,
-) -> Result<Bytes, StatusCode> {
-    let declared = body.size_hint().exact().unwrap_or(BODY_MAX as u64);
-    if declared > BODY_MAX as u64 {
+) -> Result<RequestBody, StatusCode> {
+    let declared = body.size_hint().exact().unwrap_or(MAX_BODY_BYTES as u64);
+    if declared > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    if declared > BODY_FREE as u64 {
-        *budget = room.clone().acquire_many_owned(declared as u32).await.ok();
-    }
-    // Copied together: pieces of a few bytes would each hold a buffer of their own.
-    let mut whole = BytesMut::new();
+    let memory = match declared > UNBUDGETED_BODY_BYTES as u64 {
+        true => memory_budget.clone().acquire_many_owned(declared as u32).await.ok(),
+        false => None,
+    };
+    // Copied into one buffer: pieces of a few bytes would each hold a buffer of their own.
+    let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() else { continue };
-        if whole.len() + data.len() > BODY_MAX {
+        if bytes.len() + data.len() > MAX_BODY_BYTES {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        if whole.is_empty() {
-            whole.reserve(declared.min(BODY_FREE as u64).max(data.len() as u64) as usize);
+        if bytes.is_empty() {
+            let expected = declared.min(UNBUDGETED_BODY_BYTES as u64).max(data.len() as u64);
+            bytes.reserve(expected as usize);
         }
-        whole.extend_from_slice(&data);
+        bytes.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(RequestBody { bytes: bytes.freeze(), memory })
 }
 
-/// An answer's body on its way to the client.
-pub(super) struct Content {
+/// The body of an answer on its way to the client. Once it is dropped, the answer is handed over.
+pub(super) struct AnswerBody {
     pub(super) data: Full<Bytes>,
-    pub(super) client: Rc<Connection>,
-    pub(super) ends: bool,
+    pub(super) context: Rc<FrontContext>,
+    pub(super) client: Rc<ClientHandle>,
+    /// Whether the connection is closed with the answer.
+    pub(super) closes: bool,
 }
 
-impl Body for Content {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -75,11 +85,13 @@
     }
 }
 
-impl Drop for Content {
+impl Drop for AnswerBody {
     fn drop(&mut self) {
-        let ends = self.ends;
-        self.client.lengths.answered.set(true);
-        self.client.tell(|admission, now, id| admission.answer_handed_over(now, id, ends));
-        self.client.frontend.changed.notify_one();
+        let closes = self.closes;
+        self.client.length_scan.set_answered();
+        self.context.notify_admission(&self.client, |admission, now, id| {
+            admission.answer_handed_over(now, id, closes);
+        });
+        self.context.slot_signal.notify_one();
     }
 }
--- /dev/null
+++ b/crates/http1/src/front/client_handle.rs
@@ -0,0 +1,59 @@
+//! What the front keeps of a client connection, beside the task that serves it.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use sableloom_admission::ConnectionId;
+use tokio::sync::Notify;
+
+use super::length_scan::LengthScan;
+use crate::tracked_stream::TrackedStream;
+
+/// How a connection is to be closed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum CloseMode {
+    /// Once what was written is sent.
+    Graceful,
+    /// At once, with what still comes being drained.
+    Drain,
+    /// The same, after a rejection of the request of which a part has come.
+    Reject,
+    /// At once, to make room.
+    Evict,
+}
+
+/// A client connection, shared by the front and the task that serves it.
+pub(super) struct ClientHandle {
+    pub(super) id: ConnectionId,
+    pub(super) stream: Rc<TrackedStream>,
+    pub(super) length_scan: LengthScan,
+    pub(super) close_mode: Cell<Option<CloseMode>>,
+    /// Wakes the task when a close mode is set.
+    pub(super) close_signal: Notify,
+    /// The head of the current request is read, and there is no answer yet.
+    pub(super) handling: Cell<bool>,
+    /// Ends the wait for the body of the current request.
+    pub(super) reject_signal: Notify,
+}
+
+impl ClientHandle {
+    pub(super) fn new(id: ConnectionId, stream: Rc<TrackedStream>) -> Rc<Self> {
+        Rc::new(Self {
+            id,
+            stream,
+            length_scan: LengthScan::new(),
+            close_mode: Cell::new(None),
+            close_signal: Notify::new(),
+            handling: Cell::new(false),
+            reject_signal: Notify::new(),
+        })
+    }
+
+    /// Asks the task to close the connection. An eviction goes before what was asked earlier.
+    pub(super) fn close(&self, mode: CloseMode) {
+        if self.close_mode.get().is_none() || mode == CloseMode::Evict {
+            self.close_mode.set(Some(mode));
+            self.close_signal.notify_one();
+        }
+    }
+}
--- a/crates/http1/src/front/connection.rs
+++ b/crates/http1/src/front/connection.rs
@@ -1,6 +1,5 @@
-//! One client connection, from its first byte to its end.
+//! The task that serves one client connection, from its first byte to its end.
 
-use std::cell::Cell;
 use std::convert::Infallible;
 use std::pin::pin;
 use std::rc::Rc;
@@ -9,171 +8,135 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use sableloom_admission::{Admission, ConnectionId, KeepAlive, Phase, Release, ReleaseReason};
-use sableloom_types::{Span, Time};
-use tokio::sync::Notify;
+use sableloom_admission::{Admission, Phase};
+use sableloom_types::Span;
 
-use super::Frontend;
-use super::accept::refusal;
-use super::length_scan::LengthScan;
+use super::client_handle::{ClientHandle, CloseMode};
+use super::context::FrontContext;
+use super::rejection::rejection;
 use super::request::respond;
-use crate::wire::{HEAD_MAX, Io, Wire};
+use crate::hyper_io::HyperIo;
+use crate::limits::MAX_HEAD_BYTES;
 
 /// How long a closed connection is still read, so that its last answer arrives.
-pub(super) const LINGER: Duration = Duration::from_millis(500);
+pub(super) const LINGER_TIME: Duration = Duration::from_millis(500);
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Close {
-    /// Once what was written has left.
-    Gracefully,
-    /// Whatever has come, with a drain.
-    Now,
-    /// The same, behind a refusal of the request that has begun to come.
-    Refuse,
-    /// At once, to make room.
-    Evict,
+/// A client connection's entry in the front; its slot is released when this is dropped.
+pub(super) struct Registration {
+    context: Rc<FrontContext>,
+    client: Rc<ClientHandle>,
 }
 
-pub(super) struct Connection {
-    pub(super) frontend: Rc<Frontend>,
-    pub(super) id: ConnectionId,
-    pub(super) wire: Rc<Wire>,
-    pub(super) lengths: LengthScan,
-    pub(super) close: Cell<Option<Close>>,
-    pub(super) wake: Notify,
-    /// The head of its present request is read, and no answer is made yet.
-    pub(super) handling: Cell<bool>,
-    /// Its present request is not waited for any more.
-    pub(super) refused: Notify,
-}
-
-impl Connection {
-    fn heard(&self, bytes: &[u8]) {
-        if self.is(Phase::Busy) {
-            self.lengths.ahead.set(true);
-        } else {
-            self.lengths.begin();
-            self.tell(Admission::bytes_read);
-        }
-        self.lengths.scan(bytes);
-    }
-
-    pub(super) fn tell<T>(&self, event: impl FnOnce(&mut Admission, Time, ConnectionId) -> T) -> T {
-        event(&mut self.frontend.admission.borrow_mut(), self.frontend.now(), self.id)
-    }
-
-    pub(super) fn is(&self, phase: Phase) -> bool {
-        self.frontend.admission.borrow().phase(self.id) == Some(phase)
+impl Registration {
+    pub(super) fn new(context: Rc<FrontContext>, client: Rc<ClientHandle>) -> Self {
+        context.clients.borrow_mut().insert(client.id, client.clone());
+        Self { context, client }
     }
+}
 
-    pub(super) fn end(&self, how: Close) {
-        if self.close.get().is_none() || how == Close::Evict {
-            self.close.set(Some(how));
-            self.wake.notify_one();
-        }
+impl Drop for Registration {
+    fn drop(&mut self) {
+        self.context.clients.borrow_mut().remove(&self.client.id);
+        self.context.notify_admission(&self.client, Admission::closed);
+        self.context.slot_signal.notify_one();
     }
+}
 
-    /// Whether closing it ends no request that was taken and cuts no answer.
-    pub(super) fn is_spare(&self) -> bool {
-        !self.is(Phase::Busy) && !self.wire.blocked.get()
-    }
+/// What the task does when a close was asked for.
+enum CloseStep {
+    /// Closes without a word: both directions are shut already.
+    Abort,
+    /// Goes on serving: there is a reason against the close, or it was passed on.
+    Continue,
+    /// Finishes what is written, then closes.
+    FinishAndClose,
+    /// Stops serving and closes.
+    Close,
+}
 
-    /// Whether a request has begun to come on it, or is about to be read.
-    pub(super) fn has_begun(&self) -> bool {
-        self.is(Phase::Reading) || self.wire.has_input()
+/// Serves a connection to its end.
+pub(super) async fn serve(registration: Registration) {
+    let Registration { context, client } = &registration;
+    if serve_requests(context, client).await.is_err() {
+        return;
     }
-
-    /// Ends it at once. Both directions are shut first, so that no request can be read of which
-    /// nobody would hear.
-    pub(super) fn evict(&self) {
-        self.wire.cut();
-        self.end(Close::Evict);
-        self.tell(Admission::closed);
+    if client.close_mode.get() == Some(CloseMode::Reject) {
+        // hyper has written nothing since the last answer was sent, so that there is room for it.
+        let _ = client.stream.write(rejection(Span(0)).as_bytes()).await;
     }
-
-    /// The answer to its request is about to be written: whether the connection ends with it.
-    pub(super) fn answering(&self, must_end: bool) -> bool {
-        if !self.is(Phase::Busy) {
-            self.tell(Admission::request_complete);
-        }
-        if must_end {
-            return true;
-        }
-        match self.tell(Admission::before_answer) {
-            KeepAlive::Keep => false,
-            KeepAlive::Close => true,
-            KeepAlive::CloseOther(other) => {
-                self.frontend.release(Release { id: other, reason: ReleaseReason::MakeRoom });
-                false
-            }
+    if client.close_mode.get() != Some(CloseMode::Evict) {
+        let by_client = client.close_mode.get().is_none();
+        context.notify_admission(client, |admission, now, id| {
+            admission.close_started(now, id, by_client);
+        });
+        context.slot_signal.notify_one();
+        tokio::select! {
+            () = client.stream.drain(LINGER_TIME) => {}
+            // Room is needed.
+            () = client.close_signal.notified() => {}
         }
     }
 }
 
-/// A connection's place in the register.
-pub(super) struct Registration(pub(super) Rc<Connection>);
-
-impl Drop for Registration {
-    fn drop(&mut self) {
-        let frontend = &self.0.frontend;
-        frontend.clients.borrow_mut().remove(&self.0.id);
-        self.0.tell(Admission::closed);
-        frontend.changed.notify_one();
-    }
-}
-
-pub(super) async fn serve(registration: Registration) {
-    let client = &registration.0;
-    let hears = client.clone();
-    let io = Io { wire: client.wire.clone(), on_read: move |bytes: &[u8]| hears.heard(bytes) };
+/// The connection was evicted.
+struct Evicted;
+
+/// Serves the requests of a connection until it ends or is to be closed.
+async fn serve_requests(
+    context: &Rc<FrontContext>,
+    client: &Rc<ClientHandle>,
+) -> Result<(), Evicted> {
+    let on_read = {
+        let (context, client) = (context.clone(), client.clone());
+        move |bytes: &[u8]| context.bytes_read(&client, bytes)
+    };
+    let io = HyperIo { stream: client.stream.clone(), on_read };
     let service = service_fn(|request| {
-        let client = client.clone();
-        async move { Ok::<_, Infallible>(respond(client, request).await) }
+        let (context, client) = (context.clone(), client.clone());
+        async move { Ok::<_, Infallible>(respond(context, client, request).await) }
     });
-    {
-        let mut http = pin!(
-            http1::Builder::new()
-                .max_buf_size(HEAD_MAX)
-                .serve_connection(TokioIo::new(io), service)
-        );
-        loop {
-            tokio::select! {
-                biased;
-                _ = http.as_mut() => break,
-                () = client.wake.notified() => match client.close.get() {
-                    Some(Close::Evict) => return,
-                    // Something has come since it was told to close: that is served first. hyper would
-                    // drop what it has read of a request, and the rest would find the connection shut.
-                    Some(Close::Gracefully) if client.has_begun() => client.close.set(None),
-                    Some(Close::Now) if client.wire.has_input() && !client.is(Phase::Reading) => {
-                        client.close.set(None);
-                    }
-                    _ if !client.is_spare() => client.close.set(None),
-                    Some(Close::Gracefully) => http.as_mut().graceful_shutdown(),
-                    // Its body is waited for, by whoever answers.
-                    Some(Close::Refuse) if client.handling.get() => {
-                        client.close.set(None);
-                        client.refused.notify_one();
-                    }
-                    Some(Close::Refuse) if !client.is(Phase::Reading) => client.close.set(None),
-                    Some(Close::Now | Close::Refuse) => break,
-                    None => {}
-                },
-            }
+    let mut server = http1::Builder::new();
+    let server = server.max_buf_size(MAX_HEAD_BYTES);
+    let mut connection = pin!(server.serve_connection(TokioIo::new(io), service));
+    loop {
+        tokio::select! {
+            biased;
+            _ = connection.as_mut() => return Ok(()),
+            () = client.close_signal.notified() => match close_step(context, client) {
+                CloseStep::Abort => return Err(Evicted),
+                CloseStep::Continue => {}
+                CloseStep::FinishAndClose => connection.as_mut().graceful_shutdown(),
+                CloseStep::Close => return Ok(()),
+            },
         }
     }
-    if client.close.get() == Some(Close::Refuse) {
-        // hyper has written nothing since the last answer left, so that there is room for it.
-        let _ = client.wire.write(refusal(Span(0)).as_bytes()).await;
-    }
-    if client.close.get() != Some(Close::Evict) {
-        let by_client = client.close.get().is_none();
-        client.tell(|admission, now, id| admission.close_started(now, id, by_client));
-        client.frontend.changed.notify_one();
-        tokio::select! {
-            () = client.wire.drain(LINGER) => {}
-            // Room is needed.
-            () = client.wake.notified() => {}
+}
+
+/// Decides on a close that was asked for. It is cancelled if there is a reason against it by now.
+fn close_step(context: &FrontContext, client: &ClientHandle) -> CloseStep {
+    let Some(mode) = client.close_mode.get() else { return CloseStep::Continue };
+    let cancel = || {
+        client.close_mode.set(None);
+        CloseStep::Continue
+    };
+    match mode {
+        CloseMode::Evict => CloseStep::Abort,
+        // Bytes have come since the close was asked for: they are served first. hyper would drop what it has read of a
+        // request, and the rest would find the connection closed.
+        CloseMode::Graceful if context.has_partial_request(client) => cancel(),
+        CloseMode::Drain
+            if client.stream.has_input() && !context.is_in_phase(client, Phase::Reading) =>
+        {
+            cancel()
+        }
+        _ if !context.is_closable(client) => cancel(),
+        CloseMode::Graceful => CloseStep::FinishAndClose,
+        // The handler of the request waits for its body, and rejects it.
+        CloseMode::Reject if client.handling.get() => {
+            client.reject_signal.notify_one();
+            cancel()
         }
+        CloseMode::Reject if !context.is_in_phase(client, Phase::Reading) => cancel(),
+        CloseMode::Drain | CloseMode::Reject => CloseStep::Close,
     }
 }
--- a/crates/http1/src/front/tests.rs
+++ b/crates/http1/src/front/frontend/tests.rs
@@ -1,15 +1,15 @@
-//! The front between real sockets, on one thread: what comes between a look at a socket and its close.
+//! The front between real sockets, on one thread: bytes that come between a look at a socket and its close.
 
 use std::io::{Read, Write};
 
 use sableloom_exchange::{Answer, LocalFuture, Message, Reply, RequestContext, RequestRejection};
 use serde_json::json;
-use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
 use super::*;
+use crate::front::client_handle::ClientHandle;
 
-/// Serves every request with its id.
+/// Answers every request with its id.
 struct Echo;
 
 impl Service for Echo {
@@ -18,8 +18,8 @@
         _: RequestContext,
         message: Message,
     ) -> Result<LocalFuture<Reply>, RequestRejection> {
-        let made = Answer { body: message.id.clone(), ..Answer::default() };
-        Ok(Box::pin(async move { Reply::Served(made) }))
+        let answer = Answer { body: message.id.clone(), ..Answer::default() };
+        Ok(Box::pin(async move { Reply::Served(answer) }))
     }
 }
 
@@ -31,17 +31,18 @@
         "Safety": {"Cold": 2000.0, "ColdFrom": 0.2, "FallMultiple": 3.0, "TipAfter": 1000.0},
     });
     let settings: DeploymentSettings = serde_json::from_value(settings).expect("settings");
-    let limits = Limits { places: 8, asking: 8, bodies: 1 << 20 };
+    let limits =
+        ClientLimits { max_connections: 8, max_client_connections: 8, body_memory: 1 << 20 };
     Frontend::new(Rc::new(Echo), Rc::new(settings), Dialect::Platform, Clock::new(), &limits)
 }
 
 const REQUEST: &str =
     "GET /read/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: one\r\nX-Expires-In-Ms: 500\r\n\r\n";
 
-/// Reads on another thread, so that this one goes on serving: until so many answers have come, or the end.
+/// Reads on another thread, so that this one goes on serving, until this many answers have come or the connection ends.
 async fn answers(stream: &std::net::TcpStream, count: usize) -> String {
     let mut stream = stream.try_clone().expect("the same socket");
-    let (said, heard) = tokio::sync::oneshot::channel();
+    let (sender, receiver) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
         let (mut text, mut buffer) = (String::new(), [0; 4096]);
         while text.matches("\r\n\r\none").count() < count {
@@ -50,50 +51,51 @@
                 Ok(n) => text.push_str(&String::from_utf8_lossy(&buffer[..n])),
             }
         }
-        let _ = said.send(text);
+        let _ = sender.send(text);
     });
-    heard.await.expect("it says what it read")
+    receiver.await.expect("the thread sends what it read")
 }
 
-/// Half a request comes right after the connection was told to end, and before the task that ends it runs. It
-/// was accepted, so it is read to its end and answered.
-async fn half_comes_as_it_ends(end: impl Fn(&Frontend)) {
+/// Half a request comes right after its connection was to be closed, and before the task that closes it runs. It counts as
+/// accepted, so it is read to its end and answered.
+async fn send_half_while_closing(close: impl Fn(&Frontend)) {
     let frontend = frontend();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     spawn_local(frontend.clone().accept(Rc::new(listener)));
     let mut client = std::net::TcpStream::connect(at).expect("a connection");
-    client.write_all(REQUEST.as_bytes()).expect("it leaves");
+    client.write_all(REQUEST.as_bytes()).expect("it is sent");
     let first = answers(&client, 1).await;
     assert!(first.starts_with("HTTP/1.1 200 OK\r\n"), "{first}");
-    let resting = || frontend.clients.borrow().values().any(|c| c.is(Phase::Idle));
-    while !resting() {
+    let clients = &frontend.context.clients;
+    let is_idle = |client: &Rc<ClientHandle>| frontend.context.is_in_phase(client, Phase::Idle);
+    while !clients.borrow().values().any(is_idle) {
         yield_now().await;
     }
     // All in one turn of this thread.
-    end(&frontend);
-    let told = frontend.clients.borrow().values().any(|c| c.close.get().is_some());
-    assert!(told, "it is told to end");
-    client.write_all(&REQUEST.as_bytes()[..9]).expect("half of it leaves");
-    while !frontend.clients.borrow().values().all(|c| c.wire.has_input()) {
+    close(&frontend);
+    let is_closing = |client: &Rc<ClientHandle>| client.close_mode.get().is_some();
+    assert!(clients.borrow().values().any(is_closing), "its close was asked for");
+    client.write_all(&REQUEST.as_bytes()[..9]).expect("half of it is sent");
+    while !clients.borrow().values().all(|client| client.stream.has_input()) {
         std::hint::spin_loop();
     }
-    // Now the task runs, hears that it is to end, and must hear of the half as well.
-    while frontend.clients.borrow().values().any(|c| c.close.get().is_some()) {
+    // Now the task runs, learns that it is to close, and must see the half as well.
+    while clients.borrow().values().any(is_closing) {
         yield_now().await;
     }
-    client.write_all(&REQUEST.as_bytes()[9..]).expect("the rest leaves");
+    client.write_all(&REQUEST.as_bytes()[9..]).expect("the rest is sent");
     let second = answers(&client, 1).await;
     assert!(second.starts_with("HTTP/1.1 200 OK\r\n"), "answered, not closed: {second:?}");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn half_a_request_that_comes_as_its_connection_is_told_to_end_is_answered() {
+async fn half_a_request_that_comes_as_its_connection_is_closed_is_answered() {
     LocalSet::new()
         .run_until(async {
             // At SIGTERM, and as the process stops taking requests.
-            half_comes_as_it_ends(Frontend::drain).await;
-            half_comes_as_it_ends(Frontend::close_spare).await;
+            send_half_while_closing(Frontend::drain).await;
+            send_half_while_closing(Frontend::close_unused).await;
         })
         .await;
 }
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/front/request.rs
@@ -1,4 +1,4 @@
-//! One request: read whole, handed to the exchange, answered.
+//! One request: read completely, handed to the service, answered.
 
 use std::any::Any;
 use std::panic::AssertUnwindSafe;
@@ -11,160 +11,205 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
+use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use sableloom_admission::Admission;
-use sableloom_exchange::{
-    Answer as UpstreamAnswer, Client, Message, Reply, RequestContext, RequestRejection,
-};
-use tokio::time::timeout_at;
-
-use super::Frontend;
-use super::body::{Content, read_body};
-use super::connection::Connection;
-use super::head::RequestHead;
+use sableloom_exchange::{Answer, Client, Message, Reply, RequestContext, RequestRejection};
+use tokio::time::{Instant, timeout_at};
+
+use super::body::{AnswerBody, RequestBody, read_body};
+use super::client_handle::ClientHandle;
+use super::context::FrontContext;
+use super::request_head::RequestHead;
 use crate::fields;
-use crate::wire::Wire;
+use crate::tracked_stream::TrackedStream;
 
-/// From its first byte, and on a new connection from the accept, a request has so long to be whole.
-/// Guards against heads and bodies that don't end, trickle, or never begin; an honest client on a
-/// line slower than that would be turned away, but its request's time would be over as well.
-const TAKE: Duration = Duration::from_millis(2200);
+/// A request must be complete this long after its first byte, and on a new connection after the accept. Guards against
+/// heads and bodies that don't end, trickle, or never begin; an honest client on a line slower than that would be
+/// rejected, but the deadline of its request would have passed as well.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
+/// The path of the front's own health check.
+const HEALTH_CHECK_PATH: &str = "/up";
 
-/// A panic while one request is handled must not leave it unanswered.
+/// Answers a request. A panic while it is handled must not leave it unanswered.
 pub(super) async fn respond(
-    client: Rc<Connection>,
+    context: Rc<FrontContext>,
+    client: Rc<ClientHandle>,
     request: Request<Incoming>,
-) -> Response<Content> {
-    let frontend = &client.frontend;
+) -> Response<AnswerBody> {
     client.handling.set(true);
     let answer = {
-        let mut work = pin!(handle(frontend, &client, request));
+        let mut handling = pin!(handle(&context, &client, request));
         std::future::poll_fn(|cx| {
-            let polled = std::panic::catch_unwind(AssertUnwindSafe(|| work.as_mut().poll(cx)));
-            polled.unwrap_or_else(|_| {
-                eprintln!("sableloom: a request's handling panicked; it has failed");
-                Poll::Ready(plain(StatusCode::INTERNAL_SERVER_ERROR).closing())
+            let poll = AssertUnwindSafe(|| handling.as_mut().poll(cx));
+            std::panic::catch_unwind(poll).unwrap_or_else(|_| {
+                eprintln!("sableloom: panic while a request was handled; the request has failed");
+                Poll::Ready(FrontAnswer::closing(StatusCode::INTERNAL_SERVER_ERROR))
             })
         })
         .await
     };
     client.handling.set(false);
-    let Answer { mut response, close } = answer;
-    let ends = client.answering(close || frontend.draining.get());
-    if ends {
+    let FrontAnswer { mut response, closes } = answer;
+    let closes = context.closes_with_answer(&client, closes || context.draining.get());
+    if closes {
         let value = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, value);
     }
-    response.map(|data| Content { data: Full::new(data), client, ends })
+    response.map(|data| AnswerBody { data: Full::new(data), context, client, closes })
 }
 
-/// An answer, and whether its connection ends with it.
-struct Answer {
+/// An answer, and whether its connection must be closed with it.
+struct FrontAnswer {
     response: Response<Bytes>,
-    close: bool,
+    closes: bool,
 }
 
-impl Answer {
-    fn closing(mut self) -> Self {
-        self.close = true;
+impl FrontAnswer {
+    /// An answer without a body.
+    fn status(status: StatusCode) -> Self {
+        let mut response = Response::new(Bytes::new());
+        *response.status_mut() = status;
+        Self { response, closes: false }
+    }
+
+    /// An answer without a body that closes its connection.
+    fn closing(status: StatusCode) -> Self {
+        Self { closes: true, ..Self::status(status) }
+    }
+
+    fn with_retry_after(mut self, value: HeaderValue) -> Self {
+        self.response.headers_mut().insert(header::RETRY_AFTER, value);
         self
     }
 }
 
-fn plain(status: StatusCode) -> Answer {
-    let mut response = Response::new(Bytes::new());
-    *response.status_mut() = status;
-    Answer { response, close: false }
+impl From<Answer> for FrontAnswer {
+    fn from(answer: Answer) -> Self {
+        let mut response = Response::new(answer.body);
+        *response.headers_mut() = fields::to_headers(&answer.fields);
+        Self { response, closes: false }
+    }
 }
 
-fn served(answer: UpstreamAnswer) -> Answer {
-    let mut response = Response::new(answer.body);
-    *response.headers_mut() = fields::headers(&answer.fields);
-    Answer { response, close: false }
+impl From<Reply> for FrontAnswer {
+    fn from(reply: Reply) -> Self {
+        match reply {
+            Reply::Served(answer) => answer.into(),
+            Reply::Rejected(retry_after) => {
+                let answer = Self::status(StatusCode::SERVICE_UNAVAILABLE);
+                let seconds = retry_after.map(|time| format!("{:.3}", time.as_secs_f64()));
+                match seconds.and_then(|seconds| seconds.parse().ok()) {
+                    Some(value) => answer.with_retry_after(value),
+                    None => answer,
+                }
+            }
+            Reply::Failed => Self::status(StatusCode::BAD_GATEWAY),
+        }
+    }
 }
 
-async fn handle(frontend: &Frontend, client: &Connection, request: Request<Incoming>) -> Answer {
-    // One that came with the request before it has a time limit of its own.
-    client.tell(Admission::pipelined_request);
-    let begun =
-        frontend.admission.borrow().request_started(client.id).unwrap_or_else(|| frontend.now());
-    let until = frontend.clock.instant_of(begun) + TAKE;
-    let (mut head, body) = request.into_parts();
-    // A target in absolute form names the host, whatever the field says (RFC 9112, section 3.2.2).
-    if let Some(host) = head.uri.authority().and_then(|a| HeaderValue::from_str(a.as_str()).ok()) {
-        head.headers.insert(header::HOST, host);
+impl From<RequestRejection> for FrontAnswer {
+    fn from(rejection: RequestRejection) -> Self {
+        match rejection {
+            RequestRejection::TooManyOpen => Self::status(StatusCode::SERVICE_UNAVAILABLE),
+            RequestRejection::DuplicateId => Self::closing(StatusCode::CONFLICT),
+            RequestRejection::NoRoute(status) => {
+                Self::status(StatusCode::from_u16(status).unwrap_or(StatusCode::NOT_FOUND))
+            }
+            RequestRejection::OverTenantLimit(after) => over_tenant_limit(after),
+        }
     }
-    if head.uri.path() == "/up" {
-        return plain(match frontend.draining.get() {
+}
+
+/// The answer to a request over its tenant's limit (RFC 6585, section 4). The time is in whole seconds (RFC 9110, section
+/// 10.2.3), rounded up: a client that comes sooner would be rejected again.
+fn over_tenant_limit(after: Duration) -> FrontAnswer {
+    let seconds = after.as_micros().div_ceil(1_000_000).max(1) as u64;
+    FrontAnswer::status(StatusCode::TOO_MANY_REQUESTS).with_retry_after(seconds.into())
+}
+
+async fn handle(
+    context: &FrontContext,
+    client: &ClientHandle,
+    request: Request<Incoming>,
+) -> FrontAnswer {
+    // A pipelined request has a timeout of its own.
+    context.notify_admission(client, Admission::pipelined_request);
+    let started = context.admission.borrow().request_started(client.id);
+    let started = started.unwrap_or_else(|| context.now());
+    let complete_by = context.clock.instant_of(started) + REQUEST_TIMEOUT;
+    let (mut parts, body) = request.into_parts();
+    set_host_of_absolute_target(&mut parts);
+    if parts.uri.path() == HEALTH_CHECK_PATH {
+        return FrontAnswer::status(match context.draining.get() {
             true => StatusCode::SERVICE_UNAVAILABLE,
             false => StatusCode::OK,
         });
     }
-    let wanted = match RequestHead::read(frontend, &head.method, &head.uri, &head.headers) {
-        Ok(wanted) => wanted,
-        // What follows on this connection may be out of step with it.
-        Err(status) => return plain(status).closing(),
+    let head = match RequestHead::parse(context, &parts) {
+        Ok(head) => head,
+        // What follows on this connection may be out of step with the request.
+        Err(status) => return FrontAnswer::closing(status),
     };
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.lengths.seen.get() {
-        return plain(StatusCode::BAD_REQUEST).closing();
+    if parts.headers.contains_key(header::TRANSFER_ENCODING) && client.length_scan.found() {
+        return FrontAnswer::closing(StatusCode::BAD_REQUEST);
+    }
+    match read_body_by(complete_by, context, client, body).await {
+        Ok(body) => forward(context, client, head, parts, body).await,
+        Err(status) => FrontAnswer::closing(status),
     }
-    let mut budget = None;
-    let whole = timeout_at(until, read_body(&frontend.bodies, body, &mut budget));
-    let whole = tokio::select! {
+}
+
+/// A target in absolute form names the host, whatever the field says (RFC 9112, section 3.2.2).
+fn set_host_of_absolute_target(parts: &mut Parts) {
+    let authority =
+        parts.uri.authority().map(|authority| HeaderValue::from_str(authority.as_str()));
+    if let Some(Ok(host)) = authority {
+        parts.headers.insert(header::HOST, host);
+    }
+}
+
+/// Reads a complete body in time, unless the wait for it is ended.
+async fn read_body_by(
+    complete_by: Instant,
+    context: &FrontContext,
+    client: &ClientHandle,
+    body: Incoming,
+) -> Result<RequestBody, StatusCode> {
+    let body = timeout_at(complete_by, read_body(&context.body_memory, body));
+    tokio::select! {
         biased;
-        whole = whole => whole,
-        () = client.refused.notified() => return plain(StatusCode::SERVICE_UNAVAILABLE).closing(),
-    };
-    let body = match whole {
-        Ok(Ok(body)) => body,
-        Ok(Err(status)) => return plain(status).closing(),
-        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT).closing(),
-    };
-    // It counts from its last byte, also where that came behind another request.
-    let arrived = frontend.clock.time_of(client.wire.read_at.get());
-    client.tell(Admission::request_complete);
-    let RequestHead { id, class, tenant, key, expires, target } = wanted;
-    let asked = RequestContext { class, tenant, key, deadline: arrived.plus(expires) };
+        body = body => body.unwrap_or(Err(StatusCode::REQUEST_TIMEOUT)),
+        () = client.reject_signal.notified() => Err(StatusCode::SERVICE_UNAVAILABLE),
+    }
+}
+
+/// Hands a complete request to the service, and waits for its final answer.
+async fn forward(
+    context: &FrontContext,
+    client: &ClientHandle,
+    head: RequestHead,
+    parts: Parts,
+    body: RequestBody,
+) -> FrontAnswer {
+    // Its deadline counts from its last byte, also where that came behind another request.
+    let arrived = context.clock.time_of(client.stream.last_read_at());
+    context.notify_admission(client, Admission::request_complete);
+    let RequestHead { id, class, tenant, key, expires, target } = head;
+    let request = RequestContext { class, tenant, key, deadline: arrived.plus(expires) };
     let message = Message {
         id,
-        idempotency: frontend.settings.services[class].idempotency,
-        method: Bytes::copy_from_slice(head.method.as_str().as_bytes()),
+        idempotency: context.settings.services[class].idempotency,
+        method: Bytes::copy_from_slice(parts.method.as_str().as_bytes()),
         target,
-        fields: fields::end_to_end(head.headers),
-        body,
-        attachment: budget.map(|budget| Box::new(budget) as Box<dyn Any>),
-        client: Some(Rc::<Wire>::downgrade(&client.wire) as Weak<dyn Client>),
-    };
-    let reply = match frontend.service.clone().call(asked, message) {
-        Ok(reply) => reply,
-        Err(RequestRejection::TooManyOpen) => return plain(StatusCode::SERVICE_UNAVAILABLE),
-        Err(RequestRejection::DuplicateId) => return plain(StatusCode::CONFLICT).closing(),
-        Err(RequestRejection::NoRoute(status)) => {
-            return plain(StatusCode::from_u16(status).unwrap_or(StatusCode::NOT_FOUND));
-        }
-        Err(RequestRejection::OverTenantLimit(after)) => return over_limit(after),
+        fields: fields::end_to_end(parts.headers),
+        body: body.bytes,
+        attachment: body.memory.map(|memory| Box::new(memory) as Box<dyn Any>),
+        client: Some(Rc::<TrackedStream>::downgrade(&client.stream) as Weak<dyn Client>),
     };
-    match reply.await {
-        Reply::Served(answer) => served(answer),
-        Reply::Rejected(advice) => {
-            let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-            if let Some(advice) = advice {
-                let seconds = format!("{:.3}", advice.as_secs_f64());
-                if let Ok(value) = seconds.parse() {
-                    answer.response.headers_mut().insert(header::RETRY_AFTER, value);
-                }
-            }
-            answer
-        }
-        Reply::Failed => plain(StatusCode::BAD_GATEWAY),
+    match context.service.clone().call(request, message) {
+        Ok(reply) => reply.await.into(),
+        Err(rejection) => rejection.into(),
     }
 }
-
-/// The answer to a request over its tenant's limit (RFC 6585, section 4). The time is in whole seconds (RFC 9110,
-/// section 10.2.3), rounded up: a client that comes sooner would be refused again.
-fn over_limit(after: Duration) -> Answer {
-    let mut answer = plain(StatusCode::TOO_MANY_REQUESTS);
-    let seconds = after.as_micros().div_ceil(1_000_000).max(1) as u64;
-    answer.response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
-    answer
-}
--- a/crates/sableloom/src/config.rs
+++ b/crates/sableloom/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sableloom_discovery::Snapshot;
-use sableloom_http1::Limits as ClientLimits;
+use sableloom_http1::ClientLimits;
 use sableloom_types::settings::DeploymentSettings;
 use serde::Deserialize;
 
@@ -116,10 +116,10 @@
     // waited here for a descriptor, and the upstream was blamed that could not be reached.
     let upstreams = sockets_left * 2 / 5;
     let clients = ClientLimits {
-        places: sockets_left - upstreams,
+        max_connections: sockets_left - upstreams,
         // The platform lets clients hold a third of all descriptors for requests.
-        asking: sockets / 3,
-        bodies: (memory_mb << 20) / 8,
+        max_client_connections: sockets / 3,
+        body_memory: (memory_mb << 20) / 8,
     };
     (clients, upstreams)
 }
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -9,7 +9,7 @@
 use sableloom_exchange::{
     Clock, EndpointListener, Exchange, ExchangeOptions, Task, longest_deadline,
 };
-use sableloom_http1::{Budget, Dialect, Frontend, Upstreams};
+use sableloom_http1::{ConnectionBudget, Dialect, Frontend, Http1Transport};
 use sableloom_types::ListKind;
 use sableloom_types::settings::{RegistryMode, span};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -61,25 +61,25 @@
         sleep_until(notified + ACCEPT_ON).await;
         // From here on new connections are refused, and none is left on which a request could come
         // that there is no time to answer.
-        frontend.shut();
+        frontend.stop_accepting();
         let last_call = notified + self.longest + LAST_CALL - TURN * LAST_TURNS;
-        while frontend.is_used() && Instant::now() < last_call {
-            frontend.close_spare();
+        while frontend.is_in_use() && Instant::now() < last_call {
+            frontend.close_unused();
             sleep(TURN).await;
         }
-        if frontend.is_used() {
+        if frontend.is_in_use() {
             eprintln!("sableloom: last call; {} open", open());
         }
         for turn in (0..LAST_TURNS).rev() {
-            if !frontend.is_used() {
+            if !frontend.is_in_use() {
                 break;
             }
             // At each turn: pools may have come since.
             abort_open_requests();
             if turn < REFUSING_TURNS {
-                frontend.refuse_unfinished();
+                frontend.reject_partial_requests();
             }
-            frontend.close_spare();
+            frontend.close_unused();
             sleep(TURN).await;
         }
         let (connections, open) = (frontend.connections(), open());
@@ -105,7 +105,7 @@
         let Config { discovery, seed, known, settings, clients, upstreams, .. } = config;
         let (settings, clock) = (Rc::new(settings), Clock::new());
         let longest = longest_deadline(&settings);
-        let transport = Upstreams::new(Budget::new(upstreams), &settings);
+        let transport = Http1Transport::new(ConnectionBudget::new(upstreams), &settings);
         let revision = known.as_ref().map(|known| known.revision);
         let times = Times::of(&watch::Options {
             pushed: settings.registry_mode == RegistryMode::Automatic,
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -16,7 +16,7 @@
 
 use sableloom_exchange::Clock;
 use sableloom_fleet::{QUESTIONS_OUT, Running as Fleet};
-use sableloom_http1::{Budget, Dialect, Frontend, Limits as ClientLimits};
+use sableloom_http1::{ClientLimits, ConnectionBudget, Dialect, Frontend};
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::Site;
 use sableloom_traffic_mirror::Ending;
@@ -66,7 +66,7 @@
         listeners = bind(&path, &site)?;
     }
     let clock = Clock::with_offset_ms(options.wall_clock_ms);
-    let budget = Budget::new(upstreams);
+    let budget = ConnectionBudget::new(upstreams);
     let context = Rc::new(PoolContext { path: path.clone(), clock, budget, upstreams });
     let pools = start_pools(&context, &site).await?;
     let settings = Rc::new(site.client_settings());
@@ -191,7 +191,7 @@
         SOCKETS_OTHER + site.listeners.len() + SOCKETS_POOL * site.pools.len() + fleet + control;
     let (mut clients, upstreams) = split(site.limits.memory_mb, site.limits.sockets, other);
     // Nothing bounds clients on their side, as the platform does.
-    clients.asking = clients.places;
+    clients.max_client_connections = clients.max_connections;
     let pools = site.control.as_ref().map_or(site.pools.len(), |control| control.services.len());
     if upstreams < pools {
         let least = other + pools * 5 / 2;
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -9,7 +9,7 @@
     Clock, Exchange, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service,
 };
 use sableloom_exchange::{EndpointSource, ExchangeOptions};
-use sableloom_http1::{Budget, Upstreams};
+use sableloom_http1::{ConnectionBudget, Http1Transport};
 use sableloom_server_files::ServerFiles;
 use sableloom_shadow::Bounds;
 use sableloom_site_config::{Pool, Shadow, Site};
@@ -42,7 +42,7 @@
     pub(super) name: String,
     pub(super) source: ServerSource,
     pub(super) exchange: Rc<Exchange>,
-    pub(super) transport: Rc<Upstreams>,
+    pub(super) transport: Rc<Http1Transport>,
     /// What copies its requests, if anything does.
     pub(super) mirror: RefCell<Option<Rc<Mirror>>>,
 }
@@ -73,7 +73,7 @@
 pub(super) struct PoolContext {
     pub(super) path: PathBuf,
     pub(super) clock: Clock,
-    pub(super) budget: Rc<Budget>,
+    pub(super) budget: Rc<ConnectionBudget>,
     /// Connections to servers that the budget has at most.
     pub(super) upstreams: usize,
 }
@@ -97,7 +97,7 @@
         source: ServerSource,
     ) -> Result<RunningPool, String> {
         let settings = Rc::new(site.deployment_settings(pool));
-        let transport = Upstreams::new(self.budget.clone(), &settings);
+        let transport = Http1Transport::new(self.budget.clone(), &settings);
         let exchange = Exchange::start(ExchangeOptions {
             settings,
             seed: u64::from(std::process::id()),
@@ -116,7 +116,7 @@
     /// Makes a shadow ready, or says what is wrong.
     pub(super) async fn shadow(&self, site: &Site, shadow: &Shadow) -> Result<Ready, Vec<Problem>> {
         let descriptors = MirrorOptions::sockets(shadow.bounds.in_flight, shadow.pools().count());
-        let Some(sockets) = self.budget.lend(descriptors) else {
+        let Some(sockets) = self.budget.reserve(descriptors) else {
             let name = self.path.display().to_string();
             return Err(vec![Problem {
                 span: shadow.place.span.clone(),
--- a/crates/traffic-mirror/src/side.rs
+++ b/crates/traffic-mirror/src/side.rs
@@ -15,7 +15,7 @@
     Answer, AttemptContext, AttemptOutcome, Clock, EndpointSource, Exchange, ExchangeOptions,
     Fields, LocalFuture, Message, Reply, RequestContext, Service, Transport,
 };
-use sableloom_http1::{Budget, Upstreams};
+use sableloom_http1::{ConnectionBudget, Http1Transport};
 use sableloom_server_files::ServerFiles;
 use sableloom_shadow::{CopyOutcome, End, Pair, Record, Rules, Side, SkipReason, compare};
 use sableloom_toml_diagnostics::Problem;
@@ -105,7 +105,7 @@
 /// Sends copies to one pool.
 struct Copies {
     exchange: Rc<Exchange>,
-    transport: Rc<Upstreams>,
+    transport: Rc<Http1Transport>,
     files: Rc<ServerFiles>,
 }
 
@@ -116,7 +116,8 @@
         settings.policy_limits.max_attempts = 1;
         let settings = Rc::new(settings);
         let files = ServerFiles::open(group.files.clone(), options.clock).await?;
-        let transport = Upstreams::new(Budget::new(options.bounds.in_flight), &settings);
+        let transport =
+            Http1Transport::new(ConnectionBudget::new(options.bounds.in_flight), &settings);
         let source: Rc<dyn EndpointSource> = files.clone();
         let exchange = Exchange::start(ExchangeOptions {
             settings,
@@ -143,7 +144,7 @@
 struct Begun(Rc<Cell<bool>>);
 
 /// A transport that records the start of attempts.
-struct Seen(Rc<Upstreams>);
+struct Seen(Rc<Http1Transport>);
 
 impl Transport for Seen {
     fn attempt(self: Rc<Self>, call: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
