--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -1,6 +1,6 @@
-//! What publisher and subscriber cost by size, as lines of JSON. Processor time is that of this thread, so other
-//! work on the machine disturbs it little; bytes and memory are exact. Times called `model` are of the token bucket
-//! and not of this machine.
+//! The cost of publisher and subscriber by size, as lines of JSON. Processor time is that of this thread, so that other
+//! work on the machine affects it little; bytes and memory are exact. Times named `model` come from the token bucket
+//! and not from this machine.
 //!
 //! `cargo run --release -p sableloom-distribution --example slopes`
 
@@ -20,9 +20,9 @@
 const SERVER_BYTES: usize = 40;
 const ROUTE_BYTES: usize = 90;
 const POOL_BYTES: usize = 120;
-/// Services of a balancer.
+/// Services in the scope of a balancer.
 const SCOPE: usize = 50;
-/// Subscribers of one of 57 control machines, twice that, and all.
+/// Subscribers of one of 57 control machines, twice as many, and the whole fleet.
 const FAN_OUT: [usize; 3] = [133, 267, 7_600];
 
 fn processor_us() -> f64 {
@@ -114,7 +114,7 @@
         self.ends.push(End { subscriber, reader: FrameReader::new() });
     }
 
-    /// Starts or reconnects all at once, and goes on until nothing is left to do.
+    /// Starts or reconnects all subscribers at once, and runs until nothing is left to do.
     fn connect_all(&mut self, first_session: u64) {
         let mut queue = Vec::new();
         for index in 0..self.ends.len() {
@@ -156,7 +156,7 @@
                 }
                 queue = next;
             }
-            // Who waits for bandwidth waits for milliseconds; all other timers run for seconds.
+            // Waits for bandwidth take milliseconds; all other timers run for seconds.
             let Some(due) = self.publisher.due().filter(|due| due.0 < self.now + 500_000) else {
                 return;
             };
@@ -241,7 +241,7 @@
     }
 }
 
-/// So much bandwidth that nothing waits for it.
+/// Enough bandwidth that nothing waits for it.
 fn unlimited() -> PublisherOptions {
     PublisherOptions {
         bytes_per_second: 1 << 40,
@@ -258,7 +258,7 @@
     println!("{line}");
 }
 
-/// One changed server: bytes and processor time of all by how many subscribe to its service.
+/// One changed server: bytes and processor time by the number of subscribers of its service.
 fn change_by_subscribers() {
     for subscribers in [1, 10, 133, 267, 1_000, 7_600] {
         let mut net = Net::new(store(1), unlimited());
@@ -338,12 +338,12 @@
     }
 }
 
-/// All subscribers of a machine at once: from nothing, with all, and ten changes behind.
+/// All subscribers of a machine at once: without any state, with the latest state, and ten changes behind.
 fn resume() {
     let all = 2_500;
     for subscribers in FAN_OUT {
-        // The whole fleet's states would not fit into this process: its services are small, and what a resume costs
-        // goes by their number.
+        // The states of the whole fleet would not fit into this process: the services are small here, and the cost of
+        // a resume follows their number.
         let (servers, routes) = if subscribers > 1_000 { (4, 1) } else { (SERVERS, ROUTES) };
         let mut net = Net::new(store_of(all, servers, routes), PublisherOptions::default());
         for index in 0..subscribers {
--- a/crates/distribution/examples/tenants.rs
+++ b/crates/distribution/examples/tenants.rs
@@ -1,5 +1,5 @@
-//! What limits of tenants take at a control machine and at subscribers, as lines of JSON. Bytes are those that the
-//! allocator was asked for; they are exact and the same on every machine.
+//! The memory of tenants' limits at a control machine and at subscribers, as lines of JSON. Bytes are those requested
+//! from the allocator: exact, and the same on every machine.
 //!
 //! `cargo run --release -p sableloom-distribution --example tenants`
 
@@ -15,7 +15,7 @@
 /// Services of the fleet, and tenants of each.
 const SERVICES: usize = 2_500;
 const TENANTS: usize = 324;
-/// Services of a balancer.
+/// Services in the scope of a balancer.
 const SCOPES: [usize; 2] = [5, 25];
 /// Bytes of a limit's body: version, a float of 8 bytes, a burst of two.
 const BODY_BYTES: usize = 11;
@@ -24,7 +24,7 @@
     ServiceName::try_from(format!("service-{index:04}").as_str()).expect("a name")
 }
 
-/// The tenants of a service as a change file sets them: one name of the file for all.
+/// The tenants of a service as a change file sets them, with one shared name of the file.
 fn tenants(of: &ServiceName, version: u64, file: &Arc<str>) -> Vec<Resource> {
     let tenant = |index: usize| Resource {
         name: ResourceName::tenant(of.clone(), &format!("customer-{index:06}")),
@@ -48,7 +48,8 @@
     store
 }
 
-/// A subscriber that has begun from a saved state. Names of files are apart, as the network gives them.
+/// A subscriber that was restored from a saved state. Each resource has its own copy of the file's name, as when
+/// decoded from a frame.
 fn subscriber(scope: usize) -> Subscriber {
     let saved = |index| {
         let name = service(index);
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames: fixed bytes, any cut of the stream, garbage.
+//! Frames: expected bytes, any fragmentation of the stream, malformed input.
 
 use proptest::prelude::*;
 use sableloom_distribution::{
@@ -20,8 +20,8 @@
     }
 }
 
-/// All that a control machine says, and the frame that must come of it.
-fn to_subscriber() -> Vec<(PublisherMessage, Vec<u8>)> {
+/// Messages of a publisher, with the frame that each encodes to.
+fn publisher_frames() -> Vec<(PublisherMessage, Vec<u8>)> {
     let position = Position { epoch: 1, number: 300, chain: 5 };
     let held = ServiceVersion { service: service("ab"), version: 300, digest: 7 };
     vec![
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn messages_are_these_bytes() {
-    for (message, mut frame) in to_subscriber() {
-        // The length is worked out here, the rest stands above byte by byte.
+fn messages_encode_to_the_expected_bytes_and_decode_back() {
+    for (message, mut frame) in publisher_frames() {
+        // The length is computed here; the rest is given above byte by byte.
         let length = (frame.len() - 4) as u32;
         frame[..4].copy_from_slice(&length.to_be_bytes());
         assert_eq!(encode(&message), frame, "{message:?}");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_long_text_is_cut_at_a_character_and_not_refused() {
+fn a_text_over_the_limit_is_truncated_at_a_character_boundary() {
     let rejection = Rejection {
         resource: resource().name,
         origin: resource().origin,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_tenant_is_these_bytes_and_a_kind_that_is_not_known_is_no_message() {
+fn a_tenant_encodes_to_the_expected_bytes_and_an_unknown_kind_is_malformed() {
     let name = ResourceName::tenant(service("c"), "t");
     let message = PublisherMessage::Changes {
         transfer: 1,
@@ -120,7 +120,7 @@
     let mut frame = vec![0, 0, 0, 10, 2, 3, 1, 1, 1, 1, b'c', 3, 1, b't', 1];
     frame[3] = frame.len() as u8 - 4;
     assert_eq!(encode(&message), frame);
-    // The first kind that there is not yet.
+    // The first number that is no kind.
     frame[11] = 4;
     let mut reader = FrameReader::new();
     reader.push(&frame);
@@ -128,12 +128,12 @@
 }
 
 #[test]
-fn what_is_no_frame_ends_the_stream() {
+fn a_malformed_frame_ends_the_stream_for_good() {
     let end = |bytes: &[u8]| {
         let mut reader = FrameReader::new();
         reader.push(bytes);
         let first = reader.next::<SubscriberMessage>();
-        // For good: a good frame behind it is not read.
+        // A correct frame after it is not read.
         reader.push(&encode(&SubscriberMessage::Ping { sequence: 1 }));
         if first != Ok(None) {
             assert_eq!(reader.next::<SubscriberMessage>(), first);
@@ -144,24 +144,28 @@
     assert_eq!(end(&[0, 0, 0, 0]), Err(CodecError::Empty));
     let too_long = MAX_FRAME_BYTES as u32 + 1;
     assert_eq!(end(&too_long.to_be_bytes()), Err(CodecError::TooLong(MAX_FRAME_BYTES + 1)));
-    // The versions of programs from before and of programs to come.
+    // The versions of earlier programs and of later ones.
     for other in [0, 1, PROTOCOL_VERSION + 1] {
         let version = end(&[0, 0, 0, 9, other]);
-        assert_eq!(version, Err(CodecError::Version(other)), "it is not waited for");
+        assert_eq!(
+            version,
+            Err(CodecError::Version(other)),
+            "it is reported before the frame is complete"
+        );
     }
     assert_eq!(end(&[0, 0, 0, 2, 2, 99]), Err(CodecError::Malformed));
     assert_eq!(
         end(&[0, 0, 0, 4, 2, 4, 7, 0]),
         Err(CodecError::Malformed),
-        "a byte behind the message"
+        "a byte after the message"
     );
     assert_eq!(end(&[0, 0, 0, 5, 2, 1, 1, 1, 0]), Err(CodecError::Malformed), "an empty name");
-    assert_eq!(end(&[0, 0, 0, 3, 2, 4]), Ok(None), "half a frame");
+    assert_eq!(end(&[0, 0, 0, 3, 2, 4]), Ok(None), "an incomplete frame");
 }
 
 #[test]
-fn a_length_within_a_message_allocates_nothing_that_is_not_there() {
-    // A transaction of 2^60 services, of which none follows.
+fn a_claimed_length_allocates_nothing_for_absent_elements() {
+    // A transaction that claims 2^60 services and holds none.
     let mut frame = vec![0, 0, 0, 13, 2, 2, 1, 1];
     frame.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f]);
     let mut reader = FrameReader::new();
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn a_reader_keeps_no_more_than_its_bound() {
+fn a_reader_buffers_no_more_than_its_limit() {
     let mut reader = FrameReader::new();
     let frame = encode(&SubscriberMessage::Ping { sequence: 1 });
     for _ in 0..MAX_BUFFERED_BYTES {
@@ -189,40 +193,40 @@
 
 proptest! {
     #[test]
-    fn garbage_is_never_a_panic(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 0..8)) {
-        let mut to_control = FrameReader::new();
-        let mut to_subscriber = FrameReader::new();
-        for chunk in chunks {
-            to_control.push(&chunk);
-            to_subscriber.push(&chunk);
-            while let Ok(Some(_)) = to_control.next::<SubscriberMessage>() {}
-            while let Ok(Some(_)) = to_subscriber.next::<PublisherMessage>() {}
+    fn random_bytes_never_panic(fragments in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 0..8)) {
+        let mut from_subscriber = FrameReader::new();
+        let mut publisher_frames = FrameReader::new();
+        for fragment in fragments {
+            from_subscriber.push(&fragment);
+            publisher_frames.push(&fragment);
+            while let Ok(Some(_)) = from_subscriber.next::<SubscriberMessage>() {}
+            while let Ok(Some(_)) = publisher_frames.next::<PublisherMessage>() {}
         }
     }
 
     #[test]
-    fn an_altered_message_is_never_a_panic(which in 0usize..6, at in any::<prop::sample::Index>(), byte: u8) {
-        let mut frame = encode(&to_subscriber()[which].0);
+    fn an_altered_message_never_panics(index in 0usize..6, at in any::<prop::sample::Index>(), byte: u8) {
+        let mut frame = encode(&publisher_frames()[index].0);
         let at = 4 + at.index(frame.len() - 4);
         frame[at] = byte;
         let mut reader = FrameReader::new();
         reader.push(&frame);
         while let Ok(Some(message)) = reader.next::<PublisherMessage>() {
-            // What is read can be written.
+            // Whatever decodes can be encoded.
             prop_assert!(encode(&message).len() <= MAX_FRAME_BYTES + 4);
         }
     }
 
     #[test]
-    fn any_cut_of_the_stream_gives_the_same_messages(cuts in proptest::collection::vec(1usize..9, 1..60)) {
-        let messages: Vec<PublisherMessage> = to_subscriber().into_iter().map(|(message, _)| message).collect();
+    fn any_fragmentation_of_the_stream_decodes_to_the_same_messages(cuts in proptest::collection::vec(1usize..9, 1..60)) {
+        let messages: Vec<PublisherMessage> = publisher_frames().into_iter().map(|(message, _)| message).collect();
         let stream: Vec<u8> = messages.iter().flat_map(encode).collect();
         let mut reader = FrameReader::new();
         let mut read = Vec::new();
         let mut rest = &stream[..];
         for length in cuts.iter().cycle() {
-            let (chunk, behind) = rest.split_at((*length).min(rest.len()));
-            reader.push(chunk);
+            let (fragment, behind) = rest.split_at((*length).min(rest.len()));
+            reader.push(fragment);
             read.extend(read_all(&mut reader));
             rest = behind;
             if rest.is_empty() {
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! The control machine's side, one case each.
+//! The publisher, one case per test.
 
 use sableloom_distribution::{
     Base, Change, CloseReason, CodecError, FrameReader, LogEntry, LogStatus, NackReason, Origin,
@@ -23,38 +23,38 @@
     ResourceName::server(service(of), id)
 }
 
-fn nothing(of: &str) -> ServiceVersion {
+fn not_applied(of: &str) -> ServiceVersion {
     ServiceVersion { service: service(of), version: 0, digest: 0 }
 }
 
-/// A publisher and what it has said so far.
-struct Control {
+/// A publisher and its outputs that have not been read.
+struct ControlMachine {
     publisher: Publisher,
     now: i64,
     out: Vec<PublisherOutput>,
-    /// Whether what is handed out counts as written at once.
-    writes: bool,
+    /// Whether queued frames count as written at once.
+    writes_at_once: bool,
 }
 
-impl Control {
-    fn new(limits: StoreLimits, options: PublisherOptions) -> Control {
+impl ControlMachine {
+    fn new(limits: StoreLimits, options: PublisherOptions) -> ControlMachine {
         let publisher = Publisher::new(Store::new(limits), options);
-        Control { publisher, now: 0, out: Vec::new(), writes: true }
+        ControlMachine { publisher, now: 0, out: Vec::new(), writes_at_once: true }
     }
 
-    fn change(&mut self, changes: Vec<Change>) {
+    fn append(&mut self, changes: Vec<Change>) {
         let number = self.publisher.store().position().number + 1;
         let entry = LogEntry { number, epoch: 1, changes, hash: number };
         self.publisher.append(Time(self.now), entry, &mut self.out).expect("a change");
     }
 
-    /// A change of one server, by its number.
-    fn touch(&mut self, of: &str, id: &str) {
+    /// Sets one server by the next change.
+    fn set_server(&mut self, of: &str, id: &str) {
         let number = self.publisher.store().position().number + 1;
-        self.change(vec![set(server(of, id), number, b"body")]);
+        self.append(vec![set(server(of, id), number, b"body")]);
     }
 
-    fn say(&mut self, session: u64, message: SubscriberMessage) {
+    fn send(&mut self, session: u64, message: SubscriberMessage) {
         self.publisher.message(Time(self.now), SessionId(session), message, &mut self.out);
     }
 
@@ -62,8 +62,8 @@
         self.publisher.connected(Time(self.now), SessionId(session));
         let subscriber =
             SubscriberName::try_from(format!("balancer-{session}").as_str()).expect("a name");
-        self.say(session, SubscriberMessage::Hello { subscriber, position });
-        self.say(
+        self.send(session, SubscriberMessage::Hello { subscriber, position });
+        self.send(
             session,
             SubscriberMessage::Scope {
                 generation: 1,
@@ -75,11 +75,11 @@
         );
     }
 
-    /// What has been said to a session since the last time, all written if that is so.
-    fn said(&mut self, session: u64) -> Vec<PublisherMessage> {
+    /// The messages to a session since the last call.
+    fn received(&mut self, session: u64) -> Vec<PublisherMessage> {
         let mut messages = Vec::new();
         loop {
-            let mut kept = Vec::new();
+            let mut other_outputs = Vec::new();
             let mut written = 0;
             for output in std::mem::take(&mut self.out) {
                 match output {
@@ -89,11 +89,11 @@
                         messages.extend(reader.next().expect("a message"));
                         written += frame.len();
                     }
-                    output => kept.push(output),
+                    output => other_outputs.push(output),
                 }
             }
-            self.out = kept;
-            if written == 0 || !self.writes {
+            self.out = other_outputs;
+            if written == 0 || !self.writes_at_once {
                 return messages;
             }
             self.publisher.written(Time(self.now), SessionId(session), written, &mut self.out);
@@ -105,7 +105,7 @@
         self.publisher.tick(Time(self.now), &mut self.out);
     }
 
-    fn closed(&self, session: u64) -> Option<CloseReason> {
+    fn close_reason(&self, session: u64) -> Option<CloseReason> {
         self.out.iter().find_map(|output| match output {
             PublisherOutput::Close { session: SessionId(id), reason } if *id == session => {
                 Some(*reason)
@@ -114,13 +114,13 @@
         })
     }
 
-    fn held(&self, of: &str) -> ServiceVersion {
+    fn latest_version(&self, of: &str) -> ServiceVersion {
         self.publisher.store().service_version(&service(of))
     }
 }
 
-fn control() -> Control {
-    Control::new(StoreLimits::default(), PublisherOptions::default())
+fn machine() -> ControlMachine {
+    ControlMachine::new(StoreLimits::default(), PublisherOptions::default())
 }
 
 fn bases(messages: &[PublisherMessage]) -> Vec<(String, Base)> {
@@ -148,23 +148,23 @@
 }
 
 #[test]
-fn who_has_all_gets_a_bookmark_and_nothing_else() {
-    let mut control = control();
-    control.touch("points", "a");
-    control.connect(
+fn a_subscriber_with_the_latest_versions_gets_only_a_bookmark() {
+    let mut machine = machine();
+    machine.set_server("points", "a");
+    machine.connect(
         1,
-        control.publisher.store().position(),
-        vec![control.held("points"), nothing("unknown")],
+        machine.publisher.store().position(),
+        vec![machine.latest_version("points"), not_applied("unknown")],
     );
-    let said = control.said(1);
+    let said = machine.received(1);
     assert!(
         matches!(said[..], [PublisherMessage::Welcome { .. }, PublisherMessage::Current { .. }]),
         "{said:?}"
     );
-    control.touch("other", "a");
-    assert_eq!(control.said(1), [], "a change of what is not subscribed to");
-    control.say(1, SubscriberMessage::Ping { sequence: 5 });
-    let said = control.said(1);
+    machine.set_server("other", "a");
+    assert_eq!(machine.received(1), [], "a change of what is not subscribed to");
+    machine.send(1, SubscriberMessage::Ping { sequence: 5 });
+    let said = machine.received(1);
     assert!(
         matches!(
             said[..],
@@ -175,25 +175,25 @@
 }
 
 #[test]
-fn a_version_within_the_log_gets_a_delta_and_any_other_a_snapshot_of_just_that_service() {
-    let mut control = Control::new(
+fn a_version_within_the_log_gets_a_delta_and_any_other_a_snapshot_of_that_service_alone() {
+    let mut machine = ControlMachine::new(
         StoreLimits { log_entries: 4, ..StoreLimits::default() },
         PublisherOptions::default(),
     );
     for of in ["old", "points", "drifted", "same"] {
-        control.touch(of, "a");
+        machine.set_server(of, "a");
     }
-    let helds = ["old", "points", "drifted", "same"].map(|of| control.held(of));
-    let position = control.publisher.store().position();
-    control.touch("old", "b");
-    control.touch("points", "b");
-    control.touch("points", "c");
-    control.touch("points", "b");
-    control.touch("points", "d");
-    let mut held = helds.to_vec();
-    held[2].digest ^= 1;
-    control.connect(1, position, held);
-    let said = control.said(1);
+    let applied = ["old", "points", "drifted", "same"].map(|of| machine.latest_version(of));
+    let position = machine.publisher.store().position();
+    machine.set_server("old", "b");
+    machine.set_server("points", "b");
+    machine.set_server("points", "c");
+    machine.set_server("points", "b");
+    machine.set_server("points", "d");
+    let mut applied = applied.to_vec();
+    applied[2].digest ^= 1;
+    machine.connect(1, position, applied);
+    let said = machine.received(1);
     let (points, old, drifted) = ("points".to_owned(), "old".to_owned(), "drifted".to_owned());
     let expected =
         [(points, Base::Delta { from: 2 }), (drifted, Base::Snapshot), (old, Base::Snapshot)];
@@ -207,37 +207,38 @@
 }
 
 #[test]
-fn a_version_that_the_log_knows_with_another_digest_gets_a_snapshot() {
-    let mut control = control();
+fn a_version_within_the_log_with_another_digest_gets_a_snapshot() {
+    let mut machine = machine();
     for id in ["a", "b", "c", "d"] {
-        control.touch("points", id);
+        machine.set_server("points", id);
     }
-    let mut held = control.held("points");
-    control.touch("points", "a");
-    control.touch("points", "b");
-    let position = control.publisher.store().position();
-    control.connect(1, position, vec![held.clone()]);
-    assert_eq!(bases(&control.said(1)), [("points".to_owned(), Base::Delta { from: 4 })]);
-    held.digest ^= 1;
-    control.connect(2, position, vec![held]);
-    assert_eq!(bases(&control.said(2)), [("points".to_owned(), Base::Snapshot)]);
+    let mut applied = machine.latest_version("points");
+    machine.set_server("points", "a");
+    machine.set_server("points", "b");
+    let position = machine.publisher.store().position();
+    machine.connect(1, position, vec![applied.clone()]);
+    assert_eq!(bases(&machine.received(1)), [("points".to_owned(), Base::Delta { from: 4 })]);
+    applied.digest ^= 1;
+    machine.connect(2, position, vec![applied]);
+    assert_eq!(bases(&machine.received(2)), [("points".to_owned(), Base::Snapshot)]);
 }
 
 #[test]
-fn a_change_and_its_reversal_while_away_say_what_was_removed_and_what_came_back() {
-    let mut control = control();
-    control.change(["a", "b", "c", "d"].map(|id| set(server("points", id), 1, b"body")).to_vec());
-    let (held, position) = (control.held("points"), control.publisher.store().position());
-    control.change(vec![
+fn a_change_and_its_reversal_while_disconnected_arrive_as_removal_and_restored_resource() {
+    let mut machine = machine();
+    machine.append(["a", "b", "c", "d"].map(|id| set(server("points", id), 1, b"body")).to_vec());
+    let (applied, position) =
+        (machine.latest_version("points"), machine.publisher.store().position());
+    machine.append(vec![
         set(server("points", "new"), 2, b"x"),
         Change::Remove { name: server("points", "a"), version: 2 },
     ]);
-    control.change(vec![
+    machine.append(vec![
         Change::Remove { name: server("points", "new"), version: 3 },
         set(server("points", "a"), 3, b"body"),
     ]);
-    control.connect(1, position, vec![held]);
-    let said = control.said(1);
+    machine.connect(1, position, vec![applied]);
+    let said = machine.received(1);
     let name = server("points", "new");
     assert_eq!(
         changes(&said),
@@ -246,22 +247,22 @@
 }
 
 #[test]
-fn a_thousand_changes_in_a_second_collapse_for_who_reads_nothing_and_then_it_is_cut() {
-    let mut control = control();
-    control.touch("points", "a");
-    control.connect(1, Position::default(), vec![control.held("points")]);
-    control.said(1);
-    control.writes = false;
+fn changes_collapse_for_a_subscriber_that_does_not_read_and_its_session_is_closed_as_stalled() {
+    let mut machine = machine();
+    machine.set_server("points", "a");
+    machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
+    machine.received(1);
+    machine.writes_at_once = false;
     let mut frames = 0;
     for change in 0..1_000 {
-        control.touch("points", &format!("s-{}", change % 40));
-        control.now += 1_000;
-        frames += control.said(1).len();
+        machine.set_server("points", &format!("s-{}", change % 40));
+        machine.now += 1_000;
+        frames += machine.received(1).len();
     }
-    // The first change is on its way; all others wait as one service.
+    // The first change is in flight; all others are pending as one service.
     assert_eq!(frames, 3);
     let StatusRows::Sessions { sessions, .. } =
-        control.publisher.status_page(Time(control.now), &StatusQuery::Sessions { from: 0 }).rows
+        machine.publisher.status_page(Time(machine.now), &StatusQuery::Sessions { from: 0 }).rows
     else {
         panic!("no sessions");
     };
@@ -275,48 +276,48 @@
     );
     assert!(sessions[0].queued_bytes < 300, "{} bytes", sessions[0].queued_bytes);
     for _ in 0..9 {
-        assert_eq!(control.closed(1), None);
-        control.say(1, SubscriberMessage::Ping { sequence: 0 });
-        control.tick(1);
+        assert_eq!(machine.close_reason(1), None);
+        machine.send(1, SubscriberMessage::Ping { sequence: 0 });
+        machine.tick(1);
     }
-    assert_eq!(control.closed(1), Some(CloseReason::Stalled));
+    assert_eq!(machine.close_reason(1), Some(CloseReason::Stalled));
 }
 
 #[test]
-fn who_reads_and_answers_late_gets_a_thousand_changes_as_one() {
-    let mut control = control();
-    control.touch("points", "a");
-    control.connect(1, Position::default(), vec![control.held("points")]);
-    control.said(1);
-    control.touch("points", "b");
-    let first = control.said(1);
+fn a_subscriber_that_answers_late_gets_a_thousand_changes_in_one_transaction() {
+    let mut machine = machine();
+    machine.set_server("points", "a");
+    machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
+    machine.received(1);
+    machine.set_server("points", "b");
+    let first = machine.received(1);
     for change in 0..1_000 {
-        control.touch("points", &format!("s-{}", change % 40));
+        machine.set_server("points", &format!("s-{}", change % 40));
     }
-    assert_eq!(control.said(1), [], "one transaction of a service at one time");
-    control.say(1, SubscriberMessage::Ack { transfer: transfers(&first)[0] });
-    let second = control.said(1);
+    assert_eq!(machine.received(1), [], "one transaction of a service at one time");
+    machine.send(1, SubscriberMessage::Ack { transfer: transfers(&first)[0] });
+    let second = machine.received(1);
     assert_eq!((transfers(&second).len(), changes(&second).len()), (1, 40));
 }
 
 #[test]
-fn what_one_refuses_is_not_sent_to_it_again_before_something_in_it_changes() {
-    let mut control = control();
-    control.connect(1, Position::default(), vec![nothing("points"), nothing("other")]);
-    control.connect(2, Position::default(), vec![nothing("points")]);
-    assert_eq!(control.closed(1), Some(CloseReason::Refused), "nothing has been read yet");
-    control.out.clear();
-    control.touch("points", "a");
-    control.touch("other", "a");
-    let helds = vec![control.held("points"), control.held("other")];
+fn a_rejected_transaction_is_not_sent_again_before_one_of_its_services_changes() {
+    let mut machine = machine();
+    machine.connect(1, Position::default(), vec![not_applied("points"), not_applied("other")]);
+    machine.connect(2, Position::default(), vec![not_applied("points")]);
+    assert_eq!(machine.close_reason(1), Some(CloseReason::Refused), "nothing has been read yet");
+    machine.out.clear();
+    machine.set_server("points", "a");
+    machine.set_server("other", "a");
+    let applied = vec![machine.latest_version("points"), machine.latest_version("other")];
     for session in [3, 4] {
-        control.connect(session, Position::default(), helds.clone());
-        control.said(session);
+        machine.connect(session, Position::default(), applied.clone());
+        machine.received(session);
     }
-    control
-        .change(vec![set(server("points", "b"), 3, b"bad"), set(server("other", "b"), 3, b"good")]);
-    let refused = transfers(&control.said(3));
-    let taken = transfers(&control.said(4));
+    machine
+        .append(vec![set(server("points", "b"), 3, b"bad"), set(server("other", "b"), 3, b"good")]);
+    let refused = transfers(&machine.received(3));
+    let taken = transfers(&machine.received(4));
     assert_eq!((refused.len(), taken.len()), (1, 1), "both services in one transaction");
     let rejection = Rejection {
         resource: server("points", "b"),
@@ -325,11 +326,11 @@
         problem: "no address".into(),
     };
     let reason = NackReason::Rejected(vec![rejection.clone()]);
-    control.say(3, SubscriberMessage::Nack { transfer: refused[0], reason });
-    control.say(4, SubscriberMessage::Ack { transfer: taken[0] });
-    assert_eq!(transfers(&control.said(3)), [0; 0]);
+    machine.send(3, SubscriberMessage::Nack { transfer: refused[0], reason });
+    machine.send(4, SubscriberMessage::Ack { transfer: taken[0] });
+    assert_eq!(transfers(&machine.received(3)), [0; 0]);
     let StatusRows::Sessions { sessions, .. } =
-        control.publisher.status_page(Time(0), &StatusQuery::Sessions { from: 0 }).rows
+        machine.publisher.status_page(Time(0), &StatusQuery::Sessions { from: 0 }).rows
     else {
         panic!("no sessions");
     };
@@ -343,80 +344,81 @@
         (told.applied_version, told.rejected_version, told.problem.as_ref()),
         (1, 3, Some(&rejection))
     );
-    // Only one of the two changes, and both come.
-    control.touch("other", "c");
-    let said = control.said(3);
+    // Only one of the two services changes, and both are sent.
+    machine.set_server("other", "c");
+    let said = machine.received(3);
     assert_eq!((transfers(&said).len(), bases(&said).len(), changes(&said).len()), (1, 2, 3));
 }
 
 #[test]
-fn a_refusal_told_at_the_resume_is_not_sent_again() {
-    let mut control = control();
-    control.touch("points", "a");
-    let (held, position) = (control.held("points"), control.publisher.store().position());
-    control.touch("points", "b");
-    control.publisher.connected(Time(0), SessionId(1));
+fn a_rejection_reported_at_the_resume_is_not_sent_again() {
+    let mut machine = machine();
+    machine.set_server("points", "a");
+    let (applied, position) =
+        (machine.latest_version("points"), machine.publisher.store().position());
+    machine.set_server("points", "b");
+    machine.publisher.connected(Time(0), SessionId(1));
     let subscriber = SubscriberName::try_from("balancer-1").expect("a name");
-    control.say(1, SubscriberMessage::Hello { subscriber, position });
-    let (add, rejected) = (vec![held], vec![control.held("points")]);
-    control.say(
+    machine.send(1, SubscriberMessage::Hello { subscriber, position });
+    let (add, rejected) = (vec![applied], vec![machine.latest_version("points")]);
+    machine.send(
         1,
         SubscriberMessage::Scope { generation: 1, add, remove: vec![], rejected, last: true },
     );
-    assert_eq!(bases(&control.said(1)), []);
-    control.touch("points", "b");
-    assert_eq!(bases(&control.said(1)).len(), 1);
+    assert_eq!(bases(&machine.received(1)), []);
+    machine.set_server("points", "b");
+    assert_eq!(bases(&machine.received(1)).len(), 1);
 }
 
 #[test]
-fn a_server_removed_while_the_snapshot_is_under_way_is_removed_within_it() {
+fn a_removal_while_a_snapshot_is_being_sent_is_added_to_its_transaction() {
     let options =
         PublisherOptions { max_queued_bytes: 100, chunk_bytes: 50, ..PublisherOptions::default() };
-    let mut control = Control::new(StoreLimits::default(), options);
-    control.change(
+    let mut machine = ControlMachine::new(StoreLimits::default(), options);
+    machine.append(
         (0..20).map(|id| set(server("points", &format!("s-{id:02}")), 1, b"body")).collect(),
     );
-    control.connect(1, Position::default(), vec![nothing("points")]);
-    control.writes = false;
-    let mut said = control.said(1);
+    machine.connect(1, Position::default(), vec![not_applied("points")]);
+    machine.writes_at_once = false;
+    let mut said = machine.received(1);
     assert_eq!(transfers(&said), [0; 0], "not yet whole");
-    control.change(vec![Change::Remove { name: server("points", "s-00"), version: 2 }]);
-    control.writes = true;
-    control.publisher.written(Time(0), SessionId(1), usize::MAX, &mut control.out);
-    said.extend(control.said(1));
+    machine.append(vec![Change::Remove { name: server("points", "s-00"), version: 2 }]);
+    machine.writes_at_once = true;
+    machine.publisher.written(Time(0), SessionId(1), usize::MAX, &mut machine.out);
+    said.extend(machine.received(1));
     assert_eq!(transfers(&said).len(), 1);
     let last = changes(&said).pop();
     assert_eq!(last, Some(Change::Remove { name: server("points", "s-00"), version: 2 }));
     assert!(
-        matches!(said.last(), Some(PublisherMessage::Commit { services, .. }) if services[0] == control.held("points"))
+        matches!(said.last(), Some(PublisherMessage::Commit { services, .. }) if services[0] == machine.latest_version("points"))
     );
 }
 
 #[test]
-fn snapshots_have_turns_and_changes_do_not_wait_for_them() {
+fn snapshots_wait_for_slots_and_deltas_do_not() {
     let options = PublisherOptions { max_snapshots: 1, ..PublisherOptions::default() };
-    let mut control = Control::new(StoreLimits::default(), options);
-    control.touch("points", "a");
-    control.touch("small", "a");
-    let small = control.held("small");
+    let mut machine = ControlMachine::new(StoreLimits::default(), options);
+    machine.set_server("points", "a");
+    machine.set_server("small", "a");
+    let small = machine.latest_version("small");
     for session in 1..=3 {
-        control.connect(session, Position::default(), vec![nothing("points"), small.clone()]);
+        machine.connect(session, Position::default(), vec![not_applied("points"), small.clone()]);
     }
-    let first = control.said(1);
+    let first = machine.received(1);
     assert_eq!(bases(&first).len(), 1);
-    assert_eq!(bases(&control.said(2)), []);
-    let status = control.publisher.status();
+    assert_eq!(bases(&machine.received(2)), []);
+    let status = machine.publisher.status();
     assert_eq!((status.snapshots, status.waiting_for_snapshot), (1, 2));
-    control.touch("small", "b");
-    assert_eq!(bases(&control.said(2)), [("small".to_owned(), Base::Delta { from: 2 })]);
-    // The first goes, and the next has its turn.
-    control.publisher.disconnected(Time(0), SessionId(1), &mut control.out);
-    assert_eq!(bases(&control.said(2)).len(), 1);
-    assert_eq!(bases(&control.said(3)).len(), 1, "the change alone");
+    machine.set_server("small", "b");
+    assert_eq!(bases(&machine.received(2)), [("small".to_owned(), Base::Delta { from: 2 })]);
+    // The first session ends, and the next one gets its slot.
+    machine.publisher.disconnected(Time(0), SessionId(1), &mut machine.out);
+    assert_eq!(bases(&machine.received(2)).len(), 1);
+    assert_eq!(bases(&machine.received(3)).len(), 1, "the change alone");
 }
 
 #[test]
-fn bytes_a_second_are_bounded_and_changes_go_before_snapshots() {
+fn bandwidth_is_bounded_and_deltas_go_before_snapshots() {
     let options = PublisherOptions {
         bytes_per_second: 10_000,
         burst_bytes: 2_000,
@@ -424,28 +426,28 @@
         max_snapshots: 100,
         ..PublisherOptions::default()
     };
-    let mut control = Control::new(StoreLimits::default(), options);
-    control.change(
+    let mut machine = ControlMachine::new(StoreLimits::default(), options);
+    machine.append(
         (0..40).map(|id| set(server("points", &format!("s-{id}")), 1, &[0; 100])).collect(),
     );
-    control.touch("small", "a");
-    let small = control.held("small");
+    machine.set_server("small", "a");
+    let small = machine.latest_version("small");
     for session in 1..=20 {
-        control.connect(session, Position::default(), vec![nothing("points"), small.clone()]);
+        machine.connect(session, Position::default(), vec![not_applied("points"), small.clone()]);
     }
-    control.connect(21, Position::default(), vec![small]);
+    machine.connect(21, Position::default(), vec![small]);
     let mut sent = 0;
     let mut change_seen = None;
     for step in 0..400 {
         if step == 100 {
-            control.touch("small", "b");
+            machine.set_server("small", "b");
         }
-        for output in std::mem::take(&mut control.out) {
+        for output in std::mem::take(&mut machine.out) {
             let PublisherOutput::Send { session, frame } = output else {
                 panic!("{output:?}");
             };
             sent += frame.len();
-            control.publisher.written(Time(control.now), session, frame.len(), &mut control.out);
+            machine.publisher.written(Time(machine.now), session, frame.len(), &mut machine.out);
             let mut reader = FrameReader::new();
             reader.push(&frame);
             let message: Option<PublisherMessage> = reader.next().expect("a message");
@@ -455,39 +457,39 @@
                 change_seen = change_seen.or(Some(step));
             }
         }
-        let allowed = 2_000 + control.now / 100 + 1_000;
-        assert!(sent as i64 <= allowed, "{sent} bytes at {} us", control.now);
-        control.now += 10_000;
-        control.publisher.tick(Time(control.now), &mut control.out);
+        let allowed = 2_000 + machine.now / 100 + 1_000;
+        assert!(sent as i64 <= allowed, "{sent} bytes at {} us", machine.now);
+        machine.now += 10_000;
+        machine.publisher.tick(Time(machine.now), &mut machine.out);
     }
     assert!(sent > 35_000, "{sent} bytes: what may be sent is sent");
-    // The snapshots take all the time there is; the change comes before them.
+    // The snapshots use all bandwidth; the delta is sent before them.
     assert!(change_seen.is_some_and(|step| step < 130), "{change_seen:?}");
 }
 
 #[test]
-fn what_did_not_fit_comes_again_as_a_snapshot_and_the_third_time_ends_the_session() {
-    let mut control = control();
-    control.change(["a", "b", "c"].map(|id| set(server("points", id), 1, b"body")).to_vec());
-    let held = control.held("points");
-    control.connect(1, Position::default(), vec![held.clone()]);
-    control.said(1);
-    control.touch("points", "a");
-    let mut said = control.said(1);
+fn a_mismatch_is_answered_by_a_snapshot_and_the_third_in_a_row_ends_the_session() {
+    let mut machine = machine();
+    machine.append(["a", "b", "c"].map(|id| set(server("points", id), 1, b"body")).to_vec());
+    let applied = machine.latest_version("points");
+    machine.connect(1, Position::default(), vec![applied.clone()]);
+    machine.received(1);
+    machine.set_server("points", "a");
+    let mut said = machine.received(1);
     assert_eq!(bases(&said)[0].1, Base::Delta { from: 1 });
     for _ in 0..2 {
-        let reason = NackReason::Mismatch(vec![held.clone()]);
-        control.say(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
-        said = control.said(1);
+        let reason = NackReason::Mismatch(vec![applied.clone()]);
+        machine.send(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
+        said = machine.received(1);
         assert_eq!(bases(&said)[0].1, Base::Snapshot);
     }
-    let reason = NackReason::Mismatch(vec![held]);
-    control.say(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
-    assert_eq!(control.closed(1), Some(CloseReason::Mismatch));
+    let reason = NackReason::Mismatch(vec![applied]);
+    machine.send(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
+    assert_eq!(machine.close_reason(1), Some(CloseReason::Mismatch));
 }
 
 #[test]
-fn what_is_too_large_for_one_transaction_comes_by_service() {
+fn a_group_too_large_for_one_transaction_is_split_by_service() {
     for (max_transaction_bytes, services, transactions) in
         [(1_000, 10, 1), (100, 10, 2), (1_000, 1, 2)]
     {
@@ -496,20 +498,20 @@
             max_transaction_services: services,
             ..PublisherOptions::default()
         };
-        let mut control = Control::new(StoreLimits::default(), options);
-        control.change(vec![set(server("points", "a"), 1, b""), set(server("other", "a"), 1, b"")]);
-        let helds = vec![control.held("points"), control.held("other")];
-        control.connect(1, Position::default(), helds);
-        control.said(1);
-        control.change(vec![
+        let mut machine = ControlMachine::new(StoreLimits::default(), options);
+        machine.append(vec![set(server("points", "a"), 1, b""), set(server("other", "a"), 1, b"")]);
+        let applied = vec![machine.latest_version("points"), machine.latest_version("other")];
+        machine.connect(1, Position::default(), applied);
+        machine.received(1);
+        machine.append(vec![
             set(server("points", "b"), 2, &[0; 40]),
             set(server("other", "b"), 2, &[0; 40]),
         ]);
-        let mut said = control.said(1);
-        // The second may wait for the first, for the bytes on the way have the same bound.
+        let mut said = machine.received(1);
+        // The second may wait for the first, as the bytes in flight have the same bound.
         for transfer in transfers(&said.clone()) {
-            control.say(1, SubscriberMessage::Ack { transfer });
-            said.extend(control.said(1));
+            machine.send(1, SubscriberMessage::Ack { transfer });
+            said.extend(machine.received(1));
         }
         assert_eq!(
             (transfers(&said).len(), bases(&said).len()),
@@ -520,60 +522,60 @@
 }
 
 #[test]
-fn one_tick_spends_all_that_may_be_spent() {
+fn one_tick_spends_all_available_bandwidth() {
     let options = PublisherOptions {
         bytes_per_second: 4_000,
         burst_bytes: 4_000,
         chunk_bytes: 100,
         ..PublisherOptions::default()
     };
-    let mut control = Control::new(StoreLimits::default(), options);
-    control.change(
+    let mut machine = ControlMachine::new(StoreLimits::default(), options);
+    machine.append(
         (0..200).map(|id| set(server("points", &format!("s-{id}")), 1, &[0; 50])).collect(),
     );
     for session in 1..=2 {
-        control.connect(session, Position::default(), vec![nothing("points")]);
+        machine.connect(session, Position::default(), vec![not_applied("points")]);
     }
-    control.said(1);
-    control.said(2);
-    control.tick(1);
+    machine.received(1);
+    machine.received(2);
+    machine.tick(1);
     let sent = |output: &PublisherOutput| match output {
         PublisherOutput::Send { frame, .. } => frame.len(),
         PublisherOutput::Close { .. } => 0,
     };
-    let bytes: usize = control.out.iter().map(sent).sum();
+    let bytes: usize = machine.out.iter().map(sent).sum();
     assert!((3_800..4_200).contains(&bytes), "{bytes} bytes");
 }
 
 #[test]
-fn silent_and_unanswering_sessions_are_closed() {
+fn sessions_that_are_silent_or_do_not_answer_are_closed() {
     let options =
         PublisherOptions { silence_timeout: Span(5 * SECOND), ..PublisherOptions::default() };
-    let mut control = Control::new(StoreLimits::default(), options);
-    control.touch("points", "a");
-    control.connect(1, Position::default(), vec![nothing("points")]);
-    control.connect(2, Position::default(), vec![]);
-    control.said(1);
-    control.said(2);
+    let mut machine = ControlMachine::new(StoreLimits::default(), options);
+    machine.set_server("points", "a");
+    machine.connect(1, Position::default(), vec![not_applied("points")]);
+    machine.connect(2, Position::default(), vec![]);
+    machine.received(1);
+    machine.received(2);
     for _ in 0..30 {
-        control.say(1, SubscriberMessage::Ping { sequence: 0 });
-        control.said(1);
-        control.tick(1);
+        machine.send(1, SubscriberMessage::Ping { sequence: 0 });
+        machine.received(1);
+        machine.tick(1);
     }
-    assert_eq!(control.closed(2), Some(CloseReason::Silent));
-    assert_eq!(control.closed(1), Some(CloseReason::Unacknowledged));
-    assert_eq!(control.publisher.due(), None, "no session, nothing to do");
+    assert_eq!(machine.close_reason(2), Some(CloseReason::Silent));
+    assert_eq!(machine.close_reason(1), Some(CloseReason::Unacknowledged));
+    assert_eq!(machine.publisher.due(), None, "no session, nothing to do");
 }
 
 #[test]
-fn what_may_not_be_said_ends_the_session_and_is_counted() {
+fn a_protocol_violation_ends_the_session_and_is_counted() {
     let hello = || SubscriberMessage::Hello {
         subscriber: SubscriberName::try_from("b").expect("a name"),
         position: Position::default(),
     };
     let scope = |generation, count: usize| SubscriberMessage::Scope {
         generation,
-        add: (0..count).map(|index| nothing(&format!("s-{index}"))).collect(),
+        add: (0..count).map(|index| not_applied(&format!("s-{index}"))).collect(),
         remove: vec![],
         rejected: vec![],
         last: true,
@@ -587,67 +589,67 @@
         vec![hello(), scope(1, 1), SubscriberMessage::Ack { transfer: 9 }],
     ];
     for messages in cases {
-        let mut control = control();
-        control.touch("points", "a");
-        control.publisher.connected(Time(0), SessionId(1));
+        let mut machine = machine();
+        machine.set_server("points", "a");
+        machine.publisher.connected(Time(0), SessionId(1));
         for message in &messages {
-            control.say(1, message.clone());
+            machine.send(1, message.clone());
         }
-        assert!(matches!(control.closed(1), Some(CloseReason::Violation(_))), "{messages:?}");
-        assert_eq!(control.publisher.counters().violations, 1);
+        assert!(matches!(machine.close_reason(1), Some(CloseReason::Violation(_))), "{messages:?}");
+        assert_eq!(machine.publisher.counters().violations, 1);
     }
     let options = PublisherOptions { max_scope_services: 10, ..PublisherOptions::default() };
-    let mut control = Control::new(StoreLimits::default(), options);
-    control.touch("points", "a");
-    control.connect(
+    let mut machine = ControlMachine::new(StoreLimits::default(), options);
+    machine.set_server("points", "a");
+    machine.connect(
         1,
         Position::default(),
-        (0..11).map(|index| nothing(&format!("s-{index}"))).collect(),
+        (0..11).map(|index| not_applied(&format!("s-{index}"))).collect(),
     );
-    assert_eq!(control.closed(1), Some(CloseReason::Refused));
+    assert_eq!(machine.close_reason(1), Some(CloseReason::Refused));
     assert_eq!(
-        control.said(1).pop(),
+        machine.received(1).pop(),
         Some(PublisherMessage::Refused(Refusal::ScopeTooLarge { max: 10 }))
     );
 }
 
 #[test]
-fn the_status_says_since_when_a_subscriber_lags_and_what_the_log_waits_for() {
-    let mut control = control();
-    control.touch("points", "a");
-    control.connect(1, Position::default(), vec![control.held("points")]);
-    control.said(1);
-    let behind = |control: &Control| {
+fn the_status_reports_since_when_a_subscriber_lags_and_why_the_log_is_blocked() {
+    let mut machine = machine();
+    machine.set_server("points", "a");
+    machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
+    machine.received(1);
+    let behind = |machine: &ControlMachine| {
         let query = StatusQuery::Sessions { from: 0 };
-        let page = control.publisher.status_page(Time(control.now), &query);
+        let page = machine.publisher.status_page(Time(machine.now), &query);
         let StatusRows::Sessions { sessions, .. } = page.rows else { panic!("no sessions") };
         sessions[0].lags.iter().map(|lag| lag.behind_ms).collect::<Vec<_>>()
     };
-    assert_eq!(behind(&control), [0; 0]);
-    control.touch("points", "b");
-    let first = transfers(&control.said(1));
-    control.now += 2 * SECOND;
-    control.touch("points", "c");
-    control.now += SECOND;
-    assert_eq!(behind(&control), [3_000], "since the first that it has not");
-    control.say(1, SubscriberMessage::Ack { transfer: first[0] });
-    let second = transfers(&control.said(1));
-    assert_eq!(behind(&control), [3_000], "it has caught up in part");
-    control.say(1, SubscriberMessage::Ack { transfer: second[0] });
-    assert_eq!(behind(&control), [0; 0]);
-    control.touch("points", "d");
-    control.now += SECOND;
-    assert_eq!(behind(&control), [1_000], "since it fell behind anew");
+    assert_eq!(behind(&machine), [0; 0]);
+    machine.set_server("points", "b");
+    let first = transfers(&machine.received(1));
+    machine.now += 2 * SECOND;
+    machine.set_server("points", "c");
+    machine.now += SECOND;
+    assert_eq!(behind(&machine), [3_000], "since the first that it has not");
+    machine.send(1, SubscriberMessage::Ack { transfer: first[0] });
+    let second = transfers(&machine.received(1));
+    assert_eq!(behind(&machine), [3_000], "it has caught up in part");
+    machine.send(1, SubscriberMessage::Ack { transfer: second[0] });
+    assert_eq!(behind(&machine), [0; 0]);
+    machine.set_server("points", "d");
+    machine.now += SECOND;
+    assert_eq!(behind(&machine), [1_000], "since it fell behind anew");
 
     let log = LogStatus { next: 4, latest: 6, blocked_reason: "00000004.toml: missing".into() };
-    control.publisher.set_log_status(log.clone());
-    control.publisher.malformed(
-        Time(control.now),
+    machine.publisher.set_log_status(log.clone());
+    machine.publisher.malformed(
+        Time(machine.now),
         SessionId(1),
         CodecError::Empty,
-        &mut control.out,
+        &mut machine.out,
     );
-    let page = control.publisher.status_page(Time(control.now), &StatusQuery::Machine);
+    let page = machine.publisher.status_page(Time(machine.now), &StatusQuery::Machine);
     let StatusRows::Machine(machine) = page.rows else { panic!("no machine") };
     assert_eq!((machine.log, machine.violations, machine.silent), (log, 1, 0));
 }
--- a/crates/distribution/tests/sim/shell.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -1,4 +1,4 @@
-//! The part of a balancer that applies transactions, and checks each against what the operators wrote.
+//! The part of a balancer that applies transactions, and checks each against the operators' log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,24 +6,24 @@
     Change, Position, Rejection, ResourceName, SavedState, ServiceName, ServiceUpdate, Transaction,
 };
 
-use super::history::{BAD, Contents, History, digest};
+use super::history::{BAD_BODY, Contents, History, digest};
 
-pub struct Applied {
-    pub epoch: u32,
-    pub version: u64,
-    pub contents: Contents,
+pub(crate) struct Applied {
+    pub(crate) epoch: u32,
+    pub(crate) version: u64,
+    pub(crate) contents: Contents,
 }
 
 #[derive(Default)]
-pub struct Shell {
-    pub services: BTreeMap<ServiceName, Applied>,
-    pub scope: BTreeSet<ServiceName>,
-    /// Refuses bodies that begin with [`BAD`].
-    pub picky: bool,
+pub(crate) struct Applier {
+    pub(crate) services: BTreeMap<ServiceName, Applied>,
+    pub(crate) scope: BTreeSet<ServiceName>,
+    /// Rejects bodies that begin with [`BAD_BODY`].
+    pub(crate) validates: bool,
 }
 
-impl Shell {
-    pub fn restore(&mut self, saved: &SavedState) {
+impl Applier {
+    pub(crate) fn restore(&mut self, saved: &SavedState) {
         self.services.clear();
         for service in &saved.services {
             let contents = service.resources.iter().map(|r| (r.name.clone(), r.clone())).collect();
@@ -32,26 +32,26 @@
         }
     }
 
-    pub fn set_scope(&mut self, scope: &BTreeSet<ServiceName>) {
+    pub(crate) fn set_scope(&mut self, scope: &BTreeSet<ServiceName>) {
         self.services.retain(|service, _| scope.contains(service));
         self.scope = scope.clone();
     }
 
-    /// Applies all or nothing, and panics if what comes of it is not what the operators wrote.
-    pub fn apply(
+    /// Applies all of a transaction or nothing, and panics if the result differs from the operators' log.
+    pub(crate) fn apply(
         &mut self,
         transaction: &Transaction,
         histories: &[History],
-        whole: bool,
+        checks_atomicity: bool,
     ) -> Result<(), Vec<Rejection>> {
-        if self.picky {
+        if self.validates {
             let problems = refusals(transaction);
             if !problems.is_empty() {
                 return Err(problems);
             }
         }
         let history = of_position(histories, transaction.position);
-        if whole {
+        if checks_atomicity {
             self.check_together(transaction, history);
         }
         for update in &transaction.services {
@@ -81,7 +81,7 @@
                 }
                 Change::Remove { name, .. } => drop(contents.remove(name)),
                 Change::RemoveService { .. } => {
-                    panic!("the removal of a service is handed to the shell")
+                    panic!("the removal of a service is handed out")
                 }
             }
         }
@@ -99,7 +99,7 @@
             "the digest of {} does not fit",
             update.service
         );
-        // Version 0 is that of a service of which the history knows nothing.
+        // Version 0: the log has no change of the service.
         let nothing = Contents::new();
         let known = history.was.get(&(update.service.clone(), update.version));
         let truth = known.or((update.version == 0).then_some(&nothing));
@@ -114,7 +114,7 @@
         self.services.insert(update.service.clone(), applied);
     }
 
-    /// A change that touched several services comes in force for all of them at once, where all had been current.
+    /// A change that touched several services is applied to all of them at once, where all had been current.
     fn check_together(&self, transaction: &Transaction, history: &History) {
         let after = |service: &ServiceName| {
             let updated = transaction.services.iter().find(|update| update.service == *service);
@@ -146,8 +146,8 @@
     }
 }
 
-/// The history that has been read up to a position.
-pub fn of_position(histories: &[History], position: Position) -> &History {
+/// The log that has been read up to a position.
+pub(crate) fn of_position(histories: &[History], position: Position) -> &History {
     let found = histories.iter().find(|history| history.chains.contains(&position.chain));
     found.unwrap_or_else(|| panic!("no history has {position}"))
 }
@@ -162,7 +162,7 @@
 fn refusals(transaction: &Transaction) -> Vec<Rejection> {
     let changes = transaction.services.iter().flat_map(|update| &update.changes);
     let bad = |change: &Change| match change {
-        Change::Set(resource) if resource.body.as_slice().first() == Some(&BAD) => {
+        Change::Set(resource) if resource.body.as_slice().first() == Some(&BAD_BODY) => {
             Some(Rejection {
                 resource: resource.name.clone(),
                 origin: resource.origin.clone(),
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers: a subscriber, its shell, and what is saved of it.
+//! Balancers: a subscriber, the part that applies transactions, and the saved state.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use super::world::{Event, MS, SECOND, World};
 
 impl World {
-    pub(super) fn start_subscriber(&mut self, index: usize) {
+    pub(crate) fn start_subscriber(&mut self, index: usize) {
         if self.balancers[index].subscriber.is_some() {
             return;
         }
@@ -32,8 +32,8 @@
             SubscriberTiming { backoff_max: Span(3 * SECOND), ..SubscriberTiming::default() };
         balancer.subscriber = Some(Subscriber::new(options));
         let scope = balancer.scope.clone();
-        balancer.shell.restore(&balancer.saved.clone().unwrap_or_default());
-        balancer.shell.set_scope(&scope);
+        balancer.applier.restore(&balancer.saved.clone().unwrap_or_default());
+        balancer.applier.set_scope(&scope);
         self.with_subscriber(index, |subscriber, now, out| subscriber.start(now, out));
         let balancer = &mut self.balancers[index];
         if let Some(subscriber) = &balancer.subscriber {
@@ -42,11 +42,11 @@
                 .filter(|held| held.version > 0)
                 .map(|held| held.service)
                 .collect();
-            balancer.shell.services.retain(|service, _| held.contains(service));
+            balancer.applier.services.retain(|service, _| held.contains(service));
         }
     }
 
-    pub(super) fn with_subscriber(
+    pub(crate) fn with_subscriber(
         &mut self,
         index: usize,
         act: impl FnOnce(&mut Subscriber, Time, &mut Vec<SubscriberOutput>),
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(super) fn subscriber_timer(&mut self, index: usize) {
+    pub(crate) fn subscriber_timer(&mut self, index: usize) {
         self.balancers[index].timer = None;
         let thaw = self.balancers[index].frozen_until;
         if thaw > self.now {
@@ -88,7 +88,7 @@
         self.with_subscriber(index, |subscriber, now, out| subscriber.tick(now, out));
     }
 
-    pub(super) fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
+    pub(crate) fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
         match output {
             SubscriberOutput::Connect { control } => {
                 let id = self.next_connection;
@@ -134,8 +134,8 @@
         }
     }
 
-    pub(super) fn apply(&mut self, index: usize, incarnation: u32) {
-        let whole = self.kinds.whole;
+    pub(crate) fn apply(&mut self, index: usize, incarnation: u32) {
+        let checks_atomicity = self.kinds.checks_atomicity;
         let balancer = &mut self.balancers[index];
         if balancer.incarnation != incarnation || balancer.subscriber.is_none() {
             return;
@@ -144,18 +144,18 @@
             return;
         };
         let result: Result<(), Vec<Rejection>> =
-            balancer.shell.apply(&transaction, &self.histories, whole);
+            balancer.applier.apply(&transaction, &self.histories, checks_atomicity);
         self.with_subscriber(index, |subscriber, now, out| {
             subscriber.apply_finished(now, transaction.transfer, result, out);
         });
         let balancer = &self.balancers[index];
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
-            for (service, applied) in &balancer.shell.services {
+            for (service, applied) in &balancer.applier.services {
                 let held: Vec<_> = subscriber.resources(service).collect();
-                // A service that has left the scope and come back is empty until its snapshot comes.
+                // A service that has left the scope and returned is empty until its snapshot comes.
                 assert!(
                     held.is_empty() || held.iter().copied().eq(applied.contents.values()),
-                    "shell and subscriber differ"
+                    "applier and subscriber differ"
                 );
             }
         }
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -1,4 +1,4 @@
-//! Control machines: they read the operator's files, each in its own time, and publish.
+//! Control machines: each reads the operators' files at its own pace, and publishes them.
 
 use oorandom::Rand64;
 use sableloom_distribution::{
@@ -12,7 +12,7 @@
 use super::world::{Event, FRAME_SLACK, MS, SECOND, World};
 
 impl World {
-    pub(super) fn start_control(&mut self, control: usize) {
+    pub(crate) fn start_control(&mut self, control: usize) {
         if self.controls[control].publisher.is_some() {
             return;
         }
@@ -22,7 +22,7 @@
         state.publisher = Some(Publisher::new(store, self.options));
     }
 
-    pub(super) fn read_store(&mut self, control: usize) -> Store {
+    pub(crate) fn read_store(&mut self, control: usize) -> Store {
         let mut store = Store::new(self.limits);
         let state = &self.controls[control];
         let history = &self.histories[state.history];
@@ -33,7 +33,7 @@
         store
     }
 
-    pub(super) fn read(&mut self, control: usize) {
+    pub(crate) fn read(&mut self, control: usize) {
         let again = self.after(5 * MS, 150 * MS);
         self.at(again, Event::Read { control });
         let now = self.now;
@@ -41,11 +41,12 @@
         if state.publisher.is_none() || state.lags_until > now || state.frozen_until > now {
             return;
         }
-        let forked = self.kinds.forks && !self.quiet && state.history != self.canon;
-        if state.history != self.canon
-            && !(forked && self.histories[state.history].epoch == self.histories[self.canon].epoch)
+        let forked = self.kinds.forks && !self.quiet && state.history != self.head_log;
+        if state.history != self.head_log
+            && !(forked
+                && self.histories[state.history].epoch == self.histories[self.head_log].epoch)
         {
-            self.controls[control].history = self.canon;
+            self.controls[control].history = self.head_log;
             let store = self.read_store(control);
             self.with_publisher(control, |publisher, now, out| {
                 publisher.replace_store(now, store, out)
@@ -69,7 +70,7 @@
         }
     }
 
-    pub(super) fn with_publisher(
+    pub(crate) fn with_publisher(
         &mut self,
         control: usize,
         act: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>),
@@ -97,7 +98,7 @@
         }
     }
 
-    pub(super) fn control_timer(&mut self, control: usize) {
+    pub(crate) fn control_timer(&mut self, control: usize) {
         self.controls[control].timer = None;
         let thaw = self.controls[control].frozen_until;
         if thaw > self.now {
@@ -110,7 +111,7 @@
         });
     }
 
-    pub(super) fn publisher_output(&mut self, control: usize, output: PublisherOutput) {
+    pub(crate) fn publisher_output(&mut self, control: usize, output: PublisherOutput) {
         match output {
             PublisherOutput::Send { session, frame } => {
                 let frame = self.watch_frame(session.0, frame);
@@ -129,8 +130,8 @@
         let _ = control;
     }
 
-    /// Counts what is begun, and now and then flips a bit of a body.
-    pub(super) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
+    /// Counts the transactions that begin, and sometimes flips a bit of a body.
+    pub(crate) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
         let Ok(Some(message)) = reader.next::<PublisherMessage>() else {
@@ -160,7 +161,7 @@
     }
 }
 
-pub(super) fn publisher_options(random: &mut Rand64, whole: bool) -> PublisherOptions {
+pub(crate) fn publisher_options(random: &mut Rand64, checks_atomicity: bool) -> PublisherOptions {
     let mut pick = |from: u64, to: u64| random.rand_range(from..to);
     PublisherOptions {
         bytes_per_second: pick(4_000, 200_000),
@@ -168,7 +169,7 @@
         max_snapshots: pick(1, 3) as usize,
         max_queued_bytes: pick(100, 3_000) as usize,
         max_unacknowledged: pick(1, 5) as usize,
-        max_transaction_bytes: if whole { 8_000 } else { pick(300, 4_000) as usize },
+        max_transaction_bytes: if checks_atomicity { 8_000 } else { pick(300, 4_000) as usize },
         chunk_bytes: pick(60, 1_000) as usize,
         stall_timeout: Span(5 * SECOND),
         acknowledge_timeout: Span(6 * SECOND),
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -1,4 +1,4 @@
-//! What has happened over all schedules, by name and count.
+//! What all schedules together have exercised, by name and count.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
     SubscriberEvent,
 };
 
-/// What has happened over all schedules: each must have been met at least once.
+/// What all schedules together have exercised.
 #[derive(Default, Debug)]
-pub struct Coverage {
-    pub publisher: PublisherCounters,
-    pub subscriber: SubscriberCounters,
-    pub reasons: BTreeMap<String, u64>,
-    pub events: u64,
+pub(crate) struct Coverage {
+    pub(crate) publisher: PublisherCounters,
+    pub(crate) subscriber: SubscriberCounters,
+    pub(crate) reasons: BTreeMap<String, u64>,
+    pub(crate) events: u64,
 }
 
-/// Garbage and all else by the kind of fault alone.
-pub fn control_reason_name(reason: CloseReason) -> String {
+/// The name of a reason; of malformed frames by the kind of error alone.
+pub(crate) fn control_reason_name(reason: CloseReason) -> String {
     match reason {
         CloseReason::Malformed(error) => format!("control: garbage, {}", codec_error_name(error)),
         reason => format!("control: {reason}"),
@@ -34,7 +34,7 @@
     }
 }
 
-pub fn reason_name(reason: &DisconnectReason) -> String {
+pub(crate) fn reason_name(reason: &DisconnectReason) -> String {
     let name = match reason {
         DisconnectReason::ConnectFailed(_) => "connect failed",
         DisconnectReason::Lost(_) => "lost",
@@ -51,7 +51,7 @@
     format!("subscriber: {name}")
 }
 
-pub fn event_name(event: &SubscriberEvent) -> &'static str {
+pub(crate) fn event_name(event: &SubscriberEvent) -> &'static str {
     match event {
         SubscriberEvent::Connected { .. } => "event: connected",
         SubscriberEvent::Disconnected { .. } => "event: disconnected",
@@ -65,7 +65,7 @@
     }
 }
 
-pub fn add_publisher(sum: &mut PublisherCounters, more: PublisherCounters) {
+pub(crate) fn add_publisher(sum: &mut PublisherCounters, more: PublisherCounters) {
     sum.sessions += more.sessions;
     sum.refused += more.refused;
     sum.transactions += more.transactions;
@@ -81,7 +81,7 @@
     sum.violations += more.violations;
 }
 
-pub fn add_subscriber(sum: &mut SubscriberCounters, more: SubscriberCounters) {
+pub(crate) fn add_subscriber(sum: &mut SubscriberCounters, more: SubscriberCounters) {
     sum.applied += more.applied;
     sum.snapshots += more.snapshots;
     sum.rejected += more.rejected;
--- a/crates/distribution/tests/sim/faults.rs
+++ b/crates/distribution/tests/sim/faults.rs
@@ -1,4 +1,4 @@
-//! What the operator does and what goes wrong.
+//! Changes by the operators, and faults.
 
 use std::collections::BTreeSet;
 
@@ -11,29 +11,29 @@
 use super::world::{Event, MS, World};
 
 impl World {
-    pub fn operator_writes(&mut self) {
-        let World { histories, canon, random, .. } = self;
+    pub(crate) fn operator_writes(&mut self) {
+        let World { histories, head_log, random, .. } = self;
         if random.rand_range(0..6) == 0 {
-            histories[*canon].push_reversal();
+            histories[*head_log].push_reversal();
         } else {
-            histories[*canon].push_random(random);
+            histories[*head_log].push_random(random);
         }
     }
 
-    pub(super) fn new_epoch(&mut self) {
-        let canon = &self.histories[self.canon];
-        let (number, epoch) = (canon.number(), canon.epoch);
+    pub(crate) fn new_epoch(&mut self) {
+        let head_log = &self.histories[self.head_log];
+        let (number, epoch) = (head_log.number(), head_log.epoch);
         let kept = number - self.random.rand_range(0..number.clamp(1, 10));
-        let mut history = self.histories[self.canon].fork(kept, epoch + 1);
+        let mut history = self.histories[self.head_log].fork(kept, epoch + 1);
         history.push_random(&mut self.random);
         while history.chains.len() <= kept as usize {
             history.push_random(&mut self.random);
         }
         self.histories.push(history);
-        self.canon = self.histories.len() - 1;
+        self.head_log = self.histories.len() - 1;
     }
 
-    pub(super) fn fault(&mut self) {
+    pub(crate) fn fault(&mut self) {
         if self.quiet {
             return;
         }
@@ -65,15 +65,15 @@
                 self.cuts.insert((control, index, true), span);
             }),
             17 => self.reset_connection(index),
-            18 if !self.kinds.whole => self.move_scope(index),
-            19 if !self.kinds.whole => self.corrupt(index),
+            18 if !self.kinds.checks_atomicity => self.move_scope(index),
+            19 if !self.kinds.checks_atomicity => self.corrupt(index),
             20 => self.garbage(index),
             21 => self.damage_saved_state(index, span),
             _ => {}
         }
     }
 
-    pub fn crash_control(&mut self, control: usize, until: i64) {
+    pub(crate) fn crash_control(&mut self, control: usize, until: i64) {
         let Some(publisher) = self.controls[control].publisher.take() else {
             return;
         };
@@ -91,9 +91,9 @@
         self.at(until, Event::StartControl { control });
     }
 
-    /// A control machine comes back with an older copy of the files, or with others.
-    pub(super) fn fork_or_copy(&mut self, control: usize) {
-        let number = self.histories[self.canon].number();
+    /// A control machine restarts with an older copy of the files, or with a fork of them.
+    pub(crate) fn fork_or_copy(&mut self, control: usize) {
+        let number = self.histories[self.head_log].number();
         let back = number - self.random.rand_range(0..number.clamp(1, 8));
         let soon = self.now + 50 * MS;
         if !self.kinds.forks {
@@ -101,8 +101,8 @@
             self.crash_control(control, soon);
             return;
         }
-        let epoch = self.histories[self.canon].epoch;
-        let mut fork = self.histories[self.canon].fork(back, epoch);
+        let epoch = self.histories[self.head_log].epoch;
+        let mut fork = self.histories[self.head_log].fork(back, epoch);
         for _ in 0..self.below(6) + 1 {
             fork.push_random(&mut self.random);
         }
@@ -111,7 +111,7 @@
         self.crash_control(control, soon);
     }
 
-    pub(super) fn crash_subscriber(&mut self, index: usize, until: i64) {
+    pub(crate) fn crash_subscriber(&mut self, index: usize, until: i64) {
         let Some(subscriber) = self.balancers[index].subscriber.take() else {
             return;
         };
@@ -127,9 +127,9 @@
         self.at(until, Event::StartSubscriber { subscriber: index });
     }
 
-    /// Restarts with no saved state, or with one of which a body has been altered.
-    pub(super) fn damage_saved_state(&mut self, index: usize, until: i64) {
-        if self.kinds.whole || self.balancers[index].subscriber.is_none() {
+    /// Restarts a balancer with no saved state, or with one in which a body is altered.
+    pub(crate) fn damage_saved_state(&mut self, index: usize, until: i64) {
+        if self.kinds.checks_atomicity || self.balancers[index].subscriber.is_none() {
             return;
         }
         let lost = self.below(2) == 0;
@@ -146,7 +146,7 @@
         }
     }
 
-    pub fn reset_connection(&mut self, index: usize) {
+    pub(crate) fn reset_connection(&mut self, index: usize) {
         if let Some(id) = self.balancers[index].connection.take() {
             self.leave(id, Way::SubscriberMessage);
             let why = DisconnectReason::Lost("reset".into());
@@ -156,23 +156,23 @@
         }
     }
 
-    pub(super) fn random_scope(&mut self) -> BTreeSet<ServiceName> {
+    pub(crate) fn random_scope(&mut self) -> BTreeSet<ServiceName> {
         (0..self.below(5) + 1).map(|_| service(self.below(SERVICES as u64))).collect()
     }
 
-    pub(super) fn move_scope(&mut self, index: usize) {
+    pub(crate) fn move_scope(&mut self, index: usize) {
         let scope = self.random_scope();
         let balancer = &mut self.balancers[index];
         balancer.scope = scope.clone();
         if balancer.subscriber.is_some() {
-            balancer.shell.set_scope(&scope);
+            balancer.applier.set_scope(&scope);
         }
         self.with_subscriber(index, |subscriber, now, out| {
             subscriber.set_scope(now, scope.into_iter().collect(), out);
         });
     }
 
-    pub(super) fn corrupt(&mut self, index: usize) {
+    pub(crate) fn corrupt(&mut self, index: usize) {
         let nth = self.below(4);
         let balancer = &mut self.balancers[index];
         let Some(service) = balancer.scope.iter().next().cloned() else {
@@ -184,14 +184,14 @@
         }
     }
 
-    pub(super) fn garbage(&mut self, index: usize) {
+    pub(crate) fn garbage(&mut self, index: usize) {
         let Some(id) = self.balancers[index].connection else {
             return;
         };
         let way = if self.below(2) == 0 { Way::SubscriberMessage } else { Way::PublisherMessage };
         let mut bytes = vec![0u8; self.below(200) + 1];
         bytes.iter_mut().for_each(|byte| *byte = self.random.rand_range(0..256) as u8);
-        // A frame's length that is plausible, so that it is the message that is no message.
+        // A plausible length of the frame, so that the message in it is malformed.
         if bytes.len() > 5 && self.below(2) == 0 {
             let length = (bytes.len() - 4) as u32;
             bytes[..4].copy_from_slice(&length.to_be_bytes());
--- a/crates/distribution/tests/sim/history.rs
+++ b/crates/distribution/tests/sim/history.rs
@@ -1,4 +1,4 @@
-//! What operators write: numbered histories of changes, and what each service was at each version.
+//! The operators' logs of changes, with the contents of each service at each version.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -8,47 +8,47 @@
     resource_digest,
 };
 
-/// The first byte of a body that a picky subscriber refuses.
-pub const BAD: u8 = 0xBB;
-pub const SERVICES: usize = 8;
+/// The first byte of a body that a validating balancer rejects.
+pub(crate) const BAD_BODY: u8 = 0xBB;
+pub(crate) const SERVICES: usize = 8;
 const KEYS: u64 = 6;
 
-pub type Contents = BTreeMap<ResourceName, Resource>;
+pub(crate) type Contents = BTreeMap<ResourceName, Resource>;
 
-pub fn service(index: usize) -> ServiceName {
+pub(crate) fn service(index: usize) -> ServiceName {
     ServiceName::try_from(format!("service-{index}").as_str()).expect("a name")
 }
 
-pub fn digest(contents: &Contents) -> u64 {
+pub(crate) fn digest(contents: &Contents) -> u64 {
     contents.values().fold(0, |sum, resource| sum.wrapping_add(resource_digest(resource)))
 }
 
-/// A history of changes, with all that ever was.
+/// A log of changes, with all contents that any service has had.
 #[derive(Clone, Default)]
-pub struct History {
-    pub epoch: u32,
-    pub entries: Vec<LogEntry>,
-    pub chains: HashSet<u64>,
+pub(crate) struct History {
+    pub(crate) epoch: u32,
+    pub(crate) entries: Vec<LogEntry>,
+    pub(crate) chains: HashSet<u64>,
     chain: u64,
-    /// What the services of the last change had before it.
+    /// The contents of the services of the last change before it.
     before_last: Vec<(ServiceName, Contents)>,
     /// By service: its version and contents now.
-    pub now: BTreeMap<ServiceName, (u64, Contents)>,
-    /// By service and version: what it was.
-    pub was: HashMap<(ServiceName, u64), Contents>,
+    pub(crate) now: BTreeMap<ServiceName, (u64, Contents)>,
+    /// By service and version: its contents then.
+    pub(crate) was: HashMap<(ServiceName, u64), Contents>,
 }
 
 impl History {
-    pub fn of_epoch(epoch: u32) -> History {
+    pub(crate) fn of_epoch(epoch: u32) -> History {
         History { epoch, ..History::default() }
     }
 
-    pub fn number(&self) -> u64 {
+    pub(crate) fn number(&self) -> u64 {
         self.entries.len() as u64
     }
 
-    /// The history up to a number, to go on differently from there.
-    pub fn fork(&self, number: u64, epoch: u32) -> History {
+    /// A copy of the log up to a number, to be continued with other changes.
+    pub(crate) fn fork(&self, number: u64, epoch: u32) -> History {
         let mut fork = History::of_epoch(self.epoch);
         for entry in self.entries.iter().take(number as usize) {
             fork.epoch = entry.epoch;
@@ -58,7 +58,7 @@
         fork
     }
 
-    pub fn push(&mut self, changes: Vec<Change>) {
+    pub(crate) fn push(&mut self, changes: Vec<Change>) {
         let number = self.number() + 1;
         let hash = changes.iter().fold(u64::from(self.epoch), |hash, change| match change {
             Change::Set(resource) => hash.wrapping_mul(31).wrapping_add(resource_digest(resource)),
@@ -88,7 +88,7 @@
     }
 
     /// A random change: some sets and removals in one service, or in several.
-    pub fn push_random(&mut self, random: &mut Rand64) {
+    pub(crate) fn push_random(&mut self, random: &mut Rand64) {
         let number = self.number() + 1;
         let services = if random.rand_range(0..4) == 0 { 3 } else { 1 };
         let mut changes: BTreeMap<ResourceName, Change> = BTreeMap::new();
@@ -96,8 +96,8 @@
             let service = service(random.rand_range(0..SERVICES as u64) as usize);
             let empty = (0, Contents::new());
             let (_, contents) = self.now.get(&service).unwrap_or(&empty);
-            let whole = random.rand_range(0..25) == 0 && !contents.is_empty();
-            if whole && changes.keys().all(|name| name.service != service) {
+            let removes_service = random.rand_range(0..25) == 0 && !contents.is_empty();
+            if removes_service && changes.keys().all(|name| name.service != service) {
                 let change = Change::RemoveService { service: service.clone(), version: number };
                 changes.insert(ResourceName::pool(service), change);
                 continue;
@@ -129,8 +129,8 @@
         }
     }
 
-    /// A change that says what was there before the last one: a reversal.
-    pub fn push_reversal(&mut self) {
+    /// A change that restores the contents before the last one.
+    pub(crate) fn push_reversal(&mut self) {
         let number = self.number() + 1;
         let mut changes = Vec::new();
         for (service, old) in &self.before_last {
@@ -156,13 +156,13 @@
     let mut body = vec![0u8; random.rand_range(1..60) as usize];
     body.iter_mut().for_each(|byte| *byte = random.rand_range(0..128) as u8);
     if random.rand_range(0..12) == 0 {
-        body[0] = BAD;
+        body[0] = BAD_BODY;
     }
     let origin = Origin { file: "changes.toml".into(), line: version as u32 };
     Resource { name, version, origin, body: body.into() }
 }
 
-pub fn limits(random: &mut Rand64) -> StoreLimits {
+pub(crate) fn limits(random: &mut Rand64) -> StoreLimits {
     let log_entries =
         if random.rand_range(0..2) == 0 { 10_000 } else { random.rand_range(0..20) as usize };
     StoreLimits { log_entries, service_bytes: 4_000, ..StoreLimits::default() }
--- a/crates/distribution/tests/sim/link.rs
+++ b/crates/distribution/tests/sim/link.rs
@@ -1,4 +1,4 @@
-//! A connection between a subscriber and a control machine: two streams of bytes, each late, cut or broken off.
+//! A connection between a subscriber and a control machine: two streams of bytes, each of which may be delayed or cut.
 
 use std::collections::VecDeque;
 
@@ -6,45 +6,45 @@
 
 /// One direction of a connection.
 #[derive(Default)]
-pub struct Stream {
-    /// Chunks on the way, in order, with the time at which each arrives at the earliest.
-    pub chunks: VecDeque<(i64, Vec<u8>)>,
-    pub reader: FrameReader,
+pub(crate) struct Stream {
+    /// Chunks in flight, in order, with the earliest time at which each arrives.
+    pub(crate) chunks: VecDeque<(i64, Vec<u8>)>,
+    pub(crate) reader: FrameReader,
     /// The sender has closed after the last chunk.
-    pub closed: bool,
-    /// Bytes that were sent and did not arrive yet.
-    pub bytes: usize,
+    pub(crate) closed: bool,
+    /// Bytes that are in flight.
+    pub(crate) bytes: usize,
 }
 
 impl Stream {
-    pub fn push(&mut self, at: i64, bytes: Vec<u8>) {
+    pub(crate) fn push(&mut self, at: i64, bytes: Vec<u8>) {
         let at = self.chunks.back().map_or(at, |(last, _)| at.max(*last));
         self.bytes += bytes.len();
         self.chunks.push_back((at, bytes));
     }
 }
 
-/// Which way.
+/// The direction of a stream, by the messages that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub(crate) enum Way {
     SubscriberMessage,
     PublisherMessage,
 }
 
-pub struct Connection {
-    pub subscriber: usize,
-    pub control: usize,
-    /// The process of the control machine that accepted it; another one knows nothing of it.
-    pub accepted_by: Option<u32>,
-    pub to_control: Stream,
-    pub to_subscriber: Stream,
-    /// The subscriber's side has been given up.
-    pub left_by_subscriber: bool,
-    pub left_by_control: bool,
+pub(crate) struct Connection {
+    pub(crate) subscriber: usize,
+    pub(crate) control: usize,
+    /// The process of the control machine that accepted it; a later process does not know the connection.
+    pub(crate) accepted_by: Option<u32>,
+    pub(crate) to_control: Stream,
+    pub(crate) to_subscriber: Stream,
+    /// The subscriber has closed its side.
+    pub(crate) left_by_subscriber: bool,
+    pub(crate) left_by_control: bool,
 }
 
 impl Connection {
-    pub fn stream(&mut self, way: Way) -> &mut Stream {
+    pub(crate) fn stream(&mut self, way: Way) -> &mut Stream {
         match way {
             Way::SubscriberMessage => &mut self.to_control,
             Way::PublisherMessage => &mut self.to_subscriber,
--- a/crates/distribution/tests/sim/mod.rs
+++ b/crates/distribution/tests/sim/mod.rs
@@ -1,11 +1,11 @@
 //! Control machines, subscribers and the links between them in simulated time: everything from one seed.
 
+pub(crate) mod applier;
 mod balancers;
 mod controls;
-pub mod coverage;
+pub(crate) mod coverage;
 mod faults;
-pub mod history;
+pub(crate) mod history;
 mod link;
 mod network;
-pub mod shell;
-pub mod world;
+pub(crate) mod world;
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -1,4 +1,4 @@
-//! Links between balancers and control machines: late, cut, reset, broken off in the middle of a frame.
+//! Links between balancers and control machines: delayed, cut, reset, or ended in the middle of a frame.
 
 use sableloom_distribution::{DisconnectReason, SessionId};
 
@@ -6,7 +6,7 @@
 use super::world::{Event, MS, World};
 
 impl World {
-    pub(super) fn send(&mut self, id: u64, way: Way, bytes: Vec<u8>) {
+    pub(crate) fn send(&mut self, id: u64, way: Way, bytes: Vec<u8>) {
         let late = if self.below(20) == 0 { 400 * MS } else { 40 * MS };
         let at = self.after(MS, late);
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -18,8 +18,8 @@
         }
     }
 
-    /// A side closes or dies: the other learns it behind all that arrives, of which the end may be missing.
-    pub(super) fn leave(&mut self, id: u64, way: Way) {
+    /// A side closes or fails: the other learns of it after all bytes that arrive, of which the last may be missing.
+    pub(crate) fn leave(&mut self, id: u64, way: Way) {
         let lost = self.below(3);
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -37,7 +37,7 @@
         self.at(at, Event::Arrive { connection: id, to_control: way == Way::SubscriberMessage });
     }
 
-    pub(super) fn connect(&mut self, id: u64) {
+    pub(crate) fn connect(&mut self, id: u64) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
@@ -67,11 +67,11 @@
         self.with_subscriber(subscriber, |subscriber, now, out| subscriber.connected(now, out));
     }
 
-    pub(super) fn cut_until(&self, control: usize, subscriber: usize, to_control: bool) -> i64 {
+    pub(crate) fn cut_until(&self, control: usize, subscriber: usize, to_control: bool) -> i64 {
         self.cuts.get(&(control, subscriber, to_control)).copied().unwrap_or(0)
     }
 
-    pub(super) fn arrive(&mut self, id: u64, way: Way) {
+    pub(crate) fn arrive(&mut self, id: u64, way: Way) {
         let now = self.now;
         let to_control = way == Way::SubscriberMessage;
         let Some(connection) = self.connections.get(&id) else {
@@ -98,7 +98,7 @@
             return;
         }
         if receiver_gone || unknown || (to_control && connection.left_by_control) {
-            // A reset comes back.
+            // The answer is a reset.
             self.reset(id, way);
             return;
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(super) fn take_chunk(&mut self, id: u64, way: Way) -> Option<usize> {
+    pub(crate) fn take_chunk(&mut self, id: u64, way: Way) -> Option<usize> {
         let now = self.now;
         let stream = self.connections.get_mut(&id)?.stream(way);
         let (at, _) = stream.chunks.front()?;
@@ -138,7 +138,7 @@
         Some(bytes.len())
     }
 
-    pub(super) fn deliver_to_control(&mut self, id: u64, control: usize) {
+    pub(crate) fn deliver_to_control(&mut self, id: u64, control: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
@@ -158,7 +158,7 @@
         }
     }
 
-    pub(super) fn deliver_to_subscriber(&mut self, id: u64, index: usize) {
+    pub(crate) fn deliver_to_subscriber(&mut self, id: u64, index: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
@@ -183,7 +183,7 @@
         }
     }
 
-    pub(super) fn reset(&mut self, id: u64, way: Way) {
+    pub(crate) fn reset(&mut self, id: u64, way: Way) {
         let back = if way == Way::SubscriberMessage {
             Way::PublisherMessage
         } else {
@@ -203,7 +203,7 @@
         self.at(at, Event::Arrive { connection: id, to_control: back == Way::SubscriberMessage });
     }
 
-    pub(super) fn ended(&mut self, id: u64, way: Way, control: usize, index: usize) {
+    pub(crate) fn ended(&mut self, id: u64, way: Way, control: usize, index: usize) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: an operator, control machines, subscribers, links, and what goes wrong.
+//! The simulated world: operators, control machines, balancers, links and faults.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -10,19 +10,19 @@
 };
 use sableloom_types::Time;
 
+use super::applier::Applier;
 use super::controls::publisher_options;
 use super::coverage::{Coverage, add_publisher, add_subscriber};
 use super::history::{History, limits};
 use super::link::{Connection, Way};
-use super::shell::Shell;
 
-pub(super) const MS: i64 = 1_000;
-pub(super) const SECOND: i64 = 1_000 * MS;
-/// Bytes of the largest frame that a publisher makes here, beyond which its queue may not grow.
-pub(super) const FRAME_SLACK: usize = 3_000;
+pub(crate) const MS: i64 = 1_000;
+pub(crate) const SECOND: i64 = 1_000 * MS;
+/// Bytes of the largest frame that a publisher makes here: its queue exceeds its limit by no more.
+pub(crate) const FRAME_SLACK: usize = 3_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Event {
+pub(crate) enum Event {
     Arrive { connection: u64, to_control: bool },
     Connect { connection: u64 },
     ControlTimer { control: usize },
@@ -36,76 +36,76 @@
 
 /// What may happen in a schedule.
 #[derive(Clone, Copy)]
-pub struct Kinds {
-    /// Changes of several services are checked to come in force at once: the log holds all, nothing is lost or moved.
-    pub whole: bool,
-    pub forks: bool,
-    pub new_epoch: bool,
+pub(crate) struct Kinds {
+    /// Changes of several services are checked to be applied at once: the log holds all, and no scope or state is lost.
+    pub(crate) checks_atomicity: bool,
+    pub(crate) forks: bool,
+    pub(crate) new_epoch: bool,
 }
 
-pub struct Control {
-    pub(super) publisher: Option<Publisher>,
-    pub(super) incarnation: u32,
-    pub(super) history: usize,
-    pub(super) read_up_to: Option<u64>,
-    pub(super) lags_until: i64,
-    pub(super) frozen_until: i64,
-    pub(super) timer: Option<i64>,
+pub(crate) struct Control {
+    pub(crate) publisher: Option<Publisher>,
+    pub(crate) incarnation: u32,
+    pub(crate) history: usize,
+    pub(crate) read_up_to: Option<u64>,
+    pub(crate) lags_until: i64,
+    pub(crate) frozen_until: i64,
+    pub(crate) timer: Option<i64>,
 }
 
-pub struct Balancer {
-    pub subscriber: Option<Subscriber>,
-    pub shell: Shell,
-    pub saved: Option<SavedState>,
-    pub scope: BTreeSet<ServiceName>,
-    pub(super) name: SubscriberName,
-    pub(super) incarnation: u32,
-    pub(super) connection: Option<u64>,
-    pub(super) applying: VecDeque<Transaction>,
-    pub(super) frozen_until: i64,
-    pub(super) timer: Option<i64>,
-    pub(super) seen: Position,
-    pub(super) corrupted: bool,
-    /// Transactions begun for it.
-    pub begun: u64,
+pub(crate) struct Balancer {
+    pub(crate) subscriber: Option<Subscriber>,
+    pub(crate) applier: Applier,
+    pub(crate) saved: Option<SavedState>,
+    pub(crate) scope: BTreeSet<ServiceName>,
+    pub(crate) name: SubscriberName,
+    pub(crate) incarnation: u32,
+    pub(crate) connection: Option<u64>,
+    pub(crate) applying: VecDeque<Transaction>,
+    pub(crate) frozen_until: i64,
+    pub(crate) timer: Option<i64>,
+    pub(crate) seen: Position,
+    pub(crate) corrupted: bool,
+    /// Transactions that were begun for the balancer.
+    pub(crate) begun: u64,
 }
 
-pub struct World {
-    pub random: Rand64,
-    pub now: i64,
-    pub kinds: Kinds,
-    pub histories: Vec<History>,
-    pub canon: usize,
-    pub controls: Vec<Control>,
-    pub balancers: Vec<Balancer>,
-    pub coverage: Coverage,
-    pub quiet: bool,
-    pub(super) connections: BTreeMap<u64, Connection>,
-    pub(super) next_connection: u64,
-    pub(super) cuts: HashMap<(usize, usize, bool), i64>,
-    pub(super) queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
-    pub(super) sequence: u64,
-    pub(super) options: PublisherOptions,
-    pub(super) limits: StoreLimits,
+pub(crate) struct World {
+    pub(crate) random: Rand64,
+    pub(crate) now: i64,
+    pub(crate) kinds: Kinds,
+    pub(crate) histories: Vec<History>,
+    pub(crate) head_log: usize,
+    pub(crate) controls: Vec<Control>,
+    pub(crate) balancers: Vec<Balancer>,
+    pub(crate) coverage: Coverage,
+    pub(crate) quiet: bool,
+    pub(crate) connections: BTreeMap<u64, Connection>,
+    pub(crate) next_connection: u64,
+    pub(crate) cuts: HashMap<(usize, usize, bool), i64>,
+    pub(crate) queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
+    pub(crate) sequence: u64,
+    pub(crate) options: PublisherOptions,
+    pub(crate) limits: StoreLimits,
 }
 
 impl World {
-    pub fn new(seed: u64) -> World {
+    pub(crate) fn new(seed: u64) -> World {
         let mut random = Rand64::new(u128::from(seed));
         let limits = limits(&mut random);
-        let whole = limits.log_entries > 1_000 && random.rand_range(0..2) == 0;
+        let checks_atomicity = limits.log_entries > 1_000 && random.rand_range(0..2) == 0;
         let kinds = Kinds {
-            whole,
-            forks: !whole && random.rand_range(0..3) == 0,
-            new_epoch: !whole && random.rand_range(0..4) == 0,
+            checks_atomicity,
+            forks: !checks_atomicity && random.rand_range(0..3) == 0,
+            new_epoch: !checks_atomicity && random.rand_range(0..4) == 0,
         };
-        let options = publisher_options(&mut random, whole);
+        let options = publisher_options(&mut random, checks_atomicity);
         let mut world = World {
             random,
             now: 0,
             kinds,
             histories: vec![History::of_epoch(1)],
-            canon: 0,
+            head_log: 0,
             controls: Vec::new(),
             balancers: Vec::new(),
             coverage: Coverage::default(),
@@ -141,12 +141,12 @@
         world
     }
 
-    pub(super) fn add_balancer(&mut self, index: usize) {
+    pub(crate) fn add_balancer(&mut self, index: usize) {
         let scope = self.random_scope();
-        let picky = self.below(3) == 0;
+        let validates = self.below(3) == 0;
         self.balancers.push(Balancer {
             subscriber: None,
-            shell: Shell { picky, ..Shell::default() },
+            applier: Applier { validates, ..Applier::default() },
             saved: None,
             scope,
             name: SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a name"),
@@ -162,20 +162,20 @@
         self.at(0, Event::StartSubscriber { subscriber: index });
     }
 
-    pub fn below(&mut self, limit: u64) -> usize {
+    pub(crate) fn below(&mut self, limit: u64) -> usize {
         self.random.rand_range(0..limit) as usize
     }
 
-    pub(super) fn at(&mut self, at: i64, event: Event) {
+    pub(crate) fn at(&mut self, at: i64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at.max(self.now), self.sequence, event)));
     }
 
-    pub(super) fn after(&mut self, from: i64, to: i64) -> i64 {
+    pub(crate) fn after(&mut self, from: i64, to: i64) -> i64 {
         self.now + from + self.below((to - from).max(1) as u64) as i64
     }
 
-    pub fn run_until(&mut self, end: i64) {
+    pub(crate) fn run_until(&mut self, end: i64) {
         while let Some(Reverse((at, _, _))) = self.queue.peek()
             && *at <= end
         {
@@ -189,7 +189,7 @@
         self.now = end;
     }
 
-    pub(super) fn handle(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { connection, to_control: true } => {
                 self.arrive(connection, Way::SubscriberMessage)
@@ -208,16 +208,16 @@
         }
     }
 
-    /// Everything is mended and nothing more goes wrong.
-    pub fn heal(&mut self) {
+    /// Ends all faults; no further fault happens.
+    pub(crate) fn heal(&mut self) {
         self.quiet = true;
         if self.kinds.forks {
-            // Who has followed a diverged control machine trusts no other before the operator raises the epoch.
-            let canon = &mut self.histories[self.canon];
-            canon.epoch += 1;
-            let number = canon.number();
-            while canon.number() == number {
-                canon.push_random(&mut self.random);
+            // A subscriber that has followed a diverged control machine follows no other before the epoch is raised.
+            let head_log = &mut self.histories[self.head_log];
+            head_log.epoch += 1;
+            let number = head_log.number();
+            while head_log.number() == number {
+                head_log.push_random(&mut self.random);
             }
         }
         self.cuts.clear();
@@ -234,7 +234,7 @@
         }
     }
 
-    pub fn finish(&mut self) {
+    pub(crate) fn finish(&mut self) {
         for control in &self.controls {
             let counters = control
                 .publisher
@@ -252,20 +252,20 @@
         }
     }
 
-    /// Whether a balancer is in a session and has all by its last bookmark.
-    pub fn is_current(&self, index: usize) -> bool {
+    /// Whether a balancer is in a session and its last bookmark is at the head of the log.
+    pub(crate) fn is_current(&self, index: usize) -> bool {
         let status = self.balancers[index]
             .subscriber
             .as_ref()
             .map(|subscriber| subscriber.status(Time(self.now)));
         status.is_some_and(|status| {
             matches!(status.connection, ConnectionState::Current { .. })
-                && status.current.number == self.histories[self.canon].number()
+                && status.current.number == self.histories[self.head_log].number()
         })
     }
 
-    /// How a balancer and the control machines are, for the message of a failure.
-    pub fn describe(&self, index: usize) -> String {
+    /// The state of a balancer and of the control machines, for the message of a failure.
+    pub(crate) fn describe(&self, index: usize) -> String {
         let now = Time(self.now);
         let subscriber =
             self.balancers[index].subscriber.as_ref().map(|subscriber| subscriber.status(now));
@@ -276,11 +276,11 @@
             .map(Publisher::status)
             .collect();
         let reasons = &self.coverage.reasons;
-        let head = self.histories[self.canon].number();
+        let head = self.histories[self.head_log].number();
         format!("head {head}, {subscriber:#?}, {publishers:#?}, {reasons:#?}")
     }
 
-    pub(super) fn count(&mut self, what: &str) {
+    pub(crate) fn count(&mut self, what: &str) {
         *self.coverage.reasons.entry(what.to_owned()).or_default() += 1;
     }
 }
--- a/crates/distribution/tests/simulation.rs
+++ b/crates/distribution/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Thousands of seeded schedules of control machines and balancers over links that are late, cut and broken off.
-//! `SEED=n` plays one, `SCHEDULES=n` so many.
+//! Thousands of seeded schedules of control machines and balancers over links that delay, drop and cut connections.
+//! `SEED=n` plays one schedule, `SCHEDULES=n` that number of them.
 
 mod sim;
 
@@ -14,7 +14,7 @@
 const SCHEDULES: u64 = 5_000;
 const THREADS: u64 = 4;
 
-/// All for which a connection is closed here, and all that is worth a line in a balancer's log.
+/// All reasons for which a connection is closed in the schedules, and all events of subscribers.
 const REASONS: &[&str] = &[
     "control: another history has been read",
     "control: does not acknowledge",
@@ -53,9 +53,9 @@
     world.coverage
 }
 
-/// After a quiet time each balancer has just what the operators' files say, but for what it refuses.
+/// After a time without faults each balancer has exactly what the operators' files say, but for what it rejects.
 fn check_agreement(world: &World) {
-    let canon = &world.histories[world.canon];
+    let head_log = &world.histories[world.head_log];
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(
             world.is_current(index),
@@ -65,13 +65,13 @@
         let subscriber = balancer.subscriber.as_ref().expect("a subscriber");
         let rejected = subscriber.status(sableloom_types::Time(world.now)).rejected;
         assert!(
-            balancer.shell.picky || rejected.is_empty(),
+            balancer.applier.validates || rejected.is_empty(),
             "balancer {index} has refused something"
         );
         for service in balancer.scope.iter().filter(|service| !rejected.contains(service)) {
             let empty = (0, Contents::new());
-            let (version, contents) = canon.now.get(service).unwrap_or(&empty);
-            let applied = balancer.shell.services.get(service);
+            let (version, contents) = head_log.now.get(service).unwrap_or(&empty);
+            let applied = balancer.applier.services.get(service);
             let has = applied.map_or((0, &empty.1), |applied| (applied.version, &applied.contents));
             assert_eq!(has, (*version, contents), "balancer {index}, {service}");
             assert!(
@@ -96,12 +96,12 @@
 
 fn check_change_costs_others_nothing(world: &mut World, from: i64) {
     let changed = service(0);
-    let canon = &mut world.histories[world.canon];
+    let head_log = &mut world.histories[world.head_log];
     let name = ResourceName::server(changed.clone(), "new");
     let origin = Origin { file: "last.toml".into(), line: 1 };
-    canon.push(vec![Change::Set(Resource {
+    head_log.push(vec![Change::Set(Resource {
         name,
-        version: canon.number() + 1,
+        version: head_log.number() + 1,
         origin,
         body: vec![1].into(),
     })]);
@@ -110,8 +110,8 @@
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(world.is_current(index), "balancer {index} is not current after a change");
         let begun = balancer.begun - before[index];
-        // What was refused before may be tried again with the change, in as many transactions as it has services.
-        let most = if balancer.shell.picky { balancer.scope.len() as u64 } else { 1 };
+        // What was rejected before may be sent again with the change, in as many transactions as it has services.
+        let most = if balancer.applier.validates { balancer.scope.len() as u64 } else { 1 };
         let concerned = balancer.scope.contains(&changed);
         let expected = if concerned { 1..=most } else { 0..=0 };
         assert!(expected.contains(&begun), "{begun} transactions for balancer {index}");
@@ -165,7 +165,7 @@
         }
     });
     println!("{total:#?}");
-    // Any other would be one side finding fault with what the other says.
+    // Any other reason would mean that one side violates the protocol.
     let unknown: Vec<_> =
         total.reasons.keys().filter(|reason| !REASONS.contains(&reason.as_str())).collect();
     assert!(unknown.is_empty(), "{unknown:?}");
@@ -174,7 +174,7 @@
     }
 }
 
-/// A defence that no schedule has met would have been tested by none.
+/// A defence that no schedule has exercised would not have been tested.
 fn check_coverage(total: &Coverage) {
     let met = [
         ("transactions", total.publisher.transactions),
--- a/crates/distribution/tests/store.rs
+++ b/crates/distribution/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store: which changes it takes, and what it remembers.
+//! The store: which changes it appends, and what its log holds.
 
 use sableloom_distribution::{
     AppendError, Change, LogEntry, Origin, Position, Refusal, Resource, ResourceName, ServiceName,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_change_is_taken_whole_or_not_at_all() {
+fn a_change_file_is_appended_completely_or_not_at_all() {
     let mut store =
         store_with(3, StoreLimits { service_bytes: 300, services: 2, ..StoreLimits::default() });
     let before =
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_removal_of_a_service_leaves_nothing_but_its_version() {
+fn the_removal_of_a_service_leaves_only_its_version() {
     let mut store = store_with(1, StoreLimits::default());
     store
         .append(entry(
@@ -109,13 +109,13 @@
         ServiceVersion { service: service("points"), version: 3, digest: 0 }
     );
     assert_eq!((store.resources(&service("points")).count(), store.resource_count()), (0, 1));
-    // And it comes back.
+    // The service can be set again.
     store.append(entry(4, vec![set(server("a"), 4, b"x")])).unwrap();
     assert_eq!(store.resources(&service("points")).count(), 1);
 }
 
 #[test]
-fn the_same_content_has_the_same_digest_in_whatever_order_it_came() {
+fn the_digest_does_not_depend_on_the_order_of_changes() {
     let mut one = Store::new(StoreLimits::default());
     one.append(entry(1, vec![set(server("a"), 1, b"1"), set(server("b"), 1, b"2")])).unwrap();
     let mut other = Store::new(StoreLimits::default());
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_log_is_bounded_by_count_and_by_bytes() {
+fn the_log_is_bounded_by_entries_and_by_bytes() {
     let store = store_with(100, StoreLimits { log_entries: 7, ..StoreLimits::default() });
     assert_eq!(store.log_entries(), 7);
     let store = store_with(100, StoreLimits { log_bytes: 500, ..StoreLimits::default() });
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_subscriber_is_refused_by_who_is_behind_or_has_read_otherwise() {
+fn a_store_that_is_behind_or_diverged_refuses_to_resume_a_subscriber() {
     let empty = Store::new(StoreLimits::default());
     assert!(
         matches!(empty.check_resume(Position::default()), Err(Refusal::Behind { .. })),
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn tenants_are_counted_collapse_into_a_delta_and_go_with_their_service() {
+fn tenants_are_counted_and_removed_with_their_service() {
     let tenant = |name: &str| ResourceName::tenant(service("points"), name);
     let digest = |store: &Store| store.service_version(&service("points")).digest;
     let mut store = store_with(1, StoreLimits::default());
@@ -179,14 +179,14 @@
         .append(entry(2, vec![set(tenant("a"), 2, b"1"), set(tenant("b"), 2, b"1")]))
         .expect("a change");
     assert_eq!((store.resource_count(), store.tenant_count()), (3, 2));
-    // Set once more: it is one tenant still.
+    // Set again: it is still one tenant.
     store.append(entry(3, vec![set(tenant("a"), 3, b"2")])).expect("a change");
     assert_eq!(store.tenant_count(), 2);
     let gone = |name: &str, version| Change::Remove { name: tenant(name), version };
     store.append(entry(4, vec![gone("a", 4), gone("b", 4)])).expect("a change");
     assert_eq!((store.resource_count(), store.tenant_count()), (1, 0));
     assert_eq!(digest(&store), without, "nothing of them is left");
-    // A tenant and a server of one name are two resources, also by their digests.
+    // A tenant and a server of the same name are two resources with different digests.
     store.append(entry(5, vec![set(tenant("a"), 1, b"x")])).expect_err("another version");
     store.append(entry(5, vec![set(tenant("a"), 5, b"x")])).expect("a change");
     assert_ne!(digest(&store), without.wrapping_mul(2));
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! The balancer's side, one case each.
+//! The subscriber, one case per test.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     SubscriberOptions::new(name, machines, scope.iter().map(|name| service(name)).collect(), seed)
 }
 
-/// A subscriber, and what it has ordered.
+/// A subscriber and its outputs that have not been read.
 struct Balancer {
     subscriber: Subscriber,
     now: i64,
@@ -45,8 +45,8 @@
         balancer
     }
 
-    /// Lets time pass up to the next connection, with all that is due on the way.
-    fn connects(&mut self) -> usize {
+    /// Lets time pass to the next connection, and runs all timers until then.
+    fn next_connect(&mut self) -> usize {
         loop {
             for output in std::mem::take(&mut self.out) {
                 if let SubscriberOutput::Connect { control } = output {
@@ -66,7 +66,7 @@
         self.sent()
     }
 
-    fn lost(&mut self) {
+    fn lose_connection(&mut self) {
         self.subscriber.disconnected(
             Time(self.now),
             DisconnectReason::Lost("reset".into()),
@@ -74,43 +74,43 @@
         );
     }
 
-    fn hear(&mut self, message: PublisherMessage) {
+    fn receive(&mut self, message: PublisherMessage) {
         self.subscriber.message(Time(self.now), message, &mut self.out);
     }
 
-    fn greet(&mut self, position: Position) -> Vec<SubscriberMessage> {
-        self.connects();
+    fn open_session(&mut self, position: Position) -> Vec<SubscriberMessage> {
+        self.next_connect();
         let sent = self.connected();
-        self.hear(PublisherMessage::Welcome { position });
+        self.receive(PublisherMessage::Welcome { position });
         sent
     }
 
-    /// A transaction over one service, as a control machine sends it.
+    /// Receives a transaction of one service.
     fn transfer(
         &mut self,
         transfer: u64,
         position: Position,
         base: Base,
         changes: Vec<Change>,
-        held: ServiceVersion,
+        applied: ServiceVersion,
     ) {
-        let services = vec![ServiceBase { service: held.service.clone(), base }];
-        self.hear(PublisherMessage::Begin { transfer, generation: 1, services });
-        self.hear(PublisherMessage::Changes { transfer, changes });
-        self.hear(PublisherMessage::Commit { transfer, position, services: vec![held] });
+        let services = vec![ServiceBase { service: applied.service.clone(), base }];
+        self.receive(PublisherMessage::Begin { transfer, generation: 1, services });
+        self.receive(PublisherMessage::Changes { transfer, changes });
+        self.receive(PublisherMessage::Commit { transfer, position, services: vec![applied] });
     }
 
-    /// A snapshot of one server, applied.
-    fn has(&mut self, of: &str, version: u64) -> Resource {
+    /// Receives and applies a snapshot of one server.
+    fn apply_server(&mut self, of: &str, version: u64) -> Resource {
         let resource = server(of, "a", version, b"body");
-        let held =
+        let applied =
             ServiceVersion { service: service(of), version, digest: resource_digest(&resource) };
         self.transfer(
             version,
             at(version),
             Base::Snapshot,
             vec![Change::Set(resource.clone())],
-            held,
+            applied,
         );
         self.subscriber.apply_finished(Time(self.now), version, Ok(()), &mut self.out);
         assert_eq!(self.sent(), [SubscriberMessage::Ack { transfer: version }]);
@@ -165,18 +165,18 @@
 }
 
 #[test]
-fn a_new_scope_comes_by_hello_and_what_is_held_is_told_after_a_loss() {
+fn the_scope_follows_the_hello_and_reports_the_applied_versions_after_a_lost_connection() {
     let mut balancer = Balancer::new(options(2, &["points", "partners"], 1));
-    let sent = balancer.greet(at(3));
+    let sent = balancer.open_session(at(3));
     let nothing = |of| ServiceVersion { service: service(of), version: 0, digest: 0 };
     assert!(
         matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == Position::default())
     );
     let SubscriberMessage::Scope { add, last: true, .. } = &sent[1] else { panic!("{sent:?}") };
     assert_eq!(*add, [nothing("partners"), nothing("points")]);
-    let resource = balancer.has("points", 3);
-    balancer.lost();
-    balancer.connects();
+    let resource = balancer.apply_server("points", 3);
+    balancer.lose_connection();
+    balancer.next_connect();
     let sent = balancer.connected();
     assert!(matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == at(3)));
     let SubscriberMessage::Scope { add, .. } = &sent[1] else { panic!("{sent:?}") };
@@ -191,30 +191,33 @@
 }
 
 #[test]
-fn a_transaction_with_a_wrong_digest_reaches_no_shell() {
+fn a_transaction_with_a_wrong_digest_is_not_handed_out() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.greet(at(3));
-    let resource = balancer.has("points", 3);
-    let held = ServiceVersion {
+    balancer.open_session(at(3));
+    let resource = balancer.apply_server("points", 3);
+    let applied = ServiceVersion {
         service: service("points"),
         version: 3,
         digest: resource_digest(&resource),
     };
     let change = Change::Set(server("points", "b", 4, b"x"));
-    let wrong = ServiceVersion { version: 4, digest: 1, ..held.clone() };
+    let wrong = ServiceVersion { version: 4, digest: 1, ..applied.clone() };
     balancer.applies();
     balancer.transfer(9, at(4), Base::Delta { from: 3 }, vec![change.clone()], wrong);
     assert_eq!(
         balancer.sent(),
-        [SubscriberMessage::Nack { transfer: 9, reason: NackReason::Mismatch(vec![held.clone()]) }]
+        [SubscriberMessage::Nack {
+            transfer: 9,
+            reason: NackReason::Mismatch(vec![applied.clone()])
+        }]
     );
-    // Right, but on the ground of what is not there.
-    let digest = held.digest.wrapping_add(resource_digest(&server("points", "b", 4, b"x")));
-    let right = ServiceVersion { version: 4, digest, ..held.clone() };
+    // The digest is right, but the base has not been applied.
+    let digest = applied.digest.wrapping_add(resource_digest(&server("points", "b", 4, b"x")));
+    let right = ServiceVersion { version: 4, digest, ..applied.clone() };
     balancer.transfer(10, at(4), Base::Delta { from: 2 }, vec![change.clone()], right.clone());
     assert_eq!(
         balancer.sent(),
-        [SubscriberMessage::Nack { transfer: 10, reason: NackReason::Mismatch(vec![held]) }]
+        [SubscriberMessage::Nack { transfer: 10, reason: NackReason::Mismatch(vec![applied]) }]
     );
     assert_eq!(balancer.applies(), []);
     balancer.transfer(11, at(4), Base::Delta { from: 3 }, vec![change], right);
@@ -222,19 +225,19 @@
 }
 
 #[test]
-fn what_the_shell_refuses_leaves_the_last_good_and_is_told_with_its_line() {
+fn a_rejected_transaction_leaves_the_last_good_state_and_is_reported_with_its_origin() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.greet(at(3));
-    let resource = balancer.has("points", 3);
+    balancer.open_session(at(3));
+    let resource = balancer.apply_server("points", 3);
     let new = server("points", "a", 4, b"bad");
-    let held =
+    let applied =
         ServiceVersion { service: service("points"), version: 4, digest: resource_digest(&new) };
     balancer.transfer(
         9,
         at(4),
         Base::Delta { from: 3 },
         vec![Change::Set(new.clone())],
-        held.clone(),
+        applied.clone(),
     );
     let problem = Rejection {
         resource: new.name.clone(),
@@ -247,33 +250,33 @@
     assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transfer: 9, reason }]);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     assert_eq!(balancer.subscriber.status(Time(0)).rejected, [service("points")]);
-    // The next control machine is told as well.
-    balancer.lost();
-    balancer.connects();
+    // The rejection is reported to the next control machine as well.
+    balancer.lose_connection();
+    balancer.next_connect();
     let SubscriberMessage::Scope { rejected, .. } = &balancer.connected()[1] else {
         panic!("no scope")
     };
-    assert_eq!(*rejected, [held]);
+    assert_eq!(*rejected, [applied]);
 }
 
 #[test]
-fn half_a_transaction_is_dropped_with_its_connection() {
+fn an_incomplete_transaction_is_dropped_with_its_connection() {
     let mut balancer = Balancer::new(options(2, &["points"], 1));
-    balancer.greet(at(3));
-    let resource = balancer.has("points", 3);
+    balancer.open_session(at(3));
+    let resource = balancer.apply_server("points", 3);
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
-    balancer.hear(PublisherMessage::Begin { transfer: 9, generation: 1, services });
-    balancer.hear(PublisherMessage::Changes {
+    balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.receive(PublisherMessage::Changes {
         transfer: 9,
         changes: vec![Change::Set(server("points", "z", 4, b"z"))],
     });
     assert!(balancer.subscriber.buffered_bytes() > 0);
-    balancer.lost();
+    balancer.lose_connection();
     assert_eq!(balancer.subscriber.buffered_bytes(), 0);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
-    // And no end of it is taken on the next.
-    balancer.greet(at(4));
-    balancer.hear(PublisherMessage::Commit { transfer: 9, position: at(4), services: vec![] });
+    // Its commit is a violation on the next connection.
+    balancer.open_session(at(4));
+    balancer.receive(PublisherMessage::Commit { transfer: 9, position: at(4), services: vec![] });
     assert!(matches!(balancer.closed(), Some(DisconnectReason::Violation(_))));
 }
 
@@ -283,81 +286,81 @@
         max_transaction_bytes: 2_000,
         ..options(2, &["points"], 1)
     });
-    balancer.greet(at(3));
+    balancer.open_session(at(3));
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
-    balancer.hear(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
     for id in 0..30 {
         let change = Change::Set(server("points", &id.to_string(), 3, &[0; 100]));
-        balancer.hear(PublisherMessage::Changes { transfer: 9, changes: vec![change] });
+        balancer.receive(PublisherMessage::Changes { transfer: 9, changes: vec![change] });
         assert!(balancer.subscriber.buffered_bytes() <= 2_200);
     }
     assert_eq!(balancer.closed(), Some(DisconnectReason::TooLarge));
 }
 
 #[test]
-fn hello_waits_for_the_shell_to_answer_what_it_has_of_an_earlier_connection() {
+fn the_hello_waits_for_the_answers_to_transactions_of_an_earlier_connection() {
     let mut balancer = Balancer::new(options(2, &["points"], 1));
-    balancer.greet(at(3));
+    balancer.open_session(at(3));
     let resource = server("points", "a", 3, b"body");
-    let held = ServiceVersion {
+    let applied = ServiceVersion {
         service: service("points"),
         version: 3,
         digest: resource_digest(&resource),
     };
-    balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], held.clone());
-    balancer.lost();
-    balancer.connects();
+    balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied.clone());
+    balancer.lose_connection();
+    balancer.next_connect();
     assert_eq!(balancer.connected(), []);
     balancer.subscriber.apply_finished(Time(balancer.now), 9, Ok(()), &mut balancer.out);
     let sent = balancer.sent();
     let [SubscriberMessage::Hello { .. }, SubscriberMessage::Scope { add, .. }] = &sent[..] else {
         panic!("{sent:?}")
     };
-    assert_eq!(*add, [held], "and no answer to the earlier connection's transaction");
+    assert_eq!(*add, [applied], "and no answer to the earlier connection's transaction");
 }
 
 #[test]
-fn no_control_machine_that_is_behind_or_diverged_is_followed() {
+fn a_control_machine_that_is_behind_or_diverged_is_not_followed() {
     let mut balancer = Balancer::new(options(3, &["points"], 1));
-    balancer.greet(at(5));
-    balancer.lost();
-    let behind = balancer.connects();
+    balancer.open_session(at(5));
+    balancer.lose_connection();
+    let behind = balancer.next_connect();
     balancer.connected();
-    balancer.hear(PublisherMessage::Welcome { position: at(4) });
+    balancer.receive(PublisherMessage::Welcome { position: at(4) });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(at(4))));
-    let diverged = balancer.connects();
+    let diverged = balancer.next_connect();
     assert_ne!(diverged, behind);
     balancer.connected();
     let other = Position { chain: 1, ..at(5) };
-    balancer.hear(PublisherMessage::Welcome { position: other });
+    balancer.receive(PublisherMessage::Welcome { position: other });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
     let named = SubscriberEvent::Diverged { control: diverged, seen: at(5), other };
     assert!(balancer.events().contains(&named));
-    // Told by the control machine, it is the same.
-    balancer.connects();
+    // A refusal by the control machine has the same effect.
+    balancer.next_connect();
     balancer.connected();
-    balancer.hear(PublisherMessage::Refused(Refusal::Diverged { position: other }));
+    balancer.receive(PublisherMessage::Refused(Refusal::Diverged { position: other }));
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
-    // A raised epoch is taken though its number is lower; the old one never again.
-    balancer.greet(Position { epoch: 2, number: 1, chain: 3 });
+    // A higher epoch is accepted although its number is lower; the old epoch is not accepted any more.
+    balancer.open_session(Position { epoch: 2, number: 1, chain: 3 });
     assert_eq!(balancer.closed(), None);
-    balancer.lost();
-    balancer.greet(at(99));
+    balancer.lose_connection();
+    balancer.open_session(at(99));
     assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(at(99))));
 }
 
 #[test]
-fn drift_is_found_by_counting_anew_and_the_service_is_named_again() {
+fn drift_is_detected_by_recomputing_the_digest_and_the_service_is_requested_again() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
-    balancer.greet(at(3));
-    balancer.has("points", 3);
+    balancer.open_session(at(3));
+    balancer.apply_server("points", 3);
     balancer.events();
     balancer.subscriber.corrupt(&service("points"), 0, b"flip".as_slice().into());
     let digest = resource_digest(
         balancer.subscriber.resources(&service("points")).next().expect("a server"),
     );
     for _ in 0..3 {
-        balancer.hear(PublisherMessage::Pong { sequence: 0 });
+        balancer.receive(PublisherMessage::Pong { sequence: 0 });
         balancer.now += SECOND;
         balancer.subscriber.tick(Time(balancer.now), &mut balancer.out);
     }
@@ -370,28 +373,28 @@
 }
 
 #[test]
-fn a_bookmark_that_does_not_fit_has_the_whole_scope_named_anew_once() {
+fn a_bookmark_that_does_not_match_leads_to_the_complete_scope_once() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.greet(at(3));
+    balancer.open_session(at(3));
     let bookmark =
         |generation| PublisherMessage::Current { position: at(3), generation, digest: 1 };
-    balancer.hear(bookmark(0));
+    balancer.receive(bookmark(0));
     assert_eq!(balancer.sent(), [], "a bookmark of an earlier scope says nothing");
-    balancer.hear(bookmark(1));
+    balancer.receive(bookmark(1));
     assert_eq!(balancer.sent().len(), 1);
-    balancer.hear(bookmark(2));
+    balancer.receive(bookmark(2));
     assert!(matches!(balancer.closed(), Some(DisconnectReason::Violation(_))));
 }
 
 #[test]
-fn a_service_that_has_left_the_scope_and_come_back_takes_nothing_of_before() {
+fn a_service_that_leaves_the_scope_and_returns_ignores_earlier_transactions() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
-    balancer.greet(at(3));
-    balancer.has("points", 3);
+    balancer.open_session(at(3));
+    balancer.apply_server("points", 3);
     balancer.applies();
     let new = server("points", "b", 4, b"x");
     let services = vec![ServiceBase { service: service("points"), base: Base::Delta { from: 3 } }];
-    balancer.hear(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
     balancer.subscriber.set_scope(Time(0), vec![service("partners")], &mut balancer.out);
     balancer.subscriber.set_scope(
         Time(0),
@@ -407,40 +410,44 @@
         panic!("{sent:?}")
     };
     assert_eq!((remove.len(), add[0].version), (1, 0));
-    balancer.hear(PublisherMessage::Changes { transfer: 9, changes: vec![Change::Set(new)] });
-    let held = ServiceVersion { service: service("points"), version: 4, digest: 1 };
-    balancer.hear(PublisherMessage::Commit { transfer: 9, position: at(4), services: vec![held] });
+    balancer.receive(PublisherMessage::Changes { transfer: 9, changes: vec![Change::Set(new)] });
+    let applied = ServiceVersion { service: service("points"), version: 4, digest: 1 };
+    balancer.receive(PublisherMessage::Commit {
+        transfer: 9,
+        position: at(4),
+        services: vec![applied],
+    });
     assert_eq!(balancer.applies(), []);
     assert_eq!(balancer.sent(), [SubscriberMessage::Ack { transfer: 9 }]);
     assert_eq!(balancer.subscriber.resources(&service("points")).count(), 0);
 }
 
 #[test]
-fn what_the_shell_answers_after_its_service_has_left_and_come_back_is_not_put_in_force() {
+fn an_apply_that_finishes_after_its_service_left_and_returned_is_not_counted_as_applied() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.greet(at(3));
+    balancer.open_session(at(3));
     let resource = server("points", "a", 3, b"body");
-    let held = ServiceVersion {
+    let applied = ServiceVersion {
         service: service("points"),
         version: 3,
         digest: resource_digest(&resource),
     };
-    balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], held);
+    balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied);
     balancer.subscriber.set_scope(Time(0), vec![], &mut balancer.out);
     balancer.subscriber.set_scope(Time(0), vec![service("points")], &mut balancer.out);
     balancer.subscriber.apply_finished(Time(0), 9, Ok(()), &mut balancer.out);
     assert_eq!(
-        balancer.subscriber.service_versions().map(|held| held.version).collect::<Vec<_>>(),
+        balancer.subscriber.service_versions().map(|applied| applied.version).collect::<Vec<_>>(),
         [0]
     );
 }
 
 #[test]
-fn without_any_control_machine_the_last_good_stays_and_that_is_said_once_with_its_age() {
+fn without_any_control_machine_the_last_good_state_stays_and_unreachable_is_reported_once() {
     let mut balancer = Balancer::new(options(57, &["points"], 1));
-    balancer.greet(at(3));
-    let resource = balancer.has("points", 3);
-    balancer.lost();
+    balancer.open_session(at(3));
+    let resource = balancer.apply_server("points", 3);
+    balancer.lose_connection();
     let heard = balancer.now;
     let mut unreachable = 0;
     let mut connects = 0;
@@ -450,7 +457,7 @@
             .iter()
             .filter(|event| **event == SubscriberEvent::Unreachable)
             .count();
-        balancer.connects();
+        balancer.next_connect();
         connects += 1;
         balancer.subscriber.disconnected(
             Time(balancer.now),
@@ -459,7 +466,7 @@
         );
     }
     assert_eq!(unreachable, 1);
-    // A backoff of 2 s in the mean: 1,800 in an hour.
+    // A mean backoff of 2 s: 1,800 attempts in an hour.
     assert!((900..4_500).contains(&connects), "{connects} in an hour");
     let status = balancer.subscriber.status(Time(balancer.now));
     assert_eq!(status.last_contact_age.map(|age| age.0), Some(balancer.now - heard));
@@ -468,17 +475,17 @@
 }
 
 #[test]
-fn the_subscribers_of_a_dead_control_machine_spread_over_the_others_and_over_time() {
+fn the_subscribers_of_a_failed_control_machine_spread_over_the_others_and_over_time() {
     let mut by_machine: BTreeMap<usize, u32> = BTreeMap::new();
     let mut by_tenth: BTreeMap<i64, u32> = BTreeMap::new();
     for seed in 0..133 {
         let mut balancer = Balancer::new(options(57, &["points"], seed));
-        let first = balancer.connects();
+        let first = balancer.next_connect();
         balancer.connected();
-        balancer.hear(PublisherMessage::Welcome { position: at(1) });
+        balancer.receive(PublisherMessage::Welcome { position: at(1) });
         let died = balancer.now;
-        balancer.lost();
-        let next = balancer.connects();
+        balancer.lose_connection();
+        let next = balancer.next_connect();
         assert_ne!(next, first);
         *by_machine.entry(next).or_default() += 1;
         *by_tenth.entry((balancer.now - died) / 100_000).or_default() += 1;
@@ -488,11 +495,11 @@
 }
 
 #[test]
-fn the_saved_state_is_where_the_next_start_begins_and_a_damaged_service_is_left_out() {
+fn a_restart_begins_with_the_saved_state_and_leaves_a_damaged_service_out() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
-    balancer.greet(at(3));
-    balancer.has("points", 3);
-    balancer.has("partners", 4);
+    balancer.open_session(at(3));
+    balancer.apply_server("points", 3);
+    balancer.apply_server("partners", 4);
     let mut saved = balancer.subscriber.saved_state();
     assert_eq!(saved.position, at(4));
     let restored = |saved: &SavedState, scope: &[&str]| {
@@ -509,16 +516,16 @@
         [SubscriberEvent::SavedStateDamaged { service: service("points") }]
     );
     assert_eq!(damaged.subscriber.resources(&service("points")).count(), 0);
-    // What comes after a bookmark that fits is worth a line once.
-    let digest = balancer.subscriber.service_versions().fold(0u64, |sum, held| {
+    // Bookmarks that match are reported once.
+    let digest = balancer.subscriber.service_versions().fold(0u64, |sum, applied| {
         sum.wrapping_add(sableloom_distribution::scope_digest_term(
-            &held.service,
-            held.version,
-            held.digest,
+            &applied.service,
+            applied.version,
+            applied.digest,
         ))
     });
     balancer.events();
-    balancer.hear(PublisherMessage::Current { position: at(4), generation: 1, digest });
-    balancer.hear(PublisherMessage::Current { position: at(5), generation: 1, digest });
+    balancer.receive(PublisherMessage::Current { position: at(4), generation: 1, digest });
+    balancer.receive(PublisherMessage::Current { position: at(5), generation: 1, digest });
     assert_eq!(balancer.events(), [SubscriberEvent::Current { position: at(4) }]);
 }
--- a/crates/distribution/tests/version.rs
+++ b/crates/distribution/tests/version.rs
@@ -7,7 +7,7 @@
 use sableloom_types::Time;
 
 #[test]
-fn a_subscriber_of_another_version_is_told_the_version_before_it_is_closed() {
+fn a_subscriber_of_another_protocol_version_is_refused_with_the_version_before_it_is_closed() {
     let store = Store::new(StoreLimits::default());
     let mut publisher = Publisher::new(store, PublisherOptions::default());
     for (number, other) in [(1, 1), (2, PROTOCOL_VERSION + 1)] {
@@ -17,7 +17,7 @@
         let [PublisherOutput::Send { frame, .. }, closed] = &out[..] else {
             panic!("an answer, then the end: {out:?}");
         };
-        // Its bytes say the version before anything that the other side could not read.
+        // The version comes before anything that the other side could not decode.
         assert_eq!(frame[4], PROTOCOL_VERSION);
         let mut reader = FrameReader::new();
         reader.push(frame);
