--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -38,9 +38,9 @@
             name: control.own.clone(),
             machines: control.machines.clone(),
             scope: control.services.clone(),
-            state: control.state.as_ref().map(|file| folder.join(file)),
+            state_file: control.state.as_ref().map(|file| folder.join(file)),
             seed: stable_hash(control.own.as_str()) ^ u64::from(std::process::id()).rotate_left(32),
-            times: SubscriberTiming::default(),
+            timing: SubscriberTiming::default(),
         };
         let subscription = Subscription::start(options, applier.clone());
         Self { subscription, applier }
