--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -1,7 +1,7 @@
-//! How soon a death is known, how many are held dead that live, and what it costs: the members' talk, the
-//! same without doubt of oneself (plain SWIM), and heartbeats of all to all, on one simulated net.
+//! How soon a death is known, how many false deaths there are, and what it costs: this crate's protocol, the same
+//! without local health (plain SWIM), and heartbeats of all to all, on one simulated network.
 //!
-//! `cargo run --release -p sableloom-members --example detection -- [LARGEST]`. Timing are the model's. Fleets of up
+//! `cargo run --release -p sableloom-membership --example detection -- [LARGEST]`. Timing are the model's. Fleets of up
 //! to 100 take one to two minutes on six cores; a thousand are played for two losses, and without
 //! heartbeats, whose cost there is plain: 4,995 packets a second and member.
 
@@ -18,7 +18,7 @@
 
 /// From one probe, or heartbeat, to the next.
 const PERIOD: i64 = 200 * MS;
-/// Heartbeats that may be missing in a row: as long as the shortest doubt among ten.
+/// Heartbeats that may be missing in a row: as long as the shortest suspicion among ten.
 const MISSED: i64 = 5;
 /// How long a fleet is watched before one is killed,
 const WATCHED: i64 = 30 * S;
@@ -26,11 +26,11 @@
 const AFTER: i64 = 60 * S;
 
 enum Member {
-    Talks(Box<Membership>),
-    Beats(Heart),
+    Swim(Box<Membership>),
+    Heartbeats(Heart),
 }
 
-/// Tells all that it is there, each period.
+/// Sends a heartbeat to all others in each period.
 struct Heart {
     own: usize,
     heard: Vec<Time>,
@@ -42,7 +42,7 @@
     key_of(&format!("m{i}"))
 }
 
-fn passed(out: Output, sent: &mut Sent<Change>) {
+fn carry(out: Output, sent: &mut Sent<Change>) {
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
 }
@@ -52,12 +52,12 @@
 
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
         match self {
-            Member::Talks(fleet) => {
+            Member::Swim(membership) => {
                 let mut out = Output::default();
-                fleet.receive(now, from, bytes, &mut out);
-                passed(out, sent);
+                membership.receive(now, from, bytes, &mut out);
+                carry(out, sent);
             }
-            Member::Beats(heart) => {
+            Member::Heartbeats(heart) => {
                 let Some(i) = place(from) else { return };
                 heart.heard[i] = now;
                 if std::mem::take(&mut heart.dead[i]) {
@@ -69,15 +69,15 @@
 
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
         match self {
-            Member::Talks(fleet) => {
+            Member::Swim(membership) => {
                 let mut out = Output::default();
-                fleet.tick(now, &mut out);
-                passed(out, sent);
+                membership.tick(now, &mut out);
+                carry(out, sent);
             }
-            Member::Beats(heart) => {
+            Member::Heartbeats(heart) => {
                 heart.next = now.plus(Span(PERIOD));
                 for i in (0..heart.heard.len()).filter(|i| *i != heart.own) {
-                    // As many bytes as a ping without news.
+                    // As many bytes as a ping without updates.
                     sent.datagrams.push((address(i), vec![0; 36]));
                     if now.since(heart.heard[i]).0 > MISSED * PERIOD && !heart.dead[i] {
                         heart.dead[i] = true;
@@ -91,15 +91,15 @@
 
     fn next(&self) -> Time {
         match self {
-            Member::Talks(fleet) => fleet.next_wakeup(),
-            Member::Beats(heart) => heart.next,
+            Member::Swim(membership) => membership.next_wakeup(),
+            Member::Heartbeats(heart) => heart.next,
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum How {
-    Members,
+    Lifeguard,
     Swim,
     Heartbeats,
 }
@@ -118,116 +118,149 @@
 
 fn dead(member: &Member, of: usize) -> bool {
     match member {
-        Member::Talks(fleet) => fleet.peers().any(|p| p.key == key(of) && p.health == Health::Dead),
-        Member::Beats(heart) => heart.dead[of],
+        Member::Swim(membership) => {
+            membership.peers().any(|p| p.key == key(of) && p.health == Health::Dead)
+        }
+        Member::Heartbeats(heart) => heart.dead[of],
     }
 }
 
-/// Watches a fleet; with `slow`, one in ten does nothing for 600 ms every 2 s.
-fn play(n: usize, loss: f64, slow: bool, how: How, seed: u64) -> Seen {
-    let mut net: Net<Member> = Net::new(n, seed, 0.01);
-    let list = MemberList::new(
-        (0..n).map(|i| ListedMember { name: format!("m{i}"), address: address(i) }),
-    );
-    for i in 0..n {
-        net.start(i, |life, seed, now| match how {
-            How::Heartbeats => Member::Beats(Heart {
-                own: i,
-                heard: vec![now; n],
-                dead: vec![false; n],
-                next: now.plus(Span(seed as i64 & 0xffff)),
-            }),
-            _ => {
-                let times = Timing { has_local_health: how == How::Members, ..Timing::default() };
-                let fleet = Membership::new(
-                    "fleet",
-                    &format!("m{i}"),
-                    life,
-                    list.clone(),
-                    times,
-                    seed,
-                    now,
-                );
-                Member::Talks(Box::new(fleet))
-            }
-        });
-        if let Some(Member::Talks(_)) = &net.places[i].process {
-            net.call(i, |member, now, sent| {
-                if let Member::Talks(fleet) = member {
-                    let mut out = Output::default();
-                    fleet.greet(now, &mut out);
-                    passed(out, sent);
+/// One fleet that is watched.
+#[derive(Clone, Copy, PartialEq)]
+struct Game {
+    members: usize,
+    /// The fraction of datagrams that is lost.
+    loss: f64,
+    /// Whether one member in ten does nothing for 600 ms every 2 s.
+    slow: bool,
+    how: How,
+    seed: u64,
+}
+
+/// How often the network is looked at.
+const SLICE: i64 = 10 * MS;
+
+impl Game {
+    /// Starts all members and gives them time to know each other.
+    fn start(&self) -> Net<Member> {
+        let mut net: Net<Member> = Net::new(self.members, self.seed, 0.01);
+        let listed = |i| ListedMember { name: format!("m{i}"), address: address(i) };
+        let list = MemberList::new((0..self.members).map(listed));
+        for i in 0..self.members {
+            net.start(i, |process_incarnation, seed, now| match self.how {
+                How::Heartbeats => Member::Heartbeats(Heart {
+                    own: i,
+                    heard: vec![now; self.members],
+                    dead: vec![false; self.members],
+                    next: now.plus(Span(seed as i64 & 0xffff)),
+                }),
+                How::Lifeguard | How::Swim => {
+                    let has_local_health = self.how == How::Lifeguard;
+                    let timing = Timing { has_local_health, ..Timing::default() };
+                    let (own, list) = (format!("m{i}"), list.clone());
+                    let membership = Membership::new(
+                        "fleet",
+                        &own,
+                        process_incarnation,
+                        list,
+                        timing,
+                        seed,
+                        now,
+                    );
+                    Member::Swim(Box::new(membership))
                 }
             });
+            if let Some(Member::Swim(_)) = &net.places[i].process {
+                net.call(i, |member, now, sent| {
+                    if let Member::Swim(membership) = member {
+                        let mut output = Output::default();
+                        membership.greet(now, &mut output);
+                        carry(output, sent);
+                    }
+                });
+            }
         }
+        self.run(&mut net, 10 * S);
+        net
     }
-    // They meet.
-    let slice = 10 * MS;
-    let pass = |net: &mut Net<Member>, until: i64| {
+
+    fn run(&self, net: &mut Net<Member>, until: i64) {
         while net.now < until {
-            if slow && net.now % (2 * S) < slice {
-                (0..n).step_by(10).for_each(|i| net.stop(i, 600 * MS));
+            if self.slow && net.now % (2 * S) < SLICE {
+                (0..self.members).step_by(10).for_each(|i| net.stop(i, 600 * MS));
             }
-            let next = (net.now + slice).min(until);
+            let next = (net.now + SLICE).min(until);
             net.run(next);
         }
-    };
-    let watched = if n > 500 { WATCHED / 3 } else { WATCHED };
-    pass(&mut net, 10 * S);
-    net.places.iter_mut().for_each(|place| place.changes.clear());
-    net.loss = loss;
-    let (sent, bytes, from) = (net.sent, net.bytes, net.now);
-    let until = net.now + watched;
-    pass(&mut net, until);
-    let seconds = (net.now - from) as f64 / S as f64 * n as f64;
-    let (packets, bytes) =
-        ((net.sent - sent) as f64 / seconds, (net.bytes - bytes) as f64 / seconds);
+    }
+
+    /// Watches the fleet with no failure, and then kills a member.
+    fn play(&self) -> Seen {
+        let watched = if self.members > 500 { WATCHED / 3 } else { WATCHED };
+        let mut net = self.start();
+        net.places.iter_mut().for_each(|place| place.changes.clear());
+        net.loss = self.loss;
+        let (sent, bytes, from) = (net.sent, net.bytes, net.now);
+        let until = net.now + watched;
+        self.run(&mut net, until);
+        let seconds = (net.now - from) as f64 / S as f64 * self.members as f64;
+        let hours = seconds / 3600.0;
+        let (deaths, held) = false_deaths(&net);
+        let mut seen = Seen {
+            first: Vec::new(),
+            all: Vec::new(),
+            false_deaths: deaths as f64 / hours,
+            held: held as f64 / S as f64 / hours,
+            packets: (net.sent - sent) as f64 / seconds,
+            bytes: (net.bytes - bytes) as f64 / seconds,
+        };
+        self.kill_one(&mut net, &mut seen);
+        seen
+    }
+
+    /// Kills a member, and notes when the first and the last of the others know it.
+    fn kill_one(&self, net: &mut Net<Member>, seen: &mut Seen) {
+        let victim = 1;
+        net.kill(victim);
+        let from = net.now;
+        let mut first = None;
+        while net.now < from + AFTER {
+            let until = net.now + SLICE;
+            self.run(net, until);
+            let others = (0..self.members).filter(|i| *i != victim);
+            let knows = |i: usize| net.places[i].process.as_ref().is_some_and(|m| dead(m, victim));
+            if first.is_none() && others.clone().any(knows) {
+                first = Some(net.now - from);
+            }
+            if others.clone().all(knows) {
+                seen.first.extend(first);
+                seen.all.push(net.now - from);
+                break;
+            }
+        }
+    }
+}
+
+/// How often living members were declared dead, and for how long all together, in microseconds.
+fn false_deaths(net: &Net<Member>) -> (usize, i64) {
     let (mut deaths, mut held) = (0usize, 0i64);
     for place in &net.places {
         let mut since: HashMap<Key, i64> = HashMap::new();
         for (at, change) in &place.changes {
             match change {
-                Change::Died { member: of, .. } => {
+                Change::Died { member, .. } => {
                     deaths += 1;
-                    since.insert(*of, *at);
+                    since.insert(*member, *at);
                 }
-                Change::Joined { member: of, process_incarnation: _ } => {
-                    held += since.remove(of).map_or(0, |from| at - from)
+                Change::Joined { member, .. } => {
+                    held += since.remove(member).map_or(0, |from| at - from);
                 }
                 _ => {}
             }
         }
         held += since.values().map(|from| net.now - from).sum::<i64>();
     }
-    let hours = seconds / 3600.0;
-    let mut seen = Seen {
-        first: Vec::new(),
-        all: Vec::new(),
-        false_deaths: deaths as f64 / hours,
-        held: held as f64 / S as f64 / hours,
-        packets,
-        bytes,
-    };
-    // One is killed that everybody holds for living.
-    let victim = 1;
-    net.kill(victim);
-    let from = net.now;
-    let mut first = None;
-    while net.now < from + AFTER {
-        let until = net.now + slice;
-        pass(&mut net, until);
-        let others = (0..n).filter(|i| *i != victim);
-        let knows = |i: usize| net.places[i].process.as_ref().is_some_and(|m| dead(m, victim));
-        if first.is_none() && others.clone().any(knows) {
-            first = Some(net.now - from);
-        }
-        if others.clone().all(knows) {
-            seen.first.extend(first);
-            seen.all.push(net.now - from);
-            break;
-        }
-    }
-    seen
+    (deaths, held)
 }
 
 fn middle(times: &mut [i64]) -> String {
@@ -236,7 +269,7 @@
 }
 
 /// Plays all of these on all cores, the longest first.
-fn play_all(games: &[(usize, f64, bool, How, u64)]) -> Vec<Seen> {
+fn play_all(games: &[Game]) -> Vec<Seen> {
     let next = AtomicUsize::new(games.len());
     let seen: Vec<Mutex<Option<Seen>>> = games.iter().map(|_| Mutex::new(None)).collect();
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get());
@@ -244,8 +277,8 @@
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some(i) = next.fetch_sub(1, Ordering::Relaxed).checked_sub(1) {
-                    let Some((n, loss, slow, how, seed)) = games.get(i).copied() else { break };
-                    let one = play(n, loss, slow, how, seed);
+                    let Some(game) = games.get(i) else { break };
+                    let one = game.play();
                     if let Ok(mut place) = seen[i].lock() {
                         *place = Some(one);
                     }
@@ -258,7 +291,7 @@
 
 fn main() {
     let most: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(1000);
-    let hows = [("members", How::Members), ("SWIM", How::Swim), ("heartbeats", How::Heartbeats)];
+    let hows = [("members", How::Lifeguard), ("SWIM", How::Swim), ("heartbeats", How::Heartbeats)];
     let mut games = Vec::new();
     for n in [10, 100, 1000].into_iter().filter(|n| *n <= most) {
         for (loss, slow) in [(0.0, false), (0.05, false), (0.3, false), (0.0, true)] {
@@ -273,7 +306,8 @@
                 } else {
                     1
                 };
-                games.extend((0..seeds).map(|seed| (n, loss, slow, how, seed)));
+                let game = |seed| Game { members: n, loss, slow, how, seed };
+                games.extend((0..seeds).map(game));
             }
         }
     }
@@ -283,8 +317,9 @@
          deaths told a member and hour, seconds held | packets and bytes a second and member"
     );
     let played: Vec<_> = games.iter().zip(&seen).collect();
-    for row in played.chunk_by(|(a, _), (b, _)| (a.0, a.1, a.2, a.3) == (b.0, b.1, b.2, b.3)) {
-        let (n, loss, slow, how, _) = *row[0].0;
+    for row in played.chunk_by(|(a, _), (b, _)| Game { seed: 0, ..**a } == Game { seed: 0, ..**b })
+    {
+        let Game { members: n, loss, slow, how, .. } = *row[0].0;
         let name = hows.iter().find(|(_, h)| *h == how).map_or("", |(name, _)| name);
         let seeds = row.len();
         let mean =
--- a/crates/membership/src/page/tests.rs
+++ b/crates/membership/src/page/tests.rs
@@ -129,7 +129,7 @@
     );
     assert!(
         read(&Page { base_incarnation: u32::MAX, ..page.clone() }, 0).is_none(),
-        "no life is so late"
+        "no incarnation is so late"
     );
     let packed = |distance| PackedEntry {
         key_distance: distance,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Requests that no member makes are not answered, and an answer never passes what there is room for.
+/// Requests that no member makes get no answer, and an answer never exceeds its budget of bytes.
 #[test]
 fn answers_stay_within_their_budget_and_invalid_requests_get_none() {
     let mut rng = Rand64::new(9);
--- a/crates/membership/tests/budget.rs
+++ b/crates/membership/tests/budget.rs
@@ -1,24 +1,24 @@
-//! What a member sends and receives in its worst second, with the headers of UDP and IP, whatever happens in a
-//! fleet that is too long for all to call all.
+//! Bytes that a member sends and receives in its worst second, with the headers of UDP and IP, in a fleet with a long
+//! list.
 
 mod sim;
 
 use sim::{S, Sim};
 
-/// Longer than the lists whose members all call one another.
+/// Longer than a short list, whose members all ping one another.
 const MEMBERS: usize = 600;
-/// Far past the longest doubt and the first calls of a process that has started.
+/// Far past the longest suspicion and the pings of a process that has started.
 const SETTLED: i64 = 25 * S;
 
-/// One of the list is missing: all together call it about once a period, and not each of them.
+/// A member is missing: all together ping it about once in a probe interval, and not each of them.
 #[test]
-fn one_that_is_missing_is_called_seldom() {
+fn a_missing_member_is_pinged_once_an_interval_by_all_together() {
     let mut sim = Sim::new(MEMBERS, 3, 0.01);
     (1..MEMBERS).for_each(|i| sim.start(i, MEMBERS));
     sim.run(SETTLED);
     let from = sim.places[0].traffic;
     sim.run(SETTLED + 5 * S);
     let a_second = (sim.places[0].traffic - from) / 5;
-    // Five calls of some 70 bytes with their headers.
+    // Five pings of some 70 bytes with their headers.
     assert!(a_second < 1000, "{a_second} bytes a second come to it");
 }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -1,5 +1,5 @@
-//! Member tables pulled page by page: what counts of a page and what does not, servers that die or say nothing,
-//! lists that differ, and thousands of schedules in which views agree by pulls alone.
+//! Anti-entropy: member tables pulled page by page. Which pages have an effect, members that die while they serve a
+//! pull, lists that differ, and thousands of schedules in which views agree by pulls alone.
 
 mod sim;
 
@@ -16,13 +16,13 @@
 
 /// Names on the lists; the table takes several pages.
 const LISTED: usize = 600;
-/// All but those who talk.
+/// All but those that send messages.
 fn others() -> std::ops::Range<usize> {
     4..LISTED
 }
 
 const PERIOD: i64 = 200 * MS;
-/// When the talk begins: over a second after all that was told before, so that there is room for pages.
+/// When the pull begins: over a second after all updates before it, so that the budget leaves space for pages.
 const BEGIN: Time = Time(10 * S);
 
 fn name(i: usize) -> String {
@@ -32,13 +32,13 @@
 fn member(own: usize, listed: usize) -> Membership {
     let list =
         MemberList::new((0..listed).map(|i| ListedMember { name: name(i), address: address(i) }));
-    // What was told before the talk began does not make it doubt itself.
+    // The updates before the pull began must not worsen its local health.
     let times = Timing { has_local_health: false, ..Timing::default() };
     Membership::new("points", &name(own), 9, list, times, own as u64 + 1, Time(0))
 }
 
-/// Datagrams to this address, read.
-fn to(out: &mut Output, at: usize) -> Vec<Message> {
+/// The messages to this address.
+fn messages_to(out: &mut Output, at: usize) -> Vec<Message> {
     let meant = |(to, _): &(SocketAddr, Vec<u8>)| *to == address(at);
     let all: Vec<_> = std::mem::take(&mut out.datagrams);
     all.iter()
@@ -47,19 +47,19 @@
         .collect()
 }
 
-fn deliver(fleet: &mut Membership, now: Time, from: usize, message: &Message) -> Output {
+fn deliver(membership: &mut Membership, now: Time, from: usize, message: &Message) -> Output {
     let mut out = Output::default();
-    fleet.receive(now, address(from), &encode(message).0, &mut out);
+    membership.receive(now, address(from), &encode(message).0, &mut out);
     out
 }
 
-/// A member that knows all others, all alive in their lives of this number, by the word of another.
+/// A member that knows all others from one of them, all alive with this process incarnation.
 fn knows_all(own: usize, life: u32) -> Membership {
     let mut fleet = member(own, LISTED);
     let teller = 3;
     let mut out = Output::default();
     fleet.ping(key_of(&name(teller)), &mut out);
-    let nonce = to(&mut out, teller)[0].nonce;
+    let nonce = messages_to(&mut out, teller)[0].nonce;
     for some in others().collect::<Vec<_>>().chunks(8) {
         let alive = |i: &usize| Update {
             member: key_of(&name(*i)),
@@ -87,14 +87,19 @@
     fleet
 }
 
-/// The first calls the second, which answers; what the first asks of the second then.
-fn asks(first: &mut Membership, second: &mut Membership, second_is: usize, now: Time) -> Message {
+/// The first pings the second, which answers; the pull that the first sends then.
+fn starts_pull(
+    first: &mut Membership,
+    second: &mut Membership,
+    second_is: usize,
+    now: Time,
+) -> Message {
     let mut out = Output::default();
     first.ping(key_of(&name(second_is)), &mut out);
-    let call = to(&mut out, second_is).remove(0);
-    let answer = to(&mut deliver(second, now, 0, &call), 0).remove(0);
+    let call = messages_to(&mut out, second_is).remove(0);
+    let answer = messages_to(&mut deliver(second, now, 0, &call), 0).remove(0);
     let mut asked = deliver(first, now, second_is, &answer);
-    let asked = to(&mut asked, second_is);
+    let asked = messages_to(&mut asked, second_is);
     asked.into_iter().find(|m| matches!(m.body, Body::Pull(_))).expect("it pulls")
 }
 
@@ -112,7 +117,7 @@
     }
 }
 
-/// Carries what both say to each other until neither says more, calling the first when it is due.
+/// Carries the messages of both until the first knows all, with its timer.
 fn carry(
     first: &mut Membership,
     second: &mut Membership,
@@ -121,7 +126,7 @@
     mut now: Time,
 ) {
     for _ in 0..100 {
-        let answer = to(&mut deliver(second, now, 0, &asked), 0).remove(0);
+        let answer = messages_to(&mut deliver(second, now, 0, &asked), 0).remove(0);
         let mut out = deliver(first, now, second_is, &answer);
         while out.datagrams.is_empty() {
             if first.count_reachable() >= others().len() {
@@ -132,18 +137,18 @@
             out.datagrams
                 .retain(|(_, bytes)| decode(bytes).is_ok_and(|m| matches!(m.body, Body::Pull(_))));
         }
-        asked = to(&mut out, second_is).remove(0);
+        asked = messages_to(&mut out, second_is).remove(0);
     }
     panic!("no end");
 }
 
 /// The next request for a page, to this one, and when it comes.
-fn next_pull(fleet: &mut Membership, at: usize, mut now: Time) -> (Message, Time) {
+fn next_pull(membership: &mut Membership, at: usize, mut now: Time) -> (Message, Time) {
     for _ in 0..30 {
         now = now.plus(Span(PERIOD / 2));
         let mut out = Output::default();
-        fleet.tick(now, &mut out);
-        let asked = to(&mut out, at).into_iter().find(|m| matches!(m.body, Body::Pull(_)));
+        membership.tick(now, &mut out);
+        let asked = messages_to(&mut out, at).into_iter().find(|m| matches!(m.body, Body::Pull(_)));
         if let Some(asked) = asked {
             return (asked, now);
         }
@@ -151,12 +156,12 @@
     panic!("it gave up");
 }
 
-/// One that starts has the whole table from the first that answers. Nothing of it is a sign of life, and nothing of
-/// it is passed on.
+/// A process that starts pulls the whole table from the first member that answers. No entry counts as heard, and none
+/// is sent on as gossip.
 #[test]
-fn the_first_that_answers_tells_all() {
+fn a_process_that_starts_pulls_the_table_of_the_first_that_answers() {
     let (mut a, mut b) = (member(0, LISTED), knows_all(1, 5));
-    let asked = asks(&mut a, &mut b, 1, BEGIN);
+    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
     assert!(a.count_reachable() < 30, "but for what its answer has room for");
     carry(&mut a, &mut b, 1, asked, BEGIN);
     for i in others() {
@@ -168,12 +173,12 @@
     assert!(b.peer(key_of(&name(0))).is_some_and(|peer| peer.last_heard.is_some()), "b knows a");
 }
 
-/// Pages that were not asked for, late ones, of another member, cut off, and again.
+/// Pages that were not requested, late ones, of another member, and duplicates.
 #[test]
-fn only_the_page_that_was_asked_for_counts_and_once() {
+fn only_the_requested_page_has_an_effect_and_once() {
     let (mut a, mut b) = (member(0, LISTED), knows_all(1, 5));
-    let asked = asks(&mut a, &mut b, 1, BEGIN);
-    let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
+    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     let page = page_of(&answer);
     let with = |page: Page| Message { body: Body::Page(page), ..answer.clone() };
     let known = |fleet: &Membership| {
@@ -200,29 +205,29 @@
     assert!(a.view_version() == number && out.datagrams.is_empty(), "it came twice");
 }
 
-/// The first knows a second one too that answers: it calls it while it pulls from another.
+/// The first pings another member, which answers, while it pulls from the second.
 fn meets(first: &mut Membership, other: &mut Membership, other_is: usize, now: Time) {
     let mut out = Output::default();
     first.ping(key_of(&name(other_is)), &mut out);
-    let call = to(&mut out, other_is).remove(0);
-    let answer = to(&mut deliver(other, now, 0, &call), 0).remove(0);
+    let call = messages_to(&mut out, other_is).remove(0);
+    let answer = messages_to(&mut deliver(other, now, 0, &call), 0).remove(0);
     let out = deliver(first, now, other_is, &answer);
     assert!(out.datagrams.is_empty(), "one pull at a time");
 }
 
-/// A page that is cut off, or has what no member writes, is thrown away whole, and another member is asked.
+/// A page that is truncated or invalid is discarded completely, and another member is asked.
 #[test]
-fn a_page_that_is_cut_off_counts_for_nothing() {
+fn an_invalid_page_is_discarded_completely() {
     for broken in 0..3 {
         let (mut a, mut b, mut c) = (member(0, LISTED), knows_all(1, 5), knows_all(2, 5));
-        let asked = asks(&mut a, &mut b, 1, BEGIN);
+        let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
         meets(&mut a, &mut c, 2, BEGIN);
-        let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+        let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
         let mut page = page_of(&answer);
         match broken {
             0 => page.entries.truncate(page.entries.len() - 1),
             1 => page.last_key = 0,
-            // No life can be less than none.
+            // No incarnation can be less than 0.
             _ => page.base_incarnation = 0,
         }
         let number = a.view_version();
@@ -233,30 +238,30 @@
     }
 }
 
-/// The one that serves dies after a page: the rest comes from another, and nothing is asked for twice.
+/// The server of a pull dies after a page: the rest comes from another, and nothing is requested twice.
 #[test]
-fn one_that_dies_amid_a_pull_is_replaced_by_another() {
+fn a_server_that_dies_during_a_pull_is_replaced() {
     let (mut a, mut b, mut c) = (member(0, LISTED), knows_all(1, 5), knows_all(2, 5));
-    let asked = asks(&mut a, &mut b, 1, BEGIN);
+    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
     meets(&mut a, &mut c, 2, BEGIN);
-    let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     let covered = page_of(&answer).last_key;
     deliver(&mut a, BEGIN, 1, &answer);
     let (asked, now) = next_pull(&mut a, 2, BEGIN);
     assert_eq!(pull_of(&asked).first_key, covered + 1);
-    // The dead one's answer to a request of then comes after all.
+    // The page of the dead server comes late.
     let number = a.view_version();
     deliver(&mut a, now, 1, &answer);
     assert_eq!(a.view_version(), number);
     carry(&mut a, &mut c, 2, asked, now);
 }
 
-/// A member has restarted since a page was written: its later life stands, whichever comes first.
+/// Members have restarted since a page was written: their later incarnations stand.
 #[test]
-fn a_page_from_before_a_restart_takes_nothing_back() {
+fn a_page_from_before_a_restart_replaces_nothing() {
     let (mut a, mut b) = (knows_all(0, 8), knows_all(1, 5));
-    let asked = asks(&mut a, &mut b, 1, BEGIN);
-    let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
+    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     assert!(page_of(&answer).entries.len() > 500, "they differ in all");
     let number = a.view_version();
     deliver(&mut a, BEGIN, 1, &answer);
@@ -267,28 +272,28 @@
     );
 }
 
-/// Who is named on a page and not on the own list is passed over.
+/// Members that a page names and the own list does not are ignored.
 #[test]
 fn a_page_of_a_longer_list_adds_no_member() {
     let (mut a, mut b) = (member(0, 100), knows_all(1, 5));
-    let asked = asks(&mut a, &mut b, 1, BEGIN);
-    let answer = to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
+    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
     deliver(&mut a, BEGIN, 1, &answer);
     assert!(a.count_reachable() > 10 && a.peers().count() == 99, "{} there", a.count_reachable());
 }
 
-/// Members with lists too long to call all, of which every second one passes no updates on.
+/// Members with long lists; in every second schedule they send no gossip.
 fn start(sim: &mut Sim, i: usize, of: usize, seed: u64) {
     let retransmit_factor =
         if seed.is_multiple_of(2) { 0.0 } else { Timing::default().retransmit_factor };
     sim.start_as(i, of, Timing { max_short_list: 0, retransmit_factor, ..Timing::default() });
 }
 
-/// The longest time in which all have to agree once the net is whole: as with calls of all, and the longest pause
-/// between two comparisons.
+/// The longest time in which all have to agree once the network is healed: as with short lists, and the longest
+/// backoff between two pulls.
 const AGREED_WITHIN: i64 = 150 * S;
 
-/// What each member believes of the others, for the report of a failure.
+/// The views of all members, for the message of a failure.
 fn views(sim: &Sim) -> Vec<String> {
     let health = |fleet: &Membership| -> Vec<String> {
         fleet
@@ -301,7 +306,7 @@
         .collect()
 }
 
-/// Nine seconds of loss, late and doubled datagrams, cuts, stops, kills and restarts, some with a shorter list.
+/// Nine seconds of loss, late and duplicated datagrams, cuts, stops, kills and restarts, some with a shorter list.
 fn schedule(seed: u64) {
     let n = 4 + (seed % 9) as usize;
     let mut sim = Sim::new(n, seed, 0.1);
@@ -332,7 +337,7 @@
     }
     sim.heal();
     sim.delay = 30 * MS;
-    // Whoever is not on a list is not answered: operators make them the same.
+    // A member that is not on a list gets no answer: operators make the lists the same.
     (0..n).for_each(|i| sim.takes_list(i, n));
     let end = sim.now + AGREED_WITHIN;
     while !sim.views_are_true() {
@@ -343,14 +348,14 @@
 }
 
 #[test]
-fn views_become_true_by_pulls_whatever_happened() {
+fn views_become_true_by_pulls_after_any_schedule() {
     on_all_cores(0..3000, schedule);
 }
 
-/// With no update passed on, what the members pull of one another is all that they learn of most: a fleet that
-/// starts at once knows itself within seconds.
+/// Without gossip, members learn of most others by pulls alone: a fleet that starts at once knows itself within
+/// seconds.
 #[test]
-fn pulls_alone_tell_all_of_all() {
+fn pulls_alone_make_a_starting_fleet_agree() {
     on_all_cores(0..100, |seed| {
         let n = 100;
         let mut sim = Sim::new(n, seed, 0.02);
@@ -360,9 +365,9 @@
     });
 }
 
-/// Lists that differ make views differ for good: comparisons become rare.
+/// Lists that differ make views differ for good: pulls become rare.
 #[test]
-fn lists_that_differ_cost_little() {
+fn pulls_back_off_where_lists_differ() {
     let n = 8;
     let mut sim = Sim::new(n, 1, 0.02);
     (0..n).for_each(|i| start(&mut sim, i, if i == 0 { n - 1 } else { n }, 1));
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams as an earlier build has written them: members of two versions talk to each other during a roll-out, so
+//! Datagrams as an earlier build has written them: members of two versions send each other datagrams during a roll-out, so
 //! that each is read as the same message and written with the same bytes.
 
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 /// Lines of a name and the bytes in hexadecimal digits, written by the encoder of commit c6abd24.
 const RECORDED: &str = include_str!("data/datagrams.txt");
 
-fn update(of: &str, state: MemberState, number: u32) -> Update {
+fn update(member: &str, state: MemberState, number: u32) -> Update {
     Update {
-        member: key_of(of),
+        member: key_of(member),
         process_incarnation: 700_000 + number,
         incarnation: number,
         state,
@@ -33,7 +33,7 @@
     ]
 }
 
-fn message(body: Body, news: Vec<Update>) -> Message {
+fn message(body: Body, updates: Vec<Update>) -> Message {
     Message {
         fleet: key_of("points"),
         sender: key_of("b"),
@@ -45,7 +45,7 @@
         list_length: 7600,
         endpoints_digest: 0xcafe_f00d,
         body,
-        updates: news,
+        updates,
     }
 }
 
@@ -67,9 +67,9 @@
     let kinds = [
         ("ping", Body::Ping { seq: 1 }),
         ("ack", Body::Ack { seq: 300 }),
-        ("ask", Body::PingRequest { seq: 70_000, target: key_of("c") }),
-        ("answered", Body::IndirectAck { seq: u32::MAX, target: key_of("d") }),
-        ("silent", Body::Nack { seq: 0 }),
+        ("ping_request", Body::PingRequest { seq: 70_000, target: key_of("c") }),
+        ("indirect_ack", Body::IndirectAck { seq: u32::MAX, target: key_of("d") }),
+        ("nack", Body::Nack { seq: 0 }),
         ("leave", Body::Leave),
         ("pull", Body::Pull(pull)),
         ("first_pull", Body::Pull(first_pull)),
@@ -133,7 +133,7 @@
     for (name, message) in messages() {
         assert_eq!(decode(&recorded[name]), Ok(message), "{name}");
     }
-    assert_eq!(decode(&recorded["absence_probe"]), Err(DropReason::AbsenceQuery));
+    assert_eq!(decode(&recorded["absence_query"]), Err(DropReason::AbsenceQuery));
 }
 
 #[test]
@@ -147,6 +147,6 @@
     for (name, bytes) in page_of_a_member() {
         written += &format!("{name} {}\n", hexadecimal(&bytes));
     }
-    written += &format!("absence_probe {}\n", hexadecimal(&ABSENCE_QUERY));
+    written += &format!("absence_query {}\n", hexadecimal(&ABSENCE_QUERY));
     assert_eq!(written, RECORDED);
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Members on a simulated net.
+//! Members on a simulated network.
 #![allow(dead_code, reason = "each test file uses what it needs of it")]
 
 use std::collections::HashMap;
@@ -13,11 +13,11 @@
 
 pub(crate) use sableloom_simulated_network::{MS, S};
 
-/// A member alone, without what is made of its view.
+/// A member alone, without a capacity share.
 pub(crate) struct Member(pub(crate) Membership);
 
-fn passed(out: Output, sent: &mut Sent<Change>) {
-    // 256 bytes, a page 1,200: what is too long is not read.
+fn carry(out: Output, sent: &mut Sent<Change>) {
+    // Receivers reject datagrams of more than 256 bytes, and pages of more than 1,200.
     assert!(out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()), "a datagram too long");
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
@@ -29,13 +29,13 @@
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
         let mut out = Output::default();
         self.0.receive(now, from, bytes, &mut out);
-        passed(out, sent);
+        carry(out, sent);
     }
 
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
         let mut out = Output::default();
         self.0.tick(now, &mut out);
-        passed(out, sent);
+        carry(out, sent);
     }
 
     fn next(&self) -> Time {
@@ -78,27 +78,27 @@
         Self { net: Net::new(n, seed, drift), keys: (0..n).map(|i| (key(i), i)).collect() }
     }
 
-    /// Its process starts, after an earlier one with this many names on its list.
+    /// Starts a member's process with a list of so many names.
     pub(crate) fn start(&mut self, i: usize, of: usize) {
         self.start_as(i, of, Timing::default());
     }
 
-    /// The same with times of its own.
-    pub(crate) fn start_as(&mut self, i: usize, of: usize, times: Timing) {
-        self.net.start(i, |life, seed, now| {
+    /// The same with another timing.
+    pub(crate) fn start_as(&mut self, i: usize, of: usize, timing: Timing) {
+        self.net.start(i, |process_incarnation, seed, now| {
             Member(Membership::new(
                 "points",
                 &name(i),
-                life,
+                process_incarnation,
                 MemberList::new(listed(of)),
-                times,
+                timing,
                 seed,
                 now,
             ))
         });
     }
 
-    /// Who runs, and what it knows.
+    /// The members whose processes run.
     pub(crate) fn fleets(&self) -> impl Iterator<Item = (usize, &Membership)> {
         let places = self.places.iter().enumerate();
         places.filter_map(|(i, place)| Some((i, &place.process.as_ref()?.0)))
@@ -108,25 +108,25 @@
         &self.places[i].process.as_ref().expect("it runs").0
     }
 
-    /// Its list has this many names from now on.
+    /// Gives a member a list of so many names.
     pub(crate) fn takes_list(&mut self, i: usize, of: usize) {
         self.call(i, |member, now, sent| {
             let mut out = Output::default();
             member.0.update_list(now, MemberList::new(listed(of)), &mut out);
-            passed(out, sent);
+            carry(out, sent);
         });
     }
 
-    /// One of them leaves on purpose.
+    /// Makes a member leave on purpose.
     pub(crate) fn leave(&mut self, i: usize) {
         self.call(i, |member, _, sent| {
             let mut out = Output::default();
             member.0.leave(&mut out);
-            passed(out, sent);
+            carry(out, sent);
         });
     }
 
-    /// Whether all that run agree, and on what is true.
+    /// Whether all that run have the same view, and it is true.
     pub(crate) fn agree(&self) -> bool {
         let mut digests = self.fleets().map(|(_, fleet)| fleet.digest());
         let first = digests.next();
@@ -134,7 +134,7 @@
         same && self.views_are_true()
     }
 
-    /// Whether all that run are right about all on their lists.
+    /// Whether the views of all that run are true.
     pub(crate) fn views_are_true(&self) -> bool {
         self.fleets().all(|(own, fleet)| {
             fleet.peers().all(|peer| {
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,5 +1,5 @@
 //! Thousands of schedules of loss, cuts, stops, crashes and drift, each made by one seed, which a failure
-//! names. Timing are the model's.
+//! names. Times are the model's.
 
 mod sim;
 
@@ -8,8 +8,8 @@
 
 use sim::{MS, S, Sim, key};
 
-/// The longest time in which all have to agree once the net is whole: rounds of calling the missing, one
-/// a period of up to nine times its length while members doubt themselves, and the longest doubt.
+/// The longest time in which all have to agree once the network is healed: rounds of pings of the missing, one in a
+/// probe interval of up to nine times its length while local health is bad, and the longest suspicion.
 const AGREED_WITHIN: i64 = 90 * S;
 
 fn started(n: usize, seed: u64, drift: f64) -> Sim {
@@ -20,7 +20,7 @@
     sim
 }
 
-/// One schedule: whatever happens in twelve seconds, and a whole net after it.
+/// One schedule: twelve seconds of random events, and a healed network after them.
 fn schedule(seed: u64) -> i64 {
     let n = 3 + (seed % 7) as usize;
     let mut sim = started(n, seed, 0.1);
@@ -72,7 +72,7 @@
                 Health::Left => 'l',
             };
             let row: String = f.view().peers.iter().map(health).collect();
-            format!("{i}: {row} doubt {}", f.local_health())
+            format!("{i}: {row} local health {}", f.local_health())
         });
         told.collect::<Vec<_>>()
     };
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn all_agree_on_what_is_true_once_the_net_is_whole() {
+fn views_agree_and_are_true_once_the_network_is_healed() {
     on_all_cores(0..10_000, |seed| {
         schedule(seed);
     });
@@ -91,7 +91,7 @@
     assert_eq!(schedule(11), schedule(11));
 }
 
-/// 30% of all datagrams are lost for twenty seconds: nobody is held dead for long by anyone.
+/// 30% of all datagrams are lost for twenty seconds: no false death lasts.
 #[test]
 fn loss_everywhere_leaves_no_false_death_that_lasts() {
     on_all_cores(0..60, |seed| {
@@ -128,10 +128,10 @@
     });
 }
 
-/// One is stopped for ten seconds and woken with an old view: it doubts itself first, and throws nobody
-/// out.
+/// A member is suspended for ten seconds and resumed with an old view: it mistrusts itself first, and declares nobody
+/// dead.
 #[test]
-fn one_that_wakes_doubts_itself_and_not_the_others() {
+fn a_resumed_member_declares_no_other_dead() {
     on_all_cores(0..300, |seed| {
         let n = 8;
         let mut sim = started(n, seed, 0.05);
@@ -157,18 +157,18 @@
             assert_eq!(threw_out, None, "seed {seed}: at {i}");
         }
         let own: Vec<Change> = since(2).collect();
-        let doubts = own.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
-        assert!(doubts.is_some(), "seed {seed}: it trusted what it knew: {own:?}");
+        let resumed = own.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
+        assert!(resumed.is_some(), "seed {seed}: it trusted what it knew: {own:?}");
         assert!(
-            own[doubts.unwrap_or(0)..].contains(&Change::Reachability(Reachability::Complete)),
+            own[resumed.unwrap_or(0)..].contains(&Change::Reachability(Reachability::Complete)),
             "{own:?}"
         );
     });
 }
 
-/// 60% are killed at once: the rest know it within the longest doubt and a round of probes.
+/// 60% are killed at once: the rest know it within the longest suspicion and a round of probes.
 #[test]
-fn most_killed_at_once_are_missed_by_all_that_are_left() {
+fn a_majority_killed_at_once_is_found_dead_by_the_rest() {
     on_all_cores(0..100, |seed| {
         let n = 10;
         let mut sim = started(n, seed, 0.0);
@@ -182,9 +182,9 @@
     });
 }
 
-/// A cut into halves: each half counts the other out, and both views are one again after it.
+/// A partition into halves: each half declares the other dead, and all views agree again after it.
 #[test]
-fn halves_that_were_cut_apart_become_one_again() {
+fn partitioned_halves_agree_again_after_the_partition() {
     on_all_cores(0..60, |seed| {
         let n = 8;
         let mut sim = started(n, seed, 0.02);
@@ -203,9 +203,9 @@
     });
 }
 
-/// A restart under the same name within a second is a new life, and nobody is missed for it.
+/// A restart under the same name within a second is a new process incarnation.
 #[test]
-fn a_restart_within_a_second_is_a_new_life() {
+fn a_restart_within_a_second_is_a_new_process_incarnation() {
     on_all_cores(0..100, |seed| {
         let n = 6;
         let mut sim = started(n, seed, 0.0);
@@ -216,20 +216,20 @@
         sim.start(1, n);
         let took = sim.until_agreed(10 * S);
         assert!(took.is_some(), "seed {seed}: not agreed");
-        let life = sim.places[1].life;
+        let process_incarnation = sim.places[1].life;
         for i in (0..n).filter(|i| *i != 1) {
             let new = |c: &(i64, Change)| {
-                c.0 >= before && c.1 == Change::Joined { member: key(1), process_incarnation: life }
+                c.0 >= before && c.1 == Change::Joined { member: key(1), process_incarnation }
             };
             assert!(sim.places[i].changes.iter().any(new), "seed {seed}: {i} did not see it");
         }
     });
 }
 
-/// A process whose clock went back starts in an earlier life than the one before: it is told, and
-/// makes a later one.
+/// A process whose clock went back starts with an earlier process incarnation than the one before: others tell it,
+/// and it takes a later one.
 #[test]
-fn a_life_that_is_too_early_is_corrected() {
+fn a_process_incarnation_that_is_too_early_is_corrected() {
     on_all_cores(0..60, |seed| {
         let n = 5;
         let mut sim = started(n, seed, 0.0);
@@ -242,13 +242,17 @@
         assert!(took.is_some(), "seed {seed}: not agreed");
         let view = sim.fleet(0).view();
         let peer = view.peers.iter().find(|p| p.key == key(3)).expect("on the list");
-        assert!(peer.process_incarnation > 101, "seed {seed}: life {}", peer.process_incarnation);
+        assert!(
+            peer.process_incarnation > 101,
+            "seed {seed}: process incarnation {}",
+            peer.process_incarnation
+        );
     });
 }
 
-/// One that leaves on purpose is missed at once, and by nobody's doubt.
+/// A member that leaves on purpose counts as left at once, and is never suspected.
 #[test]
-fn one_that_leaves_is_not_doubted() {
+fn a_member_that_leaves_is_never_suspected() {
     on_all_cores(0..100, |seed| {
         let n = 7;
         let mut sim = started(n, seed, 0.0);
@@ -258,9 +262,9 @@
         sim.kill(4);
         let took = sim.until_agreed(10 * S).expect("agreed");
         assert!(took < 5 * S, "seed {seed}: {took}");
-        let doubted =
+        let suspected =
             |c: &(i64, Change)| matches!(c.1, Change::Suspected { member, .. } if member == key(4));
-        assert!(sim.places.iter().all(|place| !place.changes.iter().any(doubted)), "seed {seed}");
+        assert!(sim.places.iter().all(|place| !place.changes.iter().any(suspected)), "seed {seed}");
     });
 }
 
@@ -290,10 +294,10 @@
     );
 }
 
-/// One hears and is heard by some majority, and by the rest one way or not at all: whoever holds it for dead
-/// learns better from the others, soon.
+/// A member reaches a majority, and the rest one way or not at all: members that declare it dead learn of its
+/// refutation from the others soon.
 #[test]
-fn one_that_answers_a_majority_is_not_held_dead_for_long() {
+fn a_member_that_reaches_a_majority_is_not_held_dead_for_long() {
     on_all_cores(0..200, |seed| {
         let n = 9;
         let mut sim = started(n, seed, 0.02);
@@ -329,5 +333,5 @@
     });
 }
 
-/// The longest time for which one that answers a majority may be held for dead.
+/// The longest time for which a member that reaches a majority may be held dead.
 const HELD_DEAD: i64 = 5 * S;
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -1,4 +1,4 @@
-//! What a member takes in and what it drops: foreign addresses, other fleets, earlier lives, forgery.
+//! Which datagrams a member accepts and which it drops: unknown addresses, other fleets, earlier processes, forgery.
 
 use std::net::SocketAddr;
 
@@ -21,23 +21,31 @@
         .collect()
 }
 
-fn member(own: &str, life: u32, seed: u64) -> Membership {
+fn member(own: &str, process_incarnation: u32, seed: u64) -> Membership {
     let all = listed(&[("a", 1), ("b", 2), ("c", 3)]);
-    Membership::new("points", own, life, MemberList::new(all), Timing::default(), seed, Time(0))
+    Membership::new(
+        "points",
+        own,
+        process_incarnation,
+        MemberList::new(all),
+        Timing::default(),
+        seed,
+        Time(0),
+    )
 }
 
-/// What it sends to this address, read.
+/// The messages that it sends to this address.
 fn sent(out: &mut Output, to: u8) -> Vec<Message> {
     let all = std::mem::take(&mut out.datagrams);
     let meant = all.into_iter().filter(|(at, _)| *at == address(to));
     meant.map(|(_, bytes)| decode(&bytes).expect("its own")).collect()
 }
 
-/// Two that have just met each other know each other's nonces.
+/// Two members exchange pings until they know each other's nonces.
 fn met(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
     let mut out = Output::default();
     a.tick(Time(0), &mut out);
-    // All are missing at first: one of them is called.
+    // All are missing at first: one of them is pinged.
     let mut at = 0;
     let ping = loop {
         if let Some(ping) = sent(&mut out, 2).pop() {
@@ -77,7 +85,7 @@
 }
 
 #[test]
-fn what_comes_from_elsewhere_is_dropped_and_counted() {
+fn foreign_and_forged_datagrams_are_dropped_and_counted_by_reason() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, now) = met(&mut a, &mut b);
     let dead = Update {
@@ -124,9 +132,9 @@
     assert_eq!(deaths(&out), 1, "with the echo and from its address it does");
 }
 
-/// Datagrams of a process's earlier life, replayed to its next one.
+/// Datagrams to an earlier process, replayed to the next one.
 #[test]
-fn what_was_meant_for_an_earlier_process_counts_for_nothing() {
+fn a_datagram_for_an_earlier_process_has_no_effect() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, _) = met(&mut a, &mut b);
     let mut next = member("b", 10, 3);
@@ -134,7 +142,7 @@
     next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
     assert_eq!(next.dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
-    // Yet the sender is told whom it speaks to now.
+    // Yet the sender is told the nonce of the new process.
     let told = sent(&mut out, 1).pop().expect("an answer");
     assert!(
         told.receiver_nonce == ping.nonce
@@ -143,16 +151,16 @@
     );
 }
 
-/// An accusation is answered by an objection that counts more, whoever passes it on.
+/// An update that is wrong about the member itself is refuted by a later incarnation.
 #[test]
-fn the_accused_objects() {
+fn a_suspected_member_refutes() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, now) = met(&mut a, &mut b);
     let before = b.local_health();
     for (state, incarnation) in
         [(MemberState::Suspect, 0), (MemberState::Dead, 1), (MemberState::Left, 2)]
     {
-        let accused = Update {
+        let suspected = Update {
             member: key_of("b"),
             process_incarnation: 9,
             incarnation,
@@ -160,15 +168,15 @@
             reported_by: key_of("c"),
         };
         let message =
-            Message { updates: vec![accused], body: Body::Ping { seq: 70 }, ..ping.clone() };
+            Message { updates: vec![suspected], body: Body::Ping { seq: 70 }, ..ping.clone() };
         let mut out = Output::default();
         b.receive(now, address(1), &encode(&message).0, &mut out);
         let answer = sent(&mut out, 1).pop().expect("an answer");
         assert_eq!(answer.incarnation, incarnation + 1, "{state:?}");
         a.receive(now, address(2), &encode(&answer).0, &mut out);
     }
-    assert_eq!(b.local_health(), before + 3, "each made it doubt itself");
-    // An old accusation is none.
+    assert_eq!(b.local_health(), before + 3, "each worsened its local health");
+    // A suspicion of an earlier incarnation needs no refutation.
     let old = Update {
         member: key_of("b"),
         process_incarnation: 9,
@@ -181,16 +189,16 @@
     assert_eq!(sent(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
 }
 
-/// Somebody acts under its name in ever later lives.
+/// Another process acts under its name, with ever later process incarnations.
 #[test]
-fn a_twin_is_told() {
+fn a_duplicate_identity_is_reported() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
     let (ping, _, now) = met(&mut a, &mut b);
     let mut out = Output::default();
-    for life in [9, 30, 60] {
+    for process_incarnation in [9, 30, 60] {
         let other = Update {
             member: key_of("b"),
-            process_incarnation: life,
+            process_incarnation,
             incarnation: 0,
             state: MemberState::Alive,
             reported_by: key_of("b"),
@@ -206,7 +214,8 @@
     assert_eq!(sent(&mut out, 1).pop().map(|m| m.process_incarnation), Some(61));
 }
 
-/// The list changes: whoever is no longer on it is forgotten, whoever moved has to be met anew.
+/// The list changes: a member that is no longer on it is forgotten, and one with a new address has to state its nonce
+/// again.
 #[test]
 fn the_operators_list_decides_who_can_be_a_member() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
@@ -227,12 +236,16 @@
     };
     let number = a.view().version;
     a.receive(now, address(4), &encode(&Message { updates: vec![c], ..ack }).0, &mut out);
-    assert_eq!(a.view().version, number, "news of one that is not on the list is passed over");
+    assert_eq!(
+        a.view().version,
+        number,
+        "an update about a member that is not on the list is ignored"
+    );
 }
 
-/// The bound that docs/design/members.md states, without the bytes of its name.
+/// The bound that docs/design/members.md states, without the bytes of a name.
 #[test]
-fn what_is_kept_of_a_member_is_bounded() {
+fn bytes_kept_of_a_member_are_bounded() {
     assert!(
         size_of::<sableloom_membership::Peer>() <= 200,
         "{}",
