--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use rustix::time::{ClockId, clock_gettime};
-use sableloom_fleet::{Core, Out, Setup};
+use sableloom_fleet::{FleetMember, MemberSettings, Output};
 use sableloom_membership::{Change, ListedMember, MemberList, key_of};
 use sableloom_simulated_network::{Net, Process, S, Sent, address, place};
 use sableloom_types::Time;
@@ -30,21 +30,21 @@
 const LETTER: f64 = 7600.0;
 
 struct Member {
-    core: Core,
+    core: FleetMember,
     time: Duration,
     events: u64,
     received: u64,
 }
 
 impl Member {
-    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut Core, &mut Out)) {
-        let mut out = Out::default();
+    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut FleetMember, &mut Output)) {
+        let mut out = Output::default();
         let begun = processor_time();
         what(&mut self.core, &mut out);
         self.time += processor_time().saturating_sub(begun);
         self.events += 1;
         sent.datagrams.extend(out.datagrams);
-        sent.knocks.extend(out.knocks.into_iter().map(|(_, at)| at));
+        sent.knocks.extend(out.absence_queries.into_iter().map(|(_, at)| at));
     }
 }
 
@@ -53,12 +53,12 @@
 
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
         self.received += 1;
-        self.call(sent, |core, out| core.datagram(now, from, bytes, out));
+        self.call(sent, |core, out| core.receive(now, from, bytes, out));
     }
 
     fn refused(&mut self, now: Time, at: SocketAddr, asked: Time, sent: &mut Sent<Change>) {
         let Some(i) = place(at) else { return };
-        self.call(sent, |core, out| core.refused(now, key_of(&name(i)), asked, out));
+        self.call(sent, |core, out| core.proved_absent(now, key_of(&name(i)), asked, out));
     }
 
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
@@ -66,7 +66,7 @@
     }
 
     fn next(&self) -> Time {
-        self.core.next()
+        self.core.next_wakeup()
     }
 }
 
@@ -81,13 +81,13 @@
 
 fn start(net: &mut Net<Member>, i: usize, listed: &Arc<MemberList>) {
     net.start(i, |life, seed, now| {
-        let setup = Setup {
+        let settings = MemberSettings {
             fleet: "points".to_string(),
             own: name(i),
-            talk: Default::default(),
+            membership: Default::default(),
             share: Default::default(),
         };
-        let core = Core::new(&setup, life, listed.clone(), seed, now);
+        let core = FleetMember::new(&settings, life, listed.clone(), seed, now);
         Member { core, time: Duration::ZERO, events: 0, received: 0 }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
@@ -103,15 +103,16 @@
 /// What a member of this list takes for each that is on it, when it has heard of none yet.
 fn bytes_a_member(listed: &Arc<MemberList>) -> f64 {
     let count = (4_000_000 / listed.members().len()).clamp(1, 1000);
-    let setup = |i| Setup {
+    let settings = |i| MemberSettings {
         fleet: "points".to_string(),
         own: name(i),
-        talk: Default::default(),
+        membership: Default::default(),
         share: Default::default(),
     };
     let before = resident_bytes();
-    let members: Vec<Core> =
-        (0..count).map(|i| Core::new(&setup(i), 1, listed.clone(), i as u64, Time(0))).collect();
+    let members: Vec<FleetMember> = (0..count)
+        .map(|i| FleetMember::new(&settings(i), 1, listed.clone(), i as u64, Time(0)))
+        .collect();
     (resident_bytes() - before) / (members.len() * listed.members().len()) as f64
 }
 
@@ -183,7 +184,7 @@
     let (from, bytes) = (net.now, net.bytes);
     let count = running(net).count();
     let mut worst = 0;
-    while running(net).any(|member| member.core.members().count_reachable() + 1 < count) {
+    while running(net).any(|member| member.core.membership().count_reachable() + 1 < count) {
         if net.now > from + SETTLES_WITHIN {
             return println!("{n:6} {:24} not within {} s", "all know all", SETTLES_WITHIN / S);
         }
@@ -200,7 +201,9 @@
 /// Runs until all updates have been passed on as often as they are.
 fn calm(net: &mut Net<Member>) {
     let until = net.now + SETTLES_WITHIN;
-    while net.now < until && running(net).any(|member| member.core.members().queued_updates() > 0) {
+    while net.now < until
+        && running(net).any(|member| member.core.membership().queued_updates() > 0)
+    {
         let next = net.now + S;
         net.run(next);
     }
--- /dev/null
+++ b/crates/fleet/src/absence_query.rs
@@ -0,0 +1,69 @@
+//! Absence queries: whether any process holds a member's address, as the member's operating system says (ICMP, port
+//! unreachable).
+
+use std::io::{self, ErrorKind};
+use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
+
+use sableloom_membership::ABSENCE_QUERY;
+use tokio::net::UdpSocket;
+use tokio::sync::{Semaphore, SemaphorePermit};
+use tokio::time::timeout;
+
+/// How long the answer may take. It comes from the member's operating system, if at all.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Absence queries that wait for their answers at once, each with a descriptor of its own.
+pub const MAX_ABSENCE_QUERIES: usize = 32;
+/// Queries that wait for one of those to end. One beyond that is lost, as by the network: it is repeated in its turn.
+/// Without a bound they pile up where hundreds of members that live are queried, as none of those answers.
+const MAX_WAITING_QUERIES: usize = 4 * MAX_ABSENCE_QUERIES;
+
+/// The places of queries that are sent and of those that wait.
+pub(crate) struct QuerySlots {
+    sent: Semaphore,
+    /// One for each that is sent or waits.
+    all: Semaphore,
+}
+
+/// The place of a query that may be sent.
+pub(crate) struct QuerySlot<'a> {
+    _sent: SemaphorePermit<'a>,
+    _any: SemaphorePermit<'a>,
+}
+
+/// No place is left, also to wait.
+#[derive(Debug, thiserror::Error)]
+#[error("too many absence queries are waiting")]
+pub(crate) struct TooManyQueries;
+
+impl QuerySlots {
+    pub(crate) fn new() -> Self {
+        Self {
+            sent: Semaphore::new(MAX_ABSENCE_QUERIES),
+            all: Semaphore::new(MAX_ABSENCE_QUERIES + MAX_WAITING_QUERIES),
+        }
+    }
+
+    /// Waits until the query may be sent.
+    pub(crate) async fn acquire(&self) -> Result<QuerySlot<'_>, TooManyQueries> {
+        let any = self.all.try_acquire().map_err(|_| TooManyQueries)?;
+        let sent = self.sent.acquire().await.map_err(|_| TooManyQueries)?;
+        Ok(QuerySlot { _sent: sent, _any: any })
+    }
+}
+
+/// Sends a query from a port of its own, calls `sent`, and returns whether the answer is that no process holds the
+/// address. Silence, and any other error, says nothing.
+pub(crate) async fn is_proved_absent(from: IpAddr, to: SocketAddr, sent: impl FnOnce()) -> bool {
+    let query = async {
+        let socket = UdpSocket::bind(SocketAddr::new(from, 0)).await?;
+        // Only a connected socket is told of the answer.
+        socket.connect(to).await?;
+        socket.send(&ABSENCE_QUERY).await?;
+        sent();
+        let mut buffer = [0; 1];
+        socket.recv(&mut buffer).await
+    };
+    let answer: Result<io::Result<usize>, _> = timeout(ANSWER_TIMEOUT, query).await;
+    matches!(answer, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
+}
--- a/crates/fleet/src/ask/tests.rs
+++ b/crates/fleet/src/operator_query/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
 
 #[test]
-fn a_text_comes_whole_in_pages_of_256_bytes() {
+fn pages_of_256_bytes_make_up_the_complete_text() {
     for length in [0usize, 1, 250, 251, 252, 502, 503, 70_000] {
         let text: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
         let mut whole: Vec<u8> = Vec::new();
         let mut page = 0;
         while let Some(bytes) = answer(&text, page) {
             assert!(bytes.len() <= MAX_DATAGRAM);
-            let (number, count, part) = read(&bytes).expect("its own");
+            let Page { number, count, content } = read_answer(&bytes).expect("its own");
             assert_eq!((number, usize::from(count)), (page, length.div_ceil(251)));
-            whole.extend(part);
+            whole.extend(content);
             page += 1;
         }
         assert_eq!(whole, text);
     }
-    // More than can be counted is not shown at all, and never cut short unsaid.
+    // More pages than can be counted are not shown at all, and never truncated silently.
     assert_eq!(answer(&vec![0; 251 * 70_000], 0), None);
 }
 
 #[test]
-fn whatever_comes_is_a_question_or_none() {
-    assert_eq!(asked(&[255, 1, 2]), Some(258));
+fn other_datagrams_are_neither_queries_nor_answers() {
+    assert_eq!(requested_page(&[255, 1, 2]), Some(258));
     for other in [&[][..], &[255], &[255, 1], &[255, 1, 2, 3], &[1, 1, 2]] {
-        assert_eq!(asked(other), None);
+        assert_eq!(requested_page(other), None);
     }
     for other in [&[][..], &[255, 0, 0, 0], &[1, 0, 0, 0, 1, 7]] {
-        assert_eq!(read(other), None);
+        assert_eq!(read_answer(other), None);
     }
 }
 
@@ -45,16 +45,16 @@
 #[test]
 fn recorded_queries_and_answers_are_read_and_written_unchanged() {
     for page in [0, 1, 258] {
-        assert_eq!(asked(&recorded(&format!("query_{page}"))), Some(page));
+        assert_eq!(requested_page(&recorded(&format!("query_{page}"))), Some(page));
     }
     let text: Vec<u8> = (0..600usize).map(|i| (i % 251) as u8).collect();
     let mut whole: Vec<u8> = Vec::new();
     for page in 0..3 {
         let bytes = recorded(&format!("answer_{page}"));
         assert_eq!(answer(&text, page), Some(bytes.clone()));
-        let (number, count, part) = read(&bytes).expect("an answer");
+        let Page { number, count, content } = read_answer(&bytes).expect("an answer");
         assert_eq!((number, count), (page, 3));
-        whole.extend(part);
+        whole.extend(content);
     }
     assert_eq!(whole, text);
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,54 +1,67 @@
-//! What a member says of itself and of the fleet, for operators and for tests.
+//! What a member says of itself and of the fleet, for operators and for tests. The keys of the JSON are operators': a
+//! field with another name states its key.
 
 use sableloom_capacity_share::ShareReason;
-use sableloom_membership::{DropReason, Health, Reachability};
+use sableloom_membership::{DropReason, Health, Membership, Peer, Reachability};
 use sableloom_types::Time;
 use serde::{Deserialize, Serialize};
 
-use crate::core::Core;
+use crate::member::FleetMember;
 
 /// The status of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The fleet's name.
     pub fleet: String,
-    /// Its own.
+    /// The member's own name.
     pub own: String,
-    /// Its process's life.
-    pub life: u32,
+    /// The incarnation of its process.
+    #[serde(rename = "life")]
+    pub process_incarnation: u32,
     /// One more with each change of its view.
-    pub number: u64,
-    /// The same at two members that agree on who is there, and in which lives.
-    pub digest: String,
-    /// A digest of its lists of servers in force; the same at two that have the same.
-    pub servers: String,
+    #[serde(rename = "number")]
+    pub view_version: u64,
+    /// The same at two members that agree on which members are reachable, and in which process incarnations.
+    #[serde(rename = "digest")]
+    pub view_digest: String,
+    /// A digest of its endpoint lists in force; the same at two that have the same.
+    #[serde(rename = "servers")]
+    pub endpoints_digest: String,
     /// `whole`, `part`, `alone` or `just-woken`.
-    pub standing: String,
-    /// How many it hears, itself included.
-    pub hears: usize,
+    #[serde(rename = "standing")]
+    pub reachability: String,
+    /// How many members it reaches, itself included.
+    #[serde(rename = "hears")]
+    pub reachable: usize,
     /// How many are on its list, itself included, without those that left.
-    pub of: usize,
-    /// How far it doubts itself, 0 to 8.
-    pub doubt: u32,
-    /// Its part of the servers.
-    pub part: PartStatus,
-    /// The others.
+    #[serde(rename = "of")]
+    pub listed: usize,
+    /// Its local health: 0 is healthy, 8 the worst.
+    #[serde(rename = "doubt")]
+    pub local_health: u32,
+    /// Its share of the servers' capacity.
+    #[serde(rename = "part")]
+    pub share: ShareStatus,
+    /// The other members.
     pub members: Vec<MemberStatus>,
     /// Datagrams that were dropped.
     pub dropped: Drops,
 }
 
-/// A part of the servers.
+/// A share of the servers' capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PartStatus {
-    /// With how many it shares them, itself included; 0 for no part yet.
+pub struct ShareStatus {
+    /// The number of balancers that divide the capacity, itself included; 0 for no share yet.
     pub balancers: u32,
-    /// How many the longest list names that it knows of.
-    pub listed: u32,
-    /// How many are proved not to act.
-    pub absent: usize,
+    /// The length of the longest list that it knows of.
+    #[serde(rename = "listed")]
+    pub longest_list: u32,
+    /// How many members are proved absent.
+    #[serde(rename = "absent")]
+    pub absent_members: usize,
     /// `shares`, `waits`, `woken` or `twin`.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// Another member.
@@ -56,119 +69,143 @@
 pub struct MemberStatus {
     /// Its name.
     pub name: String,
-    /// Where it is.
+    /// Its address.
     pub address: String,
     /// `unknown`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
     /// For how long, in milliseconds.
     pub since_ms: i64,
-    /// By whose word.
-    pub by: String,
-    /// Those who doubt it, the first included; 0 if nobody does.
-    pub accusers: usize,
-    /// Its process's life.
-    pub life: u32,
-    /// How long ago it was heard itself, in milliseconds.
-    pub heard_ms: Option<i64>,
-    /// How many its list names.
-    pub listed: u16,
-    /// A digest of the lists of servers that it has in force.
-    pub servers: String,
+    /// The member that found that first.
+    #[serde(rename = "by")]
+    pub reported_by: String,
+    /// How many members suspect it, the first included; 0 if none does.
+    #[serde(rename = "accusers")]
+    pub suspected_by: usize,
+    /// The incarnation of its process.
+    #[serde(rename = "life")]
+    pub process_incarnation: u32,
+    /// How long ago a message from itself came, in milliseconds.
+    #[serde(rename = "heard_ms")]
+    pub last_heard_ms: Option<i64>,
+    /// The length of its list.
+    #[serde(rename = "listed")]
+    pub list_length: u16,
+    /// A digest of the endpoint lists that it has in force.
+    #[serde(rename = "servers")]
+    pub endpoints_digest: String,
 }
 
 /// Datagrams that were dropped, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Drops {
-    /// Longer than 256 bytes.
+    /// Longer than a datagram may be.
     pub too_long: u64,
     /// Of another version.
-    pub version: u64,
+    #[serde(rename = "version")]
+    pub other_version: u64,
     /// No message.
     pub malformed: u64,
     /// Of another fleet.
-    pub fleet: u64,
+    #[serde(rename = "fleet")]
+    pub other_fleet: u64,
     /// From an address that no member has.
-    pub address: u64,
+    #[serde(rename = "address")]
+    pub unknown_address: u64,
     /// From a member's address under another's name.
-    pub name: u64,
+    #[serde(rename = "name")]
+    pub wrong_sender: u64,
     /// Meant for an earlier process at the same address.
-    pub echo: u64,
+    #[serde(rename = "echo")]
+    pub stale_nonce: u64,
 }
 
-fn hex(digest: u32) -> String {
-    format!("{digest:08x}")
+impl Drops {
+    fn of(membership: &Membership) -> Self {
+        Self {
+            too_long: membership.dropped(DropReason::TooLong),
+            other_version: membership.dropped(DropReason::OtherVersion),
+            malformed: membership.dropped(DropReason::Malformed),
+            other_fleet: membership.dropped(DropReason::OtherFleet),
+            unknown_address: membership.dropped(DropReason::UnknownAddress),
+            wrong_sender: membership.dropped(DropReason::WrongSender),
+            stale_nonce: membership.dropped(DropReason::StaleNonce),
+        }
+    }
+}
+
+impl ShareStatus {
+    fn of(member: &FleetMember, now: Time) -> Self {
+        let share = member.share();
+        let reason = match share.reason {
+            ShareReason::Waiting(_) => "waits",
+            ShareReason::Sharing => "shares",
+            ShareReason::Resumed => "woken",
+            ShareReason::DuplicateIdentity => "twin",
+        };
+        Self {
+            balancers: share.balancers,
+            longest_list: member.capacity_share().longest_list(),
+            absent_members: member.capacity_share().absent_members(now),
+            reason: reason.to_string(),
+        }
+    }
+}
+
+impl MemberStatus {
+    fn of(member: &FleetMember, peer: &Peer, now: Time) -> Self {
+        let (state, suspected_by) = match &peer.health {
+            Health::Unknown => ("unknown", 0),
+            Health::Alive => ("alive", 0),
+            Health::Suspect(suspicion) => ("suspect", suspicion.confirmers.len() + 1),
+            Health::Dead => ("dead", 0),
+            Health::Left => ("left", 0),
+        };
+        let listed = member.membership().listed(peer.key);
+        let milliseconds_since = |at: Time| now.since(at).0 / 1000;
+        Self {
+            name: member.name(peer.key).to_string(),
+            address: listed.map(|listed| listed.address.to_string()).unwrap_or_default(),
+            state: state.to_string(),
+            since_ms: milliseconds_since(peer.since),
+            reported_by: member.name(peer.reported_by).to_string(),
+            suspected_by,
+            process_incarnation: peer.process_incarnation,
+            last_heard_ms: peer.last_heard.map(milliseconds_since),
+            list_length: peer.list_length,
+            endpoints_digest: hexadecimal(peer.endpoints_digest),
+        }
+    }
 }
 
 impl Status {
     /// A member's status now.
-    pub fn of(core: &Core, fleet: &str, own: &str, now: Time) -> Self {
-        let members = core.members();
-        let share = core.share();
-        let there = members.count_reachable() + 1;
-        let left = members.count_left();
-        let ago = |at: Time| now.since(at).0 / 1000;
-        let peer = |peer: &sableloom_membership::Peer| {
-            let (state, accusers) = match &peer.health {
-                Health::Unknown => ("unknown", 0),
-                Health::Alive => ("alive", 0),
-                Health::Suspect(suspicion) => ("suspect", suspicion.confirmers.len() + 1),
-                Health::Dead => ("dead", 0),
-                Health::Left => ("left", 0),
-            };
-            let listed = members.listed(peer.key);
-            MemberStatus {
-                name: core.name(peer.key).to_string(),
-                address: listed.map(|listed| listed.address.to_string()).unwrap_or_default(),
-                state: state.to_string(),
-                since_ms: ago(peer.since),
-                by: core.name(peer.reported_by).to_string(),
-                accusers,
-                life: peer.process_incarnation,
-                heard_ms: peer.last_heard.map(ago),
-                listed: peer.list_length,
-                servers: hex(peer.endpoints_digest),
-            }
+    pub fn of(member: &FleetMember, fleet: &str, own: &str, now: Time) -> Self {
+        let membership = member.membership();
+        let reachability = match membership.reachability() {
+            Reachability::Complete => "whole",
+            Reachability::Partial { .. } => "part",
+            Reachability::Isolated => "alone",
+            Reachability::Resumed => "just-woken",
         };
-        let dropped = |why| members.dropped(why);
+        let members = membership.peers().map(|peer| MemberStatus::of(member, peer, now));
         Self {
             fleet: fleet.to_string(),
             own: own.to_string(),
-            life: members.process_incarnation(),
-            number: members.view_version(),
-            digest: hex(members.digest()),
-            servers: hex(members.endpoints_digest()),
-            standing: match members.reachability() {
-                Reachability::Complete => "whole",
-                Reachability::Partial { .. } => "part",
-                Reachability::Isolated => "alone",
-                Reachability::Resumed => "just-woken",
-            }
-            .to_string(),
-            hears: there,
-            of: members.count() + 1 - left,
-            doubt: members.local_health(),
-            part: PartStatus {
-                balancers: share.balancers,
-                listed: core.capacity_share().longest_list(),
-                absent: core.capacity_share().absent_members(now),
-                why: match share.reason {
-                    ShareReason::Waiting(_) => "waits",
-                    ShareReason::Sharing => "shares",
-                    ShareReason::Resumed => "woken",
-                    ShareReason::DuplicateIdentity => "twin",
-                }
-                .to_string(),
-            },
-            members: members.peers().map(peer).collect(),
-            dropped: Drops {
-                too_long: dropped(DropReason::TooLong),
-                version: dropped(DropReason::OtherVersion),
-                malformed: dropped(DropReason::Malformed),
-                fleet: dropped(DropReason::OtherFleet),
-                address: dropped(DropReason::UnknownAddress),
-                name: dropped(DropReason::WrongSender),
-                echo: dropped(DropReason::StaleNonce),
-            },
+            process_incarnation: membership.process_incarnation(),
+            view_version: membership.view_version(),
+            view_digest: hexadecimal(membership.digest()),
+            endpoints_digest: hexadecimal(membership.endpoints_digest()),
+            reachability: reachability.to_string(),
+            reachable: membership.count_reachable() + 1,
+            listed: membership.count() + 1 - membership.count_left(),
+            local_health: membership.local_health(),
+            share: ShareStatus::of(member, now),
+            members: members.collect(),
+            dropped: Drops::of(membership),
         }
     }
 }
+
+fn hexadecimal(digest: u32) -> String {
+    format!("{digest:08x}")
+}
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use sableloom_capacity_share::Timing;
-use sableloom_fleet::{Core, Out, Setup};
+use sableloom_fleet::{FleetMember, MemberSettings, Output};
 use sableloom_membership::{
     Body, Change, ListedMember, MAX_BYTES_PER_SECOND, MemberList, Timing as MembershipTiming,
     decode, key_of,
@@ -20,21 +20,21 @@
 const QUARTERS: usize = 4;
 
 struct Member {
-    core: Core,
+    core: FleetMember,
     /// Bytes by kind, for the report of a failure.
     kinds: BTreeMap<&'static str, usize>,
 }
 
 impl Member {
-    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut Core, &mut Out)) {
-        let mut out = Out::default();
+    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut FleetMember, &mut Output)) {
+        let mut out = Output::default();
         what(&mut self.core, &mut out);
         for (_, bytes) in &out.datagrams {
             self.count("sent", bytes);
         }
-        *self.kinds.entry("questions").or_default() += out.knocks.len();
+        *self.kinds.entry("questions").or_default() += out.absence_queries.len();
         sent.datagrams.extend(out.datagrams);
-        sent.knocks.extend(out.knocks.into_iter().map(|(_, at)| at));
+        sent.knocks.extend(out.absence_queries.into_iter().map(|(_, at)| at));
     }
 
     fn count(&mut self, way: &'static str, bytes: &[u8]) {
@@ -55,12 +55,12 @@
 
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
         self.count("received", bytes);
-        self.call(sent, |core, out| core.datagram(now, from, bytes, out));
+        self.call(sent, |core, out| core.receive(now, from, bytes, out));
     }
 
     fn refused(&mut self, now: Time, at: SocketAddr, asked: Time, sent: &mut Sent<Change>) {
         let Some(i) = place(at) else { return };
-        self.call(sent, |core, out| core.refused(now, key_of(&name(i)), asked, out));
+        self.call(sent, |core, out| core.proved_absent(now, key_of(&name(i)), asked, out));
     }
 
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
@@ -68,7 +68,7 @@
     }
 
     fn next(&self) -> Time {
-        self.core.next()
+        self.core.next_wakeup()
     }
 }
 
@@ -78,13 +78,13 @@
 
 fn start(net: &mut Net<Member>, i: usize, list: &Arc<MemberList>) {
     net.start(i, |life, seed, now| {
-        let setup = Setup {
+        let settings = MemberSettings {
             fleet: "points".to_string(),
             own: name(i),
-            talk: MembershipTiming::default(),
+            membership: MembershipTiming::default(),
             share: Timing::default(),
         };
-        let core = Core::new(&setup, life, list.clone(), seed, now);
+        let core = FleetMember::new(&settings, life, list.clone(), seed, now);
         Member { core, kinds: BTreeMap::new() }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
@@ -137,7 +137,7 @@
     run(&mut net, 10, "one starts");
     (1..quarter).for_each(|i| start(&mut net, i, &list));
     run(&mut net, 30, "a quarter starts");
-    let knows_all = |member: &Member| member.core.members().count_reachable() == MEMBERS - 1;
+    let knows_all = |member: &Member| member.core.membership().count_reachable() == MEMBERS - 1;
     let members = net.places.iter().filter_map(|place| place.process.as_ref());
     assert_eq!(members.filter(|member| knows_all(member)).count(), MEMBERS, "all know all");
 }
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -42,7 +42,7 @@
     /// Whether anybody is there.
     Knock { from: usize, life: u32, to: usize, asked: i64 },
     /// Nobody is.
-    DropReason { to: usize, life: u32, of: usize, asked: i64 },
+    Absent { to: usize, life: u32, of: usize, asked: i64 },
 }
 
 #[derive(Clone, Debug)]
@@ -109,10 +109,10 @@
             }
             Datagram::Knock { from, life, to, asked } => {
                 if self.members[to].is_none() {
-                    self.way.push(Datagram::DropReason { to: from, life, of: to, asked });
+                    self.way.push(Datagram::Absent { to: from, life, of: to, asked });
                 }
             }
-            Datagram::DropReason { to, life, of, asked } => {
+            Datagram::Absent { to, life, of, asked } => {
                 let asked = Time(asked);
                 self.with(to, Some(life), |standing, _| {
                     standing.proved_absent(of as u32, asked);
--- a/crates/fleet/tests/parts.rs
+++ b/crates/fleet/tests/parts.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use sableloom_capacity_share::{Share, ShareReason, Timing};
-use sableloom_fleet::{Core, Out, Setup};
+use sableloom_fleet::{FleetMember, MemberSettings, Output};
 use sableloom_membership::{
     Change, Key, ListedMember, MemberList, Timing as MembershipTiming, key_of,
 };
@@ -14,17 +14,17 @@
 
 /// A member and its part, as the shell holds it between two calls.
 struct Member {
-    core: Core,
+    core: FleetMember,
     part: Share,
 }
 
 impl Member {
-    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut Core, &mut Out)) {
-        let mut out = Out::default();
+    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut FleetMember, &mut Output)) {
+        let mut out = Output::default();
         what(&mut self.core, &mut out);
         self.part = self.core.share();
         sent.datagrams.extend(out.datagrams);
-        sent.knocks.extend(out.knocks.into_iter().map(|(_, at)| at));
+        sent.knocks.extend(out.absence_queries.into_iter().map(|(_, at)| at));
         sent.changes.extend(out.changes);
     }
 }
@@ -33,12 +33,12 @@
     type Change = Change;
 
     fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
-        self.call(sent, |core, out| core.datagram(now, from, bytes, out));
+        self.call(sent, |core, out| core.receive(now, from, bytes, out));
     }
 
     fn refused(&mut self, now: Time, at: SocketAddr, asked: Time, sent: &mut Sent<Change>) {
         let Some(i) = place(at) else { return };
-        self.call(sent, |core, out| core.refused(now, key(i), asked, out));
+        self.call(sent, |core, out| core.proved_absent(now, key(i), asked, out));
     }
 
     fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
@@ -46,7 +46,7 @@
     }
 
     fn next(&self) -> Time {
-        self.core.next()
+        self.core.next_wakeup()
     }
 }
 
@@ -60,13 +60,13 @@
 
 fn start(net: &mut Net<Member>, i: usize, of: usize) {
     net.start(i, |life, seed, now| {
-        let setup = Setup {
+        let settings = MemberSettings {
             fleet: "points".to_string(),
             own: format!("b{}", i + 1),
-            talk: MembershipTiming::default(),
+            membership: MembershipTiming::default(),
             share: Timing::default(),
         };
-        let core = Core::new(&setup, life, MemberList::new(listed(of)), seed, now);
+        let core = FleetMember::new(&settings, life, MemberList::new(listed(of)), seed, now);
         Member { part: core.share(), core }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sableloom_capacity_share::Timing;
-use sableloom_fleet::{Core, Out, Setup, Status};
+use sableloom_fleet::{FleetMember, MemberSettings, Output, Status};
 use sableloom_membership::{
     Body, ListedMember, MAX_PAGE, MemberList, MemberState, Message, Timing as MembershipTiming,
     Update, decode, encode, key_of,
@@ -23,7 +23,7 @@
 
 /// Member `a` of a list, and its nonce.
 struct Member {
-    core: Core,
+    core: FleetMember,
     nonce: u32,
 }
 
@@ -34,23 +34,23 @@
             address: address(number as u8 + 1),
         };
         let list = MemberList::new(names.iter().enumerate().map(listed));
-        let setup = Setup {
+        let settings = MemberSettings {
             fleet: "points".to_string(),
             own: "a".to_string(),
-            talk: MembershipTiming::default(),
+            membership: MembershipTiming::default(),
             share: Timing::default(),
         };
-        let mut core = Core::new(&setup, LIFE, list, 42, Time(0));
-        let mut out = Out::default();
+        let mut core = FleetMember::new(&settings, LIFE, list, 42, Time(0));
+        let mut out = Output::default();
         core.start(Time(0), &mut out);
         let (_, first) = out.datagrams.first().expect("all others are probed");
         let nonce = decode(first).expect("a message").nonce;
-        core.serves(0x1234_abcd);
+        core.set_endpoints_digest(0x1234_abcd);
         Self { core, nonce }
     }
 
     fn receives(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        self.core.datagram(now, from, bytes, &mut Out::default());
+        self.core.receive(now, from, bytes, &mut Output::default());
     }
 
     /// The member at this place of the list says something to this process.
@@ -130,7 +130,7 @@
     member.hears(now, 2, "b", news);
     drops(&mut member, now);
     found.push(("part_waits", member.json(Time(SECOND / 2))));
-    member.core.tick(Time(5 * SECOND), &mut Out::default());
+    member.core.tick(Time(5 * SECOND), &mut Output::default());
     found.push(("just_woken", member.json(Time(5 * SECOND + 1000))));
 
     let mut pair = Member::start(&["a", "b", "c"]);
@@ -138,7 +138,7 @@
     pair.hears(now, 3, "c", Vec::new());
     found.push(("whole_shares", pair.json(Time(SECOND / 2))));
     let asked = Time(now.0 + 1000);
-    pair.core.refused(Time(now.0 + 2000), key_of("c"), asked, &mut Out::default());
+    pair.core.proved_absent(Time(now.0 + 2000), key_of("c"), asked, &mut Output::default());
     found.push(("absent", pair.json(Time(SECOND / 2))));
     let twins = [LIFE + 1, LIFE + 9, LIFE + 90];
     for life in twins {
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -7,7 +7,7 @@
 
 use sableloom_capacity_share::{Share, Timing};
 use sableloom_exchange::Clock;
-use sableloom_fleet::{Options, Running, Setup, Told};
+use sableloom_fleet::{FleetObserver, MemberSettings, RunOptions, RunningMember};
 use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
@@ -19,30 +19,30 @@
 
 struct Nobody;
 
-impl Told for Nobody {
+impl FleetObserver for Nobody {
     fn share(&self, _: Share) {}
-    fn line(&self, _: &str) {}
+    fn log(&self, _: &str) {}
 }
 
 fn loopback() -> UdpSocket {
     UdpSocket::bind("127.0.0.1:0").expect("a port")
 }
 
-fn options(address: SocketAddr, list: Arc<MemberList>) -> Options {
-    Options {
-        setup: Setup {
+fn options(address: SocketAddr, list: Arc<MemberList>) -> RunOptions {
+    RunOptions {
+        settings: MemberSettings {
             fleet: "fleet".to_string(),
             own: "own".to_string(),
-            talk: MembershipTiming::default(),
+            membership: MembershipTiming::default(),
             share: Timing::default(),
         },
         address,
         operator: None,
         list,
-        life: 1,
+        process_incarnation: 1,
         seed: 1,
         clock: Clock::new(),
-        told: Rc::new(Nobody),
+        observer: Rc::new(Nobody),
     }
 }
 
@@ -58,9 +58,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let address = loopback().local_addr().expect("an address");
-        let running = Running::start(options(address, list)).await.expect("an address");
+        let running = RunningMember::start(options(address, list)).await.expect("an address");
         let begun = Instant::now();
-        while running.traffic().probes_dropped == 0 {
+        while running.traffic().absence_queries_dropped == 0 {
             assert!(begun.elapsed() < LONG, "all wait: {:?}", running.traffic());
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -1,272 +1,110 @@
-//! A balancer's place in its fleet, and `sableloom fleet`: what balancers that know each other know.
+//! This balancer's membership of its fleet, and `sableloom fleet`: what balancers that know each other know.
 
-use std::collections::BTreeMap;
+mod command;
+mod comparison;
+mod members_table;
+
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use comfy_table::{Table, presets};
-use sableloom_capacity_share::Timing;
+use sableloom_capacity_share::Timing as ShareTiming;
 use sableloom_exchange::Clock;
-use sableloom_fleet::{Options, Running, Setup, Status, Told, status_of};
+use sableloom_fleet::{FleetObserver, MemberSettings, RunOptions, RunningMember};
 use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use sableloom_site_config::Fleet;
 use sableloom_types::settings::span;
 
-use crate::site_file::{lines_of, load};
-
-/// Lives are tenths of seconds since this one of Unix time, the first of 2025: they fit 32 bits for 13 years.
-const LIVES_FROM: i64 = 1_735_689_600;
+pub use command::{Command, run};
 
-/// Queries about an absent member within one lease: a proof of absence is renewed although three of them are lost.
+/// Process incarnations are tenths of seconds since this second of Unix time, the first of 2025: they fit 32 bits for
+/// 13 years.
+const INCARNATIONS_FROM: i64 = 1_735_689_600;
+/// Tenths of a second, in microseconds.
+const TENTH: i64 = 100_000;
+/// Absence queries about one member within a lease: a proof of absence is renewed although three queries are lost.
 const QUERIES_PER_LEASE: f64 = 4.0;
 
-/// What to show.
-#[derive(clap::Subcommand)]
-pub enum Command {
-    /// Shows what one balancer knows of its fleet: who is there, since when, by whose word, its own part
-    Members(RequestContext),
-    /// Shows where several balancers' knowledge differs. Ends with 0 if they agree, 1 if not
-    Compare(Several),
+/// Why this balancer can't be a member of its fleet.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The list of members does not name this balancer.
+    #[error("field `fleet.own`: no member {0:?}")]
+    NotListed(String),
+    /// The member's address can't be taken.
+    #[error("field `fleet`: {own:?} at {address}: {source}{}", holder(source))]
+    Address {
+        /// This balancer's name.
+        own: String,
+        /// Its address on the list.
+        address: SocketAddr,
+        /// The error of the socket.
+        source: io::Error,
+    },
 }
 
-/// Whom to ask.
-#[derive(clap::Args)]
-pub struct RequestContext {
-    /// Where the balancer takes datagrams
-    #[arg(required_unless_present = "config", conflicts_with = "config", requires = "from")]
-    address: Option<SocketAddr>,
-    /// The address to ask from, as its site names it in `fleet.operator`
-    #[arg(long, value_name = "ADDRESS")]
-    from: Option<SocketAddr>,
-    /// The balancer's site, which names both
-    #[arg(long, value_name = "FILE")]
-    config: Option<PathBuf>,
-}
-
-/// Whom to ask.
-#[derive(clap::Args)]
-pub struct Several {
-    /// Where the balancers take datagrams; without any, all members of the site are asked
-    #[arg(required_unless_present = "config", requires = "from")]
-    addresses: Vec<SocketAddr>,
-    /// The address to ask from, as their sites name it in `fleet.operator`
-    #[arg(long, value_name = "ADDRESS")]
-    from: Option<SocketAddr>,
-    /// A site that names the members and the address to ask from
-    #[arg(long, value_name = "FILE", conflicts_with_all = ["addresses", "from"])]
-    config: Option<PathBuf>,
+fn holder(error: &io::Error) -> &'static str {
+    match error.kind() {
+        io::ErrorKind::AddrInUse => "; another process, perhaps of this name, holds it",
+        _ => "",
+    }
 }
 
-/// The others on the list.
+/// The other members of the list.
 pub fn others(fleet: &Fleet) -> Vec<ListedMember> {
-    let others = fleet.members.iter().filter(|m| m.name != fleet.own);
-    others.map(|m| ListedMember { name: m.name.clone(), address: m.address }).collect()
+    let others = fleet.members.iter().filter(|member| member.name != fleet.own);
+    others
+        .map(|member| ListedMember { name: member.name.clone(), address: member.address })
+        .collect()
 }
 
-/// Takes this balancer's place among the others.
-pub async fn start(fleet: &Fleet, clock: Clock, told: Rc<dyn Told>) -> Result<Rc<Running>, String> {
-    let Some(address) = fleet.address() else {
-        return Err(format!("field `fleet.own`: no member {:?}", fleet.own));
+/// Takes this balancer's address among the members, and starts the membership protocol.
+///
+/// # Errors
+///
+/// [`StartError`] if the list does not name this balancer, or its address can't be taken.
+pub async fn start(
+    fleet: &Fleet,
+    clock: Clock,
+    observer: Rc<dyn FleetObserver>,
+) -> Result<Rc<RunningMember>, StartError> {
+    let own = &fleet.own;
+    let address = fleet.address().ok_or_else(|| StartError::NotListed(own.clone()))?;
+    let tenths = clock.now().0 / TENTH - INCARNATIONS_FROM * 10;
+    let options = RunOptions {
+        settings: settings(fleet),
+        address,
+        operator: fleet.operator,
+        list: MemberList::new(others(fleet)),
+        process_incarnation: tenths.clamp(1, i64::from(u32::MAX) - 1) as u32,
+        seed: seed(),
+        clock,
+        observer,
     };
-    let tenths = clock.now().0 / 100_000 - LIVES_FROM * 10;
-    let life = tenths.clamp(1, i64::from(u32::MAX) - 1);
-    // Of the time as well: its nonce must not be that of an earlier process with the same number.
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let seed = unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(40);
-    let lease = span(fleet.claim_ms);
-    let setup = Setup {
+    let running = RunningMember::start(options).await;
+    running.map_err(|source| StartError::Address { own: own.clone(), address, source })
+}
+
+fn settings(fleet: &Fleet) -> MemberSettings {
+    MemberSettings {
         fleet: fleet.name.clone(),
         own: fleet.own.clone(),
-        talk: MembershipTiming {
+        membership: MembershipTiming {
             probe_interval: span(fleet.period_ms),
             probe_timeout: span(fleet.answer_ms),
             ..MembershipTiming::default()
         },
-        share: Timing {
-            lease,
+        share: ShareTiming {
+            lease: span(fleet.claim_ms),
             query_interval: span(fleet.claim_ms / QUERIES_PER_LEASE),
-            ..Timing::default()
+            ..ShareTiming::default()
         },
-    };
-    let options = Options {
-        setup,
-        address,
-        operator: fleet.operator,
-        list: MemberList::new(others(fleet)),
-        life: life as u32,
-        seed,
-        clock,
-        told,
-    };
-    Running::start(options).await.map_err(|e| {
-        let held = match e.kind() {
-            std::io::ErrorKind::AddrInUse => "; another process, perhaps of this name, holds it",
-            _ => "",
-        };
-        format!("field `fleet`: {:?} at {address}: {e}{held}", fleet.own)
-    })
-}
-
-fn named(path: &std::path::Path) -> Result<(Fleet, SocketAddr), String> {
-    let (site, _) = load(path).map_err(|wrong| lines_of(&wrong))?;
-    let fleet = site.fleet.ok_or(format!("{}: it has no [fleet]", path.display()))?;
-    let Some(operator) = fleet.operator else {
-        let line = fleet.place.line;
-        let what = "field `fleet.operator`: missing; expected the address that operators ask from";
-        return Err(format!("{}:{line}: {what}", path.display()));
-    };
-    Ok((fleet, operator))
-}
-
-/// Runs a command.
-pub async fn run(command: Command) -> Result<ExitCode, String> {
-    match command {
-        Command::Members(RequestContext { address, from, config }) => {
-            let (from, address) = match (config, address, from) {
-                (Some(path), ..) => {
-                    let (fleet, operator) = named(&path)?;
-                    let own = fleet.address().ok_or("it does not name its own address")?;
-                    (operator, own)
-                }
-                (None, Some(address), Some(from)) => (from, address),
-                _ => return Err("whom to ask is not said".to_string()),
-            };
-            print!("{}", members(&status_of(from, address).await?));
-            Ok(ExitCode::SUCCESS)
-        }
-        Command::Compare(Several { addresses, from, config }) => {
-            let (from, asked) = match (config, from) {
-                (Some(path), _) => {
-                    let (fleet, operator) = named(&path)?;
-                    (operator, fleet.members.iter().map(|m| m.address).collect())
-                }
-                (None, Some(from)) => (from, addresses),
-                (None, None) => return Err("whom to ask is not said".to_string()),
-            };
-            let mut answers = Vec::new();
-            for address in asked {
-                answers.push((address, status_of(from, address).await));
-            }
-            let (text, agree) = compare(&answers);
-            print!("{text}");
-            Ok(if agree { ExitCode::SUCCESS } else { ExitCode::from(1) })
-        }
     }
 }
 
-fn head(status: &Status) -> String {
-    let part = &status.part;
-    let share = match part.balancers {
-        0 => "none yet".to_string(),
-        n => format!("1 of {n}"),
-    };
-    format!(
-        "{} of fleet {}, life {}: {}, hears {} of {}, doubt {}; part {share} ({}; {} listed, {} proved \
-         absent); view {}, digest {}, servers {}",
-        status.own,
-        status.fleet,
-        status.life,
-        status.standing,
-        status.hears,
-        status.of,
-        status.doubt,
-        part.why,
-        part.listed,
-        part.absent,
-        status.number,
-        status.digest,
-        status.servers
-    )
-}
-
-fn members(status: &Status) -> String {
-    let mut table = Table::new();
-    table.load_preset(presets::NOTHING);
-    table.set_header([
-        "member", "address", "state", "for", "by", "accusers", "life", "heard", "lists", "servers",
-    ]);
-    let seconds = |ms: i64| format!("{:.1} s", ms as f64 / 1e3);
-    for m in &status.members {
-        table.add_row([
-            m.name.clone(),
-            m.address.clone(),
-            m.state.clone(),
-            seconds(m.since_ms),
-            m.by.clone(),
-            m.accusers.to_string(),
-            m.life.to_string(),
-            m.heard_ms.map_or("never".to_string(), |ms| format!("{} ago", seconds(ms))),
-            m.listed.to_string(),
-            m.servers.clone(),
-        ]);
-    }
-    let d = &status.dropped;
-    let dropped = [
-        ("too long", d.too_long),
-        ("another version", d.version),
-        ("malformed", d.malformed),
-        ("another fleet", d.fleet),
-        ("no member's address", d.address),
-        ("another's name", d.name),
-        ("an earlier process's", d.echo),
-    ];
-    let dropped: Vec<String> =
-        dropped.iter().filter(|d| d.1 > 0).map(|(what, n)| format!("{n} {what}")).collect();
-    let dropped = if dropped.is_empty() { "none".to_string() } else { dropped.join(", ") };
-    format!("{}\n{table}\ndropped: {dropped}\n", head(status))
-}
-
-/// Where views differ, and whether they agree.
-fn compare(answers: &[(SocketAddr, Result<Status, String>)]) -> (String, bool) {
-    let mut text = String::new();
-    let mut agree = true;
-    let mut seen: BTreeMap<&str, BTreeMap<String, Vec<&str>>> = BTreeMap::new();
-    let mut digests: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    let (mut parts, mut listed) = (0.0, BTreeMap::new());
-    let mut servers: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for (_, answer) in answers {
-        match answer {
-            Err(e) => {
-                agree = false;
-                text += &format!("{e}\n");
-            }
-            Ok(status) => {
-                text += &format!("{}\n", head(status));
-                digests.entry(&status.digest).or_default().push(&status.own);
-                servers.entry(&status.servers).or_default().push(&status.own);
-                listed.entry(status.members.len() + 1).or_insert_with(Vec::new).push(&*status.own);
-                if status.part.balancers > 0 {
-                    parts += 1.0 / f64::from(status.part.balancers);
-                }
-                let own = format!("alive in life {}", status.life);
-                seen.entry(&status.own).or_default().entry(own).or_default().push(&status.own);
-                for m in &status.members {
-                    let says = match m.state.as_str() {
-                        "suspect" | "alive" => format!("{} in life {}", m.state, m.life),
-                        state => state.to_string(),
-                    };
-                    seen.entry(&m.name).or_default().entry(says).or_default().push(&status.own);
-                }
-            }
-        }
-    }
-    for (member, says) in seen.iter().filter(|(_, says)| says.len() > 1) {
-        let says: Vec<String> =
-            says.iter().map(|(what, by)| format!("{what} by {}", by.join(" "))).collect();
-        text += &format!("{member}: {}\n", says.join("; "));
-    }
-    for (n, by) in listed.iter().filter(|_| listed.len() > 1) {
-        text += &format!("{n} listed by {}\n", by.join(" "));
-    }
-    for (digest, by) in servers.iter().filter(|_| servers.len() > 1) {
-        text += &format!("lists of servers {digest} at {}\n", by.join(" "));
-    }
-    agree &= servers.len() <= 1;
-    agree &= digests.len() <= 1 && listed.len() <= 1;
-    let verdict = if agree { "they agree" } else { "they do not agree" };
-    text += &format!("{verdict}; their parts add up to {parts:.3}\n");
-    (text, agree)
+/// Of the process and of the time: the nonce must not be that of an earlier process with the same process id.
+fn seed() -> u64 {
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(40)
 }
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use sableloom_exchange::Clock;
-use sableloom_fleet::{QUESTIONS_OUT, Running as Fleet};
+use sableloom_fleet::{MAX_ABSENCE_QUERIES, RunningMember};
 use sableloom_http1::{ClientLimits, ConnectionBudget, Dialect, Frontend};
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::Site;
@@ -98,7 +98,7 @@
                 running.map_err(|e| format!("{}:{}: {e}", path.display(), fleet.place.line))?;
             // Without this it told others until the first sweep that it has no list of servers, and two that
             // had told so were taken to agree.
-            running.serves(router.servers());
+            running.set_endpoints_digest(router.servers());
             Some(running)
         }
         None => None,
@@ -116,7 +116,7 @@
             frontend.sweep();
             sweeps.sweep();
             if let Some(fleet) = &tells {
-                fleet.serves(sweeps.servers());
+                fleet.set_endpoints_digest(sweeps.servers());
             }
         }
     });
@@ -185,7 +185,7 @@
 
 /// What clients may hold, and the most connections to servers.
 fn limits(path: &Path, site: &Site) -> Result<(ClientLimits, usize), String> {
-    let fleet = if site.fleet.is_some() { 1 + QUESTIONS_OUT } else { 0 };
+    let fleet = if site.fleet.is_some() { 1 + MAX_ABSENCE_QUERIES } else { 0 };
     let control = if site.control.is_some() { SOCKETS_CONTROL } else { 0 };
     let other =
         SOCKETS_OTHER + site.listeners.len() + SOCKETS_POOL * site.pools.len() + fleet + control;
@@ -246,7 +246,7 @@
     mut hangup: Signal,
     context: Rc<PoolContext>,
     router: Rc<Router>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<RunningMember>>,
     control: Option<ControlPlane>,
 ) {
     while hangup.recv().await.is_some() {
@@ -260,7 +260,7 @@
         eprintln!("sableloom: SIGHUP; {what}");
         let routing = router.routing.borrow().clone();
         if let (Some(running), Some(fleet)) = (&fleet, &routing.site.fleet) {
-            running.list(&fleet::others(fleet));
+            running.update_list(&fleet::others(fleet));
             // Pools that are new have not been told.
             router.shared_by(running.share());
         }
@@ -274,7 +274,7 @@
 async fn say_status_on(
     mut status: Signal,
     router: Rc<Router>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<RunningMember>>,
     control: Option<ControlPlane>,
 ) {
     while status.recv().await.is_some() {
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -8,7 +8,7 @@
 use sableloom_exchange::{
     Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
 };
-use sableloom_fleet::{Running as Fleet, Told};
+use sableloom_fleet::{FleetObserver, RunningMember};
 use sableloom_routes::{Head, Table};
 use sableloom_site_config::{Site, Target};
 use sableloom_types::settings::stable_hash;
@@ -153,7 +153,7 @@
     }
 
     /// What it does now, as one line of JSON.
-    pub(super) fn status(&self, fleet: Option<&Fleet>, control: Option<Value>) -> Value {
+    pub(super) fn status(&self, fleet: Option<&RunningMember>, control: Option<Value>) -> Value {
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
             let (list, version, servers) = pool.files()?.version();
@@ -163,7 +163,7 @@
         let mut status = json!({
             "configuration": routing.number, "hash": routing.site.hash, "open": self.open(),
             "pools": routing.pools.iter().filter_map(pool).collect::<Vec<_>>(),
-            "fleet": fleet.map(Fleet::status),
+            "fleet": fleet.map(RunningMember::status),
         });
         if let Some(control) = control {
             status["control"] = control;
@@ -201,12 +201,12 @@
 /// Tells the pools what their part is, and the log what happens.
 pub(super) struct ToPools(pub(super) Rc<Router>);
 
-impl Told for ToPools {
+impl FleetObserver for ToPools {
     fn share(&self, share: Share) {
         self.0.shared_by(share);
     }
 
-    fn line(&self, line: &str) {
+    fn log(&self, line: &str) {
         eprintln!("sableloom: fleet: {line}");
     }
 }
--- a/crates/scale-test/src/members.rs
+++ b/crates/scale-test/src/members.rs
@@ -9,7 +9,7 @@
 
 use sableloom_capacity_share::{Share, ShareReason, Timing};
 use sableloom_exchange::Clock;
-use sableloom_fleet::{Options, Running, Setup, Told, Traffic};
+use sableloom_fleet::{FleetObserver, MemberSettings, RunOptions, RunningMember, Traffic};
 use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use serde::{Deserialize, Serialize};
 use tokio::task::spawn_local;
@@ -129,7 +129,7 @@
 
 /// One member, and what it notified.
 struct Hollow {
-    running: Rc<Running>,
+    running: Rc<RunningMember>,
     observer: Rc<Observer>,
     load: RefCell<SecondWindow<MemberLoad>>,
 }
@@ -140,14 +140,14 @@
     to_share: Cell<Option<Duration>>,
 }
 
-impl Told for Observer {
+impl FleetObserver for Observer {
     fn share(&self, share: Share) {
         if share.balancers > 0 && self.to_share.get().is_none() {
             self.to_share.set(Some(self.started.elapsed()));
         }
     }
 
-    fn line(&self, _: &str) {}
+    fn log(&self, _: &str) {}
 }
 
 /// The members of a worker.
@@ -190,22 +190,22 @@
         clock: Clock,
     ) {
         let observer = Rc::new(Observer { started: Instant::now(), to_share: Cell::default() });
-        let options = Options {
-            setup: Setup {
+        let options = RunOptions {
+            settings: MemberSettings {
                 fleet: FLEET.to_string(),
                 own: name(number),
-                talk: MembershipTiming::default(),
+                membership: MembershipTiming::default(),
                 share: Timing::default(),
             },
             address: address(number, set.port),
             operator: None,
             list: list.clone(),
-            life: set.life,
+            process_incarnation: set.life,
             seed: number as u64 ^ u64::from(set.life) << 32,
             clock,
-            told: observer.clone(),
+            observer: observer.clone(),
         };
-        match Running::start(options).await {
+        match RunningMember::start(options).await {
             Ok(running) => {
                 let load = SecondWindow::new(observer.started, MemberLoad::default());
                 let load = RefCell::new(load);
@@ -259,7 +259,7 @@
         self.sent_bytes += traffic.sent_bytes;
         self.received += traffic.received;
         self.received_bytes += traffic.received_bytes;
-        self.probes_of_absence += traffic.probes_of_absence;
+        self.probes_of_absence += traffic.absence_queries;
     }
 
     fn add_share(&mut self, share: Share) {
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -7,7 +7,7 @@
 
 use oorandom::Rand64;
 use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
-use sableloom_fleet::{Core, Out, Setup};
+use sableloom_fleet::{FleetMember, MemberSettings, Output};
 use sableloom_membership::{
     Change, DropReason, Health, Key, ListedMember, MemberList, Reachability,
     Timing as MembershipTiming, key_of,
@@ -140,7 +140,7 @@
 
 /// Where a member's process runs, if it does.
 struct Host {
-    core: Option<Core>,
+    core: Option<FleetMember>,
     /// The number of its process: one more with each start.
     process: u32,
     /// A process that is stopped takes nothing before this time.
@@ -271,7 +271,7 @@
             Event::Datagram { to, from, bytes } => {
                 self.replay = Some(Event::Datagram { to, from, bytes: bytes.clone() });
                 self.call(to, trace, |core, now, out| {
-                    core.datagram(now, address(from), &bytes, out);
+                    core.receive(now, address(from), &bytes, out);
                 });
             }
             Event::Knock { to, from, process, asked } => {
@@ -283,7 +283,7 @@
             Event::Refusal { to, process, of, asked } => {
                 if self.hosts[to].process == process {
                     self.call(to, trace, |core, now, out| {
-                        core.refused(now, key_of(&name(of)), Time(asked), out);
+                        core.proved_absent(now, key_of(&name(of)), Time(asked), out);
                     });
                 }
             }
@@ -311,10 +311,10 @@
         if self.hosts[member].core.is_some() {
             return;
         }
-        let setup = Setup {
+        let settings = MemberSettings {
             fleet: "points".to_string(),
             own: name(member),
-            talk: self.member_timing,
+            membership: self.member_timing,
             share: self.share_timing,
         };
         let seed = self.rng.rand_u64();
@@ -324,7 +324,7 @@
             _ => 1000 + (self.now / (100 * MILLISECOND)) as u32,
         };
         let now = Time(self.now + self.hosts[member].clock_ahead);
-        let core = Core::new(&setup, life, self.list.clone(), seed, now);
+        let core = FleetMember::new(&settings, life, self.list.clone(), seed, now);
         let host = &mut self.hosts[member];
         host.core = Some(core);
         host.process += 1;
@@ -356,7 +356,7 @@
             13 if self.is_short() || self.rng.rand_range(0..10) == 0 => self.change_list(trace),
             14 => {
                 let digest = self.rng.rand_u64() as u32;
-                self.call(member, trace, |core, _, _| core.serves(digest));
+                self.call(member, trace, |core, _, _| core.set_endpoints_digest(digest));
             }
             15 => self.forge(member),
             _ => {}
@@ -371,7 +371,7 @@
         for member in 0..members {
             if self.rng.rand_range(0..5) > 0 {
                 let list = self.list.clone();
-                self.call(member, trace, |core, now, out| core.list(now, list, out));
+                self.call(member, trace, |core, now, out| core.update_list(now, list, out));
             }
         }
     }
@@ -399,25 +399,25 @@
         &mut self,
         member: usize,
         trace: &mut Trace,
-        what: impl FnOnce(&mut Core, Time, &mut Out),
+        what: impl FnOnce(&mut FleetMember, Time, &mut Output),
     ) {
         let host = &mut self.hosts[member];
         let now = Time(self.now + host.clock_ahead);
         let (process, clock_ahead) = (host.process, host.clock_ahead);
         let Some(core) = &mut host.core else { return };
-        let mut out = Out::default();
+        let mut out = Output::default();
         what(core, now, &mut out);
         integers(trace, &[self.now, member as i64]);
         for change in &out.changes {
             record_change(trace, *change);
         }
         record_share(trace, core.share(), now);
-        let members = core.members();
+        let members = core.membership();
         integers(
             trace,
-            &[core.next().0, members.view_version() as i64, i64::from(members.digest())],
+            &[core.next_wakeup().0, members.view_version() as i64, i64::from(members.digest())],
         );
-        let tick_at = (core.next().0 - clock_ahead).max(self.now + 1);
+        let tick_at = (core.next_wakeup().0 - clock_ahead).max(self.now + 1);
         if host.tick_at < 0 || tick_at < host.tick_at {
             host.tick_at = tick_at;
             self.push(tick_at, Event::Tick { member, process });
@@ -425,7 +425,7 @@
         self.carry(member, process, now, out, trace);
     }
 
-    fn carry(&mut self, from: usize, process: u32, now: Time, out: Out, trace: &mut Trace) {
+    fn carry(&mut self, from: usize, process: u32, now: Time, out: Output, trace: &mut Trace) {
         for (to, bytes) in out.datagrams {
             let to = member_at(to).expect("addresses are of the list");
             trace.integer(to as i64);
@@ -435,7 +435,7 @@
                 self.push(at, Event::Datagram { to, from, bytes });
             }
         }
-        for (key, to) in out.knocks {
+        for (key, to) in out.absence_queries {
             let to = member_at(to).expect("addresses are of the list");
             integers(trace, &[i64::from(key), to as i64]);
             if self.passes(from, to) {
@@ -452,7 +452,7 @@
     /// What all that run know at the end.
     fn record_views(&self, trace: &mut Trace) {
         for core in self.hosts.iter().filter_map(|host| host.core.as_ref()) {
-            let members = core.members();
+            let members = core.membership();
             integers(
                 trace,
                 &[
