--- a/crates/control/src/connection.rs
+++ b/crates/control/src/connection.rs
@@ -64,7 +64,7 @@
             if outbox.close_reason().is_some() {
                 return Ok(());
             }
-            match frames.next() {
+            match frames.next_message() {
                 Ok(Some(message)) => handler.message(message),
                 Ok(None) => break,
                 Err(error) => {
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -131,7 +131,7 @@
         self.stream.write_all(&encode(&SubscriberMessage::StatusRequest(query))).await?;
         let mut buffer = vec![0; 16 << 10];
         loop {
-            match self.frames.next::<PublisherMessage>()? {
+            match self.frames.next_message::<PublisherMessage>()? {
                 Some(PublisherMessage::Status(page)) => return Ok(page),
                 Some(_) => return Err(StatusError::Unexpected),
                 None => {}
--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -190,12 +190,12 @@
         let mut out = Vec::new();
         let started = processor_us();
         end.reader.push(frame);
-        while let Some(message) = end.reader.next().expect("a message") {
+        while let Some(message) = end.reader.next_message().expect("a message") {
             end.subscriber.message(Time(self.now), message, &mut out);
         }
         let applied: Vec<u64> = out.iter().filter_map(transfer).collect();
         for transfer in applied {
-            end.subscriber.apply_finished(Time(self.now), transfer, Ok(()), &mut out);
+            end.subscriber.apply_finished(transfer, Ok(()), &mut out);
         }
         let ended = processor_us();
         self.subscriber_us += ended - started;
--- a/crates/distribution/src/codec.rs
+++ b/crates/distribution/src/codec.rs
@@ -77,7 +77,7 @@
         Self::default()
     }
 
-    /// Buffers bytes. The caller reads all messages by [`Self::next`] before it pushes more.
+    /// Buffers bytes. The caller reads all messages by [`Self::next_message`] before it pushes more.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.failed.is_some() {
             return;
@@ -96,11 +96,7 @@
     /// # Errors
     ///
     /// If the stream is no sequence of frames of this protocol version, or too many bytes were pushed.
-    #[expect(
-        clippy::should_implement_trait,
-        reason = "the caller chooses the type of message at each call, so it is no iterator"
-    )]
-    pub fn next<M: Message>(&mut self) -> Result<Option<M>, CodecError> {
+    pub fn next_message<M: Message>(&mut self) -> Result<Option<M>, CodecError> {
         if let Some(error) = self.failed {
             return Err(error);
         }
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -152,7 +152,6 @@
     /// answered in the order in which they were handed out, also when their connection has ended since.
     pub fn apply_finished(
         &mut self,
-        _now: Time,
         transfer: u64,
         result: Result<(), Vec<Rejection>>,
         out: &mut Vec<SubscriberOutput>,
@@ -170,12 +169,7 @@
 
     /// Changes the scope. The state of services that leave it is dropped at once: the caller decides how long it still
     /// uses its own, and skips what a pending transaction says of them.
-    pub fn set_scope(
-        &mut self,
-        _now: Time,
-        scope: Vec<ServiceName>,
-        out: &mut Vec<SubscriberOutput>,
-    ) {
+    pub fn set_scope(&mut self, scope: Vec<ServiceName>, out: &mut Vec<SubscriberOutput>) {
         let scope: BTreeSet<ServiceName> = scope.into_iter().collect();
         let removed = self.applied.remove_all_but(&scope);
         let added = self.applied.add_missing(&scope);
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -71,8 +71,8 @@
         assert_eq!(encode(&message), frame, "{message:?}");
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        assert_eq!(reader.next(), Ok(Some(message)));
-        assert_eq!(reader.next::<PublisherMessage>(), Ok(None));
+        assert_eq!(reader.next_message(), Ok(Some(message)));
+        assert_eq!(reader.next_message::<PublisherMessage>(), Ok(None));
     }
     let hello = SubscriberMessage::Hello {
         subscriber: SubscriberName::try_from("b").expect("a name"),
@@ -103,7 +103,7 @@
     let mut reader = FrameReader::new();
     reader.push(&encode(&nack));
     let Ok(Some(SubscriberMessage::Nack { reason: NackReason::Rejected(read), .. })) =
-        reader.next()
+        reader.next_message()
     else {
         panic!("no message");
     };
@@ -124,7 +124,7 @@
     frame[11] = 4;
     let mut reader = FrameReader::new();
     reader.push(&frame);
-    assert_eq!(reader.next::<PublisherMessage>(), Err(CodecError::Malformed));
+    assert_eq!(reader.next_message::<PublisherMessage>(), Err(CodecError::Malformed));
 }
 
 #[test]
@@ -132,11 +132,11 @@
     let end = |bytes: &[u8]| {
         let mut reader = FrameReader::new();
         reader.push(bytes);
-        let first = reader.next::<SubscriberMessage>();
+        let first = reader.next_message::<SubscriberMessage>();
         // A correct frame after it is not read.
         reader.push(&encode(&SubscriberMessage::Ping { sequence: 1 }));
         if first != Ok(None) {
-            assert_eq!(reader.next::<SubscriberMessage>(), first);
+            assert_eq!(reader.next_message::<SubscriberMessage>(), first);
         }
         assert_eq!(reader.buffered(), if first.is_err() { 0 } else { reader.buffered() });
         first
@@ -171,7 +171,7 @@
     let mut reader = FrameReader::new();
     reader.push(&frame);
     let allocated = allocation_counter::measure(|| {
-        assert_eq!(reader.next::<PublisherMessage>(), Err(CodecError::Malformed));
+        assert_eq!(reader.next_message::<PublisherMessage>(), Err(CodecError::Malformed));
     });
     assert!(allocated.bytes_max <= 1 << 20, "{} bytes", allocated.bytes_max);
 }
@@ -184,23 +184,23 @@
         reader.push(&frame);
         assert!(reader.buffered() <= MAX_BUFFERED_BYTES);
     }
-    assert_eq!(reader.next::<SubscriberMessage>(), Err(CodecError::Overflow));
+    assert_eq!(reader.next_message::<SubscriberMessage>(), Err(CodecError::Overflow));
 }
 
 fn read_all(reader: &mut FrameReader) -> Vec<PublisherMessage> {
-    std::iter::from_fn(|| reader.next().ok().flatten()).collect()
+    std::iter::from_fn(|| reader.next_message().ok().flatten()).collect()
 }
 
 proptest! {
     #[test]
     fn random_bytes_never_panic(fragments in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 0..8)) {
         let mut from_subscriber = FrameReader::new();
-        let mut publisher_frames = FrameReader::new();
+        let mut from_publisher = FrameReader::new();
         for fragment in fragments {
             from_subscriber.push(&fragment);
-            publisher_frames.push(&fragment);
-            while let Ok(Some(_)) = from_subscriber.next::<SubscriberMessage>() {}
-            while let Ok(Some(_)) = publisher_frames.next::<PublisherMessage>() {}
+            from_publisher.push(&fragment);
+            while let Ok(Some(_)) = from_subscriber.next_message::<SubscriberMessage>() {}
+            while let Ok(Some(_)) = from_publisher.next_message::<PublisherMessage>() {}
         }
     }
 
@@ -211,7 +211,7 @@
         frame[at] = byte;
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        while let Ok(Some(message)) = reader.next::<PublisherMessage>() {
+        while let Ok(Some(message)) = reader.next_message::<PublisherMessage>() {
             // Whatever decodes can be encoded.
             prop_assert!(encode(&message).len() <= MAX_FRAME_BYTES + 4);
         }
--- a/crates/distribution/tests/frames/main.rs
+++ b/crates/distribution/tests/frames/main.rs
@@ -26,7 +26,7 @@
         let frame = recorded.remove(name).unwrap_or_else(|| panic!("{name} is not recorded"));
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        assert_eq!(reader.next(), Ok(Some(message.clone())), "{name} is decoded");
+        assert_eq!(reader.next_message(), Ok(Some(message.clone())), "{name} is decoded");
         assert_eq!(reader.buffered(), 0, "{name} is decoded to its end");
         assert_eq!(encode(&message), frame, "{name} is encoded");
     }
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -86,7 +86,7 @@
                     PublisherOutput::Send { session: SessionId(to), frame } if to == session => {
                         let mut reader = FrameReader::new();
                         reader.push(&frame);
-                        messages.extend(reader.next().expect("a message"));
+                        messages.extend(reader.next_message().expect("a message"));
                         written += frame.len();
                     }
                     output => other_outputs.push(output),
@@ -450,7 +450,7 @@
             machine.publisher.written(Time(machine.now), session, frame.len(), &mut machine.out);
             let mut reader = FrameReader::new();
             reader.push(&frame);
-            let message: Option<PublisherMessage> = reader.next().expect("a message");
+            let message: Option<PublisherMessage> = reader.next_message().expect("a message");
             if bases(message.as_slice()).iter().any(|(service, _)| service == "small")
                 && session.0 == 21
             {
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -145,8 +145,8 @@
         };
         let result: Result<(), Vec<Rejection>> =
             balancer.applier.apply(&transaction, &self.histories, checks_atomicity);
-        self.with_subscriber(index, |subscriber, now, out| {
-            subscriber.apply_finished(now, transaction.transfer, result, out);
+        self.with_subscriber(index, |subscriber, _, out| {
+            subscriber.apply_finished(transaction.transfer, result, out);
         });
         let balancer = &self.balancers[index];
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -134,7 +134,7 @@
     pub(crate) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        let Ok(Some(message)) = reader.next::<PublisherMessage>() else {
+        let Ok(Some(message)) = reader.next_message::<PublisherMessage>() else {
             panic!("a publisher sends no message");
         };
         match message {
--- a/crates/distribution/tests/sim/faults.rs
+++ b/crates/distribution/tests/sim/faults.rs
@@ -167,8 +167,8 @@
         if balancer.subscriber.is_some() {
             balancer.applier.set_scope(&scope);
         }
-        self.with_subscriber(index, |subscriber, now, out| {
-            subscriber.set_scope(now, scope.into_iter().collect(), out);
+        self.with_subscriber(index, |subscriber, _, out| {
+            subscriber.set_scope(scope.into_iter().collect(), out);
         });
     }
 
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -143,7 +143,7 @@
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            match connection.to_control.reader.next() {
+            match connection.to_control.reader.next_message() {
                 Ok(None) => return,
                 Ok(Some(message)) => self.with_publisher(control, |publisher, now, out| {
                     publisher.message(now, SessionId(id), message, out);
@@ -166,7 +166,7 @@
             if connection.left_by_subscriber {
                 return;
             }
-            match connection.to_subscriber.reader.next() {
+            match connection.to_subscriber.reader.next_message() {
                 Ok(None) => return,
                 Ok(Some(message)) => {
                     self.with_subscriber(index, |subscriber, now, out| {
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -112,7 +112,7 @@
             vec![Change::Set(resource.clone())],
             applied,
         );
-        self.subscriber.apply_finished(Time(self.now), version, Ok(()), &mut self.out);
+        self.subscriber.apply_finished(version, Ok(()), &mut self.out);
         assert_eq!(self.sent(), [SubscriberMessage::Ack { transfer: version }]);
         resource
     }
@@ -245,7 +245,7 @@
         field: "address".into(),
         problem: "no address".into(),
     };
-    balancer.subscriber.apply_finished(Time(0), 9, Err(vec![problem.clone()]), &mut balancer.out);
+    balancer.subscriber.apply_finished(9, Err(vec![problem.clone()]), &mut balancer.out);
     let reason = NackReason::Rejected(vec![problem]);
     assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transfer: 9, reason }]);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
@@ -311,7 +311,7 @@
     balancer.lose_connection();
     balancer.next_connect();
     assert_eq!(balancer.connected(), []);
-    balancer.subscriber.apply_finished(Time(balancer.now), 9, Ok(()), &mut balancer.out);
+    balancer.subscriber.apply_finished(9, Ok(()), &mut balancer.out);
     let sent = balancer.sent();
     let [SubscriberMessage::Hello { .. }, SubscriberMessage::Scope { add, .. }] = &sent[..] else {
         panic!("{sent:?}")
@@ -395,12 +395,8 @@
     let new = server("points", "b", 4, b"x");
     let services = vec![ServiceBase { service: service("points"), base: Base::Delta { from: 3 } }];
     balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
-    balancer.subscriber.set_scope(Time(0), vec![service("partners")], &mut balancer.out);
-    balancer.subscriber.set_scope(
-        Time(0),
-        vec![service("partners"), service("points")],
-        &mut balancer.out,
-    );
+    balancer.subscriber.set_scope(vec![service("partners")], &mut balancer.out);
+    balancer.subscriber.set_scope(vec![service("partners"), service("points")], &mut balancer.out);
     let sent = balancer.sent();
     let [
         SubscriberMessage::Scope { remove, .. },
@@ -433,9 +429,9 @@
         digest: resource_digest(&resource),
     };
     balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied);
-    balancer.subscriber.set_scope(Time(0), vec![], &mut balancer.out);
-    balancer.subscriber.set_scope(Time(0), vec![service("points")], &mut balancer.out);
-    balancer.subscriber.apply_finished(Time(0), 9, Ok(()), &mut balancer.out);
+    balancer.subscriber.set_scope(vec![], &mut balancer.out);
+    balancer.subscriber.set_scope(vec![service("points")], &mut balancer.out);
+    balancer.subscriber.apply_finished(9, Ok(()), &mut balancer.out);
     assert_eq!(
         balancer.subscriber.service_versions().map(|applied| applied.version).collect::<Vec<_>>(),
         [0]
--- a/crates/distribution/tests/version.rs
+++ b/crates/distribution/tests/version.rs
@@ -22,7 +22,7 @@
         let mut reader = FrameReader::new();
         reader.push(frame);
         let refusal = Refusal::Version { expected: PROTOCOL_VERSION };
-        assert_eq!(reader.next(), Ok(Some(PublisherMessage::Refused(refusal))));
+        assert_eq!(reader.next_message(), Ok(Some(PublisherMessage::Refused(refusal))));
         let reason = CloseReason::Malformed(error);
         assert_eq!(*closed, PublisherOutput::Close { session, reason });
     }
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -127,7 +127,7 @@
         self.stream = Some(stream);
         self.frames.push(&buffer[..count]);
         while self.stream.is_some() {
-            match self.frames.next::<PublisherMessage>().expect("control sends messages") {
+            match self.frames.next_message::<PublisherMessage>().expect("control sends messages") {
                 None => return,
                 Some(message) => {
                     match &message {
@@ -201,12 +201,12 @@
                     update.service, update.version, update.digest
                 ));
             }
-            self.decide(|subscriber, now, out| {
-                subscriber.apply_finished(now, transaction.transfer, Ok(()), out);
+            self.decide(|subscriber, _, out| {
+                subscriber.apply_finished(transaction.transfer, Ok(()), out);
             });
         } else {
-            self.decide(|subscriber, now, out| {
-                subscriber.apply_finished(now, transaction.transfer, Err(rejections), out);
+            self.decide(|subscriber, _, out| {
+                subscriber.apply_finished(transaction.transfer, Err(rejections), out);
             });
         }
     }
--- a/crates/sableloom/tests/subscription/strange.rs
+++ b/crates/sableloom/tests/subscription/strange.rs
@@ -36,7 +36,7 @@
 ) -> T {
     let (mut frames, mut buffer) = (FrameReader::new(), [0; 4096]);
     loop {
-        while let Some(message) = frames.next().expect("messages") {
+        while let Some(message) = frames.next_message().expect("messages") {
             if let Some(found) = wanted(message) {
                 return found;
             }
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -93,7 +93,7 @@
     /// The next complete message that was received.
     pub(crate) fn message(&mut self) -> Result<Option<PublisherMessage>, CodecError> {
         match self {
-            Link::Open(open) => open.reader.next(),
+            Link::Open(open) => open.reader.next_message(),
             _ => Ok(None),
         }
     }
--- a/crates/subscription/src/subscription.rs
+++ b/crates/subscription/src/subscription.rs
@@ -49,8 +49,7 @@
     /// out of force.
     pub fn set_scope(&self, scope: Vec<ServiceName>) {
         let now = self.shared.now();
-        self.shared
-            .call_outside_task(now, |subscriber, now, out| subscriber.set_scope(now, scope, out));
+        self.shared.call_outside_task(now, |subscriber, _, out| subscriber.set_scope(scope, out));
     }
 
     /// Its status. The work grows with the number of services.
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -123,8 +123,8 @@
                 SubscriberOutput::Close { .. } => self.link = Link::None,
                 SubscriberOutput::Apply(transaction) => {
                     let result = self.shared.applier.apply(&transaction);
-                    queue.extend(self.shared.call(|subscriber, now, out| {
-                        subscriber.apply_finished(now, transaction.transfer, result, out);
+                    queue.extend(self.shared.call(|subscriber, _, out| {
+                        subscriber.apply_finished(transaction.transfer, result, out);
                     }));
                 }
                 SubscriberOutput::Event(event) => self.shared.handle_event(&event),
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -122,7 +122,7 @@
     /// The next message that is no ping; `None` at the end.
     async fn next(&mut self) -> Option<SubscriberMessage> {
         loop {
-            match self.reader.next().expect("a message") {
+            match self.reader.next_message().expect("a message") {
                 Some(SubscriberMessage::Ping { sequence }) => {
                     self.send(PublisherMessage::Pong { sequence }).await
                 }
--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -386,8 +386,8 @@
                     self.balancers[index].applying.push_front((at, transfer, result));
                     break;
                 }
-                self.with_subscriber(index, trace, |subscriber, now, out| {
-                    subscriber.apply_finished(now, transfer, result, out);
+                self.with_subscriber(index, trace, |subscriber, _, out| {
+                    subscriber.apply_finished(transfer, result, out);
                 });
             }
         }
--- a/crates/testkit/examples/trace_digest/distribution/faults.rs
+++ b/crates/testkit/examples/trace_digest/distribution/faults.rs
@@ -38,8 +38,8 @@
         let index = self.below(self.balancers.len());
         let scope = self.random_scope();
         self.balancers[index].scope = scope.clone();
-        self.with_subscriber(index, trace, |subscriber, now, out| {
-            subscriber.set_scope(now, scope.into_iter().collect(), out);
+        self.with_subscriber(index, trace, |subscriber, _, out| {
+            subscriber.set_scope(scope.into_iter().collect(), out);
         });
     }
 
--- a/crates/testkit/examples/trace_digest/distribution/network.rs
+++ b/crates/testkit/examples/trace_digest/distribution/network.rs
@@ -73,7 +73,7 @@
     /// The next message or the end, if it has arrived.
     pub fn receive<M: Message>(&mut self, now: i64) -> Receiver<M> {
         self.bytes_taken(now);
-        match self.reader.next() {
+        match self.reader.next_message() {
             Ok(Some(message)) => return Receiver::Message(message),
             Ok(None) => {}
             Err(error) => return Receiver::Malformed(error),
