--- a/crates/resources/src/listing.rs
+++ b/crates/resources/src/listing.rs
@@ -1,4 +1,4 @@
-//! Servers of a service as the listing that `serverlist` judges.
+//! The servers of a service as a listing of `sableloom_server_list`, which validates it.
 
 use std::net::SocketAddr;
 
@@ -6,21 +6,20 @@
 use sableloom_toml_diagnostics::Found;
 use sha2::{Digest, Sha256};
 
-use crate::body::ServerEntry;
+use crate::server_entry::ServerEntry;
 
 /// A server with its id and the line that set it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer<'s> {
-    /// Its id.
+    /// The id of the server.
     pub id: &'s str,
     /// The server.
     pub entry: &'s ServerEntry,
-    /// The line of its change file that set it, from 1.
+    /// The line of the change file that set it, from 1.
     pub line: u32,
 }
 
-/// The listing that these servers make, in their order. What is wrong with server `n` of it is said of the
-/// field `server[n]`.
+/// The listing of servers, in their order. Problems of the server at index `n` are reported of the field `server[n]`.
 pub fn listing(servers: &[ListedServer<'_>]) -> Listing {
     let mut digest = Sha256::new();
     let listed = servers.iter().enumerate().map(|(number, server)| {
--- a/crates/resources/src/resolve.rs
+++ b/crates/resources/src/resolve.rs
@@ -1,4 +1,4 @@
-//! What a change file means for the resources that are there: the changes of the log, or why it can't be taken.
+//! Checks a change file against the existing resources, and makes the log entry of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,32 +6,23 @@
 
 use rustc_hash::FxHashMap;
 use sableloom_distribution::{
-    Change, LogEntry, Origin, Resource, ResourceKind, ResourceName, ServiceName, Store,
+    Change, LogEntry, Origin, Resource, ResourceKind, ResourceName, ServiceName,
 };
 use sableloom_server_list::MOST_SERVERS;
 use sableloom_toml_diagnostics::{Problem, instead};
 
-use crate::body::{Body, ServerEntry};
-use crate::change::{ChangeEntry, ChangeFile, Edit};
+use crate::body::Body;
+use crate::change_file::{ChangeEntry, ChangeFile, Edit};
+use crate::inventory::Inventory;
+use crate::server_entry::ServerEntry;
 use crate::tenant::MAX_TENANTS;
 
-/// The resources that are there before a change. Only services that the change touches are asked for, so that
-/// the work follows the change and the size of these services.
-pub trait Inventory {
-    /// Calls `visit` with each resource of a service.
-    fn visit(&self, service: &ServiceName, visit: &mut dyn FnMut(&Resource));
-}
-
-/// Nothing is there.
-pub struct EmptyInventory;
-
-impl Inventory for EmptyInventory {
-    fn visit(&self, _: &ServiceName, _: &mut dyn FnMut(&Resource)) {}
-}
-
 impl ChangeFile {
-    /// Judges the file against what is there, and makes of it an entry of the log. All that is wrong is found
-    /// at once.
+    /// Checks the file against the existing resources, and makes a log entry of it.
+    ///
+    /// # Errors
+    ///
+    /// All problems of the file, in the order of their lines.
     pub fn resolve(&self, inventory: &dyn Inventory) -> Result<LogEntry, Vec<Problem>> {
         let mut by_service: BTreeMap<&ServiceName, Vec<&ChangeEntry>> = BTreeMap::new();
         for entry in &self.entries {
@@ -44,7 +35,7 @@
             problems: Vec::new(),
         };
         for (service, entries) in by_service {
-            resolution.service(service, &entries, inventory);
+            resolution.resolve_service(service, &entries, inventory);
         }
         let Resolution { changes, mut problems, .. } = resolution;
         if problems.is_empty() {
@@ -63,6 +54,7 @@
 /// The names of a service's resources.
 type Names = BTreeSet<ResourceName>;
 
+/// The changes and problems found so far.
 struct Resolution<'f> {
     file: &'f ChangeFile,
     file_name: Arc<str>,
@@ -71,17 +63,17 @@
 }
 
 impl Resolution<'_> {
-    fn service(
+    fn resolve_service(
         &mut self,
         service: &ServiceName,
         entries: &[&ChangeEntry],
         inventory: &dyn Inventory,
     ) {
-        let mut held = Names::new();
+        let mut existing = Names::new();
         inventory.visit(service, &mut |resource| {
-            held.insert(resource.name.clone());
+            existing.insert(resource.name.clone());
         });
-        let next = self.names_after(service, &held, entries);
+        let next = self.names_after(service, &existing, entries);
         self.check_pool(service, &next, entries);
         self.check_servers(service, &next, entries, inventory);
         self.check_tenants(&next, entries);
@@ -95,28 +87,30 @@
                 }));
             }
         }
-        for name in held.difference(&next) {
+        for name in existing.difference(&next) {
             self.changes.push(Change::Remove { name: name.clone(), version: self.file.number });
         }
     }
 
-    /// The names that the service has after the change. What the file sets stays, also where it removes the
-    /// service: that replaces it.
+    /// The names that the service has after the change. A file that removes the service and sets resources of it replaces
+    /// the service.
     fn names_after(
         &mut self,
         service: &ServiceName,
-        held: &Names,
+        existing: &Names,
         entries: &[&ChangeEntry],
     ) -> Names {
-        let mut next = held.clone();
+        let mut next = existing.clone();
         for entry in entries {
             match &entry.edit {
-                Edit::RemoveService(_) if held.is_empty() => {
+                Edit::RemoveService(_) if existing.is_empty() => {
                     let message = format!("no service {:?}", service.as_str());
-                    self.wrong(entry, message, None);
+                    self.report(entry, message, None);
                 }
                 Edit::RemoveService(_) => next.clear(),
-                Edit::Remove(name) if !held.contains(name) => self.unknown(entry, name, held),
+                Edit::Remove(name) if !existing.contains(name) => {
+                    self.report_unknown(entry, name, existing);
+                }
                 _ => {}
             }
         }
@@ -130,8 +124,10 @@
         next
     }
 
-    fn unknown(&mut self, entry: &ChangeEntry, name: &ResourceName, held: &Names) {
-        let known = held.iter().filter(|other| other.kind == name.kind).map(|other| &*other.key);
+    /// Reports that a resource does not exist, and suggests a similar one.
+    fn report_unknown(&mut self, entry: &ChangeEntry, name: &ResourceName, existing: &Names) {
+        let known =
+            existing.iter().filter(|other| other.kind == name.kind).map(|other| &*other.key);
         let help = instead(&name.key, known);
         let what = match name.kind {
             ResourceKind::Pool => "pool",
@@ -140,20 +136,20 @@
             ResourceKind::Tenant => "tenant",
         };
         let message = format!("service {:?} has no {what} {:?}", name.service.as_str(), name.key);
-        self.wrong(entry, message, Some(help));
+        self.report(entry, message, Some(help));
     }
 
-    /// A service that has anything has settings of its pool.
+    /// A service that has any resource must have a pool.
     fn check_pool(&mut self, service: &ServiceName, next: &Names, entries: &[&ChangeEntry]) {
         let has_pool = next.iter().any(|name| name.kind == ResourceKind::Pool);
         let set = entries.iter().find(|entry| matches!(entry.edit, Edit::Set { .. }));
         if let Some(entry) = set.filter(|_| !has_pool) {
             let message = format!("service {:?} has no [[pool]]", service.as_str());
-            self.wrong(entry, message, Some("set it in this change or in one before".into()));
+            self.report(entry, message, Some("set it in this change or in one before".into()));
         }
     }
 
-    /// Servers of a service have addresses of their own, and not all of them have weight 0.
+    /// The servers of a service must have different addresses, and not all of them weight 0.
     fn check_servers(
         &mut self,
         service: &ServiceName,
@@ -165,7 +161,7 @@
             entries.iter().filter_map(|entry| server_of(entry)).collect();
         let Some((last, ..)) = set.last() else { return };
         let replaced: BTreeSet<&ResourceName> = set.iter().map(|(_, name, _)| *name).collect();
-        let mut at: FxHashMap<SocketAddr, Arc<str>> = FxHashMap::default();
+        let mut by_address: FxHashMap<SocketAddr, Arc<str>> = FxHashMap::default();
         let mut weights = 0.0;
         inventory.visit(service, &mut |resource| {
             if resource.name.kind != ResourceKind::Server
@@ -178,43 +174,40 @@
                 Body::decode(ResourceKind::Server, resource.body.as_slice())
             {
                 weights += server.weight;
-                at.insert(server.address, resource.name.key.clone());
+                by_address.insert(server.address, resource.name.key.clone());
             }
         });
         for (entry, name, server) in &set {
             weights += server.weight;
-            if let Some(other) = at.insert(server.address, name.key.clone()) {
+            if let Some(other) = by_address.insert(server.address, name.key.clone()) {
                 let message = format!("{} is the address of {other:?} as well", server.address);
-                self.wrong(entry, message, None);
+                self.report(entry, message, None);
             }
         }
         let servers = next.iter().filter(|name| name.kind == ResourceKind::Server).count();
         if servers > MOST_SERVERS {
             let message = format!("{servers} servers of a service are more than {MOST_SERVERS}");
-            self.wrong(last, message, None);
+            self.report(last, message, None);
         }
         if weights == 0.0 {
             let help = "to drain a server, write state = \"draining\"";
             let message = "every server of the service has weight 0".to_string();
-            self.wrong(last, message, Some(help.into()));
+            self.report(last, message, Some(help.into()));
         }
     }
 
-    /// A service has no more tenants than it may.
+    /// A service must not have more than [`MAX_TENANTS`] tenants.
     fn check_tenants(&mut self, next: &Names, entries: &[&ChangeEntry]) {
-        let is_tenant = |entry: &&&ChangeEntry| match &entry.edit {
-            Edit::Set { name, .. } => name.kind == ResourceKind::Tenant,
-            _ => false,
-        };
-        let Some(last) = entries.iter().rfind(is_tenant) else { return };
+        let sets_tenant = |entry: &&&ChangeEntry| matches!(&entry.edit, Edit::Set { name, .. } if name.kind == ResourceKind::Tenant);
+        let Some(last) = entries.iter().rfind(sets_tenant) else { return };
         let tenants = next.iter().filter(|name| name.kind == ResourceKind::Tenant).count();
         if tenants > MAX_TENANTS {
             let message = format!("{tenants} tenants of a service are more than {MAX_TENANTS}");
-            self.wrong(last, message, None);
+            self.report(last, message, None);
         }
     }
 
-    fn wrong(&mut self, entry: &ChangeEntry, message: String, help: Option<String>) {
+    fn report(&mut self, entry: &ChangeEntry, message: String, help: Option<String>) {
         self.problems.push(Problem {
             file: self.file.file.clone(),
             span: 0..0,
@@ -227,6 +220,7 @@
     }
 }
 
+/// The server that an entry sets, if it sets one.
 fn server_of(entry: &ChangeEntry) -> Option<(&ChangeEntry, &ResourceName, &ServerEntry)> {
     match &entry.edit {
         Edit::Set { name, body } => match &**body {
@@ -236,9 +230,3 @@
         _ => None,
     }
 }
-
-impl Inventory for Store {
-    fn visit(&self, service: &ServiceName, visit: &mut dyn FnMut(&Resource)) {
-        self.resources(service).for_each(visit);
-    }
-}
--- a/crates/resources/src/tenant.rs
+++ b/crates/resources/src/tenant.rs
@@ -1,58 +1,64 @@
-//! Limits of tenants: a service's customers, each with a rate of requests of its own.
+//! The body of a tenant: the rate limit of one customer of a service.
 
 use std::ops::RangeInclusive;
 
 use sableloom_toml_diagnostics::Table;
 use serde::{Deserialize, Serialize};
 
-/// Requests per second that a limit may say. The least is one in a thousand seconds, so that the time between two
-/// requests is a number that people can mean; the most is above what one service of the fleet gets in all.
+/// The rates that a limit may have, in requests per second. The minimum is one request in a thousand seconds, as a
+/// lower rate is a mistake; the maximum exceeds all requests that one service of the fleet gets.
 pub const REQUESTS_PER_SECOND_RANGE: RangeInclusive<f64> = 0.001..=1_000_000.0;
-/// Requests at once that a limit may allow.
+/// The bursts that a limit may have, in requests.
 pub const BURST_RANGE: RangeInclusive<u32> = 1..=1_000_000;
-/// Most tenants of one service: 50 times the mean of 324. With the longest names a service's bytes bind before.
+/// The most tenants of one service: 50 times the mean of 324. With the longest names the limit of a service's bytes is
+/// reached before.
 pub const MAX_TENANTS: usize = 16_384;
 
-/// The limit of a tenant over all balancers of the fleet. The tenant's name is the key of its resource.
+/// The rate limit of a tenant over all balancers of the fleet. The tenant's name is the key of its resource. Encoded by
+/// position: the order of the fields must stay.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantLimit {
-    /// Requests per second in the long run, within [`REQUESTS_PER_SECOND_RANGE`].
+    /// The sustained rate in requests per second, within [`REQUESTS_PER_SECOND_RANGE`].
     pub requests_per_second: f64,
-    /// Requests that may come at once after a pause, within [`BURST_RANGE`].
+    /// The most requests at once after a pause, within [`BURST_RANGE`].
     pub burst: u32,
 }
 
-/// A limit says what it may not.
+/// A field of a limit is out of its range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("expected {least} to {most}, found {found}")]
+#[error("expected {min} to {max}, found {found}")]
 pub struct LimitError {
-    /// The field that is wrong.
+    /// The name of the field.
     pub field: &'static str,
-    /// The least that it may say.
-    pub least: f64,
-    /// The most that it may say.
-    pub most: f64,
-    /// What it says.
+    /// The minimum.
+    pub min: f64,
+    /// The maximum.
+    pub max: f64,
+    /// The value of the field.
     pub found: f64,
 }
 
 impl TenantLimit {
-    /// Checks the bounds. A change file's reader has checked them; a body that comes by the network is judged again,
-    /// as a rate of zero or of no number would let nothing pass, or everything.
+    /// Checks the ranges. The reader of change files has checked them, but a body from the network is checked again: a
+    /// rate of 0 or NaN would reject all requests of the tenant, or admit all of them.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is out of its range.
     pub fn check(&self) -> Result<(), LimitError> {
-        let (least, most) = (*REQUESTS_PER_SECOND_RANGE.start(), *REQUESTS_PER_SECOND_RANGE.end());
+        let (min, max) = (*REQUESTS_PER_SECOND_RANGE.start(), *REQUESTS_PER_SECOND_RANGE.end());
         let found = self.requests_per_second;
         if !REQUESTS_PER_SECOND_RANGE.contains(&found) {
-            return Err(LimitError { field: "requests_per_second", least, most, found });
+            return Err(LimitError { field: "requests_per_second", min, max, found });
         }
-        let (least, most) = (f64::from(*BURST_RANGE.start()), f64::from(*BURST_RANGE.end()));
+        let (min, max) = (f64::from(*BURST_RANGE.start()), f64::from(*BURST_RANGE.end()));
         if !BURST_RANGE.contains(&self.burst) {
-            return Err(LimitError { field: "burst", least, most, found: f64::from(self.burst) });
+            return Err(LimitError { field: "burst", min, max, found: f64::from(self.burst) });
         }
         Ok(())
     }
 
-    /// The fields of a `[[tenant]]`. A burst that is not said is one second's requests, rounded up.
+    /// Reads a `[[tenant]]`. The default burst is the requests of one second, rounded up.
     pub(crate) fn read(table: &Table<'_>) -> Option<Self> {
         let rate = table.need_number(
             "requests_per_second",
--- a/crates/resources/tests/change.rs
+++ b/crates/resources/tests/change.rs
@@ -1,4 +1,4 @@
-//! Change files: what they may say, and that all that is wrong is found at once, with its line and field.
+//! Change files: what they may say, and that all problems are reported at once, with line and field.
 
 use std::collections::BTreeMap;
 
@@ -45,15 +45,15 @@
 changes = 5
 "#;
 
-/// A log that keeps what its changes set.
+/// The resources that a sequence of changes leads to.
 #[derive(Default)]
-struct Kept(BTreeMap<ResourceName, Resource>);
+struct Resources(BTreeMap<ResourceName, Resource>);
 
-impl Kept {
+impl Resources {
     fn with(text: &str) -> Self {
-        let mut kept = Kept::default();
-        kept.apply(entry(text, &EmptyInventory).expect("a good change"));
-        kept
+        let mut resources = Resources::default();
+        resources.apply(entry(text, &EmptyInventory).expect("a valid change"));
+        resources
     }
 
     fn apply(&mut self, entry: LogEntry) {
@@ -73,22 +73,22 @@
     }
 }
 
-impl Inventory for Kept {
+impl Inventory for Resources {
     fn visit(&self, service: &ServiceName, visit: &mut dyn FnMut(&Resource)) {
         self.0.values().filter(|resource| resource.name.service == *service).for_each(visit);
     }
 }
 
 fn entry(text: &str, inventory: &dyn Inventory) -> Result<LogEntry, Vec<String>> {
-    let told = |problems: Vec<sableloom_toml_diagnostics::Problem>| {
+    let as_text = |problems: Vec<sableloom_toml_diagnostics::Problem>| {
         problems.iter().map(ToString::to_string).collect::<Vec<_>>()
     };
-    let change = read_change("00000001.toml", text.as_bytes()).map_err(told)?;
-    change.resolve(inventory).map_err(told)
+    let change = read_change("00000001.toml", text.as_bytes()).map_err(as_text)?;
+    change.resolve(inventory).map_err(as_text)
 }
 
 fn problems(text: &str, inventory: &dyn Inventory) -> Vec<String> {
-    entry(text, inventory).expect_err("a wrong change")
+    entry(text, inventory).expect_err("an invalid change")
 }
 
 fn body(entry: &LogEntry, kind: ResourceKind, key: &str) -> (Resource, Body) {
@@ -98,14 +98,14 @@
         }
         _ => None,
     });
-    let resource = resource.expect("it is set");
+    let resource = resource.expect("the resource is set");
     let body = Body::decode(kind, resource.body.as_slice()).expect("a body");
     (resource, body)
 }
 
 #[test]
-fn a_change_becomes_what_a_sites_file_would_have_said() {
-    let entry = entry(FIRST, &EmptyInventory).expect("a good change");
+fn a_change_becomes_the_settings_of_an_equal_site_file() {
+    let entry = entry(FIRST, &EmptyInventory).expect("a valid change");
     assert_eq!((entry.number, entry.epoch, entry.changes.len()), (1, 1, 5));
 
     let (pool, Body::Pool(settings)) = body(&entry, ResourceKind::Pool, "") else {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_with_a_change_is_found_at_once_with_line_and_field() {
+fn all_problems_of_a_change_are_reported_at_once_with_line_and_field() {
     let text = r#"number = 2
 epoch = 0
 [[pool]]
@@ -172,7 +172,7 @@
 [end]
 changes = 5
 "#;
-    let told = problems(text, &EmptyInventory);
+    let problems_found = problems(text, &EmptyInventory);
     for (line, field, what) in [
         (2, "epoch", "expected 1 to"),
         (4, "pool[0].service", "expected 1 to 128"),
@@ -184,18 +184,18 @@
         (15, "remove[0]", "not several"),
         (20, "end.changes", "4 changes are here"),
     ] {
-        let found = told.iter().any(|told| {
-            told.starts_with(&format!("00000001.toml:{line}:"))
-                && told.contains(&format!("`{field}"))
-                && told.contains(what)
+        let found = problems_found.iter().any(|problem| {
+            problem.starts_with(&format!("00000001.toml:{line}:"))
+                && problem.contains(&format!("`{field}"))
+                && problem.contains(what)
         });
-        assert!(found, "line {line}, {field}: {what} in {told:#?}");
+        assert!(found, "line {line}, {field}: {what} in {problems_found:#?}");
     }
 }
 
 #[test]
-fn a_change_is_judged_against_what_is_there() {
-    let kept = Kept::with(FIRST);
+fn a_change_is_checked_against_the_existing_resources() {
+    let resources = Resources::with(FIRST);
     let text = r#"number = 2
 epoch = 1
 [[server]]
@@ -215,7 +215,7 @@
 changes = 4
 "#;
     assert_eq!(
-        problems(text, &kept),
+        problems(text, &resources),
         [
             "00000001.toml:3:1: field `server[0]`: 127.0.0.1:9001 is the address of \"points-1\" as well",
             "00000001.toml:7:1: field `server[1]`: service \"partners\" has no [[pool]]; set it in this change \
@@ -228,8 +228,8 @@
 }
 
 #[test]
-fn an_address_moves_from_one_server_to_another_in_one_change() {
-    let mut kept = Kept::with(FIRST);
+fn an_address_may_move_from_one_server_to_another_in_one_change() {
+    let mut resources = Resources::with(FIRST);
     let text = r#"number = 2
 epoch = 1
 [[remove]]
@@ -242,14 +242,22 @@
 [end]
 changes = 2
 "#;
-    kept.apply(entry(text, &kept).expect("a good change"));
-    assert!(kept.names().contains(&"server points-3 of points".to_string()), "{:?}", kept.names());
-    assert!(!kept.names().contains(&"server points-1 of points".to_string()), "{:?}", kept.names());
+    resources.apply(entry(text, &resources).expect("a valid change"));
+    assert!(
+        resources.names().contains(&"server points-3 of points".to_string()),
+        "{:?}",
+        resources.names()
+    );
+    assert!(
+        !resources.names().contains(&"server points-1 of points".to_string()),
+        "{:?}",
+        resources.names()
+    );
 }
 
 #[test]
 fn a_service_that_is_removed_and_set_in_one_change_is_replaced() {
-    let mut kept = Kept::with(FIRST);
+    let mut resources = Resources::with(FIRST);
     let text = r#"number = 2
 epoch = 1
 [[remove]]
@@ -259,12 +267,12 @@
 [end]
 changes = 2
 "#;
-    kept.apply(entry(text, &kept).expect("a good change"));
-    assert_eq!(kept.names(), ["pool points"]);
+    resources.apply(entry(text, &resources).expect("a valid change"));
+    assert_eq!(resources.names(), ["pool points"]);
 }
 
 #[test]
-fn a_change_names_a_resource_once_and_weights_are_not_all_0() {
+fn a_change_that_names_a_resource_twice_or_leaves_only_weights_of_0_is_rejected() {
     let text = r#"number = 1
 epoch = 1
 [[pool]]
@@ -280,20 +288,26 @@
 [end]
 changes = 3
 "#;
-    let told = problems(text, &EmptyInventory);
-    assert!(told[0].contains(":9:1: field `server[1]`: server[0] names the same"), "{told:?}");
+    let problems_found = problems(text, &EmptyInventory);
+    assert!(
+        problems_found[0].contains(":9:1: field `server[1]`: server[0] names the same"),
+        "{problems_found:?}"
+    );
     let text = text.replace(
         "id = \"points-1\"\naddress = \"127.0.0.1:9002\"",
         "id = \"points-2\"\naddress = \"127.0.0.1:9002\"\nweight = 0",
     );
     let text =
         text.replace("address = \"127.0.0.1:9001\"", "address = \"127.0.0.1:9001\"\nweight = 0");
-    let told = problems(&text, &EmptyInventory);
-    assert!(told[0].contains("every server of the service has weight 0"), "{told:?}");
+    let problems_found = problems(&text, &EmptyInventory);
+    assert!(
+        problems_found[0].contains("every server of the service has weight 0"),
+        "{problems_found:?}"
+    );
 }
 
 #[test]
-fn a_file_cut_anywhere_is_not_finished() {
+fn a_file_truncated_anywhere_is_not_complete() {
     assert!(is_complete(FIRST.as_bytes()));
     assert!(is_complete(format!("{FIRST}\n# a last remark\n\n").as_bytes()));
     for cut in 0..FIRST.len() {
@@ -303,8 +317,8 @@
 }
 
 #[test]
-fn a_body_that_is_foreign_cut_or_too_long_is_refused() {
-    let entry = entry(FIRST, &EmptyInventory).expect("a good change");
+fn a_body_of_another_version_or_length_is_not_decoded() {
+    let entry = entry(FIRST, &EmptyInventory).expect("a valid change");
     for change in &entry.changes {
         let Change::Set(resource) = change else { continue };
         let (kind, bytes) = (resource.name.kind, resource.body.as_slice());
--- a/crates/resources/tests/every_key.rs
+++ b/crates/resources/tests/every_key.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn every_key_of_a_change_file_arrives_in_the_recorded_bytes_of_its_body() {
-    let change = read_change("00000041.toml", EVERY_KEY.as_bytes()).expect("a sound change");
+    let change = read_change("00000041.toml", EVERY_KEY.as_bytes()).expect("a valid change");
     assert_eq!((change.number, change.epoch), (41, 5));
     let mut recorded = recorded_bodies();
     for entry in &change.entries {
@@ -36,7 +36,7 @@
 
 #[test]
 fn every_removal_of_a_change_file_names_what_it_removes() {
-    let change = read_change("00000042.toml", EVERY_REMOVAL.as_bytes()).expect("a sound change");
+    let change = read_change("00000042.toml", EVERY_REMOVAL.as_bytes()).expect("a valid change");
     let service = |name: &str| name.try_into().expect("a sound name");
     let edits: Vec<Edit> = change.entries.into_iter().map(|entry| entry.edit).collect();
     let expected = [
