--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -17,6 +17,7 @@
 //! | `name`, `body`, `resource`, `log_entry`, `position`, `rejection` | the vocabulary |
 //! | `digest` | the hashes by which two sides detect that their state differs |
 //! | `message`, `status`, `codec`, `bounded_text` | what is sent, and its encoding as frames |
+//! | `violation` | the messages that the protocol does not allow |
 //! | `store`, `service_state` | all resources by service, with a bounded log of changes |
 //! | `publisher` | the sessions of a control machine's subscribers |
 //! | `subscriber` | the connection and the applied state of a balancer |
@@ -82,6 +83,7 @@
 mod status;
 mod store;
 mod subscriber;
+mod violation;
 
 pub use body::{MAX_BODY_BYTES, ResourceBody};
 pub use bounded_text::MAX_TEXT_BYTES;
@@ -115,3 +117,4 @@
     SubscriberCounters, SubscriberEvent, SubscriberOptions, SubscriberOutput, SubscriberStatus,
     SubscriberTiming, Transaction,
 };
+pub use violation::{PublisherViolation, SubscriberViolation};
--- a/crates/distribution/src/publisher/handlers.rs
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -11,6 +11,7 @@
 };
 use crate::name::{ServiceName, SubscriberName};
 use crate::position::{Position, ServiceVersion};
+use crate::violation::SubscriberViolation;
 
 /// Connections beyond [`crate::PublisherOptions::max_sessions`] that may be open before their hello, for tools that
 /// request the status.
@@ -19,7 +20,7 @@
 /// Why the session is closed, if it is.
 type Handled = Result<(), CloseReason>;
 
-const NO_SESSION: CloseReason = CloseReason::Violation("no session");
+const NO_SESSION: CloseReason = CloseReason::Violation(SubscriberViolation::NoSession);
 
 /// One scope message.
 struct ScopeChange {
@@ -82,7 +83,7 @@
     ) -> Handled {
         let state = self.sessions.get_mut(&session).ok_or(NO_SESSION)?;
         if state.subscriber.is_some() {
-            return Err(CloseReason::Violation("a second hello"));
+            return Err(SubscriberViolation::SecondHello.into());
         }
         if self.sessions.len() > self.options.max_sessions + SPARE_CONNECTIONS {
             return self.refuse(now, session, Refusal::Full, out);
@@ -120,10 +121,10 @@
         let named = scope.add.len() + scope.remove.len() + scope.rejected.len();
         let state = welcomed_session(&mut self.sessions, session)?;
         if scope.generation != state.scope_generation.wrapping_add(1) {
-            return Err(CloseReason::Violation("scope messages out of order"));
+            return Err(SubscriberViolation::ScopeOutOfOrder.into());
         }
         if named > MAX_SERVICES_PER_MESSAGE {
-            return Err(CloseReason::Violation("a scope message with too many services"));
+            return Err(SubscriberViolation::ScopeMessageTooLarge.into());
         }
         if state.exceeds_scope(&scope.add, named, max) {
             return self.refuse(now, session, Refusal::ScopeTooLarge { max: max as u32 }, out);
@@ -168,9 +169,8 @@
     ) -> Handled {
         let Publisher { sessions, store, shared, options, .. } = self;
         let state = welcomed_session(sessions, session)?;
-        let targets = state
-            .take_answered(transaction)
-            .ok_or(CloseReason::Violation("an answer to no transaction"))?;
+        let targets =
+            state.take_answered(transaction).ok_or(SubscriberViolation::UnknownTransaction)?;
         match answer {
             Answer::Applied => {
                 shared.counters.acks += 1;
@@ -200,7 +200,7 @@
 ) -> Result<&mut Session, CloseReason> {
     let state = sessions.get_mut(&session).ok_or(NO_SESSION)?;
     if state.subscriber.is_none() {
-        return Err(CloseReason::Violation("no hello"));
+        return Err(SubscriberViolation::NoHello.into());
     }
     Ok(state)
 }
--- a/crates/distribution/src/publisher/output.rs
+++ b/crates/distribution/src/publisher/output.rs
@@ -1,6 +1,7 @@
 //! What a publisher tells its caller to do.
 
 use crate::codec::CodecError;
+use crate::violation::SubscriberViolation;
 
 /// The caller's id of a connection; never reused while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -46,7 +47,7 @@
     Mismatch,
     /// A message came that the protocol does not allow at that point.
     #[error("protocol violation: {0}")]
-    Violation(&'static str),
+    Violation(#[from] SubscriberViolation),
     /// A malformed frame came.
     #[error("{0}")]
     Malformed(CodecError),
--- a/crates/distribution/src/publisher/session/mod.rs
+++ b/crates/distribution/src/publisher/session/mod.rs
@@ -12,12 +12,12 @@
 mod pending;
 mod resume;
 mod sending;
+mod steps;
 mod subscription;
 mod timeouts;
 mod transaction;
 
-pub(super) use resume::ChangeEffect;
-pub(super) use sending::NextStep;
+pub(super) use steps::{ChangeEffect, NextStep};
 pub(super) use subscription::Subscription;
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/distribution/src/publisher/session/resume.rs
+++ b/crates/distribution/src/publisher/session/resume.rs
@@ -5,6 +5,7 @@
 use sableloom_types::Time;
 
 use super::Session;
+use super::steps::ChangeEffect;
 use crate::name::ServiceName;
 use crate::position::ServiceVersion;
 use crate::store::Store;
@@ -105,14 +106,3 @@
         }
     }
 }
-
-/// What a change does to a session.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::publisher) enum ChangeEffect {
-    /// Nothing yet: the scope is not complete.
-    None,
-    /// The change was added to the transaction that is being sent.
-    Absorbed,
-    /// The services are pending.
-    Pending,
-}
--- a/crates/distribution/src/publisher/session/sending.rs
+++ b/crates/distribution/src/publisher/session/sending.rs
@@ -2,6 +2,7 @@
 
 use super::Session;
 use super::pending::{GroupId, GroupState};
+use super::steps::NextStep;
 use super::transaction::OpenTransaction;
 use crate::name::ServiceName;
 use crate::position::Position;
@@ -12,18 +13,6 @@
 use crate::resource::Change;
 use crate::store::Store;
 
-/// What a session does next.
-pub(in crate::publisher) enum NextStep {
-    /// Sends a frame of the open transaction.
-    SendFrame(Urgency),
-    /// Opens a transaction for a group.
-    Open(GroupId, Urgency),
-    /// Requests a snapshot slot.
-    RequestSnapshotSlot,
-    /// Nothing can be sent now.
-    Nothing,
-}
-
 impl Session {
     pub(in crate::publisher) fn next_step(&self, options: &PublisherOptions) -> NextStep {
         if let Some(open) = &self.open {
--- a/crates/distribution/src/subscriber/disconnect_reason.rs
+++ b/crates/distribution/src/subscriber/disconnect_reason.rs
@@ -2,6 +2,7 @@
 
 use crate::message::Refusal;
 use crate::position::Position;
+use crate::violation::PublisherViolation;
 
 /// Why a connection has ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -26,15 +27,8 @@
     Diverged(Position),
     /// A message came that the protocol does not allow at that point, or a malformed frame.
     #[error("protocol violation: {0}")]
-    Violation(Box<str>),
+    Violation(#[from] PublisherViolation),
     /// A transaction exceeds [`crate::SubscriberOptions::max_transaction_bytes`].
     #[error("a transaction is too large")]
     TooLarge,
 }
-
-impl DisconnectReason {
-    /// A message that the protocol does not allow at that point.
-    pub(super) fn violation(what: &str) -> Self {
-        DisconnectReason::Violation(what.into())
-    }
-}
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -32,6 +32,7 @@
 use crate::position::{Position, ServiceVersion};
 use crate::rejection::Rejection;
 use crate::resource::Resource;
+use crate::violation::PublisherViolation;
 use applied_state::AppliedState;
 use link::Link;
 use machine_selector::MachineSelector;
@@ -144,7 +145,7 @@
     /// A malformed frame has come: the connection is closed and counted.
     pub fn malformed(&mut self, now: Time, error: CodecError, out: &mut Vec<SubscriberOutput>) {
         if self.link.control().is_some() {
-            self.close(now, DisconnectReason::violation(&error.to_string()), out);
+            self.close(now, PublisherViolation::Malformed(error).into(), out);
         }
     }
 
@@ -259,9 +260,7 @@
                 self.check_bookmark(position, generation, digest, out)
             }
             PublisherMessage::Pong { .. } => Ok(()),
-            PublisherMessage::Status(_) => {
-                Err(DisconnectReason::violation("a status that was not asked for"))
-            }
+            PublisherMessage::Status(_) => Err(PublisherViolation::UnexpectedStatus.into()),
         }
     }
 
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -12,6 +12,7 @@
 use crate::position::{Position, ServiceVersion};
 use crate::rejection::Rejection;
 use crate::resource::Change;
+use crate::violation::PublisherViolation;
 
 /// Consecutive bookmarks that do not match the applied state, after which the connection is closed: the first leads to
 /// the complete scope being sent again.
@@ -39,7 +40,7 @@
     ) -> Result<(), DisconnectReason> {
         let incoming = self.incoming.as_mut().filter(|incoming| incoming.id() == id);
         let Some(incoming) = incoming else {
-            return Err(DisconnectReason::violation("changes of no transaction"));
+            return Err(PublisherViolation::ChangesWithoutBegin.into());
         };
         incoming.add_changes(changes)?;
         self.check_buffer()
@@ -54,7 +55,7 @@
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         let Some(incoming) = self.incoming.take().filter(|incoming| incoming.id() == id) else {
-            return Err(DisconnectReason::violation("the end of no transaction"));
+            return Err(PublisherViolation::CommitWithoutBegin.into());
         };
         let bytes = incoming.bytes;
         let mut transfers = incoming.commit(position, targets)?;
@@ -130,7 +131,7 @@
         if digest != self.applied.scope_digest() {
             self.mismatched_bookmarks += 1;
             if self.mismatched_bookmarks > MAX_MISMATCHED_BOOKMARKS {
-                return Err(DisconnectReason::violation("bookmarks do not fit what is held"));
+                return Err(PublisherViolation::BookmarkMismatch.into());
             }
             self.send_complete_scope(out);
             return Ok(());
--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -10,6 +10,7 @@
 use crate::message::{MAX_SERVICES_PER_MESSAGE, Refusal, SubscriberMessage};
 use crate::name::ServiceName;
 use crate::position::{Position, ServiceVersion};
+use crate::violation::PublisherViolation;
 
 /// Services added by one scope message: each may also be named as rejected.
 const MAX_ADDED_PER_MESSAGE: usize = MAX_SERVICES_PER_MESSAGE / 2;
@@ -95,7 +96,7 @@
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         let Link::Greeting { hello_sent: true, .. } = self.link else {
-            return Err(DisconnectReason::violation("a welcome without a hello"));
+            return Err(PublisherViolation::UnexpectedWelcome.into());
         };
         self.advance_position(now, control, position, out)?;
         self.counters.sessions += 1;
--- a/crates/distribution/src/subscriber/transaction.rs
+++ b/crates/distribution/src/subscriber/transaction.rs
@@ -9,6 +9,7 @@
 use crate::position::{Position, ServiceVersion};
 use crate::resource::Change;
 use crate::service_state::ResourceKey;
+use crate::violation::PublisherViolation;
 
 /// A transaction of which not all has come.
 #[derive(Debug)]
@@ -58,7 +59,7 @@
         services: Vec<ServiceBase>,
     ) -> Result<(), DisconnectReason> {
         if self.id != id || self.generation != generation {
-            return Err(DisconnectReason::violation("a transaction begins within another"));
+            return Err(PublisherViolation::NestedTransaction.into());
         }
         for ServiceBase { service, base } in services {
             self.bytes += service.as_str().len() + size_of::<IncomingService>();
@@ -73,14 +74,13 @@
         for change in changes {
             self.bytes += change.encoded_size();
             let Some(incoming) = self.services.get_mut(change.service()) else {
-                let what = "a change of a service that is not in the transaction";
-                return Err(DisconnectReason::violation(what));
+                return Err(PublisherViolation::ServiceNotInTransaction.into());
             };
             let (key, resource) = match change {
                 Change::Set(resource) => (ResourceKey::of(&resource.name), Some(resource)),
                 Change::Remove { name, .. } => (ResourceKey::of(&name), None),
                 Change::RemoveService { .. } => {
-                    return Err(DisconnectReason::violation("the removal of a service"));
+                    return Err(PublisherViolation::ServiceRemoval.into());
                 }
             };
             incoming.changes.insert(key, resource);
@@ -97,16 +97,14 @@
         let mut transfers = Vec::with_capacity(targets.len());
         for target in targets {
             let Some(incoming) = self.services.remove(&target.service) else {
-                let what = "a transaction without one of its services";
-                return Err(DisconnectReason::violation(what));
+                return Err(PublisherViolation::MissingService.into());
             };
             let IncomingService { base, changes } = incoming;
             let (epoch, generation) = (position.epoch, self.generation);
             transfers.push(ServiceTransfer { target, epoch, generation, base, changes });
         }
         if !self.services.is_empty() {
-            let what = "a transaction that does not end all of its services";
-            return Err(DisconnectReason::violation(what));
+            return Err(PublisherViolation::UncommittedService.into());
         }
         Ok(transfers)
     }
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use sableloom_distribution::{
-    CloseReason, CodecError, DisconnectReason, PublisherCounters, SubscriberCounters,
-    SubscriberEvent,
+    CloseReason, CodecError, DisconnectReason, PublisherCounters, PublisherViolation,
+    SubscriberCounters, SubscriberEvent,
 };
 
 /// What all schedules together have exercised.
@@ -42,10 +42,11 @@
         DisconnectReason::Refused(_) => "refused",
         DisconnectReason::Behind(_) => "behind",
         DisconnectReason::Diverged(_) => "diverged",
-        DisconnectReason::Violation(what) if what.contains("frame") || what.contains("version") => {
-            "garbage"
+        DisconnectReason::Violation(PublisherViolation::Malformed(CodecError::Overflow)) => {
+            "overflow"
         }
-        DisconnectReason::Violation(what) => what,
+        DisconnectReason::Violation(PublisherViolation::Malformed(_)) => "garbage",
+        DisconnectReason::Violation(violation) => return format!("subscriber: {violation}"),
         DisconnectReason::TooLarge => "too large",
     };
     format!("subscriber: {name}")
