--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -193,9 +193,9 @@
         while let Some(message) = end.reader.next_message().expect("a message") {
             end.subscriber.message(Time(self.now), message, &mut out);
         }
-        let applied: Vec<u64> = out.iter().filter_map(transfer).collect();
-        for transfer in applied {
-            end.subscriber.apply_finished(transfer, Ok(()), &mut out);
+        let applied: Vec<u64> = out.iter().filter_map(transaction_id).collect();
+        for transaction_id in applied {
+            end.subscriber.apply_finished(transaction_id, Ok(()), &mut out);
         }
         let ended = processor_us();
         self.subscriber_us += ended - started;
@@ -234,9 +234,9 @@
     }
 }
 
-fn transfer(output: &SubscriberOutput) -> Option<u64> {
+fn transaction_id(output: &SubscriberOutput) -> Option<u64> {
     match output {
-        SubscriberOutput::Apply(transaction) => Some(transaction.transfer),
+        SubscriberOutput::Apply(transaction) => Some(transaction.id),
         _ => None,
     }
 }
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -43,12 +43,12 @@
     /// The transaction has been applied.
     Ack {
         /// The transaction.
-        transfer: u64,
+        transaction: u64,
     },
     /// Nothing of the transaction has been applied.
     Nack {
         /// The transaction.
-        transfer: u64,
+        transaction: u64,
         /// Why not.
         reason: NackReason,
     },
@@ -100,7 +100,7 @@
     /// The start of a transaction, or further services of it.
     Begin {
         /// The transaction.
-        transfer: u64,
+        transaction: u64,
         /// The last scope message that the control machine had processed.
         generation: u32,
         /// What each service's changes are based on.
@@ -109,14 +109,14 @@
     /// Changes of the transaction, in order.
     Changes {
         /// The transaction.
-        transfer: u64,
+        transaction: u64,
         /// At most [`MAX_CHANGES_PER_MESSAGE`].
         changes: Vec<Change>,
     },
     /// The transaction is complete.
     Commit {
         /// The transaction.
-        transfer: u64,
+        transaction: u64,
         /// The position of the control machine.
         position: Position,
         /// The version of each service of the transaction once it is applied.
--- a/crates/distribution/src/publisher/handlers.rs
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -54,11 +54,11 @@
                 let scope = ScopeChange { generation, add, remove, rejected, is_last: last };
                 self.handle_scope(now, session, scope, out)
             }
-            SubscriberMessage::Ack { transfer } => {
-                self.handle_answer(now, session, transfer, Answer::Applied, out)
+            SubscriberMessage::Ack { transaction } => {
+                self.handle_answer(now, session, transaction, Answer::Applied, out)
             }
-            SubscriberMessage::Nack { transfer, reason } => {
-                self.handle_answer(now, session, transfer, Answer::NotApplied(reason), out)
+            SubscriberMessage::Nack { transaction, reason } => {
+                self.handle_answer(now, session, transaction, Answer::NotApplied(reason), out)
             }
             SubscriberMessage::Ping { sequence } => {
                 self.reply(now, session, &PublisherMessage::Pong { sequence }, out);
--- a/crates/distribution/src/publisher/session/transaction.rs
+++ b/crates/distribution/src/publisher/session/transaction.rs
@@ -89,14 +89,14 @@
         generation: u32,
         max_chunk_bytes: usize,
     ) -> Option<PublisherMessage> {
-        let transfer = self.id;
+        let transaction = self.id;
         if !self.bases.is_empty() {
             let services = std::mem::take(&mut self.bases);
-            return Some(PublisherMessage::Begin { transfer, generation, services });
+            return Some(PublisherMessage::Begin { transaction, generation, services });
         }
         if !self.changes.is_empty() {
             let changes = take_chunk(&mut self.changes, max_chunk_bytes);
-            return Some(PublisherMessage::Changes { transfer, changes });
+            return Some(PublisherMessage::Changes { transaction, changes });
         }
         None
     }
@@ -104,7 +104,7 @@
     /// The frame that completes the transaction.
     pub(super) fn commit_frame(&self, position: Position) -> PublisherMessage {
         let services = self.targets.iter().map(|target| target.version.clone()).collect();
-        PublisherMessage::Commit { transfer: self.id, position, services }
+        PublisherMessage::Commit { transaction: self.id, position, services }
     }
 
     /// The transaction has been sent completely.
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -153,17 +153,17 @@
     /// answered in the order in which they were handed out, also when their connection has ended since.
     pub fn apply_finished(
         &mut self,
-        transfer: u64,
+        transaction: u64,
         result: Result<(), Vec<Rejection>>,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        let is_oldest = |transaction: &mut PendingTransaction| transaction.id == transfer;
-        let Some(transaction) = self.pending.pop_front_if(is_oldest) else {
+        let is_oldest = |pending: &mut PendingTransaction| pending.id == transaction;
+        let Some(pending) = self.pending.pop_front_if(is_oldest) else {
             return;
         };
         match result {
-            Ok(()) => self.acknowledge(transaction, out),
-            Err(rejections) => self.reject(transaction, rejections, out),
+            Ok(()) => self.acknowledge(pending, out),
+            Err(rejections) => self.reject(pending, rejections, out),
         }
         self.send_hello_if_ready(out);
     }
@@ -247,13 +247,15 @@
         match message {
             PublisherMessage::Welcome { position } => self.welcomed(now, control, position, out),
             PublisherMessage::Refused(refusal) => Err(self.refused(now, control, refusal, out)),
-            PublisherMessage::Begin { transfer, generation, services } => {
-                self.begin_transaction(transfer, generation, services)
+            PublisherMessage::Begin { transaction, generation, services } => {
+                self.begin_transaction(transaction, generation, services)
             }
-            PublisherMessage::Changes { transfer, changes } => self.add_changes(transfer, changes),
-            PublisherMessage::Commit { transfer, position, services } => {
+            PublisherMessage::Changes { transaction, changes } => {
+                self.add_changes(transaction, changes)
+            }
+            PublisherMessage::Commit { transaction, position, services } => {
                 self.advance_position(now, control, position, out)?;
-                self.commit_transaction(transfer, position, services, out)
+                self.commit_transaction(transaction, position, services, out)
             }
             PublisherMessage::Current { position, generation, digest } => {
                 self.advance_position(now, control, position, out)?;
--- a/crates/distribution/src/subscriber/output.rs
+++ b/crates/distribution/src/subscriber/output.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transaction {
     /// The id, for [`crate::Subscriber::apply_finished`].
-    pub transfer: u64,
+    pub id: u64,
     /// The position of the control machine.
     pub position: Position,
     /// The changes by service.
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -70,12 +70,12 @@
             return Ok(());
         }
         if transfers.is_empty() {
-            out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transfer: id }));
+            out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transaction: id }));
             return Ok(());
         }
         let services = transfers.iter().map(|transfer| self.update(transfer)).collect();
         self.pending.push_back(PendingTransaction { id, transfers, bytes });
-        out.push(SubscriberOutput::Apply(Transaction { transfer: id, position, services }));
+        out.push(SubscriberOutput::Apply(Transaction { id, position, services }));
         Ok(())
     }
 
@@ -91,7 +91,7 @@
             self.applied.apply(transfer);
         }
         out.push(SubscriberOutput::Save);
-        self.answer(SubscriberMessage::Ack { transfer: transaction.id }, out);
+        self.answer(SubscriberMessage::Ack { transaction: transaction.id }, out);
     }
 
     /// The caller has rejected a transaction.
@@ -110,7 +110,7 @@
         let event = SubscriberEvent::Rejected { services, rejections: rejections.clone() };
         out.push(SubscriberOutput::Event(event));
         let reason = NackReason::Rejected(rejections);
-        self.answer(SubscriberMessage::Nack { transfer: transaction.id, reason }, out);
+        self.answer(SubscriberMessage::Nack { transaction: transaction.id, reason }, out);
     }
 
     /// A bookmark has come: if it does not match the applied state, the complete scope is sent again, once.
@@ -156,7 +156,7 @@
         self.counters.mismatches += 1;
         let versions = services.iter().filter_map(|service| self.applied.version(service));
         let reason = NackReason::Mismatch(versions.collect());
-        out.push(SubscriberOutput::Send(SubscriberMessage::Nack { transfer: id, reason }));
+        out.push(SubscriberOutput::Send(SubscriberMessage::Nack { transaction: id, reason }));
         out.push(SubscriberOutput::Event(SubscriberEvent::Mismatch { services }));
     }
 
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -28,7 +28,7 @@
         (PublisherMessage::Welcome { position }, vec![0, 0, 0, 6, 2, 0, 1, 0xac, 2, 5]),
         (
             PublisherMessage::Begin {
-                transfer: 1,
+                transaction: 1,
                 generation: 2,
                 services: vec![
                     ServiceBase { service: service("ab"), base: Base::Delta { from: 4 } },
@@ -39,7 +39,7 @@
         ),
         (
             PublisherMessage::Changes {
-                transfer: 1,
+                transaction: 1,
                 changes: vec![
                     Change::Set(resource()),
                     Change::Remove { name: ResourceName::pool(service("c")), version: 1 },
@@ -51,7 +51,7 @@
             ],
         ),
         (
-            PublisherMessage::Commit { transfer: 1, position, services: vec![held] },
+            PublisherMessage::Commit { transaction: 1, position, services: vec![held] },
             vec![0, 0, 0, 14, 2, 4, 1, 1, 0xac, 2, 5, 1, 2, b'a', b'b', 0xac, 2, 7],
         ),
         (
@@ -99,7 +99,7 @@
         problem: "ä".repeat(400).as_str().into(),
     };
     let nack =
-        SubscriberMessage::Nack { transfer: 1, reason: NackReason::Rejected(vec![rejection]) };
+        SubscriberMessage::Nack { transaction: 1, reason: NackReason::Rejected(vec![rejection]) };
     let mut reader = FrameReader::new();
     reader.push(&encode(&nack));
     let Ok(Some(SubscriberMessage::Nack { reason: NackReason::Rejected(read), .. })) =
@@ -114,7 +114,7 @@
 fn a_tenant_encodes_to_the_expected_bytes_and_an_unknown_kind_is_malformed() {
     let name = ResourceName::tenant(service("c"), "t");
     let message = PublisherMessage::Changes {
-        transfer: 1,
+        transaction: 1,
         changes: vec![Change::Remove { name, version: 1 }],
     };
     let mut frame = vec![0, 0, 0, 10, 2, 3, 1, 1, 1, 1, b'c', 3, 1, b't', 1];
--- a/crates/distribution/tests/frames/messages.rs
+++ b/crates/distribution/tests/frames/messages.rs
@@ -77,9 +77,9 @@
         ("hello", hello),
         ("scope", scope),
         ("scope-last", last_scope),
-        ("ack", SubscriberMessage::Ack { transfer: 128 }),
-        ("nack-rejected", SubscriberMessage::Nack { transfer: 129, reason: rejected }),
-        ("nack-mismatch", SubscriberMessage::Nack { transfer: 130, reason: mismatch }),
+        ("ack", SubscriberMessage::Ack { transaction: 128 }),
+        ("nack-rejected", SubscriberMessage::Nack { transaction: 129, reason: rejected }),
+        ("nack-mismatch", SubscriberMessage::Nack { transaction: 130, reason: mismatch }),
         ("ping", SubscriberMessage::Ping { sequence: 0xffff_fffe }),
         ("status-sessions", status(StatusQuery::Sessions { from: 500 })),
         ("status-services", status(StatusQuery::Services { after: Some(service("points")) })),
@@ -97,7 +97,7 @@
     }
     changes.push(Change::RemoveService { service: service("points"), version: 401 });
     let begin = PublisherMessage::Begin {
-        transfer: 128,
+        transaction: 128,
         generation: 300,
         services: vec![
             ServiceBase { service: service("points"), base: Base::Delta { from: 12 } },
@@ -105,7 +105,7 @@
         ],
     };
     let commit = PublisherMessage::Commit {
-        transfer: 128,
+        transaction: 128,
         position: position(),
         services: vec![version("points", 401), version("partners", 399)],
     };
@@ -118,7 +118,7 @@
         ("refused-scope-too-large", refused(Refusal::ScopeTooLarge { max: 4_096 })),
         ("refused-version", refused(Refusal::Version { expected: 2 })),
         ("begin", begin),
-        ("changes", PublisherMessage::Changes { transfer: 128, changes }),
+        ("changes", PublisherMessage::Changes { transaction: 128, changes }),
         ("commit", commit),
         ("current", current),
         ("pong", PublisherMessage::Pong { sequence: 0xffff_fffe }),
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -139,9 +139,9 @@
     changes.flatten().collect()
 }
 
-fn transfers(messages: &[PublisherMessage]) -> Vec<u64> {
+fn transaction_ids(messages: &[PublisherMessage]) -> Vec<u64> {
     let commits = messages.iter().filter_map(|message| match message {
-        PublisherMessage::Commit { transfer, .. } => Some(*transfer),
+        PublisherMessage::Commit { transaction, .. } => Some(*transaction),
         _ => None,
     });
     commits.collect()
@@ -156,21 +156,24 @@
         machine.publisher.store().position(),
         vec![machine.latest_version("points"), not_applied("unknown")],
     );
-    let said = machine.received(1);
+    let received = machine.received(1);
     assert!(
-        matches!(said[..], [PublisherMessage::Welcome { .. }, PublisherMessage::Current { .. }]),
-        "{said:?}"
+        matches!(
+            received[..],
+            [PublisherMessage::Welcome { .. }, PublisherMessage::Current { .. }]
+        ),
+        "{received:?}"
     );
     machine.set_server("other", "a");
     assert_eq!(machine.received(1), [], "a change of what is not subscribed to");
     machine.send(1, SubscriberMessage::Ping { sequence: 5 });
-    let said = machine.received(1);
+    let received = machine.received(1);
     assert!(
         matches!(
-            said[..],
+            received[..],
             [PublisherMessage::Pong { sequence: 5 }, PublisherMessage::Current { .. }]
         ),
-        "{said:?}"
+        "{received:?}"
     );
 }
 
@@ -193,15 +196,15 @@
     let mut applied = applied.to_vec();
     applied[2].digest ^= 1;
     machine.connect(1, position, applied);
-    let said = machine.received(1);
+    let received = machine.received(1);
     let (points, old, drifted) = ("points".to_owned(), "old".to_owned(), "drifted".to_owned());
     let expected =
         [(points, Base::Delta { from: 2 }), (drifted, Base::Snapshot), (old, Base::Snapshot)];
-    let mut found = bases(&said);
+    let mut found = bases(&received);
     found.sort_by_key(|(service, base)| (*base == Base::Snapshot, service.clone()));
     assert_eq!(found, expected);
     let of_points =
-        changes(&said).into_iter().filter(|change| change.service().as_str() == "points");
+        changes(&received).into_iter().filter(|change| change.service().as_str() == "points");
     let versions: Vec<u64> = of_points.map(|change| change.version()).collect();
     assert_eq!(versions, [8, 7, 9], "b, c and d, each once as it is now");
 }
@@ -238,10 +241,10 @@
         set(server("points", "a"), 3, b"body"),
     ]);
     machine.connect(1, position, vec![applied]);
-    let said = machine.received(1);
+    let received = machine.received(1);
     let name = server("points", "new");
     assert_eq!(
-        changes(&said),
+        changes(&received),
         [set(server("points", "a"), 3, b"body"), Change::Remove { name, version: 3 }]
     );
 }
@@ -295,9 +298,9 @@
         machine.set_server("points", &format!("s-{}", change % 40));
     }
     assert_eq!(machine.received(1), [], "one transaction of a service at one time");
-    machine.send(1, SubscriberMessage::Ack { transfer: transfers(&first)[0] });
+    machine.send(1, SubscriberMessage::Ack { transaction: transaction_ids(&first)[0] });
     let second = machine.received(1);
-    assert_eq!((transfers(&second).len(), changes(&second).len()), (1, 40));
+    assert_eq!((transaction_ids(&second).len(), changes(&second).len()), (1, 40));
 }
 
 #[test]
@@ -316,9 +319,9 @@
     }
     machine
         .append(vec![set(server("points", "b"), 3, b"bad"), set(server("other", "b"), 3, b"good")]);
-    let refused = transfers(&machine.received(3));
-    let taken = transfers(&machine.received(4));
-    assert_eq!((refused.len(), taken.len()), (1, 1), "both services in one transaction");
+    let refused = transaction_ids(&machine.received(3));
+    let accepted = transaction_ids(&machine.received(4));
+    assert_eq!((refused.len(), accepted.len()), (1, 1), "both services in one transaction");
     let rejection = Rejection {
         resource: server("points", "b"),
         origin: Origin { file: "change.toml".into(), line: 7 },
@@ -326,28 +329,31 @@
         problem: "no address".into(),
     };
     let reason = NackReason::Rejected(vec![rejection.clone()]);
-    machine.send(3, SubscriberMessage::Nack { transfer: refused[0], reason });
-    machine.send(4, SubscriberMessage::Ack { transfer: taken[0] });
-    assert_eq!(transfers(&machine.received(3)), [0; 0]);
+    machine.send(3, SubscriberMessage::Nack { transaction: refused[0], reason });
+    machine.send(4, SubscriberMessage::Ack { transaction: accepted[0] });
+    assert_eq!(transaction_ids(&machine.received(3)), [0; 0]);
     let StatusRows::Sessions { sessions, .. } =
         machine.publisher.status_page(Time(0), &StatusQuery::Sessions { from: 0 }).rows
     else {
         panic!("no sessions");
     };
     assert_eq!((sessions[0].rejecting, sessions[1].rejecting, sessions[1].lagging), (2, 0, 0));
-    let told = sessions[0]
+    let reported = sessions[0]
         .rejections
         .iter()
         .find(|rejection| rejection.service == service("points"))
         .unwrap();
     assert_eq!(
-        (told.applied_version, told.rejected_version, told.problem.as_ref()),
+        (reported.applied_version, reported.rejected_version, reported.problem.as_ref()),
         (1, 3, Some(&rejection))
     );
     // Only one of the two services changes, and both are sent.
     machine.set_server("other", "c");
-    let said = machine.received(3);
-    assert_eq!((transfers(&said).len(), bases(&said).len(), changes(&said).len()), (1, 2, 3));
+    let received = machine.received(3);
+    assert_eq!(
+        (transaction_ids(&received).len(), bases(&received).len(), changes(&received).len()),
+        (1, 2, 3)
+    );
 }
 
 #[test]
@@ -380,17 +386,17 @@
     );
     machine.connect(1, Position::default(), vec![not_applied("points")]);
     machine.writes_at_once = false;
-    let mut said = machine.received(1);
-    assert_eq!(transfers(&said), [0; 0], "not yet whole");
+    let mut received = machine.received(1);
+    assert_eq!(transaction_ids(&received), [0; 0], "not yet complete");
     machine.append(vec![Change::Remove { name: server("points", "s-00"), version: 2 }]);
     machine.writes_at_once = true;
     machine.publisher.written(Time(0), SessionId(1), usize::MAX, &mut machine.out);
-    said.extend(machine.received(1));
-    assert_eq!(transfers(&said).len(), 1);
-    let last = changes(&said).pop();
+    received.extend(machine.received(1));
+    assert_eq!(transaction_ids(&received).len(), 1);
+    let last = changes(&received).pop();
     assert_eq!(last, Some(Change::Remove { name: server("points", "s-00"), version: 2 }));
     assert!(
-        matches!(said.last(), Some(PublisherMessage::Commit { services, .. }) if services[0] == machine.latest_version("points"))
+        matches!(received.last(), Some(PublisherMessage::Commit { services, .. }) if services[0] == machine.latest_version("points"))
     );
 }
 
@@ -475,16 +481,19 @@
     machine.connect(1, Position::default(), vec![applied.clone()]);
     machine.received(1);
     machine.set_server("points", "a");
-    let mut said = machine.received(1);
-    assert_eq!(bases(&said)[0].1, Base::Delta { from: 1 });
+    let mut received = machine.received(1);
+    assert_eq!(bases(&received)[0].1, Base::Delta { from: 1 });
     for _ in 0..2 {
         let reason = NackReason::Mismatch(vec![applied.clone()]);
-        machine.send(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
-        said = machine.received(1);
-        assert_eq!(bases(&said)[0].1, Base::Snapshot);
+        machine.send(
+            1,
+            SubscriberMessage::Nack { transaction: transaction_ids(&received)[0], reason },
+        );
+        received = machine.received(1);
+        assert_eq!(bases(&received)[0].1, Base::Snapshot);
     }
     let reason = NackReason::Mismatch(vec![applied]);
-    machine.send(1, SubscriberMessage::Nack { transfer: transfers(&said)[0], reason });
+    machine.send(1, SubscriberMessage::Nack { transaction: transaction_ids(&received)[0], reason });
     assert_eq!(machine.close_reason(1), Some(CloseReason::Mismatch));
 }
 
@@ -507,14 +516,14 @@
             set(server("points", "b"), 2, &[0; 40]),
             set(server("other", "b"), 2, &[0; 40]),
         ]);
-        let mut said = machine.received(1);
+        let mut received = machine.received(1);
         // The second may wait for the first, as the bytes in flight have the same bound.
-        for transfer in transfers(&said.clone()) {
-            machine.send(1, SubscriberMessage::Ack { transfer });
-            said.extend(machine.received(1));
+        for transaction in transaction_ids(&received.clone()) {
+            machine.send(1, SubscriberMessage::Ack { transaction });
+            received.extend(machine.received(1));
         }
         assert_eq!(
-            (transfers(&said).len(), bases(&said).len()),
+            (transaction_ids(&received).len(), bases(&received).len()),
             (transactions, 2),
             "{max_transaction_bytes}"
         );
@@ -582,11 +591,11 @@
     };
     let cases = [
         vec![scope(1, 1)],
-        vec![SubscriberMessage::Ack { transfer: 1 }],
+        vec![SubscriberMessage::Ack { transaction: 1 }],
         vec![hello(), hello()],
         vec![hello(), scope(2, 1)],
         vec![hello(), scope(1, 1_025)],
-        vec![hello(), scope(1, 1), SubscriberMessage::Ack { transfer: 9 }],
+        vec![hello(), scope(1, 1), SubscriberMessage::Ack { transaction: 9 }],
     ];
     for messages in cases {
         let mut machine = machine();
@@ -627,15 +636,15 @@
     };
     assert_eq!(behind(&machine), [0; 0]);
     machine.set_server("points", "b");
-    let first = transfers(&machine.received(1));
+    let first = transaction_ids(&machine.received(1));
     machine.now += 2 * SECOND;
     machine.set_server("points", "c");
     machine.now += SECOND;
     assert_eq!(behind(&machine), [3_000], "since the first that it has not");
-    machine.send(1, SubscriberMessage::Ack { transfer: first[0] });
-    let second = transfers(&machine.received(1));
+    machine.send(1, SubscriberMessage::Ack { transaction: first[0] });
+    let second = transaction_ids(&machine.received(1));
     assert_eq!(behind(&machine), [3_000], "it has caught up in part");
-    machine.send(1, SubscriberMessage::Ack { transfer: second[0] });
+    machine.send(1, SubscriberMessage::Ack { transaction: second[0] });
     assert_eq!(behind(&machine), [0; 0]);
     machine.set_server("points", "d");
     machine.now += SECOND;
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -146,7 +146,7 @@
         let result: Result<(), Vec<Rejection>> =
             balancer.applier.apply(&transaction, &self.histories, checks_atomicity);
         self.with_subscriber(index, |subscriber, _, out| {
-            subscriber.apply_finished(transaction.transfer, result, out);
+            subscriber.apply_finished(transaction.id, result, out);
         });
         let balancer = &self.balancers[index];
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -144,7 +144,7 @@
                 }
                 frame
             }
-            PublisherMessage::Changes { transfer, mut changes }
+            PublisherMessage::Changes { transaction, mut changes }
                 if !self.quiet && self.below(50) == 0 =>
             {
                 for change in &mut changes {
@@ -154,7 +154,7 @@
                         resource.body = body.into();
                     }
                 }
-                encode(&PublisherMessage::Changes { transfer, changes })
+                encode(&PublisherMessage::Changes { transaction, changes })
             }
             _ => frame,
         }
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -86,18 +86,18 @@
     }
 
     /// Receives a transaction of one service.
-    fn transfer(
+    fn receive_transaction(
         &mut self,
-        transfer: u64,
+        transaction: u64,
         position: Position,
         base: Base,
         changes: Vec<Change>,
         applied: ServiceVersion,
     ) {
         let services = vec![ServiceBase { service: applied.service.clone(), base }];
-        self.receive(PublisherMessage::Begin { transfer, generation: 1, services });
-        self.receive(PublisherMessage::Changes { transfer, changes });
-        self.receive(PublisherMessage::Commit { transfer, position, services: vec![applied] });
+        self.receive(PublisherMessage::Begin { transaction, generation: 1, services });
+        self.receive(PublisherMessage::Changes { transaction, changes });
+        self.receive(PublisherMessage::Commit { transaction, position, services: vec![applied] });
     }
 
     /// Receives and applies a snapshot of one server.
@@ -105,7 +105,7 @@
         let resource = server(of, "a", version, b"body");
         let applied =
             ServiceVersion { service: service(of), version, digest: resource_digest(&resource) };
-        self.transfer(
+        self.receive_transaction(
             version,
             at(version),
             Base::Snapshot,
@@ -113,7 +113,7 @@
             applied,
         );
         self.subscriber.apply_finished(version, Ok(()), &mut self.out);
-        assert_eq!(self.sent(), [SubscriberMessage::Ack { transfer: version }]);
+        assert_eq!(self.sent(), [SubscriberMessage::Ack { transaction: version }]);
         resource
     }
 
@@ -203,24 +203,30 @@
     let change = Change::Set(server("points", "b", 4, b"x"));
     let wrong = ServiceVersion { version: 4, digest: 1, ..applied.clone() };
     balancer.applies();
-    balancer.transfer(9, at(4), Base::Delta { from: 3 }, vec![change.clone()], wrong);
+    balancer.receive_transaction(9, at(4), Base::Delta { from: 3 }, vec![change.clone()], wrong);
     assert_eq!(
         balancer.sent(),
         [SubscriberMessage::Nack {
-            transfer: 9,
+            transaction: 9,
             reason: NackReason::Mismatch(vec![applied.clone()])
         }]
     );
     // The digest is right, but the base has not been applied.
     let digest = applied.digest.wrapping_add(resource_digest(&server("points", "b", 4, b"x")));
     let right = ServiceVersion { version: 4, digest, ..applied.clone() };
-    balancer.transfer(10, at(4), Base::Delta { from: 2 }, vec![change.clone()], right.clone());
+    balancer.receive_transaction(
+        10,
+        at(4),
+        Base::Delta { from: 2 },
+        vec![change.clone()],
+        right.clone(),
+    );
     assert_eq!(
         balancer.sent(),
-        [SubscriberMessage::Nack { transfer: 10, reason: NackReason::Mismatch(vec![applied]) }]
+        [SubscriberMessage::Nack { transaction: 10, reason: NackReason::Mismatch(vec![applied]) }]
     );
     assert_eq!(balancer.applies(), []);
-    balancer.transfer(11, at(4), Base::Delta { from: 3 }, vec![change], right);
+    balancer.receive_transaction(11, at(4), Base::Delta { from: 3 }, vec![change], right);
     assert_eq!(balancer.applies().len(), 1);
 }
 
@@ -232,7 +238,7 @@
     let new = server("points", "a", 4, b"bad");
     let applied =
         ServiceVersion { service: service("points"), version: 4, digest: resource_digest(&new) };
-    balancer.transfer(
+    balancer.receive_transaction(
         9,
         at(4),
         Base::Delta { from: 3 },
@@ -247,7 +253,7 @@
     };
     balancer.subscriber.apply_finished(9, Err(vec![problem.clone()]), &mut balancer.out);
     let reason = NackReason::Rejected(vec![problem]);
-    assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transfer: 9, reason }]);
+    assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transaction: 9, reason }]);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     assert_eq!(balancer.subscriber.status(Time(0)).rejected, [service("points")]);
     // The rejection is reported to the next control machine as well.
@@ -265,9 +271,9 @@
     balancer.open_session(at(3));
     let resource = balancer.apply_server("points", 3);
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
-    balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.receive(PublisherMessage::Begin { transaction: 9, generation: 1, services });
     balancer.receive(PublisherMessage::Changes {
-        transfer: 9,
+        transaction: 9,
         changes: vec![Change::Set(server("points", "z", 4, b"z"))],
     });
     assert!(balancer.subscriber.buffered_bytes() > 0);
@@ -276,7 +282,11 @@
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     // Its commit is a violation on the next connection.
     balancer.open_session(at(4));
-    balancer.receive(PublisherMessage::Commit { transfer: 9, position: at(4), services: vec![] });
+    balancer.receive(PublisherMessage::Commit {
+        transaction: 9,
+        position: at(4),
+        services: vec![],
+    });
     assert!(matches!(balancer.closed(), Some(DisconnectReason::Violation(_))));
 }
 
@@ -288,10 +298,10 @@
     });
     balancer.open_session(at(3));
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
-    balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.receive(PublisherMessage::Begin { transaction: 9, generation: 1, services });
     for id in 0..30 {
         let change = Change::Set(server("points", &id.to_string(), 3, &[0; 100]));
-        balancer.receive(PublisherMessage::Changes { transfer: 9, changes: vec![change] });
+        balancer.receive(PublisherMessage::Changes { transaction: 9, changes: vec![change] });
         assert!(balancer.subscriber.buffered_bytes() <= 2_200);
     }
     assert_eq!(balancer.closed(), Some(DisconnectReason::TooLarge));
@@ -307,7 +317,13 @@
         version: 3,
         digest: resource_digest(&resource),
     };
-    balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied.clone());
+    balancer.receive_transaction(
+        9,
+        at(3),
+        Base::Snapshot,
+        vec![Change::Set(resource)],
+        applied.clone(),
+    );
     balancer.lose_connection();
     balancer.next_connect();
     assert_eq!(balancer.connected(), []);
@@ -394,7 +410,7 @@
     balancer.applies();
     let new = server("points", "b", 4, b"x");
     let services = vec![ServiceBase { service: service("points"), base: Base::Delta { from: 3 } }];
-    balancer.receive(PublisherMessage::Begin { transfer: 9, generation: 1, services });
+    balancer.receive(PublisherMessage::Begin { transaction: 9, generation: 1, services });
     balancer.subscriber.set_scope(vec![service("partners")], &mut balancer.out);
     balancer.subscriber.set_scope(vec![service("partners"), service("points")], &mut balancer.out);
     let sent = balancer.sent();
@@ -406,15 +422,15 @@
         panic!("{sent:?}")
     };
     assert_eq!((remove.len(), add[0].version), (1, 0));
-    balancer.receive(PublisherMessage::Changes { transfer: 9, changes: vec![Change::Set(new)] });
+    balancer.receive(PublisherMessage::Changes { transaction: 9, changes: vec![Change::Set(new)] });
     let applied = ServiceVersion { service: service("points"), version: 4, digest: 1 };
     balancer.receive(PublisherMessage::Commit {
-        transfer: 9,
+        transaction: 9,
         position: at(4),
         services: vec![applied],
     });
     assert_eq!(balancer.applies(), []);
-    assert_eq!(balancer.sent(), [SubscriberMessage::Ack { transfer: 9 }]);
+    assert_eq!(balancer.sent(), [SubscriberMessage::Ack { transaction: 9 }]);
     assert_eq!(balancer.subscriber.resources(&service("points")).count(), 0);
 }
 
@@ -428,7 +444,7 @@
         version: 3,
         digest: resource_digest(&resource),
     };
-    balancer.transfer(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied);
+    balancer.receive_transaction(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied);
     balancer.subscriber.set_scope(vec![], &mut balancer.out);
     balancer.subscriber.set_scope(vec![service("points")], &mut balancer.out);
     balancer.subscriber.apply_finished(9, Ok(()), &mut balancer.out);
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -202,11 +202,11 @@
                 ));
             }
             self.decide(|subscriber, _, out| {
-                subscriber.apply_finished(transaction.transfer, Ok(()), out);
+                subscriber.apply_finished(transaction.id, Ok(()), out);
             });
         } else {
             self.decide(|subscriber, _, out| {
-                subscriber.apply_finished(transaction.transfer, Err(rejections), out);
+                subscriber.apply_finished(transaction.id, Err(rejections), out);
             });
         }
     }
--- a/crates/sableloom/tests/subscription/strange.rs
+++ b/crates/sableloom/tests/subscription/strange.rs
@@ -66,9 +66,9 @@
     let changes = resources.into_iter().map(Change::Set).collect();
     for message in [
         PublisherMessage::Welcome { position },
-        PublisherMessage::Begin { transfer: 1, generation: 1, services: vec![base] },
-        PublisherMessage::Changes { transfer: 1, changes },
-        PublisherMessage::Commit { transfer: 1, position, services: vec![held] },
+        PublisherMessage::Begin { transaction: 1, generation: 1, services: vec![base] },
+        PublisherMessage::Changes { transaction: 1, changes },
+        PublisherMessage::Commit { transaction: 1, position, services: vec![held] },
     ] {
         stream.write_all(&encode(&message)).expect("it takes bytes");
     }
--- a/crates/subscription/src/restore.rs
+++ b/crates/subscription/src/restore.rs
@@ -59,5 +59,5 @@
         snapshot: true,
         changes: saved.resources.iter().cloned().map(Change::Set).collect(),
     };
-    Transaction { transfer: 0, position, services: vec![update] }
+    Transaction { id: 0, position, services: vec![update] }
 }
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -124,7 +124,7 @@
                 SubscriberOutput::Apply(transaction) => {
                     let result = self.shared.applier.apply(&transaction);
                     queue.extend(self.shared.call(|subscriber, _, out| {
-                        subscriber.apply_finished(transaction.transfer, result, out);
+                        subscriber.apply_finished(transaction.id, result, out);
                     }));
                 }
                 SubscriberOutput::Event(event) => self.shared.handle_event(&event),
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -164,12 +164,15 @@
         let digest = resource_digest(&resource);
         let held = ServiceVersion { service: service(), version: position.number, digest };
         let base = ServiceBase { service: service(), base: Base::Snapshot };
-        self.send(PublisherMessage::Begin { transfer: 1, generation: 1, services: vec![base] })
-            .await;
-        self.send(PublisherMessage::Changes { transfer: 1, changes: vec![Change::Set(resource)] })
+        self.send(PublisherMessage::Begin { transaction: 1, generation: 1, services: vec![base] })
             .await;
+        self.send(PublisherMessage::Changes {
+            transaction: 1,
+            changes: vec![Change::Set(resource)],
+        })
+        .await;
         let services = vec![held.clone()];
-        self.send(PublisherMessage::Commit { transfer: 1, position, services }).await;
+        self.send(PublisherMessage::Commit { transaction: 1, position, services }).await;
         (self.next().await.expect("an answer"), held)
     }
 
@@ -195,7 +198,7 @@
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.greet(POSITION).await.version, 0);
         let (answer, held) = session.snapshot(POSITION).await;
-        assert!(matches!(answer, SubscriberMessage::Ack { transfer: 1 }), "{answer:?}");
+        assert!(matches!(answer, SubscriberMessage::Ack { transaction: 1 }), "{answer:?}");
         assert!(first.applied.recv().await.expect("a transaction").services[0].snapshot);
         session.current(POSITION, &held).await;
         assert_eq!(first.subscription.state().await, StateOrigin::Control);
@@ -224,7 +227,7 @@
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.greet(POSITION).await.version, 0);
         let (answer, _) = session.snapshot(POSITION).await;
-        assert!(matches!(answer, SubscriberMessage::Nack { transfer: 1, .. }), "{answer:?}");
+        assert!(matches!(answer, SubscriberMessage::Nack { transaction: 1, .. }), "{answer:?}");
         assert_eq!(third.subscription.status().subscriber.rejected, [service()]);
         drop(third.recorder);
     });
--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -218,7 +218,7 @@
                 let balancer = &mut self.balancers[index];
                 let rejects = balancer.validates && !rejections.is_empty();
                 let result = if rejects { Err(rejections) } else { Ok(()) };
-                balancer.applying.push_back((answers_at, transaction.transfer, result));
+                balancer.applying.push_back((answers_at, transaction.id, result));
             }
             SubscriberOutput::Save => {
                 let balancer = &mut self.balancers[index];
--- a/crates/testkit/examples/trace_digest/distribution/faults.rs
+++ b/crates/testkit/examples/trace_digest/distribution/faults.rs
@@ -197,11 +197,12 @@
                 link.to_publisher.send(arrives, encode(&hello));
             }
             1 => {
-                let ack = SubscriberMessage::Ack { transfer: 99_999 };
+                let ack = SubscriberMessage::Ack { transaction: 99_999 };
                 link.to_publisher.send(arrives, encode(&ack));
             }
             2 => {
-                let changes = PublisherMessage::Changes { transfer: 99_999, changes: Vec::new() };
+                let changes =
+                    PublisherMessage::Changes { transaction: 99_999, changes: Vec::new() };
                 link.to_subscriber.send(arrives, encode(&changes));
             }
             _ => {
--- a/crates/testkit/examples/trace_digest/distribution/record.rs
+++ b/crates/testkit/examples/trace_digest/distribution/record.rs
@@ -52,7 +52,7 @@
 }
 
 pub fn change(trace: &mut Trace, change: &Change) {
-    let message = PublisherMessage::Changes { transfer: 0, changes: vec![change.clone()] };
+    let message = PublisherMessage::Changes { transaction: 0, changes: vec![change.clone()] };
     trace.bytes(&encode(&message));
 }
 
@@ -154,7 +154,7 @@
 }
 
 fn transaction(trace: &mut Trace, transaction: &Transaction) {
-    trace.integer(transaction.transfer as i64);
+    trace.integer(transaction.id as i64);
     position(trace, transaction.position);
     for update in &transaction.services {
         trace.bytes(update.service.as_str().as_bytes());
@@ -218,7 +218,7 @@
 
 fn rejections(trace: &mut Trace, rejections: &[Rejection]) {
     let reason = NackReason::Rejected(rejections.to_vec());
-    trace.bytes(&encode(&SubscriberMessage::Nack { transfer: 0, reason }));
+    trace.bytes(&encode(&SubscriberMessage::Nack { transaction: 0, reason }));
 }
 
 fn position(trace: &mut Trace, position: Position) {
