--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -10,7 +10,7 @@
 
 /// What to check.
 #[derive(clap::Args)]
-pub struct CheckOptions {
+pub(crate) struct CheckOptions {
     /// The site's configuration, in TOML
     file: PathBuf,
 }
@@ -18,10 +18,10 @@
 /// The problems that a check found.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct CheckError(ProblemReport);
+pub(crate) struct CheckError(ProblemReport);
 
 /// Checks a site's configuration and its files of servers, and prints a summary.
-pub fn check(options: &CheckOptions) -> Result<(), CheckError> {
+pub(crate) fn check(options: &CheckOptions) -> Result<(), CheckError> {
     let failed = |problems: &[Problem]| CheckError(ProblemReport::new(&options.file, problems));
     let (site, _) = load(&options.file).map_err(|problems| failed(&problems))?;
     let (mut problems, mut servers) = (Vec::new(), 0);
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -19,7 +19,7 @@
 /// What to do.
 #[derive(clap::Args)]
 #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
-pub struct Options {
+pub(crate) struct Options {
     /// The control machine's settings, in TOML
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
@@ -58,7 +58,7 @@
 
 /// Why the command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum ControlError {
+pub(crate) enum ControlError {
     /// Neither a command nor settings were given.
     #[error("--config is missing")]
     MissingConfig,
@@ -103,7 +103,7 @@
 }
 
 /// Runs a command.
-pub async fn run(options: Options) -> Result<(), ControlError> {
+pub(crate) async fn run(options: Options) -> Result<(), ControlError> {
     match (options.command, options.config) {
         (Some(Command::Status(options)), _) => status(&options).await,
         (Some(Command::Check(options)), _) => check(&options),
--- a/crates/sableloom/src/route.rs
+++ b/crates/sableloom/src/route.rs
@@ -20,7 +20,7 @@
 
 /// Which request to follow.
 #[derive(clap::Args)]
-pub struct RouteOptions {
+pub(crate) struct RouteOptions {
     /// The site's configuration, in TOML
     file: PathBuf,
     /// The request: a method and a target, and header lines behind it, if any
@@ -33,7 +33,7 @@
 
 /// Why the command can't tell the route of a request.
 #[derive(Debug, thiserror::Error)]
-pub enum RouteError {
+pub(crate) enum RouteError {
     /// The site or its files of servers are wrong.
     #[error("{0}")]
     Problems(ProblemReport),
@@ -52,7 +52,7 @@
 }
 
 /// Prints where a request would go, and why.
-pub fn route(options: &RouteOptions) -> Result<(), RouteError> {
+pub(crate) fn route(options: &RouteOptions) -> Result<(), RouteError> {
     let (site, table) = load(&options.file).map_err(|wrong| problems_of(&options.file, &wrong))?;
     if site.control.is_some() {
         return Err(RouteError::RoutesFromControl { file: options.file.display().to_string() });
--- a/crates/sableloom/src/route/request.rs
+++ b/crates/sableloom/src/route/request.rs
@@ -11,7 +11,7 @@
 
 /// Why a text is no request.
 #[derive(Debug, thiserror::Error)]
-pub enum RequestError {
+pub(crate) enum RequestError {
     /// Its first line lacks a method or a target.
     #[error("--request: expected a method and a target, as \"GET /balance/7\"")]
     Incomplete,
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -1,50 +1,49 @@
 //! `sableloom serve`: a balancer as a site's configuration says, until SIGTERM.
 
-mod apply;
+mod applier;
 mod control;
-mod feed;
-mod plan;
+mod endpoint_feed;
+mod error;
+mod mirrors;
+mod planner;
 mod pools;
 mod reload;
 mod routing;
+mod service_plan;
+mod signals;
+mod startup;
 mod subscribed;
 mod tenants;
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
 use sableloom_exchange::Clock;
-use sableloom_fleet::{QUESTIONS_OUT, Running as Fleet};
-use sableloom_http1::{Budget, Dialect, Frontend, Limits as ClientLimits};
-use sableloom_server_files::ServerFiles;
-use sableloom_site_config::Site;
+use sableloom_fleet::Running as Fleet;
+use sableloom_http1::{Budget, Dialect, Frontend};
 use sableloom_traffic_mirror::Ending;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::config::{SOCKETS_OTHER, split};
-use crate::fleet;
-use crate::platform::{Ingress, SWEEP, listen};
-use crate::site_file::{files, lines_of, load};
+use crate::platform::{Ingress, SWEEP};
+use crate::site_file::load;
 use control::ControlPlane;
-use pools::{PoolContext, RunningPool, ServerSource};
-use routing::{Router, Routing, ToPools};
+use error::ServeError;
+use pools::PoolContext;
+use routing::{Router, Routing};
+use signals::{Signals, log_status_on, reload_on};
+use startup::{ConnectionLimits, bind, connection_limits, join_fleet, methods_of, start_pools};
 
-/// Descriptors that each pool may use to watch and read its files.
-const SOCKETS_POOL: usize = 4;
-
-/// Descriptors of a subscription: its connection, and the last good state in its file.
-const SOCKETS_CONTROL: usize = 4;
-
-/// How long the end waits for the records of shadows.
-const SHADOW_LAST: Duration = Duration::from_millis(500);
+/// How long the end waits for mirrors to write their records: a candidate that hangs must not delay it.
+const MIRROR_END_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often the end looks whether the mirrors have ended.
+const MIRROR_END_POLL: Duration = Duration::from_millis(5);
 
 /// What to run.
 #[derive(clap::Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// The site's configuration, in TOML
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -54,13 +53,12 @@
     wall_clock_ms: i64,
 }
 
-/// Runs it.
-pub async fn run(options: Options) -> Result<(), String> {
+/// Runs a balancer until SIGTERM.
+pub(crate) async fn run(options: Options) -> Result<(), ServeError> {
     let path = options.config;
     let mut signals = Signals::new()?;
-    let (site, table) = load(&path).map_err(|wrong| lines_of(&wrong))?;
-    let (clients, upstreams) = limits(&path, &site)?;
-    // With control it listens once there is something to serve.
+    let (site, table) = load(&path).map_err(ServeError::Problems)?;
+    let ConnectionLimits { clients, upstreams } = connection_limits(&path, &site)?;
     let mut listeners = Vec::new();
     if site.control.is_none() {
         listeners = bind(&path, &site)?;
@@ -70,215 +68,69 @@
     let context = Rc::new(PoolContext { path: path.clone(), clock, budget, upstreams });
     let pools = start_pools(&context, &site).await?;
     let settings = Rc::new(site.client_settings());
-    let method = |m: &String| m.parse().map_err(|_| format!("no method {m:?}"));
-    let methods = site
-        .classes
-        .iter()
-        .map(|class| class.methods.iter().map(method).collect::<Result<Vec<_>, _>>())
-        .collect::<Result<Vec<_>, _>>()?;
+    let dialect = Dialect::Open(methods_of(&site)?);
     let longest = Duration::from_secs_f64(site.longest_ms() / 1e3);
     let hash = site.hash.clone();
-    let (named, subscribes) = (site.fleet.clone(), site.control.clone());
+    let (fleet_settings, control_settings) = (site.fleet.clone(), site.control.clone());
     let router = Router::new(Routing { number: 1, site, table, pools }, clock);
-    let control = subscribes.map(|control| ControlPlane::start(&control, &router, &context));
+    let control = control_settings.map(|control| ControlPlane::start(&control, &router, &context));
     if let Some(control) = &control {
         if !signals.wait_for_state(control, &router).await {
             eprintln!("sableloom: SIGTERM; nothing was served yet");
             return Ok(());
         }
+        // With control it listens once there is something to serve.
         listeners = bind(&path, &router.routing.borrow().site)?;
     }
-    let frontend = Frontend::new(router.clone(), settings, Dialect::Open(methods), clock, &clients);
-    // Before the first request: from when it acts to its end it holds its address among the others.
-    let fleet = match &named {
-        Some(fleet) => {
-            let told = Rc::new(ToPools(router.clone()));
-            let running = fleet::start(fleet, clock, told).await;
-            let running =
-                running.map_err(|e| format!("{}:{}: {e}", path.display(), fleet.place.line))?;
-            // Without this it told others until the first sweep that it has no list of servers, and two that
-            // had told so were taken to agree.
-            running.serves(router.servers());
-            Some(running)
-        }
+    let frontend = Frontend::new(router.clone(), settings, dialect, clock, &clients);
+    let fleet = match &fleet_settings {
+        Some(fleet) => Some(join_fleet(&path, fleet, clock, &router).await?),
         None => None,
     };
-    for listener in &listeners {
-        let address = listener.local_addr().map_err(|e| format!("a listener: {e}"))?;
-        eprintln!("sableloom: listening on {address}");
-    }
-    eprintln!("sableloom: configuration 1 ({hash}) in force");
+    log_start(&listeners, &hash)?;
     let ingress = Ingress::open(frontend.clone(), listeners, longest);
-    let (sweeps, tells) = (router.clone(), fleet.clone());
-    spawn_local(async move {
-        loop {
-            sleep(SWEEP).await;
-            frontend.sweep();
-            sweeps.sweep();
-            if let Some(fleet) = &tells {
-                fleet.serves(sweeps.servers());
-            }
-        }
-    });
-    let Signals { mut term, hangup, status } = signals;
+    spawn_local(sweep(frontend, router.clone(), fleet.clone()));
+    let Signals { mut terminate, hangup, status } = signals;
     spawn_local(reload_on(hangup, context, router.clone(), fleet.clone(), control.clone()));
-    spawn_local(say_status_on(status, router.clone(), fleet.clone(), control));
-    term.recv().await;
-    eprintln!("sableloom: SIGTERM; {} open", router.open());
-    // Copies end while what was taken is finished, and the records are written once more.
-    let shadows: Vec<_> =
-        router.pools().iter().filter_map(|p| Some(p.mirror.take()?.stop())).collect();
-    let abort = || router.pools().iter().for_each(|pool| pool.exchange.abort_open_requests());
-    ingress.finish(|| router.open(), abort).await;
-    if let Some(fleet) = fleet {
-        fleet.leave();
-    }
-    // A candidate that hangs holds up no end.
-    let last = Instant::now() + SHADOW_LAST;
-    while !shadows.iter().all(Ending::is_over) && Instant::now() < last {
-        sleep(Duration::from_millis(5)).await;
-    }
+    spawn_local(log_status_on(status, router.clone(), fleet.clone(), control));
+    terminate.recv().await;
+    eprintln!("sableloom: SIGTERM; {} open", router.open_requests());
+    shut_down(&router, ingress, fleet).await;
     Ok(())
 }
 
-/// The signals that it takes.
-struct Signals {
-    term: Signal,
-    hangup: Signal,
-    status: Signal,
-}
-
-impl Signals {
-    fn new() -> Result<Self, String> {
-        let on = |kind, name: &str| signal(kind).map_err(|e| format!("{name}: {e}"));
-        Ok(Self {
-            term: on(SignalKind::terminate(), "SIGTERM")?,
-            hangup: on(SignalKind::hangup(), "SIGHUP")?,
-            status: on(SignalKind::user_defined1(), "SIGUSR1")?,
-        })
-    }
-
-    /// Waits until the subscription has a first state. Whether it has, or is to end before.
-    async fn wait_for_state(&mut self, control: &ControlPlane, router: &Router) -> bool {
-        if !control.has_state() {
-            eprintln!(
-                "sableloom: control: no state yet; listening once a control machine has given it"
-            );
-        }
-        loop {
-            tokio::select! {
-                origin = control.state() => {
-                    eprintln!("sableloom: control: serving with the state from {origin}");
-                    return true;
-                }
-                _ = self.term.recv() => return false,
-                _ = self.hangup.recv() => {
-                    eprintln!("sableloom: SIGHUP; nothing is changed: nothing is served yet");
-                }
-                _ = self.status.recv() => {
-                    eprintln!("sableloom: status {}", router.status(None, Some(control.status())));
-                }
-            }
-        }
-    }
-}
-
-/// What clients may hold, and the most connections to servers.
-fn limits(path: &Path, site: &Site) -> Result<(ClientLimits, usize), String> {
-    let fleet = if site.fleet.is_some() { 1 + QUESTIONS_OUT } else { 0 };
-    let control = if site.control.is_some() { SOCKETS_CONTROL } else { 0 };
-    let other =
-        SOCKETS_OTHER + site.listeners.len() + SOCKETS_POOL * site.pools.len() + fleet + control;
-    let (mut clients, upstreams) = split(site.limits.memory_mb, site.limits.sockets, other);
-    // Nothing bounds clients on their side, as the platform does.
-    clients.asking = clients.places;
-    let pools = site.control.as_ref().map_or(site.pools.len(), |control| control.services.len());
-    if upstreams < pools {
-        let least = other + pools * 5 / 2;
-        let sockets = site.limits.sockets;
-        return Err(format!(
-            "{}: field `limits.sockets`: {sockets} is under {least}, for so many pools",
-            path.display()
-        ));
-    }
-    Ok((clients, upstreams))
-}
-
-fn bind(path: &Path, site: &Site) -> Result<Vec<TcpListener>, String> {
-    let mut listeners = Vec::new();
-    for (i, listener) in site.listeners.iter().enumerate() {
-        let place =
-            format!("{}:{}: field `listener[{i}].address`", path.display(), listener.place.line);
-        let listener =
-            listen(listener.address).map_err(|e| format!("{place}: {}: {e}", listener.address))?;
-        listeners.push(listener);
+fn log_start(listeners: &[TcpListener], hash: &str) -> Result<(), ServeError> {
+    for listener in listeners {
+        let address = listener.local_addr().map_err(ServeError::ListenerAddress)?;
+        eprintln!("sableloom: listening on {address}");
     }
-    Ok(listeners)
+    eprintln!("sableloom: configuration 1 ({hash}) in force");
+    Ok(())
 }
 
-/// Starts the pools that the site names, with their files of servers and shadows.
-async fn start_pools(context: &PoolContext, site: &Site) -> Result<Vec<Rc<RunningPool>>, String> {
-    let (mut opened, mut problems) = (Vec::new(), Vec::new());
-    for pool in &site.pools {
-        match ServerFiles::open(files(&context.path, site, pool), context.clock).await {
-            Ok(files) => opened.push(files),
-            Err(wrong) => problems.extend(wrong),
+/// Closes idle connections and ended pools from time to time, and tells the fleet which servers are in force.
+async fn sweep(frontend: Rc<Frontend>, router: Rc<Router>, fleet: Option<Rc<Fleet>>) {
+    loop {
+        sleep(SWEEP).await;
+        frontend.sweep();
+        router.sweep();
+        if let Some(fleet) = &fleet {
+            fleet.serves(router.servers_digest());
         }
     }
-    if !problems.is_empty() {
-        return Err(lines_of(&problems));
-    }
-    let started = site
-        .pools
-        .iter()
-        .zip(opened)
-        .map(|(pool, files)| context.start(site, pool, ServerSource::Files(files)));
-    let pools = started.map(|pool| pool.map(Rc::new)).collect::<Result<Vec<_>, String>>()?;
-    for shadow in &site.shadows {
-        let ready = context.shadow(site, shadow).await.map_err(|wrong| lines_of(&wrong))?;
-        *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
-    }
-    Ok(pools)
 }
 
-/// Reads the site again with each signal.
-async fn reload_on(
-    mut hangup: Signal,
-    context: Rc<PoolContext>,
-    router: Rc<Router>,
-    fleet: Option<Rc<Fleet>>,
-    control: Option<ControlPlane>,
-) {
-    while hangup.recv().await.is_some() {
-        let what = match context.reload(&router).await {
-            Ok(what) => what,
-            Err(wrong) => {
-                eprintln!("sableloom: SIGHUP; nothing is changed: {}", lines_of(&wrong));
-                continue;
-            }
-        };
-        eprintln!("sableloom: SIGHUP; {what}");
-        let routing = router.routing.borrow().clone();
-        if let (Some(running), Some(fleet)) = (&fleet, &routing.site.fleet) {
-            running.list(&fleet::others(fleet));
-            // Pools that are new have not been told.
-            router.shared_by(running.part());
-        }
-        if let (Some(running), Some(control)) = (&control, &routing.site.control) {
-            running.set_scope(control);
-        }
+/// Finishes the requests that are open, and ends. Mirrors end meanwhile, and write their records once more.
+async fn shut_down(router: &Rc<Router>, ingress: Ingress, fleet: Option<Rc<Fleet>>) {
+    let mirrors: Vec<_> =
+        router.pools().iter().filter_map(|pool| Some(pool.mirror.take()?.stop())).collect();
+    let abort = || router.pools().iter().for_each(|pool| pool.exchange.abort_open_requests());
+    ingress.finish(|| router.open_requests(), abort).await;
+    if let Some(fleet) = fleet {
+        fleet.leave();
     }
-}
-
-/// Says what it does with each signal.
-async fn say_status_on(
-    mut status: Signal,
-    router: Rc<Router>,
-    fleet: Option<Rc<Fleet>>,
-    control: Option<ControlPlane>,
-) {
-    while status.recv().await.is_some() {
-        let control = control.as_ref().map(ControlPlane::status);
-        eprintln!("sableloom: status {}", router.status(fleet.as_deref(), control));
+    let end = Instant::now() + MIRROR_END_TIMEOUT;
+    while !mirrors.iter().all(Ending::is_over) && Instant::now() < end {
+        sleep(MIRROR_END_POLL).await;
     }
 }
--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -4,20 +4,20 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use sableloom_distribution::SubscriberTiming;
+use sableloom_distribution::{ConnectionState, SubscriberTiming};
 use sableloom_site_config::Control;
 use sableloom_subscription::{StateOrigin, Subscription, SubscriptionOptions};
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
 
-use super::apply::ControlApplier;
+use super::applier::ControlApplier;
 use super::pools::PoolContext;
 use super::routing::Router;
 
-/// Services named in the status as rejected at most.
-const MAX_REJECTED_NAMED: usize = 16;
+/// Most rejected services that the status lists.
+const MAX_REJECTED_LISTED: usize = 16;
 
-/// A subscription with what puts its transactions in force.
+/// A subscription, and the applier that puts its transactions in force.
 #[derive(Clone)]
 pub(super) struct ControlPlane {
     subscription: Rc<Subscription>,
@@ -30,7 +30,7 @@
         let applier = Rc::new(ControlApplier {
             router: router.clone(),
             context: context.clone(),
-            tenants_told: Cell::new(false),
+            unapplied_limits_logged: Cell::new(false),
         });
         applier.set_scope(&control.services);
         let folder = context.path.parent().unwrap_or(Path::new(""));
@@ -46,8 +46,8 @@
         Self { subscription, applier }
     }
 
-    /// Waits for a first state; says where it has come from.
-    pub(super) async fn state(&self) -> &'static str {
+    /// Waits for a first state, and returns where it came from.
+    pub(super) async fn wait_for_state(&self) -> &'static str {
         match self.subscription.state().await {
             StateOrigin::File => "the last good state in its file",
             StateOrigin::Control => "a control machine",
@@ -59,18 +59,22 @@
         self.subscription.status().origin.is_some()
     }
 
-    /// Serves these services from now on.
+    /// Sets the services that the balancer serves.
     pub(super) fn set_scope(&self, control: &Control) {
         self.applier.set_scope(&control.services);
         self.subscription.set_scope(control.services.clone());
     }
 
-    /// How it is, as JSON.
+    /// The status as JSON. Its keys are an interface: programs of operators read them.
     pub(super) fn status(&self) -> Value {
         let status = self.subscription.status();
         let subscriber = &status.subscriber;
-        let rejected: Vec<&str> =
-            subscriber.rejected.iter().take(MAX_REJECTED_NAMED).map(|name| name.as_str()).collect();
+        let rejected: Vec<&str> = subscriber
+            .rejected
+            .iter()
+            .take(MAX_REJECTED_LISTED)
+            .map(|name| name.as_str())
+            .collect();
         let counters = &subscriber.counters;
         json!({
             "machine": status.machine.map(|machine| machine.to_string()),
@@ -100,8 +104,8 @@
     }
 }
 
-fn connection_word(connection: &sableloom_distribution::ConnectionState) -> &'static str {
-    use sableloom_distribution::ConnectionState;
+/// The word of the status for the state of the connection.
+fn connection_word(connection: &ConnectionState) -> &'static str {
     match connection {
         ConnectionState::Idle => "idle",
         ConnectionState::Waiting { .. } => "waiting",
--- /dev/null
+++ b/crates/sableloom/src/serve/mirrors.rs
@@ -0,0 +1,65 @@
+//! Mirrors: what copies the requests of a pool to a candidate, as a site's `[[shadow]]` says.
+
+use std::path::Path;
+use std::time::Duration;
+
+use sableloom_shadow::Bounds;
+use sableloom_site_config::{Pool, Shadow, Site};
+use sableloom_toml_diagnostics::Problem;
+use sableloom_traffic_mirror::{Group, Options as MirrorOptions, Ready};
+use sableloom_types::settings::{span, stable_hash};
+
+use super::pools::PoolContext;
+use crate::site_file::files;
+
+/// Prepares a mirror; [`Ready::go`] starts it.
+///
+/// # Errors
+///
+/// All problems of the candidate's files, or that there are too few descriptors for its copies.
+pub(super) async fn prepare_mirror(
+    context: &PoolContext,
+    site: &Site,
+    shadow: &Shadow,
+) -> Result<Ready, Vec<Problem>> {
+    let descriptors = MirrorOptions::sockets(shadow.bounds.in_flight, shadow.pools().count());
+    let Some(sockets) = context.budget.lend(descriptors) else {
+        let name = context.path.display().to_string();
+        return Err(vec![Problem {
+            span: shadow.place.span.clone(),
+            line: shadow.place.line,
+            field: format!("{}.in_flight", shadow.place.field),
+            help: Some("raise `limits.sockets`, or have fewer copies out at once".into()),
+            ..Problem::of_file(&name, format!("{descriptors} descriptors are not free for it"))
+        }]);
+    };
+    let group = |pool: &Pool| Group {
+        name: pool.name.clone(),
+        settings: site.deployment_settings(pool),
+        files: files(&context.path, site, pool),
+    };
+    let folder = context.path.parent().unwrap_or(Path::new(""));
+    Ready::new(MirrorOptions {
+        name: shadow.name.clone(),
+        live: site.pools[shadow.of].name.clone(),
+        candidate: group(&shadow.to),
+        control: shadow.control.as_ref().map(group),
+        bounds: Bounds {
+            seed: stable_hash(&shadow.name),
+            own: u64::from(std::process::id()),
+            ..shadow.bounds.clone()
+        },
+        rules: shadow.rules.clone(),
+        classes: site.classes.iter().map(|c| (c.name.clone(), c.aim_ms)).collect(),
+        time: Duration::from_secs_f64(shadow.time_ms / 1e3),
+        settle: span(shadow.settle_ms),
+        doubt: span(site.longest_ms()),
+        drop: shadow.drop.clone(),
+        values: shadow.values,
+        record: folder.join(&shadow.record),
+        record_every: Duration::from_secs_f64(shadow.record_ms / 1e3),
+        clock: context.clock,
+        sockets,
+    })
+    .await
+}
--- a/crates/sableloom/src/serve/plan.rs
+++ b/crates/sableloom/src/serve/planner.rs
@@ -17,17 +17,20 @@
 use sableloom_tenant_limits::Limit;
 use sableloom_toml_diagnostics::instead;
 
-use super::apply::{ControlApplier, PoolPlan, ServicePlan, StartedPool, drain_of};
-use super::feed::ServerFeed;
-use super::pools::ServerSource;
+use super::endpoint_feed::EndpointFeed;
+use super::error::PoolError;
+use super::pools::{PoolContext, ServerSource};
+use super::routing::Router;
+use super::service_plan::{PoolPlan, ServicePlan, StartedPool, drain_of};
 
 /// A service's update while it is checked.
-pub(super) struct Planning<'a> {
-    applier: &'a ControlApplier,
+pub(super) struct UpdatePlanner<'a> {
+    router: &'a Router,
+    context: &'a PoolContext,
     site: &'a Site,
     update: &'a ServiceUpdate,
-    /// The servers as they are, if there are any.
-    feed: Option<Rc<ServerFeed>>,
+    /// The servers in force, if there are any.
+    feed: Option<Rc<EndpointFeed>>,
     settings: Option<(PoolSettings, &'a Resource)>,
     pool_removed: bool,
     servers: Vec<(RosterServer, &'a Resource)>,
@@ -39,17 +42,19 @@
     rejections: Vec<Rejection>,
 }
 
-impl<'a> Planning<'a> {
+impl<'a> UpdatePlanner<'a> {
     pub(super) fn new(
-        applier: &'a ControlApplier,
+        router: &'a Router,
+        context: &'a PoolContext,
         site: &'a Site,
         update: &'a ServiceUpdate,
     ) -> Self {
         Self {
-            applier,
+            router,
+            context,
             site,
             update,
-            feed: applier.router.feed_of(&update.service),
+            feed: router.feed_of(&update.service),
             settings: None,
             pool_removed: false,
             servers: Vec::new(),
@@ -62,17 +67,17 @@
         }
     }
 
-    /// The plan, or all that is wrong with the update.
+    /// The plan, or all problems of the update.
     pub(super) fn plan(mut self) -> Result<ServicePlan, Vec<Rejection>> {
         for change in &self.update.changes {
             match change {
                 Change::Set(resource) => self.set(resource),
                 Change::Remove { name, .. } => self.remove(name),
-                // A control machine makes single removals of it.
+                // Only in change files: a control machine sends the removal of each resource.
                 Change::RemoveService { .. } => {}
             }
         }
-        let stale = if self.update.snapshot { self.stale() } else { Vec::new() };
+        let stale_servers = if self.update.snapshot { self.remove_stale() } else { Vec::new() };
         self.check_servers();
         self.check_pool();
         if !self.rejections.is_empty() {
@@ -87,7 +92,7 @@
             version: *version,
             digest: *digest,
             pool,
-            servers: stale.into_iter().chain(removed).chain(set).collect(),
+            servers: stale_servers.into_iter().chain(removed).chain(set).collect(),
             routes: self.routes,
             routes_removed: self.routes_removed.into_iter().collect(),
             tenants: self.tenants,
@@ -135,7 +140,7 @@
             self.reject(resource, "weight", problem);
         }
         let started_ms = server.started_ms.map(|at| at as f64);
-        let now_ms = self.applier.context.clock.now().0 as f64 / 1e3;
+        let now_ms = self.context.clock.now().0 as f64 / 1e3;
         if started_ms.is_some_and(|at| at > now_ms + MAX_CLOCK_DIFFERENCE_MS) {
             let problem = "more than an hour ahead of this machine's clock".to_string();
             self.reject(resource, "started", problem);
@@ -185,11 +190,11 @@
         }
     }
 
-    /// What is in force and not in a snapshot; also gives the servers of it.
-    fn stale(&mut self) -> Vec<RosterChange> {
+    /// Plans to remove what is in force and not in the snapshot. Returns the removals of servers.
+    fn remove_stale(&mut self) -> Vec<RosterChange> {
         let set: HashSet<&str> = self.routes.iter().map(|route| &*route.order.name).collect();
-        let applier = self.applier;
-        let subscribed = applier.router.subscribed.borrow();
+        let router = self.router;
+        let subscribed = router.subscribed.borrow();
         let names = subscribed.routes.names(self.update.service.as_str());
         let gone = names.filter(|name| !set.contains(name)).map(Box::from);
         self.routes_removed.extend(gone);
@@ -204,10 +209,10 @@
         })
     }
 
-    /// No two servers have one address, and there are not too many.
+    /// Rejects two servers with one address, and too many servers.
     fn check_servers(&mut self) {
         let feed = self.feed.clone();
-        let held = feed.as_ref().map_or(0, |feed| feed.len());
+        let known = feed.as_ref().map_or(0, |feed| feed.len());
         let mut at: HashMap<SocketAddr, &str> = HashMap::new();
         let set: HashSet<&str> = self.servers.iter().map(|(server, _)| &*server.id).collect();
         let mut wrong = Vec::new();
@@ -220,8 +225,8 @@
             };
             let same = at.insert(server.address, &server.id);
             let other = same.map(str::to_string).or_else(|| {
-                let look = |roster: &Roster| roster.id_at(server.address).map(str::to_string);
-                feed.as_ref().and_then(|feed| feed.with_roster(look)).filter(|id| stays(id))
+                let id_at = |roster: &Roster| roster.id_at(server.address).map(str::to_string);
+                feed.as_ref().and_then(|feed| feed.with_roster(id_at)).filter(|id| stays(id))
             });
             if let Some(other) = other {
                 let problem = format!("{} is the address of {other:?} as well", server.address);
@@ -229,7 +234,7 @@
             }
         }
         if let Some((_, last)) = self.servers.last()
-            && held + self.servers.len() > 2 * MOST_SERVERS
+            && known + self.servers.len() > 2 * MOST_SERVERS
         {
             let problem = format!("more than {MOST_SERVERS} servers, and as many that drain");
             wrong.push((*last, "", problem));
@@ -239,9 +244,9 @@
         }
     }
 
-    /// Servers and routes have a pool.
+    /// Rejects servers, routes and tenants of a service without a pool.
     fn check_pool(&mut self) {
-        let subscribed = self.applier.router.subscribed.borrow();
+        let subscribed = self.router.subscribed.borrow();
         let stays = !self.pool_removed && !self.update.snapshot;
         let has_pool = self.settings.is_some()
             || (stays && subscribed.pools.contains_key(&self.update.service));
@@ -255,9 +260,10 @@
         }
     }
 
+    /// Decides what happens to the pool. A pool starts here, before anything is in force.
     fn pool_plan(&mut self) -> Result<PoolPlan, Vec<Rejection>> {
-        let applier = self.applier;
-        let subscribed = applier.router.subscribed.borrow();
+        let router = self.router;
+        let subscribed = router.subscribed.borrow();
         let pool = subscribed.pools.get(&self.update.service);
         let Some((settings, resource)) = self.settings.take() else {
             let gone = self.pool_removed || (self.update.snapshot && pool.is_some());
@@ -273,28 +279,29 @@
             }
         }
         drop(subscribed);
-        let started = self.start(settings).map_err(|problem| {
-            self.reject(resource, "", problem);
+        let started = self.start(settings).map_err(|error| {
+            self.reject(resource, "", error.to_string());
             std::mem::take(&mut self.rejections)
         })?;
         Ok(PoolPlan::Start(Box::new(started)))
     }
 
-    fn start(&self, settings: PoolSettings) -> Result<StartedPool, String> {
+    /// Starts a pool with these settings.
+    fn start(&self, settings: PoolSettings) -> Result<StartedPool, PoolError> {
         let defaults = ClassDefaults::of(&self.site.classes);
         let pool = settings.clone().into_pool(self.update.service.as_str(), &defaults);
         let drain = drain_of(self.site, &settings);
         let feed = match &self.feed {
             Some(feed) => feed.clone(),
-            None => ServerFeed::new(self.applier.context.clock, drain),
+            None => EndpointFeed::new(self.context.clock, drain),
         };
         let source = ServerSource::Feed(feed.clone());
-        let running = self.applier.context.start(self.site, &pool, source)?;
+        let running = self.context.start(self.site, &pool, source)?;
         Ok(StartedPool { settings, running, feed })
     }
 }
 
-/// How many pairs of a host and a path a rule has.
+/// How many pairs of a host and a path a rule matches.
 fn pairs_of(rule: &Rule) -> usize {
     rule.hosts.len().max(1) * rule.paths.len().max(1)
 }
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -1,9 +1,8 @@
-//! Pools that run: starting one, with the copies that a shadow sends of its requests.
+//! Pools that run.
 
 use std::cell::RefCell;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::Duration;
 
 use sableloom_exchange::{
     Clock, Exchange, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service,
@@ -11,21 +10,18 @@
 use sableloom_exchange::{EndpointSource, ExchangeOptions};
 use sableloom_http1::{Budget, Upstreams};
 use sableloom_server_files::ServerFiles;
-use sableloom_shadow::Bounds;
-use sableloom_site_config::{Pool, Shadow, Site};
-use sableloom_toml_diagnostics::Problem;
-use sableloom_traffic_mirror::{Group, Mirror, Options as MirrorOptions, Ready};
-use sableloom_types::settings::{span, stable_hash};
+use sableloom_site_config::{Pool, Site};
+use sableloom_traffic_mirror::Mirror;
 
-use super::feed::ServerFeed;
-use crate::site_file::files;
+use super::endpoint_feed::EndpointFeed;
+use super::error::{PoolError, TooManyPools};
 
 /// Where a pool's servers come from.
 pub(super) enum ServerSource {
     /// From files that are watched.
     Files(Rc<ServerFiles>),
     /// From control machines.
-    Feed(Rc<ServerFeed>),
+    Feed(Rc<EndpointFeed>),
 }
 
 impl ServerSource {
@@ -43,12 +39,12 @@
     pub(super) source: ServerSource,
     pub(super) exchange: Rc<Exchange>,
     pub(super) transport: Rc<Upstreams>,
-    /// What copies its requests, if anything does.
+    /// Copies its requests to a candidate, if the site has a shadow of it.
     pub(super) mirror: RefCell<Option<Rc<Mirror>>>,
 }
 
 impl RunningPool {
-    /// Its files of servers, if they come from files.
+    /// Its files of servers, if its servers come from files.
     pub(super) fn files(&self) -> Option<&Rc<ServerFiles>> {
         match &self.source {
             ServerSource::Files(files) => Some(files),
@@ -56,46 +52,44 @@
         }
     }
 
+    /// Forwards a request, and a copy of it if it is mirrored.
     pub(super) fn call(
         &self,
-        asked: RequestContext,
+        context: RequestContext,
         message: Message,
     ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let mirror = self.mirror.borrow().clone();
         match mirror {
-            Some(mirror) => mirror.call(&self.exchange, asked, message),
-            None => self.exchange.clone().call(asked, message),
+            Some(mirror) => mirror.call(&self.exchange, context, message),
+            None => self.exchange.clone().call(context, message),
         }
     }
 }
 
-/// What all pools share.
+/// What the pools of a balancer share.
 pub(super) struct PoolContext {
+    /// The site's file.
     pub(super) path: PathBuf,
     pub(super) clock: Clock,
     pub(super) budget: Rc<Budget>,
-    /// Connections to servers that the budget has at most.
+    /// Most connections to servers.
     pub(super) upstreams: usize,
 }
 
 impl PoolContext {
-    /// Whether there is a connection for each of so many pools.
-    pub(super) fn room_for(&self, pools: usize) -> Result<(), String> {
-        if pools <= self.upstreams {
-            return Ok(());
-        }
+    /// Checks that there is a connection for each pool.
+    pub(super) fn check_pool_count(&self, pools: usize) -> Result<(), TooManyPools> {
         let upstreams = self.upstreams;
-        Err(format!(
-            "{pools} pools are more than the {upstreams} connections to servers that `limits.sockets` leaves"
-        ))
+        if pools <= upstreams { Ok(()) } else { Err(TooManyPools { pools, upstreams }) }
     }
 
+    /// Starts a pool. It gets requests once the router has it.
     pub(super) fn start(
         &self,
         site: &Site,
         pool: &Pool,
         source: ServerSource,
-    ) -> Result<RunningPool, String> {
+    ) -> Result<RunningPool, PoolError> {
         let settings = Rc::new(site.deployment_settings(pool));
         let transport = Upstreams::new(self.budget.clone(), &settings);
         let exchange = Exchange::start(ExchangeOptions {
@@ -105,55 +99,11 @@
             transport: transport.clone(),
             source: source.as_source(),
         })
-        .map_err(|e| format!("pool {}: {e}", pool.name))?;
+        .map_err(|cause| PoolError { pool: pool.name.clone(), cause })?;
         if let ServerSource::Files(files) = &source {
             files.watch();
         }
         let name = pool.name.clone();
         Ok(RunningPool { name, source, exchange, transport, mirror: RefCell::default() })
     }
-
-    /// Makes a shadow ready, or says what is wrong.
-    pub(super) async fn shadow(&self, site: &Site, shadow: &Shadow) -> Result<Ready, Vec<Problem>> {
-        let descriptors = MirrorOptions::sockets(shadow.bounds.in_flight, shadow.pools().count());
-        let Some(sockets) = self.budget.lend(descriptors) else {
-            let name = self.path.display().to_string();
-            return Err(vec![Problem {
-                span: shadow.place.span.clone(),
-                line: shadow.place.line,
-                field: format!("{}.in_flight", shadow.place.field),
-                help: Some("raise `limits.sockets`, or have fewer copies out at once".into()),
-                ..Problem::of_file(&name, format!("{descriptors} descriptors are not free for it"))
-            }]);
-        };
-        let group = |pool: &Pool| Group {
-            name: pool.name.clone(),
-            settings: site.deployment_settings(pool),
-            files: files(&self.path, site, pool),
-        };
-        let folder = self.path.parent().unwrap_or(Path::new(""));
-        Ready::new(MirrorOptions {
-            name: shadow.name.clone(),
-            live: site.pools[shadow.of].name.clone(),
-            candidate: group(&shadow.to),
-            control: shadow.control.as_ref().map(group),
-            bounds: Bounds {
-                seed: stable_hash(&shadow.name),
-                own: u64::from(std::process::id()),
-                ..shadow.bounds.clone()
-            },
-            rules: shadow.rules.clone(),
-            classes: site.classes.iter().map(|c| (c.name.clone(), c.aim_ms)).collect(),
-            time: Duration::from_secs_f64(shadow.time_ms / 1e3),
-            settle: span(shadow.settle_ms),
-            doubt: span(site.longest_ms()),
-            drop: shadow.drop.clone(),
-            values: shadow.values,
-            record: folder.join(&shadow.record),
-            record_every: Duration::from_secs_f64(shadow.record_ms / 1e3),
-            clock: self.clock,
-            sockets,
-        })
-        .await
-    }
 }
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -1,130 +1,208 @@
-//! A site's configuration that is read again while it runs.
+//! Takes over a configuration that is read again while the balancer runs: all of it or nothing.
+//!
+//! Everything that can fail is prepared first, while the old configuration is in force. Then the new one is put in force
+//! in one go, with no request served in between.
 
 use std::rc::Rc;
 
 use sableloom_server_files::{Prepared, ServerFiles};
-use sableloom_site_config::Shadow;
+use sableloom_site_config::{Shadow, Site};
 use sableloom_toml_diagnostics::Problem;
+use sableloom_traffic_mirror::Ready;
 
+use super::mirrors::prepare_mirror;
 use super::pools::{PoolContext, RunningPool, ServerSource};
 use super::routing::{Router, Routing};
 use crate::site_file::{files, load};
 
-impl PoolContext {
-    /// Takes a new configuration over, whole or not at all.
-    pub(super) async fn reload(&self, router: &Router) -> Result<String, Vec<Problem>> {
-        let name = self.path.display().to_string();
-        let (site, table) = load(&self.path)?;
-        let old = router.routing.borrow().clone();
-        let fixed = sableloom_site_config::unchangeable(&name, &old.site, &site);
-        if !fixed.is_empty() {
-            return Err(fixed);
-        }
-        if let Some(control) = &site.control
-            && let Err(message) = self.room_for(control.services.len())
-        {
-            return Err(vec![Problem {
-                line: control.place.line,
-                ..Problem::of_file(&name, message)
-            }]);
-        }
-        enum Next {
-            Kept(Rc<RunningPool>, Box<Prepared>),
-            New(Rc<ServerFiles>),
+/// A pool whose files of servers have been read.
+enum PreparedPool {
+    /// It runs already, and its files change.
+    Running(Rc<RunningPool>, Box<Prepared>),
+    /// It is to be started.
+    New(Rc<ServerFiles>),
+}
+
+/// The pools of the new configuration.
+#[derive(Default)]
+struct NewPools {
+    /// All of them, in the site's order.
+    pools: Vec<Rc<RunningPool>>,
+    /// Those that were running already, and go on with new files.
+    kept: Vec<KeptPool>,
+}
+
+/// A pool that goes on running, with its new files.
+struct KeptPool {
+    running: Rc<RunningPool>,
+    files: Box<Prepared>,
+}
+
+/// Reads the site again and puts it in force. Returns a summary for the log.
+///
+/// # Errors
+///
+/// All problems of the site and of the files that it names; the old configuration stays in force.
+pub(super) async fn reload(context: &PoolContext, router: &Router) -> Result<String, Vec<Problem>> {
+    let (site, table) = load(&context.path)?;
+    let old = router.routing.borrow().clone();
+    check_changeable(context, &old.site, &site)?;
+    let mut problems = Vec::new();
+    let prepared = prepare_pools(context, &old, &site, &mut problems).await;
+    let mirrors = prepare_mirrors(context, &old, &site, &mut problems).await;
+    if !problems.is_empty() {
+        return Err(problems);
+    }
+    // Nothing below can fail, but for settings that the check has let pass.
+    let NewPools { pools, kept } = start_pools(context, &site, prepared)?;
+    for KeptPool { running, files } in kept {
+        if let Some(current) = running.files() {
+            current.commit(*files);
         }
-        let (mut next, mut problems) = (Vec::new(), Vec::new());
-        for pool in &site.pools {
-            let files = files(&self.path, &site, pool);
-            let running = old.pools.iter().find(|running| running.name == pool.name);
-            let held = running.and_then(|running| Some((running, running.files()?)));
-            let ready = match held {
-                Some((running, held)) => held
-                    .prepare(files)
-                    .await
-                    .map(|prepared| Next::Kept(running.clone(), Box::new(prepared))),
-                None => ServerFiles::open(files, self.clock).await.map(Next::New),
-            };
-            match ready {
-                Ok(ready) => next.push(ready),
-                Err(wrong) => problems.extend(wrong),
-            }
+    }
+    let removed: Vec<_> =
+        old.pools.iter().filter(|p| !pools.iter().any(|q| Rc::ptr_eq(p, q))).cloned().collect();
+    removed.iter().filter_map(|pool| pool.files()).for_each(|files| files.stop());
+    replace_mirrors(&old, &site, &pools, mirrors);
+    let number = old.number + 1;
+    let summary = summarize(number, &site, &removed);
+    router.ending.borrow_mut().extend(removed);
+    *router.routing.borrow_mut() = Rc::new(Routing { number, site, table, pools });
+    Ok(summary)
+}
+
+/// Checks that the new site changes nothing that only a restart can change, and that there are connections for its
+/// services.
+fn check_changeable(context: &PoolContext, old: &Site, new: &Site) -> Result<(), Vec<Problem>> {
+    let name = context.path.display().to_string();
+    let fixed = sableloom_site_config::unchangeable(&name, old, new);
+    if !fixed.is_empty() {
+        return Err(fixed);
+    }
+    let Some(control) = &new.control else { return Ok(()) };
+    context.check_pool_count(control.services.len()).map_err(|error| {
+        vec![Problem { line: control.place.line, ..Problem::of_file(&name, error.to_string()) }]
+    })
+}
+
+/// Reads the files of all pools.
+async fn prepare_pools(
+    context: &PoolContext,
+    old: &Routing,
+    site: &Site,
+    problems: &mut Vec<Problem>,
+) -> Vec<PreparedPool> {
+    let mut prepared = Vec::new();
+    for pool in &site.pools {
+        let files = files(&context.path, site, pool);
+        let running = old.pools.iter().find(|running| running.name == pool.name);
+        let current = running.and_then(|running| Some((running, running.files()?)));
+        let result = match current {
+            Some((running, current)) => current
+                .prepare(files)
+                .await
+                .map(|files| PreparedPool::Running(running.clone(), Box::new(files))),
+            None => ServerFiles::open(files, context.clock).await.map(PreparedPool::New),
+        };
+        match result {
+            Ok(pool) => prepared.push(pool),
+            Err(wrong) => problems.extend(wrong),
         }
-        // Shadows that are as they were go on; all others begin anew.
-        let mut shadows = Vec::new();
-        for shadow in &site.shadows {
-            let live = &site.pools[shadow.of].name;
-            let same = old.site.shadows.iter().any(|before| {
-                old.site.pools[before.of].name == *live
-                    && Shadow { of: shadow.of, ..before.clone() } == *shadow
-            });
-            if same {
-                shadows.push(None);
-                continue;
-            }
-            match self.shadow(&site, shadow).await {
-                Ok(ready) => shadows.push(Some(ready)),
-                Err(wrong) => problems.extend(wrong),
-            }
+    }
+    prepared
+}
+
+/// Prepares the mirror of each shadow; `None` for a shadow that is as it was, whose mirror goes on.
+async fn prepare_mirrors(
+    context: &PoolContext,
+    old: &Routing,
+    site: &Site,
+    problems: &mut Vec<Problem>,
+) -> Vec<Option<Ready>> {
+    let mut mirrors = Vec::new();
+    for shadow in &site.shadows {
+        if is_unchanged(&old.site, site, shadow) {
+            mirrors.push(None);
+            continue;
         }
-        if !problems.is_empty() {
-            return Err(problems);
+        match prepare_mirror(context, site, shadow).await {
+            Ok(ready) => mirrors.push(Some(ready)),
+            Err(wrong) => problems.extend(wrong),
         }
-        // Nothing below can fail but for settings that the check has let pass.
-        let mut pools = Vec::new();
-        let mut kept = Vec::new();
-        for (pool, next) in site.pools.iter().zip(next) {
-            match next {
-                Next::Kept(running, prepared) => {
-                    kept.push((running.clone(), prepared));
-                    pools.push(running);
-                }
-                Next::New(files) => {
-                    let started = self.start(&site, pool, ServerSource::Files(files));
-                    pools.push(Rc::new(started.map_err(|e| vec![Problem::of_file(&name, e)])?));
-                }
+    }
+    mirrors
+}
+
+/// Whether the old site has the same shadow of the same pool.
+fn is_unchanged(old: &Site, new: &Site, shadow: &Shadow) -> bool {
+    let live = &new.pools[shadow.of].name;
+    old.shadows.iter().any(|before| {
+        old.pools[before.of].name == *live && Shadow { of: shadow.of, ..before.clone() } == *shadow
+    })
+}
+
+/// Starts the pools that do not run yet.
+fn start_pools(
+    context: &PoolContext,
+    site: &Site,
+    prepared: Vec<PreparedPool>,
+) -> Result<NewPools, Vec<Problem>> {
+    let mut new = NewPools::default();
+    for (pool, prepared) in site.pools.iter().zip(prepared) {
+        match prepared {
+            PreparedPool::Running(running, files) => {
+                new.kept.push(KeptPool { running: running.clone(), files });
+                new.pools.push(running);
             }
-        }
-        for (running, prepared) in kept {
-            if let Some(files) = running.files() {
-                files.commit(*prepared);
+            PreparedPool::New(files) => {
+                let started = context.start(site, pool, ServerSource::Files(files));
+                let name = context.path.display().to_string();
+                new.pools.push(Rc::new(
+                    started.map_err(|error| vec![Problem::of_file(&name, error.to_string())])?,
+                ));
             }
         }
-        let gone: Vec<_> =
-            old.pools.iter().filter(|p| !pools.iter().any(|q| Rc::ptr_eq(p, q))).cloned().collect();
-        gone.iter().filter_map(|pool| pool.files()).for_each(|files| files.stop());
-        // Those that go, and those that have another in their place.
-        let mut ending = Vec::new();
-        for pool in &old.pools {
-            let stays =
-                site.shadows.iter().zip(&shadows).any(|(shadow, ready)| {
-                    ready.is_none() && site.pools[shadow.of].name == pool.name
-                });
-            let ends = pool.mirror.borrow_mut().take_if(|_| !stays);
-            ending.extend(ends.map(|mirror| mirror.stop()));
-        }
-        for (shadow, ready) in site.shadows.iter().zip(shadows) {
-            let Some(ready) = ready else { continue };
-            let names = || shadow.pools().map(|pool| pool.name.as_str());
-            let before = ending.iter().filter(|e| e.shares(names())).cloned().collect();
-            *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
-        }
-        let what = format!(
-            "configuration {} ({}) in force: {} routes, {} pools{}{}",
-            old.number + 1,
-            site.hash,
-            site.routes.len(),
-            pools.len(),
-            named(", without ", gone.iter().map(|p| p.name.as_str())),
-            named(", shadows ", site.shadows.iter().map(|s| s.name.as_str())),
-        );
-        router.ending.borrow_mut().extend(gone);
-        *router.routing.borrow_mut() =
-            Rc::new(Routing { number: old.number + 1, site, table, pools });
-        Ok(what)
     }
+    Ok(new)
+}
+
+/// Stops the mirrors that are removed or replaced, and starts the new ones.
+fn replace_mirrors(
+    old: &Routing,
+    site: &Site,
+    pools: &[Rc<RunningPool>],
+    mirrors: Vec<Option<Ready>>,
+) {
+    let mut ending = Vec::new();
+    for pool in &old.pools {
+        let stays = site
+            .shadows
+            .iter()
+            .zip(&mirrors)
+            .any(|(shadow, ready)| ready.is_none() && site.pools[shadow.of].name == pool.name);
+        let ends = pool.mirror.borrow_mut().take_if(|_| !stays);
+        ending.extend(ends.map(|mirror| mirror.stop()));
+    }
+    for (shadow, ready) in site.shadows.iter().zip(mirrors) {
+        let Some(ready) = ready else { continue };
+        let names = || shadow.pools().map(|pool| pool.name.as_str());
+        let before = ending.iter().filter(|e| e.shares(names())).cloned().collect();
+        *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
+    }
+}
+
+fn summarize(number: u64, site: &Site, removed: &[Rc<RunningPool>]) -> String {
+    format!(
+        "configuration {number} ({}) in force: {} routes, {} pools{}{}",
+        site.hash,
+        site.routes.len(),
+        site.pools.len(),
+        list_names(", without ", removed.iter().map(|p| p.name.as_str())),
+        list_names(", shadows ", site.shadows.iter().map(|s| s.name.as_str())),
+    )
 }
 
-fn named<'n>(before: &str, names: impl Iterator<Item = &'n str>) -> String {
+fn list_names<'n>(before: &str, names: impl Iterator<Item = &'n str>) -> String {
     let names: Vec<_> = names.collect();
     if names.is_empty() { String::new() } else { format!("{before}{}", names.join(", ")) }
 }
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -1,4 +1,4 @@
-//! Which pool a request goes to, and the configuration in force.
+//! The configuration in force, and the pool that a request is forwarded to.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,22 +11,26 @@
 use sableloom_fleet::{Running as Fleet, Told};
 use sableloom_routes::{Head, Table};
 use sableloom_site_config::{Site, Target};
+use sableloom_tenant_limits::Share as LimitShare;
+use sableloom_types::Time;
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
 
-use super::feed::ServerFeed;
+use super::endpoint_feed::EndpointFeed;
 use super::pools::{RunningPool, ServerSource};
 use super::subscribed::{SubscribedServices, SubscribedTarget};
+use super::tenants;
 
-/// Balancers that one which has no part yet is told to share with.
-const MULTITUDE: u32 = 10_000;
+/// The number of balancers that a pool is given while this balancer has no share of the capacity: more than any fleet
+/// has. The policy keeps a limit of one request for each server however small its share is.
+const BALANCERS_WITHOUT_SHARE: u32 = 10_000;
 
-/// The status of HTTP for a request that no route takes.
+/// The HTTP status for a request that no route matches.
 const NOT_FOUND: u16 = 404;
 
 /// The configuration in force.
 pub(super) struct Routing {
-    /// From 1, one more with each configuration that is taken over.
+    /// 1 for the first configuration, and one more for each later one.
     pub(super) number: u64,
     pub(super) site: Site,
     pub(super) table: Table,
@@ -34,63 +38,56 @@
     pub(super) pools: Vec<Rc<RunningPool>>,
 }
 
-/// Leads each request to the pool of its route. Those under way when the routing changes end as
-/// they began.
+/// Forwards each request to the pool of its route. Requests that are open when the routing changes end at the pool at
+/// which they began.
 pub(super) struct Router {
     pub(super) routing: RefCell<Rc<Routing>>,
-    /// What control machines have set; nothing without a `[control]` section.
+    /// The services that control machines have set; empty without a `[control]` section.
     pub(super) subscribed: RefCell<SubscribedServices>,
-    /// Pools that are no longer in force and have requests open.
+    /// Pools that are no longer in force and may have open requests.
     pub(super) ending: RefCell<Vec<Rc<RunningPool>>>,
-    /// The part of the servers that the pools have been told last.
-    part: Cell<Option<Part>>,
+    /// This balancer's share of the fleet's capacity, once it is known.
+    capacity_share: Cell<Option<Part>>,
     pub(super) clock: Clock,
 }
 
 impl Service for Router {
     fn call(
         self: Rc<Self>,
-        asked: RequestContext,
+        context: RequestContext,
         message: Message,
     ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let routing = self.routing.borrow().clone();
         if routing.site.control.is_some() {
-            let found = with_head(&asked, &message, |head| self.subscribed.borrow().target(head));
-            return match (found, routing.site.otherwise) {
-                (Some(SubscribedTarget::Pool(pool)), _) => {
-                    self.judge_tenant(&routing.site, &pool.name, &message)?;
-                    pool.call(asked, message)
-                }
-                (Some(SubscribedTarget::Refuse(status)), _) | (None, Target::Refuse(status)) => {
-                    Err(RequestRejection::NoRoute(status))
-                }
-                // A site with control has no pools.
-                (None, Target::Pool(_)) => Err(RequestRejection::NoRoute(NOT_FOUND)),
-            };
+            return self.call_subscribed(&routing.site, context, message);
         }
-        let found = with_head(&asked, &message, |head| routing.table.find(head));
+        let found = with_head(&context, &message, |head| routing.table.find(head));
         let target =
             found.map_or(routing.site.otherwise, |route| routing.site.routes[route].target);
         match target {
-            Target::Pool(pool) => routing.pools[pool].call(asked, message),
+            Target::Pool(pool) => routing.pools[pool].call(context, message),
             Target::Refuse(status) => Err(RequestRejection::NoRoute(status)),
         }
     }
 }
 
-/// Looks at a request as routes do.
-fn with_head<T>(asked: &RequestContext, message: &Message, look: impl FnOnce(&Head<'_>) -> T) -> T {
+/// Reads a request as routes see it.
+fn with_head<T>(
+    context: &RequestContext,
+    message: &Message,
+    read: impl FnOnce(&Head<'_>) -> T,
+) -> T {
     let host = message.fields.get("host").unwrap_or_default();
     let end = message.target.iter().position(|b| *b == b'?');
     let has = |name: &str, value: Option<&str>| {
         let is = |v: &[u8]| value.is_none_or(|value| value.as_bytes() == v);
         message.fields.iter().any(|(n, v)| n == name.as_bytes() && is(&v))
     };
-    look(&Head {
+    read(&Head {
         host: &host,
         path: &message.target[..end.unwrap_or(message.target.len())],
         method: &message.method,
-        class: asked.class,
+        class: context.class,
         header: &has,
     })
 }
@@ -102,13 +99,54 @@
             routing: RefCell::new(Rc::new(routing)),
             subscribed: RefCell::default(),
             ending: RefCell::default(),
-            part: Cell::new(None),
+            capacity_share: Cell::new(None),
             clock,
         })
     }
 
-    /// The servers of a service, if it is in force or its last requests are under way.
-    pub(super) fn feed_of(&self, service: &ServiceName) -> Option<Rc<ServerFeed>> {
+    /// Forwards a request by the routes and limits that control machines have set.
+    fn call_subscribed(
+        &self,
+        site: &Site,
+        context: RequestContext,
+        message: Message,
+    ) -> Result<LocalFuture<Reply>, RequestRejection> {
+        let found = with_head(&context, &message, |head| self.subscribed.borrow().target(head));
+        match (found, site.otherwise) {
+            (Some(SubscribedTarget::Pool(pool)), _) => {
+                self.check_tenant_limit(site, &pool.name, &message)?;
+                pool.call(context, message)
+            }
+            (Some(SubscribedTarget::Refuse(status)), _) | (None, Target::Refuse(status)) => {
+                Err(RequestRejection::NoRoute(status))
+            }
+            // A site with control has no pools.
+            (None, Target::Pool(_)) => Err(RequestRejection::NoRoute(NOT_FOUND)),
+        }
+    }
+
+    fn check_tenant_limit(
+        &self,
+        site: &Site,
+        service: &str,
+        message: &Message,
+    ) -> Result<(), RequestRejection> {
+        let Some(tenants) = &site.tenants else { return Ok(()) };
+        let limits = &mut self.subscribed.borrow_mut().tenants;
+        if limits.is_empty() {
+            return Ok(());
+        }
+        let now = self.clock.now();
+        let share = self.tenant_share(site, now);
+        tenants::check_limit(limits, &tenants.header, service, message, now, share)
+    }
+
+    fn tenant_share(&self, site: &Site, now: Time) -> LimitShare {
+        tenants::share_of(site, self.capacity_share.get(), now)
+    }
+
+    /// The servers of a service that is in force or has open requests.
+    pub(super) fn feed_of(&self, service: &ServiceName) -> Option<Rc<EndpointFeed>> {
         if let Some(pool) = self.subscribed.borrow().pools.get(service) {
             return Some(pool.feed.clone());
         }
@@ -120,38 +158,38 @@
         })
     }
 
+    /// All pools that run, also those that are no longer in force.
     pub(super) fn pools(&self) -> Vec<Rc<RunningPool>> {
         let mut pools = self.routing.borrow().pools.clone();
-        pools.extend(self.subscribed.borrow().running().cloned());
+        pools.extend(self.subscribed.borrow().running_pools().cloned());
         pools.extend(self.ending.borrow().iter().cloned());
         pools
     }
 
-    /// This balancer's part of the fleet, once it has been told.
-    pub(super) fn part(&self) -> Option<Part> {
-        self.part.get()
+    /// Sets this balancer's share of the fleet's capacity, for all pools.
+    pub(super) fn set_capacity_share(&self, share: Part) {
+        self.capacity_share.set(Some(share));
+        self.pools().iter().for_each(|pool| self.apply_capacity_share(pool));
     }
 
-    /// All pools share their servers with so many.
-    pub(super) fn shared_by(&self, part: Part) {
-        self.part.set(Some(part));
-        self.pools().iter().for_each(|pool| self.share_with(pool));
-    }
-
-    /// A pool shares its servers with so many as all others do.
-    pub(super) fn share_with(&self, pool: &RunningPool) {
-        let Some(part) = self.part.get() else { return };
-        // A part of nothing is told as one of a multitude: the module keeps one lane whatever it is told.
-        let told = |n: u32| if n == 0 { MULTITUDE } else { n };
-        let expires = part.until.map(|at| ShareExpiry { at, balancers_after: told(part.after) });
-        pool.exchange.set_balancers(told(part.balancers), expires);
+    /// Gives a pool the capacity share that all others have.
+    pub(super) fn apply_capacity_share(&self, pool: &RunningPool) {
+        let Some(share) = self.capacity_share.get() else { return };
+        let sharing = |balancers: u32| match balancers {
+            0 => BALANCERS_WITHOUT_SHARE,
+            _ => balancers,
+        };
+        let expires =
+            share.until.map(|at| ShareExpiry { at, balancers_after: sharing(share.after) });
+        pool.exchange.set_balancers(sharing(share.balancers), expires);
     }
 
-    pub(super) fn open(&self) -> usize {
+    /// How many requests are open.
+    pub(super) fn open_requests(&self) -> usize {
         self.pools().iter().map(|pool| pool.exchange.open_requests()).sum()
     }
 
-    /// What it does now, as one line of JSON.
+    /// The status as JSON. Its keys are an interface: programs of operators read them.
     pub(super) fn status(&self, fleet: Option<&Fleet>, control: Option<Value>) -> Value {
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
@@ -160,30 +198,34 @@
                    "version": version, "servers": servers}))
         };
         let mut status = json!({
-            "configuration": routing.number, "hash": routing.site.hash, "open": self.open(),
+            "configuration": routing.number, "hash": routing.site.hash, "open": self.open_requests(),
             "pools": routing.pools.iter().filter_map(pool).collect::<Vec<_>>(),
             "fleet": fleet.map(Fleet::status),
         });
         if let Some(control) = control {
             status["control"] = control;
             status["subscribed"] = self.subscribed.borrow().status();
-            status["subscribed"]["tenants"] = self.tenants_status(&routing.site);
+            status["subscribed"]["tenants"] = tenants::status(
+                &self.subscribed.borrow().tenants,
+                &routing.site,
+                self.tenant_share(&routing.site, self.clock.now()),
+            );
         }
         status
     }
 
-    /// Of the lists of servers in force: the same at two balancers whose pools have the same files.
-    pub(super) fn servers(&self) -> u32 {
+    /// A digest of the servers in force, equal at two balancers whose pools have the same lists.
+    pub(super) fn servers_digest(&self) -> u32 {
         let routing = self.routing.borrow();
         let lists = routing.pools.iter().filter_map(|pool| {
             let (_, version, _) = pool.files()?.version();
             Some(stable_hash(&format!("{} {version}", pool.name)) as u32)
         });
-        // 0 says that nothing is known.
+        // 0 means that nothing is known.
         lists.fold(self.subscribed.borrow().digest(), |all, one| all ^ one).max(1)
     }
 
-    /// Closes idle connections, and lets go of pools that have ended.
+    /// Closes idle connections, and pools that are no longer in force and have no open request.
     pub(super) fn sweep(&self) {
         self.pools().iter().for_each(|pool| pool.transport.sweep());
         self.ending.borrow_mut().retain(|pool| {
@@ -197,12 +239,12 @@
     }
 }
 
-/// Tells the pools what their part is, and the log what happens.
-pub(super) struct ToPools(pub(super) Rc<Router>);
+/// Passes the fleet's capacity shares on to the pools, and its log lines to the log.
+pub(super) struct PoolUpdates(pub(super) Rc<Router>);
 
-impl Told for ToPools {
+impl Told for PoolUpdates {
     fn part(&self, part: Part) {
-        self.0.shared_by(part);
+        self.0.set_capacity_share(part);
     }
 
     fn line(&self, line: &str) {
--- a/crates/sableloom/src/serve/subscribed.rs
+++ b/crates/sableloom/src/serve/subscribed.rs
@@ -1,4 +1,4 @@
-//! Services that control machines have set: their pools and routes.
+//! Services that control machines have set: their pools, routes and limits of tenants.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -11,43 +11,44 @@
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
 
-use super::feed::ServerFeed;
+use super::endpoint_feed::EndpointFeed;
 use super::pools::RunningPool;
 
 /// The pool of a service.
 pub(super) struct SubscribedPool {
     pub(super) running: Rc<RunningPool>,
     pub(super) settings: PoolSettings,
-    pub(super) feed: Rc<ServerFeed>,
+    pub(super) feed: Rc<EndpointFeed>,
     /// The number of the last change that touched the service.
     pub(super) version: u64,
-    /// Over the service's resources, the same at every balancer that has them.
+    /// Of the service's resources; equal at every balancer that has them.
     pub(super) digest: u64,
 }
 
-/// Where a request goes.
+/// The target of a route.
 pub(super) enum SubscribedTarget {
-    /// To a pool.
+    /// A pool.
     Pool(Rc<RunningPool>),
-    /// Nowhere: refused with this status of HTTP.
+    /// The request is rejected with this HTTP status.
     Refuse(u16),
 }
 
-/// What is in force of the services in scope.
+/// The services in scope, as far as they are in force.
 #[derive(Default)]
 pub(super) struct SubscribedServices {
     pub(super) scope: BTreeSet<ServiceName>,
     pub(super) pools: HashMap<ServiceName, SubscribedPool>,
-    /// Routes with the status that they refuse with; without one they lead to their service's pool.
+    /// Routes with the HTTP status that they reject with; without one they lead to their service's pool.
     pub(super) routes: RouteIndex<Option<u16>>,
-    /// Limits of tenants with what is used of them.
+    /// Limits of tenants, and what is used of them.
     pub(super) tenants: TenantLimits,
-    /// Over all services, kept as they change.
+    /// Of all services, updated as they change.
     digest: u32,
     pub(super) counters: ApplyCounters,
 }
 
-/// Transactions since the start. Requests wait while one is checked and put in force, so the time is counted.
+/// Transactions since the start. Requests wait while one is checked and put in force, so the time that it takes is
+/// measured.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ApplyCounters {
     applied: u64,
@@ -68,7 +69,7 @@
 }
 
 impl SubscribedServices {
-    /// Where the first route in order that matches leads.
+    /// The target of the first route in order that matches.
     pub(super) fn target(&self, head: &Head<'_>) -> Option<SubscribedTarget> {
         let route = self.routes.find(head)?;
         match route.target {
@@ -80,16 +81,17 @@
         }
     }
 
-    pub(super) fn running(&self) -> impl Iterator<Item = &Rc<RunningPool>> {
+    /// The pools in force.
+    pub(super) fn running_pools(&self) -> impl Iterator<Item = &Rc<RunningPool>> {
         self.pools.values().map(|pool| &pool.running)
     }
 
-    /// Of all services in force: the same at two balancers that have the same.
+    /// A digest of all services in force, equal at two balancers that have the same ones.
     pub(super) fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// Adds a pool, or puts it in place of the one that it gives.
+    /// Adds a pool. Returns the one that it replaces.
     pub(super) fn insert(
         &mut self,
         service: ServiceName,
@@ -103,7 +105,7 @@
         before
     }
 
-    /// Changes what is known of a pool, if there is one.
+    /// Changes a pool, if there is one.
     pub(super) fn update(
         &mut self,
         service: &ServiceName,
@@ -115,7 +117,7 @@
         self.digest ^= digest_of(service, pool);
     }
 
-    /// Takes a service out with its routes and its tenants' limits.
+    /// Removes a service with its routes and its tenants' limits.
     pub(super) fn remove(&mut self, service: &ServiceName) -> Option<SubscribedPool> {
         let pool = self.pools.remove(service)?;
         self.digest ^= digest_of(service, &pool);
@@ -124,7 +126,7 @@
         Some(pool)
     }
 
-    /// What there is, as JSON.
+    /// The status as JSON.
     pub(super) fn status(&self) -> Value {
         let counters = &self.counters;
         let servers: usize = self.pools.values().map(|pool| pool.feed.len()).sum();
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// All problems of the file and of the list of members that it names.
-pub fn load(path: &Path) -> Result<(Site, Table), Vec<Problem>> {
+pub(crate) fn load(path: &Path) -> Result<(Site, Table), Vec<Problem>> {
     let name = path.display().to_string();
     let path = path.to_path_buf();
     let text = bytes_of(&path).map_err(|e| vec![Problem::of_file(&name, e)])?;
@@ -42,7 +42,7 @@
 }
 
 /// A pool's files of servers; their paths are relative to the folder of the site's file.
-pub fn files(path: &Path, site: &Site, pool: &Pool) -> Files {
+pub(crate) fn files(path: &Path, site: &Site, pool: &Pool) -> Files {
     let folder = path.parent().unwrap_or(Path::new(""));
     let spec = Spec {
         pool: pool.name.clone(),
@@ -60,7 +60,7 @@
 /// # Errors
 ///
 /// All problems of the files, or why the list would not come into force.
-pub fn read_lists(path: &Path, site: &Site, pool: &Pool) -> Result<Lists, Vec<Problem>> {
+pub(crate) fn read_lists(path: &Path, site: &Site, pool: &Pool) -> Result<Lists, Vec<Problem>> {
     let files = files(path, site, pool);
     let mut lists = Lists::new(files.spec.clone());
     let named = files.spec.files.iter().zip(&files.paths);
@@ -81,7 +81,7 @@
 }
 
 /// Problems as text, one a line.
-pub fn lines_of(problems: &[Problem]) -> String {
+pub(crate) fn lines_of(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
     lines.join("\n")
 }
