--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -11,7 +11,7 @@
 use sableloom_fleet::{Running as Fleet, Told};
 use sableloom_routes::{Head, Table};
 use sableloom_site_config::{Site, Target};
-use sableloom_tenant_limits::Share as LimitShare;
+use sableloom_tenant_limits::LimitShare;
 use sableloom_types::Time;
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -5,7 +5,7 @@
 use sableloom_capacity_share::Part;
 use sableloom_exchange::{Message, RequestRejection};
 use sableloom_site_config::Site;
-use sableloom_tenant_limits::{Refusals, Share, TenantLimits, Verdict};
+use sableloom_tenant_limits::{LimitDecision, LimitShare, TenantLimits, TenantRejections};
 use sableloom_types::Time;
 use serde_json::{Value, json};
 
@@ -26,15 +26,15 @@
     service: &str,
     message: &Message,
     now: Time,
-    share: Share,
+    share: LimitShare,
 ) -> Result<(), RequestRejection> {
     let named = message.fields.iter().filter(|(name, _)| *name == header.as_bytes());
     for (_, value) in named {
         let Ok(tenant) = std::str::from_utf8(&value) else { continue };
-        match limits.judge(now, service, tenant, share) {
-            Verdict::Unlimited => {}
-            Verdict::Within => return Ok(()),
-            Verdict::Over(after) => {
+        match limits.check(now, service, tenant, share) {
+            LimitDecision::Unlimited => {}
+            LimitDecision::Within => return Ok(()),
+            LimitDecision::Over(after) => {
                 let after = Duration::from_micros(after.0.max(0) as u64);
                 return Err(RequestRejection::OverTenantLimit(after.min(MAX_RETRY_AFTER)));
             }
@@ -44,27 +44,27 @@
 }
 
 /// This balancer's share of every limit: its share of the fleet's capacity, or one of as many balancers as the site says.
-pub(super) fn share_of(site: &Site, capacity_share: Option<Part>, now: Time) -> Share {
+pub(super) fn share_of(site: &Site, capacity_share: Option<Part>, now: Time) -> LimitShare {
     match (&site.fleet, capacity_share) {
-        (None, _) => Share::new(1.0 / f64::from(site.locality.balancers.max(1))),
-        (Some(_), Some(share)) => Share::new(share.share(now)),
+        (None, _) => LimitShare::new(1.0 / f64::from(site.locality.balancers.max(1))),
+        (Some(_), Some(share)) => LimitShare::new(share.share(now)),
         // The fleet has not given one yet.
-        (Some(_), None) => Share::NONE,
+        (Some(_), None) => LimitShare::NONE,
     }
 }
 
 /// The limits and rejections as JSON. The work grows with the number of limits.
-pub(super) fn status(limits: &TenantLimits, site: &Site, share: Share) -> Value {
-    let row = |rejections: Refusals| {
-        let Refusals { service, tenant, count } = rejections;
+pub(super) fn status(limits: &TenantLimits, site: &Site, share: LimitShare) -> Value {
+    let row = |rejections: TenantRejections| {
+        let TenantRejections { service, tenant, count } = rejections;
         json!({"service": &*service, "tenant": &*tenant, "refused": count})
     };
-    let named = limits.most_refused(MAX_TENANTS_LISTED);
+    let named = limits.most_rejected(MAX_TENANTS_LISTED);
     json!({
         "limits": limits.len(),
         "applied": site.tenants.is_some(),
         "share": share.get(),
-        "refused": limits.refused(),
+        "refused": limits.rejected(),
         "most_refused": named.into_iter().map(row).collect::<Vec<_>>(),
     })
 }
--- a/crates/tenant-limits/examples/costs.rs
+++ b/crates/tenant-limits/examples/costs.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use sableloom_tenant_limits::{Limit, Share, TenantLimits};
+use sableloom_tenant_limits::{Limit, LimitShare, TenantLimits};
 use sableloom_types::Time;
 
 /// Tenants of a service.
@@ -33,7 +33,7 @@
         for request in 0..REQUESTS {
             let service = &services[request % services.len()];
             let name = &names[request * 7 % names.len()];
-            black_box(limits.judge(Time(request as i64), service, name, Share::new(0.01)));
+            black_box(limits.check(Time(request as i64), service, name, LimitShare::new(0.01)));
         }
         let nanoseconds = start.elapsed().as_nanos() / REQUESTS as u128;
         println!(
--- /dev/null
+++ b/crates/tenant-limits/src/meter.rs
@@ -0,0 +1,86 @@
+//! The generic cell rate algorithm for one tenant.
+
+use sableloom_types::{Span, Time};
+
+use crate::limit::{Limit, LimitShare};
+
+/// Microseconds of a second.
+const SECOND_US: f64 = 1e6;
+/// The longest time that a computation yields: some 285 years. Guards against overflow in the sum of two of them, and of
+/// one and a time since 1970, however slow a rate and small a share are.
+const MAX_TIME_US: f64 = 9e15;
+
+/// The wait while this balancer has no share of the limit yet: it is not known when it gets one.
+const WAIT_WITHOUT_SHARE: Span = Span(1_000_000);
+
+/// The limit of one tenant, and what is used of it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Meter {
+    limit: Limit,
+    /// The theoretical arrival time of the next request, in microseconds; in the past if nothing of the burst is used.
+    theoretical_arrival: u64,
+}
+
+impl Meter {
+    /// A meter of which nothing is used.
+    pub(crate) fn new(limit: Limit) -> Self {
+        Self { limit, theoretical_arrival: 0 }
+    }
+
+    /// Counts a request that is within the limit. Otherwise nothing is counted, and the error is the time after which a
+    /// request would be within.
+    pub(crate) fn check(&mut self, now: Time, share: LimitShare) -> Result<(), Span> {
+        let now = now.0.max(0) as u64;
+        let Some(schedule) = Schedule::of(self.limit, share) else {
+            return Err(WAIT_WITHOUT_SHARE);
+        };
+        // Guards against an arrival time that is left from a larger burst, or from before the clock was set back: it would
+        // reject the tenant for longer than a burst that is used up does.
+        let used_up = now + schedule.tolerance + schedule.interval;
+        self.theoretical_arrival = self.theoretical_arrival.min(used_up);
+        let due = self.theoretical_arrival.max(now);
+        let earliest = due.saturating_sub(schedule.tolerance);
+        if earliest > now {
+            return Err(Span((earliest - now) as i64));
+        }
+        self.theoretical_arrival = due + schedule.interval;
+        Ok(())
+    }
+
+    /// Sets another limit. What is used stays the same number of requests; [`Self::check`] bounds it by the new burst.
+    pub(crate) fn set(&mut self, now: Time, limit: Limit) {
+        let now = now.0.max(0) as u64;
+        let used = self.theoretical_arrival.saturating_sub(now) as f64;
+        let slower = self.limit.requests_per_second / limit.requests_per_second;
+        self.theoretical_arrival = now + whole_time_us(used * slower);
+        self.limit = limit;
+    }
+}
+
+/// A share of a limit as times in microseconds.
+struct Schedule {
+    /// The time between two requests at exactly the rate, rounded up so that the rate is never above the limit.
+    interval: u64,
+    /// How much earlier than at exactly the rate a request may come.
+    tolerance: u64,
+}
+
+impl Schedule {
+    /// `None` for a share of nothing.
+    fn of(limit: Limit, share: LimitShare) -> Option<Self> {
+        let rate = limit.requests_per_second * share.get();
+        if rate <= 0.0 {
+            return None;
+        }
+        let interval = whole_time_us((SECOND_US / rate).ceil());
+        // With a share of less than one request there is no tolerance: one request passes in each interval.
+        let burst = (f64::from(limit.burst) * share.get()).floor();
+        let tolerance = whole_time_us((burst - 1.0) * interval as f64);
+        Some(Self { interval, tolerance })
+    }
+}
+
+/// Microseconds as a whole number, at most [`MAX_TIME_US`].
+fn whole_time_us(us: f64) -> u64 {
+    us.clamp(0.0, MAX_TIME_US) as u64
+}
--- a/crates/tenant-limits/tests/limits.rs
+++ b/crates/tenant-limits/tests/limits.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use sableloom_tenant_limits::{Limit, Share, TenantLimits, Verdict};
+use sableloom_tenant_limits::{Limit, LimitDecision, LimitShare, TenantLimits};
 use sableloom_types::{Span, Time};
 
 const SECOND: i64 = 1_000_000;
@@ -21,13 +21,13 @@
     limits
 }
 
-fn judge(limits: &mut TenantLimits, at: i64, share: Share) -> Verdict {
-    limits.judge(Time(START + at), "points", "t", share)
+fn check(limits: &mut TenantLimits, at: i64, share: LimitShare) -> LimitDecision {
+    limits.check(Time(START + at), "points", "t", share)
 }
 
 /// How many of so many requests at one time are within.
-fn within(limits: &mut TenantLimits, at: i64, share: Share, requests: usize) -> usize {
-    (0..requests).filter(|_| judge(limits, at, share) == Verdict::Within).count()
+fn within(limits: &mut TenantLimits, at: i64, share: LimitShare, requests: usize) -> usize {
+    (0..requests).filter(|_| check(limits, at, share) == LimitDecision::Within).count()
 }
 
 /// The definition, over all requests that were let pass: of any `n` in a row the last comes no earlier than `n - 1`
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn random_schedules_are_judged_as_the_naive_reference_judges_them() {
+fn random_schedules_are_decided_as_by_the_naive_reference() {
     let mut all = (0, 0);
     for seed in 0..300 {
         let mut random = Rand64::new(seed);
@@ -50,9 +50,9 @@
         let burst = random.rand_range(1..40) as i64;
         let interval = SECOND / rate * balancers;
         let tolerance = ((burst / balancers).max(1) - 1) * interval;
-        let share = Share::new(1.0 / balancers as f64);
+        let share = LimitShare::new(1.0 / balancers as f64);
         let mut limits = of(rate as f64, burst as u32);
-        let (mut at, mut passed, mut refused) = (0, Vec::new(), 0);
+        let (mut at, mut passed, mut rejected) = (0, Vec::new(), 0);
         for step in 0..600 {
             // Bursts, requests at about the rate, and pauses in which the burst comes back.
             at += match random.rand_range(0..10) {
@@ -62,20 +62,20 @@
             };
             let earliest = reference(&passed, at, interval, tolerance);
             let expected = match earliest <= at {
-                true => Verdict::Within,
-                false => Verdict::Over(Span(earliest - at)),
+                true => LimitDecision::Within,
+                false => LimitDecision::Over(Span(earliest - at)),
             };
-            let verdict = judge(&mut limits, at, share);
-            assert_eq!(verdict, expected, "seed {seed}, step {step}");
-            match verdict {
-                Verdict::Within => passed.push(at),
-                _ => refused += 1,
+            let decision = check(&mut limits, at, share);
+            assert_eq!(decision, expected, "seed {seed}, step {step}");
+            match decision {
+                LimitDecision::Within => passed.push(at),
+                _ => rejected += 1,
             }
         }
-        assert_eq!(limits.refused(), refused, "seed {seed}");
-        all = (all.0 + passed.len(), all.1 + refused);
+        assert_eq!(limits.rejected(), rejected, "seed {seed}");
+        all = (all.0 + passed.len(), all.1 + rejected);
     }
-    // Both happen often, or little would have been compared.
+    // Both decisions happen often, otherwise little would have been compared.
     assert!(all.0 > 50_000 && all.1 > 50_000, "{all:?} passed, refused");
 }
 
@@ -95,8 +95,8 @@
         for _ in 0..20_000 {
             at += random.rand_range(0..(0.2 * SECOND as f64 / rate) as u64 + 1) as i64;
             let which = random.rand_range(0..shares.len() as u64) as usize;
-            let verdict = judge(&mut balancers[which], at, Share::new(shares[which]));
-            passed += u64::from(verdict == Verdict::Within);
+            let decision = check(&mut balancers[which], at, LimitShare::new(shares[which]));
+            passed += u64::from(decision == LimitDecision::Within);
         }
         let bursts: f64 = shares.iter().map(|share| (share * burst as f64).floor().max(1.0)).sum();
         let most = bursts + rate * at as f64 / SECOND as f64;
@@ -106,88 +106,88 @@
 }
 
 #[test]
-fn what_is_told_is_when_one_more_is_within_and_trying_costs_nothing() {
+fn the_retry_time_is_when_one_more_is_within_and_rejected_requests_are_not_counted() {
     let mut limits = of(10.0, 3);
-    assert_eq!(within(&mut limits, 0, Share::ALL, 3), 3);
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 3), 3);
     for _ in 0..1_000 {
-        assert_eq!(judge(&mut limits, 40_000, Share::ALL), Verdict::Over(Span(60_000)));
+        assert_eq!(check(&mut limits, 40_000, LimitShare::ALL), LimitDecision::Over(Span(60_000)));
     }
-    assert_eq!(judge(&mut limits, 99_999, Share::ALL), Verdict::Over(Span(1)));
-    assert_eq!(judge(&mut limits, 100_000, Share::ALL), Verdict::Within);
-    // The whole burst is back after the time that it takes, and not more than that.
-    assert_eq!(within(&mut limits, 100 * SECOND, Share::ALL, 10), 3);
+    assert_eq!(check(&mut limits, 99_999, LimitShare::ALL), LimitDecision::Over(Span(1)));
+    assert_eq!(check(&mut limits, 100_000, LimitShare::ALL), LimitDecision::Within);
+    // After a long time the burst is complete again, and no larger than that.
+    assert_eq!(within(&mut limits, 100 * SECOND, LimitShare::ALL, 10), 3);
 }
 
 #[test]
-fn a_changed_limit_keeps_what_is_owed_in_requests_up_to_the_new_burst() {
+fn a_changed_limit_keeps_the_requests_that_are_used_up_to_the_new_burst() {
     let mut limits = of(10.0, 10);
-    assert_eq!(within(&mut limits, 0, Share::ALL, 20), 10);
-    // Ten are owed of a hundred now.
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 20), 10);
+    // Ten are used of a hundred now.
     limits.set(Time(START), "points", &"t".into(), limit(100.0, 100));
-    assert_eq!(within(&mut limits, 0, Share::ALL, 200), 90);
-    // A hundred are owed, of which the new burst knows two: it is shut out for one request's time and no more.
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 200), 90);
+    // A hundred are used, bounded by the new burst of two: the tenant is rejected for one request's time and no more.
     limits.set(Time(START), "points", &"t".into(), limit(1.0, 2));
-    assert_eq!(judge(&mut limits, 0, Share::ALL), Verdict::Over(Span(SECOND)));
-    assert_eq!(judge(&mut limits, SECOND, Share::ALL), Verdict::Within);
+    assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Over(Span(SECOND)));
+    assert_eq!(check(&mut limits, SECOND, LimitShare::ALL), LimitDecision::Within);
     // The same limit once more changes nothing, also where a share is below one request.
-    let small = Share::new(0.01);
+    let small = LimitShare::new(0.01);
     let mut limits = of(10.0, 10);
     assert_eq!(within(&mut limits, 0, small, 5), 1);
-    let before = judge(&mut limits, 0, small);
+    let before = check(&mut limits, 0, small);
     limits.set(Time(START), "points", &"t".into(), limit(10.0, 10));
-    assert_eq!(judge(&mut limits, 0, small), before);
+    assert_eq!(check(&mut limits, 0, small), before);
     assert_eq!(limits.len(), 1);
 }
 
 #[test]
-fn a_changed_share_keeps_the_part_of_the_burst_that_is_used() {
+fn a_changed_share_keeps_the_fraction_of_the_burst_that_is_used() {
     let mut limits = of(10.0, 100);
-    assert_eq!(within(&mut limits, 0, Share::ALL, 50), 50);
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 50), 50);
     // Half of its burst was used: of the half that it has now, half is left.
-    assert_eq!(within(&mut limits, 0, Share::new(0.5), 100), 25);
-    // Used up at one half it is used up at the whole: others have had that other half.
-    assert_eq!(within(&mut limits, 0, Share::ALL, 100), 0);
-    assert_eq!(judge(&mut limits, SECOND / 10, Share::ALL), Verdict::Within);
+    assert_eq!(within(&mut limits, 0, LimitShare::new(0.5), 100), 25);
+    // Used up at one half, it is used up at the complete share: other balancers have had the other half.
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 100), 0);
+    assert_eq!(check(&mut limits, SECOND / 10, LimitShare::ALL), LimitDecision::Within);
 }
 
 #[test]
 fn a_tiny_share_lets_one_at_a_time_pass_and_no_share_none() {
     let mut limits = of(1.0, 1);
-    let tiny = Share::new(1.0 / 7_600.0);
+    let tiny = LimitShare::new(1.0 / 7_600.0);
     assert_eq!(within(&mut limits, 0, tiny, 10), 1);
-    assert_eq!(judge(&mut limits, 7_599 * SECOND, tiny), Verdict::Over(Span(SECOND)));
-    assert_eq!(judge(&mut limits, 7_600 * SECOND, tiny), Verdict::Within);
-    // With a share of nothing none passes, and nothing is owed for having asked.
+    assert_eq!(check(&mut limits, 7_599 * SECOND, tiny), LimitDecision::Over(Span(SECOND)));
+    assert_eq!(check(&mut limits, 7_600 * SECOND, tiny), LimitDecision::Within);
+    // With a share of nothing no request passes, and none is counted.
     let mut limits = of(1_000_000.0, 1_000_000);
-    for share in [Share::NONE, Share::new(-1.0), Share::new(f64::NAN)] {
-        assert_eq!(judge(&mut limits, 0, share), Verdict::Over(Span(SECOND)));
+    for share in [LimitShare::NONE, LimitShare::new(-1.0), LimitShare::new(f64::NAN)] {
+        assert_eq!(check(&mut limits, 0, share), LimitDecision::Over(Span(SECOND)));
     }
-    assert_eq!(within(&mut limits, 0, Share::ALL, 10), 10);
-    assert_eq!(Share::new(2.0), Share::ALL);
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 10), 10);
+    assert_eq!(LimitShare::new(2.0), LimitShare::ALL);
 }
 
 #[test]
-fn a_clock_that_was_set_back_shuts_nobody_out_for_longer_than_a_burst_takes() {
+fn a_clock_that_was_set_back_rejects_no_tenant_for_longer_than_a_burst_takes() {
     let mut limits = of(10.0, 5);
-    assert_eq!(within(&mut limits, 3_600 * SECOND, Share::ALL, 5), 5);
-    assert_eq!(judge(&mut limits, 0, Share::ALL), Verdict::Over(Span(SECOND / 10)));
-    assert_eq!(judge(&mut limits, SECOND / 10, Share::ALL), Verdict::Within);
+    assert_eq!(within(&mut limits, 3_600 * SECOND, LimitShare::ALL, 5), 5);
+    assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Over(Span(SECOND / 10)));
+    assert_eq!(check(&mut limits, SECOND / 10, LimitShare::ALL), LimitDecision::Within);
     for extreme in [i64::MIN, -1, i64::MAX / 2] {
-        let _ = limits.judge(Time(extreme), "points", "t", Share::new(f64::MIN_POSITIVE));
+        let _ = limits.check(Time(extreme), "points", "t", LimitShare::new(f64::MIN_POSITIVE));
     }
 }
 
 #[test]
-fn a_removed_limit_forgets_and_a_request_without_one_leaves_nothing_behind() {
+fn a_removed_limit_is_forgotten_and_a_request_without_a_limit_allocates_nothing() {
     let mut limits = of(1.0, 1);
     limits.set(Time(START), "partners", &"t".into(), limit(1.0, 1));
-    assert_eq!(within(&mut limits, 0, Share::ALL, 4), 1);
+    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 4), 1);
     limits.remove("points", "t");
-    assert_eq!(judge(&mut limits, 0, Share::ALL), Verdict::Unlimited);
-    assert_eq!((limits.len(), limits.refused()), (1, 3));
-    assert!(limits.most_refused(10).is_empty());
+    assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Unlimited);
+    assert_eq!((limits.len(), limits.rejected()), (1, 3));
+    assert!(limits.most_rejected(10).is_empty());
     limits.set(Time(START), "points", &"t".into(), limit(1.0, 1));
-    assert_eq!(judge(&mut limits, 0, Share::ALL), Verdict::Within);
+    assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Within);
     limits.remove("points", "none");
     limits.remove("none", "t");
     limits.remove_service("partners");
@@ -196,31 +196,31 @@
     let names: Vec<String> = (0..1_000).map(|name| format!("stranger-{name}")).collect();
     let allocated = allocation_counter::measure(|| {
         for name in &names {
-            let verdict = limits.judge(Time(START), "points", name, Share::ALL);
-            assert_eq!(verdict, Verdict::Unlimited);
+            let decision = limits.check(Time(START), "points", name, LimitShare::ALL);
+            assert_eq!(decision, LimitDecision::Unlimited);
         }
     });
     assert_eq!(allocated.count_total, 0);
 }
 
 #[test]
-fn the_most_refused_are_named_in_their_order_and_no_more_of_them() {
+fn the_most_rejected_tenants_are_listed_in_order_and_up_to_the_bound() {
     let mut limits = TenantLimits::default();
     for name in 0..30 {
         let tenant: Arc<str> = format!("t{name:02}").into();
         limits.set(Time(START), "points", &tenant, limit(1.0, 1));
-        (0..=name).for_each(|_| _ = limits.judge(Time(START), "points", &tenant, Share::ALL));
+        (0..=name).for_each(|_| _ = limits.check(Time(START), "points", &tenant, LimitShare::ALL));
     }
-    let named = limits.most_refused(10);
-    let counts: Vec<u64> = named.iter().map(|refusals| refusals.count).collect();
+    let named = limits.most_rejected(10);
+    let counts: Vec<u64> = named.iter().map(|rejections| rejections.count).collect();
     assert_eq!(counts, (20..30).rev().collect::<Vec<u64>>());
     assert_eq!((&*named[0].tenant, &*named[0].service), ("t29", "points"));
-    assert_eq!(limits.refused(), (0..30).sum::<u64>());
+    assert_eq!(limits.rejected(), (0..30).sum::<u64>());
     assert_eq!(limits.names("points").count(), 30);
 }
 
 #[test]
-fn what_is_no_limit_is_refused() {
+fn values_that_are_no_limit_are_rejected() {
     for rate in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         assert!(Limit::new(rate, 1).is_err(), "{rate}");
     }
