--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -21,7 +21,7 @@
 
 use sableloom_exchange::Clock;
 use sableloom_fleet::Running as Fleet;
-use sableloom_http1::{Budget, Dialect, Frontend};
+use sableloom_http1::{ConnectionBudget, Dialect, Frontend};
 use sableloom_traffic_mirror::Ending;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -64,7 +64,7 @@
         listeners = bind(&path, &site)?;
     }
     let clock = Clock::with_offset_ms(options.wall_clock_ms);
-    let budget = Budget::new(upstreams);
+    let budget = ConnectionBudget::new(upstreams);
     let context = Rc::new(PoolContext { path: path.clone(), clock, budget, upstreams });
     let pools = start_pools(&context, &site).await?;
     let settings = Rc::new(site.client_settings());
--- a/crates/sableloom/src/serve/mirrors.rs
+++ b/crates/sableloom/src/serve/mirrors.rs
@@ -23,7 +23,7 @@
     shadow: &Shadow,
 ) -> Result<Ready, Vec<Problem>> {
     let descriptors = MirrorOptions::sockets(shadow.bounds.in_flight, shadow.pools().count());
-    let Some(sockets) = context.budget.lend(descriptors) else {
+    let Some(sockets) = context.budget.reserve(descriptors) else {
         let name = context.path.display().to_string();
         return Err(vec![Problem {
             span: shadow.place.span.clone(),
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -8,7 +8,7 @@
     Clock, Exchange, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service,
 };
 use sableloom_exchange::{EndpointSource, ExchangeOptions};
-use sableloom_http1::{Budget, Upstreams};
+use sableloom_http1::{ConnectionBudget, Http1Transport};
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::{Pool, Site};
 use sableloom_traffic_mirror::Mirror;
@@ -38,7 +38,7 @@
     pub(super) name: String,
     pub(super) source: ServerSource,
     pub(super) exchange: Rc<Exchange>,
-    pub(super) transport: Rc<Upstreams>,
+    pub(super) transport: Rc<Http1Transport>,
     /// Copies its requests to a candidate, if the site has a shadow of it.
     pub(super) mirror: RefCell<Option<Rc<Mirror>>>,
 }
@@ -71,7 +71,7 @@
     /// The site's file.
     pub(super) path: PathBuf,
     pub(super) clock: Clock,
-    pub(super) budget: Rc<Budget>,
+    pub(super) budget: Rc<ConnectionBudget>,
     /// Most connections to servers.
     pub(super) upstreams: usize,
 }
@@ -91,7 +91,7 @@
         source: ServerSource,
     ) -> Result<RunningPool, PoolError> {
         let settings = Rc::new(site.deployment_settings(pool));
-        let transport = Upstreams::new(self.budget.clone(), &settings);
+        let transport = Http1Transport::new(self.budget.clone(), &settings);
         let exchange = Exchange::start(ExchangeOptions {
             settings,
             seed: u64::from(std::process::id()),
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use sableloom_capacity_share::Part;
+use sableloom_capacity_share::Share;
 use sableloom_distribution::ServiceName;
 use sableloom_exchange::{
     Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
@@ -47,7 +47,7 @@
     /// Pools that are no longer in force and may have open requests.
     pub(super) ending: RefCell<Vec<Rc<RunningPool>>>,
     /// This balancer's share of the fleet's capacity, once it is known.
-    capacity_share: Cell<Option<Part>>,
+    capacity_share: Cell<Option<Share>>,
     pub(super) clock: Clock,
 }
 
@@ -167,7 +167,7 @@
     }
 
     /// Sets this balancer's share of the fleet's capacity, for all pools.
-    pub(super) fn set_capacity_share(&self, share: Part) {
+    pub(super) fn set_capacity_share(&self, share: Share) {
         self.capacity_share.set(Some(share));
         self.pools().iter().for_each(|pool| self.apply_capacity_share(pool));
     }
@@ -179,8 +179,9 @@
             0 => BALANCERS_WITHOUT_SHARE,
             _ => balancers,
         };
-        let expires =
-            share.until.map(|at| ShareExpiry { at, balancers_after: sharing(share.after) });
+        let expires = share
+            .until
+            .map(|at| ShareExpiry { at, balancers_after: sharing(share.balancers_after) });
         pool.exchange.set_balancers(sharing(share.balancers), expires);
     }
 
@@ -243,8 +244,8 @@
 pub(super) struct PoolUpdates(pub(super) Rc<Router>);
 
 impl Told for PoolUpdates {
-    fn part(&self, part: Part) {
-        self.0.set_capacity_share(part);
+    fn share(&self, share: Share) {
+        self.0.set_capacity_share(share);
     }
 
     fn line(&self, line: &str) {
--- a/crates/sableloom/src/serve/signals.rs
+++ b/crates/sableloom/src/serve/signals.rs
@@ -76,7 +76,7 @@
         if let (Some(running), Some(fleet)) = (&fleet, &routing.site.fleet) {
             running.list(&fleet::others(fleet));
             // New pools don't know the capacity share yet.
-            router.set_capacity_share(running.part());
+            router.set_capacity_share(running.share());
         }
         if let (Some(running), Some(control)) = (&control, &routing.site.control) {
             running.set_scope(control);
--- a/crates/sableloom/src/serve/startup.rs
+++ b/crates/sableloom/src/serve/startup.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use sableloom_exchange::Clock;
 use sableloom_fleet::{QUESTIONS_OUT, Running as Fleet};
-use sableloom_http1::Limits as ClientLimits;
+use sableloom_http1::ClientLimits;
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::{Fleet as FleetSettings, Site};
 use tokio::net::TcpListener;
@@ -43,7 +43,7 @@
         + control;
     let (mut clients, upstreams) = split(site.limits.memory_mb, site.limits.sockets, other);
     // The platform bounds the clients that wait for an answer; here nothing does.
-    clients.asking = clients.places;
+    clients.max_client_connections = clients.max_connections;
     let pools = site.control.as_ref().map_or(site.pools.len(), |control| control.services.len());
     if upstreams < pools {
         return Err(ServeError::TooFewSockets {
--- a/crates/sableloom/src/serve/tenants.rs
+++ b/crates/sableloom/src/serve/tenants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sableloom_capacity_share::Part;
+use sableloom_capacity_share::Share;
 use sableloom_exchange::{Message, RequestRejection};
 use sableloom_site_config::Site;
 use sableloom_tenant_limits::{LimitDecision, LimitShare, TenantLimits, TenantRejections};
@@ -44,10 +44,10 @@
 }
 
 /// This balancer's share of every limit: its share of the fleet's capacity, or one of as many balancers as the site says.
-pub(super) fn share_of(site: &Site, capacity_share: Option<Part>, now: Time) -> LimitShare {
+pub(super) fn share_of(site: &Site, capacity_share: Option<Share>, now: Time) -> LimitShare {
     match (&site.fleet, capacity_share) {
         (None, _) => LimitShare::new(1.0 / f64::from(site.locality.balancers.max(1))),
-        (Some(_), Some(share)) => LimitShare::new(share.share(now)),
+        (Some(_), Some(share)) => LimitShare::new(share.fraction(now)),
         // The fleet has not given one yet.
         (Some(_), None) => LimitShare::NONE,
     }
