--- /dev/null
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -0,0 +1,254 @@
+//! Which datagrams a member accepts and which it drops: unknown addresses, other fleets, earlier processes, forgery.
+
+use std::net::SocketAddr;
+
+use sableloom_membership::{
+    Body, Change, DropReason, Health, ListedMember, MAX_PAGE, MemberList, MemberState, Membership,
+    Message, Output, Timing, Update, decode, encode, key_of,
+};
+use sableloom_types::Time;
+
+const MS: i64 = 1000;
+
+fn address(i: u8) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, i], 7000))
+}
+
+fn listed(names: &[(&str, u8)]) -> Vec<ListedMember> {
+    names
+        .iter()
+        .map(|(name, i)| ListedMember { name: name.to_string(), address: address(*i) })
+        .collect()
+}
+
+fn member(own: &str, process_incarnation: u32, seed: u64) -> Membership {
+    let all = listed(&[("a", 1), ("b", 2), ("c", 3)]);
+    Membership::new(
+        "points",
+        own,
+        process_incarnation,
+        MemberList::new(all),
+        Timing::default(),
+        seed,
+        Time(0),
+    )
+}
+
+/// The messages that it sends to this address.
+fn sent(out: &mut Output, to: u8) -> Vec<Message> {
+    let all = std::mem::take(&mut out.datagrams);
+    let meant = all.into_iter().filter(|(at, _)| *at == address(to));
+    meant.map(|(_, bytes)| decode(&bytes).expect("its own")).collect()
+}
+
+/// Two members exchange pings until they know each other's nonces.
+fn met(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
+    let mut out = Output::default();
+    a.tick(Time(0), &mut out);
+    // All are missing at first: one of them is pinged.
+    let mut at = 0;
+    let ping = loop {
+        if let Some(ping) = sent(&mut out, 2).pop() {
+            break ping;
+        }
+        at += 200 * MS;
+        a.tick(Time(at), &mut out);
+    };
+    assert_eq!(ping.receiver_nonce, 0, "it knows nobody yet");
+    b.receive(Time(at), address(1), &encode(&ping).0, &mut out);
+    let ack = sent(&mut out, 1).pop().expect("an answer");
+    assert_eq!(ack.receiver_nonce, ping.nonce);
+    a.receive(Time(at), address(2), &encode(&ack).0, &mut out);
+    let known = |f: &Membership, name| {
+        f.view().peers.iter().find(|p| p.key == key_of(name)).map(|p| p.health.clone())
+    };
+    assert_eq!(known(a, "b"), Some(Health::Alive));
+    assert_eq!(known(b, "a"), Some(Health::Unknown), "a ping with no echo counts for nothing");
+    out.datagrams.clear();
+    at += 400 * MS;
+    a.tick(Time(at), &mut out);
+    let again = loop {
+        if let Some(again) = sent(&mut out, 2).pop() {
+            break again;
+        }
+        at += 200 * MS;
+        a.tick(Time(at), &mut out);
+    };
+    assert_eq!(again.receiver_nonce, ack.nonce);
+    b.receive(Time(at), address(1), &encode(&again).0, &mut out);
+    assert_eq!(known(b, "a"), Some(Health::Alive));
+    (again, ack, Time(at))
+}
+
+fn deaths(out: &Output) -> usize {
+    out.changes.iter().filter(|c| matches!(c, Change::Died { .. })).count()
+}
+
+#[test]
+fn foreign_and_forged_datagrams_are_dropped_and_counted_by_reason() {
+    let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
+    let (ping, _, now) = met(&mut a, &mut b);
+    let dead = Update {
+        member: key_of("c"),
+        process_incarnation: 5,
+        incarnation: 0,
+        state: MemberState::Dead,
+        reported_by: key_of("a"),
+    };
+    let forged = Message { updates: vec![dead], ..ping.clone() };
+    let mut out = Output::default();
+    let number = b.view().version;
+    let bytes = |m: &Message| encode(m).0;
+    b.receive(now, address(9), &bytes(&forged), &mut out);
+    b.receive(now, address(3), &bytes(&forged), &mut out);
+    b.receive(
+        now,
+        address(1),
+        &bytes(&Message { fleet: key_of("other"), ..forged.clone() }),
+        &mut out,
+    );
+    b.receive(
+        now,
+        address(1),
+        &bytes(&Message { receiver_nonce: forged.receiver_nonce ^ 1, ..forged.clone() }),
+        &mut out,
+    );
+    b.receive(now, address(1), &bytes(&forged)[..20], &mut out);
+    b.receive(now, address(1), &[1, 1, 1], &mut out);
+    b.receive(now, address(1), &[2; MAX_PAGE + 1], &mut out);
+    for why in [
+        DropReason::UnknownAddress,
+        DropReason::WrongSender,
+        DropReason::OtherFleet,
+        DropReason::StaleNonce,
+        DropReason::Malformed,
+        DropReason::OtherVersion,
+        DropReason::TooLong,
+    ] {
+        assert_eq!(b.dropped(why), 1, "{why:?}");
+    }
+    assert_eq!((deaths(&out), b.view().version), (0, number), "none of it counted");
+    b.receive(now, address(1), &bytes(&forged), &mut out);
+    assert_eq!(deaths(&out), 1, "with the echo and from its address it does");
+}
+
+/// Datagrams to an earlier process, replayed to the next one.
+#[test]
+fn a_datagram_for_an_earlier_process_has_no_effect() {
+    let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
+    let (ping, _, _) = met(&mut a, &mut b);
+    let mut next = member("b", 10, 3);
+    let mut out = Output::default();
+    next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
+    assert_eq!(next.dropped(DropReason::StaleNonce), 1);
+    assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
+    // Yet the sender is told the nonce of the new process.
+    let told = sent(&mut out, 1).pop().expect("an answer");
+    assert!(
+        told.receiver_nonce == ping.nonce
+            && told.nonce != ping.receiver_nonce
+            && told.process_incarnation == 10
+    );
+}
+
+/// An update that is wrong about the member itself is refuted by a later incarnation.
+#[test]
+fn a_suspected_member_refutes() {
+    let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
+    let (ping, _, now) = met(&mut a, &mut b);
+    let before = b.local_health();
+    for (state, incarnation) in
+        [(MemberState::Suspect, 0), (MemberState::Dead, 1), (MemberState::Left, 2)]
+    {
+        let suspected = Update {
+            member: key_of("b"),
+            process_incarnation: 9,
+            incarnation,
+            state,
+            reported_by: key_of("c"),
+        };
+        let message =
+            Message { updates: vec![suspected], body: Body::Ping { seq: 70 }, ..ping.clone() };
+        let mut out = Output::default();
+        b.receive(now, address(1), &encode(&message).0, &mut out);
+        let answer = sent(&mut out, 1).pop().expect("an answer");
+        assert_eq!(answer.incarnation, incarnation + 1, "{state:?}");
+        a.receive(now, address(2), &encode(&answer).0, &mut out);
+    }
+    assert_eq!(b.local_health(), before + 3, "each worsened its local health");
+    // A suspicion of an earlier incarnation needs no refutation.
+    let old = Update {
+        member: key_of("b"),
+        process_incarnation: 9,
+        incarnation: 1,
+        state: MemberState::Dead,
+        reported_by: key_of("c"),
+    };
+    let mut out = Output::default();
+    b.receive(now, address(1), &encode(&Message { updates: vec![old], ..ping }).0, &mut out);
+    assert_eq!(sent(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
+}
+
+/// Another process acts under its name, with ever later process incarnations.
+#[test]
+fn a_duplicate_identity_is_reported() {
+    let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
+    let (ping, _, now) = met(&mut a, &mut b);
+    let mut out = Output::default();
+    for process_incarnation in [9, 30, 60] {
+        let other = Update {
+            member: key_of("b"),
+            process_incarnation,
+            incarnation: 0,
+            state: MemberState::Alive,
+            reported_by: key_of("b"),
+        };
+        b.receive(
+            now,
+            address(1),
+            &encode(&Message { updates: vec![other], ..ping.clone() }).0,
+            &mut out,
+        );
+    }
+    assert_eq!(out.changes.iter().filter(|c| **c == Change::DuplicateIdentity).count(), 1);
+    assert_eq!(sent(&mut out, 1).pop().map(|m| m.process_incarnation), Some(61));
+}
+
+/// The list changes: a member that is no longer on it is forgotten, and one with a new address has to state its nonce
+/// again.
+#[test]
+fn the_operators_list_decides_who_can_be_a_member() {
+    let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
+    let (_, ack, now) = met(&mut a, &mut b);
+    let mut out = Output::default();
+    a.update_list(now, MemberList::new(listed(&[("b", 4), ("d", 5)])), &mut out);
+    let names: Vec<String> =
+        a.view().peers.iter().filter_map(|p| Some(a.listed(p.key)?.name.clone())).collect();
+    assert_eq!(names, ["b", "d"]);
+    a.receive(now, address(2), &encode(&ack).0, &mut out);
+    assert_eq!(a.dropped(DropReason::UnknownAddress), 1, "where it was before is nobody's address");
+    let c = Update {
+        member: key_of("c"),
+        process_incarnation: 5,
+        incarnation: 0,
+        state: MemberState::Alive,
+        reported_by: key_of("b"),
+    };
+    let number = a.view().version;
+    a.receive(now, address(4), &encode(&Message { updates: vec![c], ..ack }).0, &mut out);
+    assert_eq!(
+        a.view().version,
+        number,
+        "an update about a member that is not on the list is ignored"
+    );
+}
+
+/// The bound that docs/design/members.md states, without the bytes of a name.
+#[test]
+fn bytes_kept_of_a_member_are_bounded() {
+    assert!(
+        size_of::<sableloom_membership::Peer>() <= 200,
+        "{}",
+        size_of::<sableloom_membership::Peer>()
+    );
+}
