--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -33,12 +33,12 @@
 }
 
 fn settings(root: &Table<'_>) -> Option<Settings> {
-    let listen = root.need_address("listen");
-    let changes = root.need_text("changes", "the folder of change files");
+    let listen = root.required_address("listen");
+    let changes = root.required_string("changes", "the folder of change files");
     if let Some(changes) = changes.as_ref().filter(|changes| changes.value.is_empty()) {
-        root.wrong(changes, "a folder has a name", None);
+        root.report(changes, "a folder has a name", None);
     }
-    let first = root.whole("first", 1..=MAX_NUMBER, "").map_or(1, |first| first.value);
+    let first = root.integer("first", 1..=MAX_NUMBER, "").map_or(1, |first| first.value);
     let mut settings = Settings {
         listen: listen?.value,
         changes: changes?.value,
@@ -57,7 +57,7 @@
 
 fn limits(table: &Table<'_>, settings: &mut Settings) {
     let set = |field: &'static str, most: usize, unit: &str, value: &mut usize| {
-        if let Some(found) = table.whole(field, 1..=most, unit) {
+        if let Some(found) = table.integer(field, 1..=most, unit) {
             *value = found.value;
         }
     };
@@ -71,14 +71,14 @@
     set("snapshots_at_once", 1 << 20, "", &mut publisher.max_snapshots);
     set("queued_bytes", 1 << 30, " bytes", &mut publisher.max_queued_bytes);
     let rate = |field: &'static str, value: &mut u64| {
-        if let Some(found) = table.whole(field, 1024..=1 << 40, " bytes") {
+        if let Some(found) = table.integer(field, 1024..=1 << 40, " bytes") {
             *value = found.value as u64;
         }
     };
     rate("bytes_per_second", &mut publisher.bytes_per_second);
     rate("burst_bytes", &mut publisher.burst_bytes);
     let time = |field: &'static str, value: &mut Span| {
-        if let Some(found) = table.whole(field, 10..=3_600_000, " ms") {
+        if let Some(found) = table.integer(field, 10..=3_600_000, " ms") {
             *value = Span(found.value as i64 * 1000);
         }
     };
--- a/crates/rehearsal/src/read.rs
+++ b/crates/rehearsal/src/read.rs
@@ -24,9 +24,9 @@
 }
 
 fn script(root: &Table<'_>) -> Option<Script> {
-    let name = root.need_name("name");
-    let about = root.text("about").map(|t| t.value).unwrap_or_default();
-    let length = root.need_number("seconds", 0.1..=3600.0, " s");
+    let name = root.required_name("name");
+    let about = root.string("about").map(|t| t.value).unwrap_or_default();
+    let length = root.required_number("seconds", 0.1..=3600.0, " s");
     let fleet = fleet(root)?;
     let classes = classes(root);
     let mean = mean_work(&classes);
@@ -68,7 +68,7 @@
     let requests = max_requests(&script);
     if requests > MAX_REQUESTS {
         let message = format!("it comes to {requests:.0} requests; {MAX_REQUESTS:.0} at most");
-        root.wrong(&root.here(), message, Some("fewer a second, or fewer seconds".into()));
+        root.report(&root.location(), message, Some("fewer a second, or fewer seconds".into()));
     }
     Some(script)
 }
--- a/crates/rehearsal/src/read/events.rs
+++ b/crates/rehearsal/src/read/events.rs
@@ -40,14 +40,14 @@
 fn action(table: &Table<'_>, declared: &mut Declarations) -> Option<EventAction> {
     let words = ACTION_NAMES.map(|word| (word, word));
     if !table.has("do") {
-        table.missing("do", "what is done, as \"kill\"");
+        table.report_missing("do", "what is done, as \"kill\"");
     }
     let word = table.choice("do", &words)?.value;
     let for_time = |table: &Table<'_>| need_time(table, "for_ms");
     Some(match word {
         "kill" => EventAction::Kill { back: span(table, "back") },
         "term" => {
-            let binary = table.text("binary").map(|t| t.value);
+            let binary = table.string("binary").map(|t| t.value);
             EventAction::Term { back: span(table, "back"), binary }
         }
         "power-loss" => {
@@ -70,16 +70,16 @@
         "list-bad" => EventAction::ListBad { time: for_time(table)? },
         "list-late" => {
             if !table.has("late") {
-                table.missing("late", "a table with `least_ms` and `most_ms`");
+                table.report_missing("late", "a table with `least_ms` and `most_ms`");
             }
             EventAction::ListLate { late: span(table, "late")? }
         }
         "clock" => {
-            let by = table.need_number("by_ms", -HOUR_MS..=HOUR_MS, " ms")?;
+            let by = table.required_number("by_ms", -HOUR_MS..=HOUR_MS, " ms")?;
             EventAction::Clock { by: us(by.value) }
         }
         "wall-clock" => {
-            let by = table.need_number("by_ms", -24.0 * HOUR_MS..=24.0 * HOUR_MS, " ms")?;
+            let by = table.required_number("by_ms", -24.0 * HOUR_MS..=24.0 * HOUR_MS, " ms")?;
             EventAction::WallClock { by: us(by.value) }
         }
         "node-kill" => EventAction::NodeKill { back: span(table, "back") },
@@ -91,17 +91,17 @@
             let [failing, spoilt, cut] =
                 ["failing", "spoilt", "cut"].map(|name| share(table, name).unwrap_or(0.0));
             if failing + spoilt + cut > 1.0 {
-                table.wrong(&table.here(), "the shares add up to more than 1", None);
+                table.report(&table.location(), "the shares add up to more than 1", None);
             }
             let fault = Fault { slower: slower.unwrap_or(1.0), failing, spoilt, cut };
             if fault == Fault::default() {
                 let message = "nothing is wrong with it; expected one of `slower`, `failing`, `spoilt`, `cut`";
-                table.wrong(&table.here(), message, None);
+                table.report(&table.location(), message, None);
             }
             EventAction::NodeFault { class, fault, time: time(table, "for_ms") }
         }
         "node-neighbours" => {
-            let share = table.need_number("share", 0.001..=1.0, "")?;
+            let share = table.required_number("share", 0.001..=1.0, "")?;
             EventAction::NodeNeighbours { share: share.value, time: time(table, "for_ms") }
         }
         "node-drain" => EventAction::NodeDrain { time: time(table, "for_ms") },
@@ -113,8 +113,8 @@
         "peers" => {
             if !declared.members {
                 let help = "say `members = true` in [fleet]";
-                table.wrong(
-                    &table.here(),
+                table.report(
+                    &table.location(),
                     "balancers don't talk in this script",
                     Some(help.into()),
                 );
@@ -124,19 +124,19 @@
         }
         "load" => {
             let most = 0.0..=100_000.0;
-            let rate = table.need_number("per_second", most, " requests a second")?;
+            let rate = table.required_number("per_second", most, " requests a second")?;
             EventAction::Load { per_second: rate.value, over: time(table, "over_ms").unwrap_or(0) }
         }
         "storm" => {
             let class = declared.class(table);
-            let count = table.need_number("count", 1.0..=1e6, " requests")?;
+            let count = table.required_number("count", 1.0..=1e6, " requests")?;
             let over = time(table, "over_ms").unwrap_or(100 * MS);
             EventAction::Storm { count: count.value as usize, over, class }
         }
         "shift" => {
-            let zone = table.need_text("zone", "a zone's name")?;
+            let zone = table.required_string("zone", "a zone's name")?;
             let zone = declared.zone(table, &zone)?;
-            let times = table.need_number("factor", 0.0..=1000.0, " times")?;
+            let times = table.required_number("factor", 0.0..=1000.0, " times")?;
             EventAction::Shift { zone, times: times.value }
         }
         // `choice` returns only names from the list.
@@ -170,7 +170,7 @@
     };
     if quality == LinkQuality::default() && !table.has("how") {
         let message = "the link is as ever; expected `how`, `delay_ms`, `jitter_ms`, `loss`, `doubled`, `reordered`, `breaks` or `bytes_per_s`";
-        table.wrong(&table.here(), message, None);
+        table.report(&table.location(), message, None);
     }
     let time = time(table, "for_ms");
     let of = |meant: bool| meant.then_some(quality);
@@ -180,13 +180,13 @@
 pub(super) fn events(root: &Table<'_>, declared: &mut Declarations, length: i64) -> Vec<Event> {
     let mut events = Vec::new();
     for table in &root.tables("event") {
-        let at = table.need_number("at_ms", 0.0..=HOUR_MS, " ms");
+        let at = table.required_number("at_ms", 0.0..=HOUR_MS, " ms");
         let every = time(table, "every_ms");
-        let times = table.whole("times", 1..=10_000, "");
+        let times = table.integer("times", 1..=10_000, "");
         if every.is_some() != times.is_some() {
             let (there, missing) =
                 if every.is_some() { ("every_ms", "times") } else { ("times", "every_ms") };
-            table.missing(missing, &format!("it goes with `{there}`"));
+            table.report_missing(missing, &format!("it goes with `{there}`"));
         }
         let spread = time(table, "spread_ms").unwrap_or(0);
         let when = table.choice("when", &[("effect-out", Condition::EffectOut)]);
@@ -201,15 +201,15 @@
             && (target_role(action) != Some(Role::Balancer)
                 || matches!(action, EventAction::PowerLoss { .. }))
         {
-            table.wrong(when, "only what is done to a single balancer can wait for this", None);
+            table.report(when, "only what is done to a single balancer can wait for this", None);
         }
         if let (Some(until), Some(action)) = (&until, &action)
             && !matches!(action, EventAction::BadSite { .. } | EventAction::ListBad { .. })
         {
-            table.wrong(until, "only a file that is spoilt can be refused", None);
+            table.report(until, "only a file that is spoilt can be refused", None);
         }
         if let Some(at) = at.as_ref().filter(|at| us(at.value) > length) {
-            table.wrong(at, format!("no request arrives after {} s", length as f64 / 1e6), None);
+            table.report(at, format!("no request arrives after {} s", length as f64 / 1e6), None);
         }
         if action.is_some() {
             table.finish();
--- a/crates/rehearsal/src/read/expect.rs
+++ b/crates/rehearsal/src/read/expect.rs
@@ -1,7 +1,7 @@
 //! Reads what a run is judged by: the phases of the report, the expectations, and the limits within which the
 //! machine has to keep up.
 
-use sableloom_toml_diagnostics::{Found, Table};
+use sableloom_toml_diagnostics::{Located, Table};
 
 use super::fields::{HOUR_MS, count, share, time, us};
 use crate::script::*;
@@ -10,18 +10,18 @@
 pub(super) fn phases(root: &Table<'_>, length: i64) -> Vec<Phase> {
     let mut phases = Vec::new();
     for table in &root.tables("phase") {
-        let name = table.need_name("name");
-        let from = table.need_number("from_ms", 0.0..=HOUR_MS, " ms");
-        let to = table.need_number("to_ms", 0.0..=HOUR_MS, " ms");
+        let name = table.required_name("name");
+        let from = table.required_number("from_ms", 0.0..=HOUR_MS, " ms");
+        let to = table.required_number("to_ms", 0.0..=HOUR_MS, " ms");
         let served_least = share(table, "served_least");
         let refused_most = share(table, "refused_most");
         table.finish();
         let (Some(name), Some(from), Some(to)) = (name, from, to) else { continue };
         if from.value >= to.value {
-            table.wrong(&from, "it is not before `to_ms`", None);
+            table.report(&from, "it is not before `to_ms`", None);
         } else if us(to.value) > length {
             let message = format!("no request arrives after {} s", length as f64 / 1e6);
-            table.wrong(&to, message, None);
+            table.report(&to, message, None);
         }
         let (from, to) = (us(from.value), us(to.value));
         phases.push(Phase { name: name.value, from, to, served_least, refused_most });
@@ -85,8 +85,8 @@
     expect.agree_within = agree.as_ref().map(|n| us(n.value));
     table.finish();
     // An expectation that nothing in the script can fail is most likely a mistake.
-    let unchecked = |found: &Found<f64>, why: String| {
-        table.wrong(found, format!("it can't be checked: {why}"), None);
+    let unchecked = |found: &Located<f64>, why: String| {
+        table.report(found, format!("it can't be checked: {why}"), None);
     };
     if let Some(agree) = agree.as_ref().filter(|_| !members) {
         unchecked(agree, "its balancers don't know each other; `fleet.members` says so".into());
@@ -120,7 +120,7 @@
         unchecked(peak, "no node of the script is ever cold".into());
     }
     if back_to.is_some() && back.is_none() {
-        table.missing("back_within_ms", "it goes with `back_to`");
+        table.report_missing("back_within_ms", "it goes with `back_to`");
     }
     expect
 }
--- a/crates/rehearsal/src/read/fields.rs
+++ b/crates/rehearsal/src/read/fields.rs
@@ -17,7 +17,7 @@
 }
 
 pub(super) fn need_time(table: &Table<'_>, name: &'static str) -> Option<i64> {
-    table.need_number(name, 0.0..=HOUR_MS, " ms").map(|n| us(n.value))
+    table.required_number(name, 0.0..=HOUR_MS, " ms").map(|n| us(n.value))
 }
 
 /// A share.
@@ -32,7 +32,7 @@
     inner.finish();
     let (least, most) = (least?, most?);
     if least > most {
-        inner.wrong(&inner.here(), "`least_ms` is over `most_ms`", None);
+        inner.report(&inner.location(), "`least_ms` is over `most_ms`", None);
     }
     Some((least, most.max(least)))
 }
@@ -43,5 +43,5 @@
     most: usize,
     unit: &str,
 ) -> Option<usize> {
-    table.whole(name, 0..=most, unit).map(|n| n.value)
+    table.integer(name, 0..=most, unit).map(|n| n.value)
 }
--- a/crates/rehearsal/src/read/load.rs
+++ b/crates/rehearsal/src/read/load.rs
@@ -7,11 +7,11 @@
 
 pub(super) fn load(root: &Table<'_>) -> Option<Load> {
     if !root.has("load") {
-        root.missing("load", "a table with `per_second`");
+        root.report_missing("load", "a table with `per_second`");
     }
     let table = root.table("load")?;
-    let per_second = table.need_number("per_second", 0.0..=100_000.0, " requests a second");
-    let keys = table.whole("keys", 1..=10_000_000, "");
+    let per_second = table.required_number("per_second", 0.0..=100_000.0, " requests a second");
+    let keys = table.integer("keys", 1..=10_000_000, "");
     let uneven = table.number("uneven", 1.0..=100.0, " times the mean");
     table.finish();
     Some(Load {
@@ -33,11 +33,11 @@
     let Some(table) = root.table("clients") else { return clients };
     clients.again = count(&table, "again", 100, " times").unwrap_or(0) as u32;
     clients.after = span(&table, "after").unwrap_or(clients.after);
-    clients.elsewhere = table.flag("elsewhere").is_none_or(|f| f.value);
+    clients.elsewhere = table.boolean("elsewhere").is_none_or(|f| f.value);
     clients.leave = share(&table, "leave").unwrap_or(0.0);
     clients.leave_after = time(&table, "leave_after_ms").unwrap_or(0);
     if clients.leave > 0.0 && !table.has("leave_after_ms") {
-        table.missing("leave_after_ms", "when those leave, in milliseconds");
+        table.report_missing("leave_after_ms", "when those leave, in milliseconds");
     }
     clients.notice = time(&table, "notice_ms").unwrap_or(clients.notice);
     table.finish();
--- a/crates/rehearsal/src/read/names.rs
+++ b/crates/rehearsal/src/read/names.rs
@@ -1,6 +1,6 @@
 //! The names that a script has declared so far (members, groups, classes, zones), and fields that refer to them.
 
-use sableloom_toml_diagnostics::{Found, Table, instead};
+use sableloom_toml_diagnostics::{Located, Table, suggestion};
 
 use crate::script::{Class, Group, Pick, Role};
 
@@ -49,7 +49,7 @@
             Role::Balancer => "a group of balancers, `all`, or one of them as `b1`",
             Role::Node => "a group of nodes, `all`, or one of them as `n1`",
         };
-        let found = table.need_text(name, expected)?;
+        let found = table.required_string(name, expected)?;
         if found.value == "all" {
             return Some(self.group("all", role, Pick::All));
         }
@@ -61,34 +61,34 @@
             Some(i) if self.groups[i].role == role => Some(i),
             Some(_) => {
                 let message = format!("{:?} is a group of the other side", found.value);
-                table.wrong(&found, message, Some(format!("expected {expected}")));
+                table.report(&found, message, Some(format!("expected {expected}")));
                 None
             }
             None => {
                 let names: Vec<_> = self.groups.iter().map(|g| g.name.as_str()).collect();
-                let help = format!("expected {expected}; {}", instead(&found.value, names));
-                table.wrong(&found, format!("no group {:?}", found.value), Some(help));
+                let help = format!("expected {expected}; {}", suggestion(&found.value, names));
+                table.report(&found, format!("no group {:?}", found.value), Some(help));
                 None
             }
         }
     }
 
     pub(super) fn class(&self, table: &Table<'_>) -> Option<usize> {
-        let found = table.text("class")?;
+        let found = table.string("class")?;
         let at = self.classes.iter().position(|c| c.name == found.value);
         if at.is_none() {
             let names: Vec<_> = self.classes.iter().map(|c| c.name.as_str()).collect();
-            let help = instead(&found.value, names);
-            table.wrong(&found, format!("no class {:?}", found.value), Some(help));
+            let help = suggestion(&found.value, names);
+            table.report(&found, format!("no class {:?}", found.value), Some(help));
         }
         at
     }
 
-    pub(super) fn zone(&self, table: &Table<'_>, found: &Found<String>) -> Option<usize> {
+    pub(super) fn zone(&self, table: &Table<'_>, found: &Located<String>) -> Option<usize> {
         let at = self.zones.iter().position(|zone| *zone == found.value);
         if at.is_none() {
-            let help = instead(&found.value, self.zones.iter().map(String::as_str));
-            table.wrong(found, format!("no zone {:?}", found.value), Some(help));
+            let help = suggestion(&found.value, self.zones.iter().map(String::as_str));
+            table.report(found, format!("no zone {:?}", found.value), Some(help));
         }
         at
     }
--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -114,20 +114,21 @@
 
 fn need_whole(table: &Table<'_>, name: &'static str, most: usize) -> Option<usize> {
     if !table.has(name) {
-        table.missing(name, &format!("a whole number from 1 to {most}"));
+        table.report_missing(name, &format!("a whole number from 1 to {most}"));
     }
-    table.whole(name, 1..=most, "").map(|found| found.value)
+    table.integer(name, 1..=most, "").map(|found| found.value)
 }
 
 /// The last table, which shows that the file is whole.
 fn end(root: &Table<'_>, tables: usize) {
     let Some(end) = root.table("end") else {
-        return root.missing("end", "a last table [end] with changes = their number; is it cut?");
+        return root
+            .report_missing("end", "a last table [end] with changes = their number; is it cut?");
     };
-    let count = end.need_number("changes", 0.0..=MAX_ENTRIES as f64, " changes");
+    let count = end.required_number("changes", 0.0..=MAX_ENTRIES as f64, " changes");
     if let Some(count) = count.filter(|count| count.value != tables as f64) {
         let message = format!("{tables} changes are here, not {}", count.value);
-        end.wrong(&count, message, Some("is the file cut, or half written?".into()));
+        end.report(&count, message, Some("is the file cut, or half written?".into()));
     }
     end.finish();
 }
@@ -155,12 +156,12 @@
             self.tables += 1;
             if self.tables == MAX_ENTRIES + 1 {
                 let message = format!("more than {MAX_ENTRIES} changes in one file");
-                table.wrong(&table.here(), message, None);
+                table.report(&table.location(), message, None);
             }
             let edit = edit(&table);
             table.finish();
             let Some(edit) = edit else { continue };
-            let field = table.here().field;
+            let field = table.location().field;
             self.check_unique(&table, &edit, &field);
             check_size(&table, &edit);
             self.entries.push(Entry { edit, line: table.line() as u32, field });
@@ -176,7 +177,7 @@
             Edit::RemoveService(service) => self.removed.insert(service.clone(), field.to_string()),
         };
         if let Some(earlier) = earlier {
-            table.wrong(&table.here(), format!("{earlier} names the same"), None);
+            table.report(&table.location(), format!("{earlier} names the same"), None);
         }
     }
 }
@@ -188,17 +189,17 @@
     if bytes > MAX_BODY_BYTES {
         let message =
             format!("it takes {bytes} bytes, more than the {MAX_BODY_BYTES} of a resource");
-        table.wrong(&table.here(), message, None);
+        table.report(&table.location(), message, None);
     }
 }
 
 fn service(table: &Table<'_>) -> Option<ServiceName> {
     const EXPECTED: &str = "1 to 128 of a-z, 0-9, \".\", \"_\" and \"-\"";
-    let found = table.need_text("service", EXPECTED)?;
+    let found = table.required_string("service", EXPECTED)?;
     match ServiceName::try_from(found.value.as_str()) {
         Ok(service) => Some(service),
         Err(_) => {
-            table.wrong(&found, format!("expected {EXPECTED}, found {:?}", found.value), None);
+            table.report(&found, format!("expected {EXPECTED}, found {:?}", found.value), None);
             None
         }
     }
@@ -234,14 +235,14 @@
 
 fn route(table: &Table<'_>) -> Option<Edit> {
     let service = service(table);
-    let name = table.need_name("name");
+    let name = table.required_name("name");
     if !table.has("rank") {
-        table.missing("rank", "the route's place among all routes, lower first");
+        table.report_missing("rank", "the route's place among all routes, lower first");
     }
-    let rank = table.whole("rank", 0..=u32::MAX as usize, "");
+    let rank = table.integer("rank", 0..=u32::MAX as usize, "");
     let refuse = read_refusal(table).map(|status| status.value);
     let conditions = read_conditions(table);
-    let classes = table.texts("class").into_iter().map(|class| class.value).collect();
+    let classes = table.strings("class").into_iter().map(|class| class.value).collect();
     let rule = RouteRule {
         rank: rank?.value as u32,
         hosts: conditions.hosts,
@@ -256,7 +257,7 @@
 
 fn tenant(table: &Table<'_>) -> Option<Edit> {
     let service = service(table);
-    let name = table.need_name("name");
+    let name = table.required_name("name");
     let limit = TenantLimit::read(table);
     Some(set(service?, &name?.value, Body::Tenant(limit?)))
 }
@@ -278,7 +279,7 @@
         [(kind, name)] => Some(Edit::Remove(resource(service?, *kind, name.as_deref()?))),
         _ => {
             let message = "it removes a server, a route or a tenant, not several of them";
-            table.wrong(&table.here(), message, None);
+            table.report(&table.location(), message, None);
             None
         }
     }
@@ -287,10 +288,10 @@
 /// A name that need not be there: none, a wrong one, or a name.
 fn optional_name(table: &Table<'_>, field: &'static str) -> Option<Option<String>> {
     match table.has(field) {
-        true => Some(table.need_name(field).map(|found| found.value)),
+        true => Some(table.required_name(field).map(|found| found.value)),
         false => {
             // Asked for all the same, so that a misspelt field gets it as a suggestion.
-            let _ = table.text(field);
+            let _ = table.string(field);
             None
         }
     }
--- a/crates/resources/src/listing.rs
+++ b/crates/resources/src/listing.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sableloom_server_list::{Listed, Listing, ServerFields};
-use sableloom_toml_diagnostics::Found;
+use sableloom_toml_diagnostics::Located;
 use sha2::{Digest, Sha256};
 
 use crate::body::ServerEntry;
@@ -46,6 +46,6 @@
     }
 }
 
-fn found<T>(value: T) -> Found<T> {
-    Found { value, span: 0..0, field: String::new() }
+fn found<T>(value: T) -> Located<T> {
+    Located { value, span: 0..0, field: String::new() }
 }
--- a/crates/resources/src/resolve.rs
+++ b/crates/resources/src/resolve.rs
@@ -9,7 +9,7 @@
     Change, LogEntry, Origin, Resource, ResourceKind, ResourceName, ServiceName, Store,
 };
 use sableloom_server_list::MOST_SERVERS;
-use sableloom_toml_diagnostics::{Problem, instead};
+use sableloom_toml_diagnostics::{Problem, suggestion};
 
 use crate::body::{Body, ServerEntry};
 use crate::change::{ChangeFile, Edit, Entry};
@@ -122,7 +122,7 @@
 
     fn unknown(&mut self, entry: &Entry, name: &ResourceName, held: &Names) {
         let known = held.iter().filter(|other| other.kind == name.kind).map(|other| &*other.key);
-        let help = instead(&name.key, known);
+        let help = suggestion(&name.key, known);
         let what = match name.kind {
             ResourceKind::Pool => "pool",
             ResourceKind::Server => "server",
--- a/crates/resources/src/tenant.rs
+++ b/crates/resources/src/tenant.rs
@@ -55,9 +55,9 @@
     /// The fields of a `[[tenant]]`. A burst that is not said is one second's requests, rounded up.
     pub(crate) fn read(table: &Table<'_>) -> Option<Self> {
         let rate =
-            table.need_number("requests_per_second", REQUESTS_PER_SECOND, " requests a second");
+            table.required_number("requests_per_second", REQUESTS_PER_SECOND, " requests a second");
         let bounds = *BURST.start() as usize..=*BURST.end() as usize;
-        let burst = table.whole("burst", bounds, " requests");
+        let burst = table.integer("burst", bounds, " requests");
         let requests_per_second = rate?.value;
         let one_second = requests_per_second.ceil() as u32;
         let burst = burst.map_or(one_second, |burst| burst.value as u32);
--- a/crates/sableloom/src/serve/plan.rs
+++ b/crates/sableloom/src/serve/plan.rs
@@ -13,7 +13,7 @@
 use sableloom_server_list::{MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer};
 use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
-use sableloom_toml_diagnostics::instead;
+use sableloom_toml_diagnostics::suggestion;
 
 use super::apply::{ControlApplier, PoolPlan, ServicePlan, StartedPool, drain_of};
 use super::feed::ServerFeed;
@@ -128,7 +128,7 @@
         let zones = &self.site.locality.zones;
         let zone = server.zone.as_deref().unwrap_or_default();
         if !zone.is_empty() && !zones.is_empty() && !zones.iter().any(|known| known == zone) {
-            let help = instead(zone, zones.iter().map(String::as_str));
+            let help = suggestion(zone, zones.iter().map(String::as_str));
             self.reject(resource, "zone", format!("no zone {zone:?}; {help}"));
         }
         if !(0.0..=MOST_WEIGHT).contains(&server.weight) {
@@ -157,7 +157,7 @@
         let rule = match route.rule(&classes) {
             Ok(rule) => rule,
             Err(unknown) => {
-                let help = instead(&unknown.0, classes.iter().copied());
+                let help = suggestion(&unknown.0, classes.iter().copied());
                 return self.reject(resource, "class", format!("{unknown}; {help}"));
             }
         };
--- a/crates/server-list/src/file.rs
+++ b/crates/server-list/src/file.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 
 use rustc_hash::FxHashMap;
-use sableloom_toml_diagnostics::{self as toml_diagnostics, Found, Problem, Table, instead};
+use sableloom_toml_diagnostics::{self as toml_diagnostics, Located, Problem, Table, suggestion};
 use sha2::{Digest, Sha256};
 
 use crate::Spec;
@@ -113,36 +113,38 @@
 }
 
 fn listing(root: &Table<'_>, spec: &Spec, lines: &[usize]) -> Option<Listing> {
-    let version = root.text("version").map(|v| v.value);
-    let takes_out = root.whole("takes_out", 0..=MOST_SERVERS, " servers").map(|n| n.value);
-    if let Some(pool) = root.text("pool").filter(|pool| pool.value != spec.pool) {
+    let version = root.string("version").map(|v| v.value);
+    let takes_out = root.integer("takes_out", 0..=MOST_SERVERS, " servers").map(|n| n.value);
+    if let Some(pool) = root.string("pool").filter(|pool| pool.value != spec.pool) {
         let message = format!("{:?} is not the pool that names this file", pool.value);
-        root.wrong(&pool, message, Some(format!("that is `{}`", spec.pool)));
+        root.report(&pool, message, Some(format!("that is `{}`", spec.pool)));
     }
     let tables = root.tables("server");
     let (mut ids, mut addresses) = (FxHashMap::default(), FxHashMap::default());
     let mut servers = Vec::with_capacity(tables.len());
     for (number, table) in tables.iter().enumerate() {
-        let place = table.here().span;
+        let place = table.location().span;
         let line = lines.partition_point(|start| *start <= place.start);
         let Some(fields) = read_server(table, &spec.zones) else { continue };
         let ServerFields { id, address, .. } = &fields;
         if let Some(first) = ids.insert(id.value.clone(), number) {
-            table.wrong(id, format!("{:?} is the id of server[{first}] as well", id.value), None);
+            table.report(id, format!("{:?} is the id of server[{first}] as well", id.value), None);
         }
         if let Some(first) = addresses.insert(address.value, number) {
             let message = format!("{} is the address of server[{first}] as well", address.value);
-            table.wrong(address, message, None);
+            table.report(address, message, None);
         }
         servers.push(fields.listed(Place { span: place, line, number }));
     }
     match root.table("end") {
-        None => root.missing("end", "a last table [end] with servers = their number; is it cut?"),
+        None => {
+            root.report_missing("end", "a last table [end] with servers = their number; is it cut?")
+        }
         Some(end) => {
-            let count = end.need_number("servers", 0.0..=MOST_SERVERS as f64, " servers");
+            let count = end.required_number("servers", 0.0..=MOST_SERVERS as f64, " servers");
             if let Some(count) = count.filter(|count| count.value != tables.len() as f64) {
                 let message = format!("{} servers are here, not {}", tables.len(), count.value);
-                end.wrong(&count, message, Some("is the file cut, or half written?".into()));
+                end.report(&count, message, Some("is the file cut, or half written?".into()));
             }
             end.finish();
         }
@@ -154,9 +156,9 @@
 #[derive(Clone, Debug)]
 pub struct ServerFields {
     /// Its id.
-    pub id: Found<String>,
+    pub id: Located<String>,
     /// Where it is.
-    pub address: Found<SocketAddr>,
+    pub address: Located<SocketAddr>,
     /// Its zone; empty for none.
     pub zone: String,
     /// Its relative size.
@@ -191,19 +193,19 @@
 
 /// As [`read_server`], for a table that has fields of its own beside.
 pub fn read_server_fields(table: &Table<'_>, zones: &[String]) -> Option<ServerFields> {
-    let id = table.need_name("id");
-    let address = table.need_address("address");
+    let id = table.required_name("id");
+    let address = table.required_address("address");
     let started_ms = started(table);
     let weight = table.number("weight", 0.0..=MOST_WEIGHT, "");
     let state =
         table.choice("state", &[("serving", State::Serving), ("draining", State::Draining)]);
-    let zone = table.text("zone");
+    let zone = table.string("zone");
     if let Some(zone) = &zone
         && !zones.is_empty()
         && !zones.contains(&zone.value)
     {
-        let help = instead(&zone.value, zones.iter().map(String::as_str));
-        table.wrong(zone, format!("no zone {:?}", zone.value), Some(help));
+        let help = suggestion(&zone.value, zones.iter().map(String::as_str));
+        table.report(zone, format!("no zone {:?}", zone.value), Some(help));
     }
     Some(ServerFields {
         id: id?,
@@ -220,7 +222,7 @@
     match date.value.parse::<jiff::Timestamp>() {
         Ok(at) if at.as_millisecond() > 0 => Some(at.as_millisecond() as f64),
         _ => {
-            table.wrong(&date, "expected a date after 1970", None);
+            table.report(&date, "expected a date after 1970", None);
             None
         }
     }
--- a/crates/site-config/src/conditions.rs
+++ b/crates/site-config/src/conditions.rs
@@ -1,7 +1,7 @@
 //! Conditions of a route: what it asks of a request.
 
 use sableloom_routes::{Header, Host, Path, Rule};
-use sableloom_toml_diagnostics::{Found, Table, instead};
+use sableloom_toml_diagnostics::{Located, Table, suggestion};
 
 use crate::field::header_name;
 
@@ -30,16 +30,16 @@
 }
 
 /// Reads the refusal of a route that leads nowhere, as a status of HTTP.
-pub fn read_refusal(table: &Table<'_>) -> Option<Found<u16>> {
+pub fn read_refusal(table: &Table<'_>) -> Option<Located<u16>> {
     table.choice("refuse", &REFUSALS)
 }
 
 pub(crate) fn methods(table: &Table<'_>) -> Vec<String> {
     let mut methods = Vec::new();
-    for method in table.texts("methods") {
+    for method in table.strings("methods") {
         if !METHODS.contains(&method.value.as_str()) {
-            let help = instead(&method.value.to_ascii_uppercase(), METHODS);
-            table.wrong(&method, format!("{:?} is not carried", method.value), Some(help));
+            let help = suggestion(&method.value.to_ascii_uppercase(), METHODS);
+            table.report(&method, format!("{:?} is not carried", method.value), Some(help));
         }
         methods.push(method.value);
     }
@@ -48,7 +48,7 @@
 
 fn hosts(table: &Table<'_>) -> Vec<Host> {
     let mut hosts = Vec::new();
-    for host in table.texts("host") {
+    for host in table.strings("host") {
         let (under, name) = match host.value.strip_prefix("*.") {
             Some(name) => (true, name),
             None => (false, host.value.as_str()),
@@ -67,7 +67,7 @@
         if !fits {
             let message = format!("{:?} is no host name", host.value);
             let help = "expected a name without a port, as \"shop.example\" or \"*.shop.example\"";
-            table.wrong(&host, message, Some(help.to_string()));
+            table.report(&host, message, Some(help.to_string()));
             continue;
         }
         let name = name.to_ascii_lowercase();
@@ -83,19 +83,19 @@
     let kinds: [(&'static str, Make); 3] =
         [("exact", Path::Exact), ("prefix", Path::Prefix), ("suffix", Path::Suffix)];
     for (kind, make) in kinds {
-        for path in table.texts(kind) {
+        for path in table.strings(kind) {
             let starts = kind == "suffix" || path.value.starts_with('/') || path.value == "*";
             let clean = path.value.bytes().all(|b| b.is_ascii_graphic() && !b"?#".contains(&b));
             if !starts || !clean || path.value.is_empty() {
                 let message = format!("{:?} is no path as clients send it", path.value);
                 let help = "it begins with \"/\", is percent-encoded and has no query";
-                table.wrong(&path, message, Some(help.to_string()));
+                table.report(&path, message, Some(help.to_string()));
             }
             paths.push(make(path.value));
         }
     }
     if paths.is_empty() {
-        table.missing("prefix", "exact, prefix or suffix");
+        table.report_missing("prefix", "exact, prefix or suffix");
     }
     table.finish();
     paths
@@ -103,7 +103,7 @@
 
 fn headers(table: &Table<'_>) -> Vec<Header> {
     let mut headers = Vec::new();
-    for (name, value) in table.pairs("header") {
+    for (name, value) in table.string_entries("header") {
         headers.extend(header_name(table, &name).map(|name| Header { name, value }));
     }
     headers
--- a/crates/site-config/src/control.rs
+++ b/crates/site-config/src/control.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sableloom_distribution::{ServiceName, SubscriberName};
-use sableloom_toml_diagnostics::{Found, Table};
+use sableloom_toml_diagnostics::{Located, Table};
 
 use crate::Place;
 use crate::field::place;
@@ -26,18 +26,18 @@
 /// The section `[control]`.
 pub(crate) fn control(table: Option<Table<'_>>, starts: &[usize]) -> Option<Control> {
     let table = table?;
-    let own = table.need_text("own", "this balancer's name as a subscriber");
+    let own = table.required_string("own", "this balancer's name as a subscriber");
     let own = own.and_then(|own| match SubscriberName::try_from(own.value.as_str()) {
         Ok(name) => Some(name),
         Err(error) => {
-            table.wrong(&own, format!("{:?}: {error}", own.value), None);
+            table.report(&own, format!("{:?}: {error}", own.value), None);
             None
         }
     });
     let (machines, services) = (machines(&table), services(&table));
-    let state = table.text("state");
+    let state = table.string("state");
     if let Some(empty) = state.as_ref().filter(|state| state.value.is_empty()) {
-        table.wrong(empty, "a file has a name", None);
+        table.report(empty, "a file has a name", None);
     }
     table.finish();
     let state = state.map(|state| state.value);
@@ -46,48 +46,48 @@
 
 fn machines(table: &Table<'_>) -> Vec<SocketAddr> {
     let mut machines = Vec::new();
-    for text in table.texts("machines") {
+    for text in table.strings("machines") {
         match text.value.parse::<SocketAddr>() {
             Ok(address) if address.port() == 0 => {
-                table.wrong(
+                table.report(
                     &text,
                     "a control machine is found at a port of its own; 0 is none",
                     None,
                 );
             }
             Ok(address) if machines.contains(&address) => {
-                table.wrong(&text, format!("{address} is named twice"), None);
+                table.report(&text, format!("{address} is named twice"), None);
             }
             Ok(address) => machines.push(address),
             Err(_) => {
                 let help = "expected an address with a port, as \"127.0.0.1:9501\"".to_string();
-                table.wrong(&text, format!("{:?} is no address", text.value), Some(help));
+                table.report(&text, format!("{:?} is no address", text.value), Some(help));
             }
         }
     }
     if machines.is_empty() && !table.has("machines") {
-        table.missing("machines", "the addresses of control machines");
+        table.report_missing("machines", "the addresses of control machines");
     }
     machines
 }
 
 fn services(table: &Table<'_>) -> Vec<ServiceName> {
-    let texts = table.texts("services");
+    let texts = table.strings("services");
     let mut services = std::collections::BTreeSet::new();
     let mut ordered = Vec::new();
     for text in &texts {
         match ServiceName::try_from(text.value.as_str()) {
             Ok(name) if !services.insert(name.clone()) => {
-                table.wrong(text, format!("{:?} is named twice", text.value), None);
+                table.report(text, format!("{:?} is named twice", text.value), None);
             }
             Ok(name) => ordered.push(name),
-            Err(error) => table.wrong(text, format!("{:?}: {error}", text.value), None),
+            Err(error) => table.report(text, format!("{:?}: {error}", text.value), None),
         }
     }
     if texts.is_empty() {
-        let here = table.here();
-        let found = Found { field: format!("{}.services", here.field), ..here };
-        table.wrong(&found, "expected at least one service", None);
+        let here = table.location();
+        let found = Located { field: format!("{}.services", here.field), ..here };
+        table.report(&found, "expected at least one service", None);
     }
     ordered
 }
--- a/crates/site-config/src/fleet.rs
+++ b/crates/site-config/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sableloom_membership::key_of;
-use sableloom_toml_diagnostics::{self as toml_diagnostics, Found, Problem, Table, instead};
+use sableloom_toml_diagnostics::{self as toml_diagnostics, Located, Problem, Table, suggestion};
 
 use crate::Place;
 use crate::field::place;
@@ -58,7 +58,7 @@
     /// The same fleet with the members that its file names, or what is wrong with that.
     pub fn with_members(mut self, file: &str, members: Vec<Member>) -> Result<Self, Vec<Problem>> {
         if !members.iter().any(|m| m.name == self.own) {
-            let help = instead(&self.own, members.iter().map(|m| m.name.as_str()));
+            let help = suggestion(&self.own, members.iter().map(|m| m.name.as_str()));
             let what = format!("no member {:?}, which this balancer is", self.own);
             return Err(vec![Problem { help: Some(help), ..Problem::of_file(file, what) }]);
         }
@@ -78,48 +78,52 @@
     let (mut names, mut addresses) = (HashMap::new(), HashMap::new());
     let tables = table.tables(field);
     for one in &tables {
-        let (name, address) = (one.need_name("name"), one.need_address("address"));
+        let (name, address) = (one.required_name("name"), one.required_address("address"));
         one.finish();
         let (Some(name), Some(address)) = (name, address) else { continue };
         if address.value.port() == 0 {
-            one.wrong(&address, "a member is found at a port of its own; 0 is none", None);
+            one.report(&address, "a member is found at a port of its own; 0 is none", None);
         }
         match names.insert(key_of(&name.value), name.value.clone()) {
             Some(other) if other == name.value => {
-                one.wrong(&name, format!("{:?} is named twice", name.value), None);
+                one.report(&name, format!("{:?} is named twice", name.value), None);
             }
             Some(other) => {
                 let message = format!("{:?} and {other:?} have the same hash", name.value);
-                one.wrong(&name, message, Some("members know each other by it: rename one".into()));
+                one.report(
+                    &name,
+                    message,
+                    Some("members know each other by it: rename one".into()),
+                );
             }
             None => {}
         }
         if let Some(other) = addresses.insert(address.value, name.value.clone()) {
-            one.wrong(&address, format!("{} is {other:?}'s", address.value), None);
+            one.report(&address, format!("{} is {other:?}'s", address.value), None);
         }
         members.push(Member { name: name.value, address: address.value });
     }
     if tables.is_empty() && !table.has(field) {
-        table.missing(field, &format!("at least one [[{field}]], this balancer's own"));
+        table.report_missing(field, &format!("at least one [[{field}]], this balancer's own"));
     }
     if members.len() > MAX_MEMBERS {
         let message = format!("{} members; {MAX_MEMBERS} at most", members.len());
-        table.wrong(&table.here(), message, None);
+        table.report(&table.location(), message, None);
     }
     members
 }
 
 pub(crate) fn fleet(table: Option<Table<'_>>, starts: &[usize]) -> Option<Fleet> {
     let table = table?;
-    let (name, own) = (table.need_name("name"), table.need_name("own"));
-    let file: Option<Found<String>> = table.text("members_file");
+    let (name, own) = (table.required_name("name"), table.required_name("own"));
+    let file: Option<Located<String>> = table.string("members_file");
     let listed = match &file {
         Some(file) if table.has("member") => {
-            table.wrong(file, "members are named here or in a file, not both", None);
+            table.report(file, "members are named here or in a file, not both", None);
             Vec::new()
         }
         Some(file) if file.value.is_empty() => {
-            table.wrong(file, "a file has a name", None);
+            table.report(file, "a file has a name", None);
             Vec::new()
         }
         Some(_) => Vec::new(),
@@ -128,15 +132,15 @@
     if let Some(own) = own.as_ref().filter(|_| !listed.is_empty())
         && !listed.iter().any(|m| m.name == own.value)
     {
-        let help = instead(&own.value, listed.iter().map(|m| m.name.as_str()));
-        table.wrong(own, format!("no member {:?}", own.value), Some(help));
+        let help = suggestion(&own.value, listed.iter().map(|m| m.name.as_str()));
+        table.report(own, format!("no member {:?}", own.value), Some(help));
     }
     let operator = table.address("operator");
     if let Some(operator) = &operator {
         if listed.iter().any(|m| m.address == operator.value) {
-            table.wrong(operator, format!("{} is a member's", operator.value), None);
+            table.report(operator, format!("{} is a member's", operator.value), None);
         } else if operator.value.port() == 0 {
-            table.wrong(operator, "whoever asks has a port of its own; 0 is none", None);
+            table.report(operator, "whoever asks has a port of its own; 0 is none", None);
         }
     }
     let ms = |field: &'static str, least: f64, most: f64| table.number(field, least..=most, " ms");
@@ -146,12 +150,12 @@
     let claim_ms = claim.as_ref().map_or(f64::max(2000.0, period_ms * 10.0), |n| n.value);
     if let Some(answer) = answer.filter(|n| n.value * 2.0 > period_ms) {
         let message = format!("{answer_ms} ms is over half of the period of {period_ms} ms");
-        table.wrong(&answer, message, Some("others are asked within the same period".into()));
+        table.report(&answer, message, Some("others are asked within the same period".into()));
     }
     if let Some(claim) = claim.filter(|n| n.value < period_ms * 5.0) {
         let message = format!("{claim_ms} ms is under five periods of {period_ms} ms");
         let help = "a proof has to be renewed several times while it holds";
-        table.wrong(&claim, message, Some(help.into()));
+        table.report(&claim, message, Some(help.into()));
     }
     let place = place(&table, starts);
     table.finish();
--- a/crates/site-config/src/pool_settings.rs
+++ b/crates/site-config/src/pool_settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a pool that do not depend on where its servers come from.
 
-use sableloom_toml_diagnostics::{Table, instead};
+use sableloom_toml_diagnostics::{Table, suggestion};
 use sableloom_types::settings::LoadReportSource;
 use serde::{Deserialize, Serialize};
 
@@ -83,7 +83,7 @@
             optional_ms(field, least).unwrap_or(otherwise)
         };
         let whole = |field: &'static str, most: usize, otherwise: usize| {
-            table.whole(field, 1..=most, "").map_or(otherwise, |n| n.value)
+            table.integer(field, 1..=most, "").map_or(otherwise, |n| n.value)
         };
         let default = Self::default();
         Self {
@@ -136,15 +136,15 @@
     ];
     let how = table.choice("how", &words).map_or(LoadReportSource::Silent, |how| how.value);
     let mut names = Vec::new();
-    for name in table.texts("names") {
+    for name in table.strings("names") {
         if !REPORTS.contains(&name.value.as_str()) {
-            let help = instead(&name.value, REPORTS);
-            table.wrong(&name, format!("{:?} is no known value", name.value), Some(help));
+            let help = suggestion(&name.value, REPORTS);
+            table.report(&name, format!("{:?} is no known value", name.value), Some(help));
         }
         names.push(name.value);
     }
     if how != LoadReportSource::Silent && names.is_empty() && !table.has("names") {
-        table.missing("names", "the values that reports carry");
+        table.report_missing("names", "the values that reports carry");
     }
     table.finish();
     (how, names)
--- a/crates/site-config/src/read.rs
+++ b/crates/site-config/src/read.rs
@@ -1,7 +1,7 @@
 //! Reads a site, and judges what no single field shows.
 
 use sableloom_routes::Rule;
-use sableloom_toml_diagnostics::{self as toml_diagnostics, Found, Problem, Table, instead};
+use sableloom_toml_diagnostics::{self as toml_diagnostics, Located, Problem, Table, suggestion};
 use sableloom_types::Idempotency;
 use sha2::{Digest, Sha256};
 
@@ -63,10 +63,10 @@
 fn limits(table: Option<Table<'_>>) -> Limits {
     let mut limits = Limits { sockets: 1024, memory_mb: 256 };
     if let Some(table) = table {
-        if let Some(n) = table.whole("sockets", 64..=1_000_000, " descriptors") {
+        if let Some(n) = table.integer("sockets", 64..=1_000_000, " descriptors") {
             limits.sockets = n.value;
         }
-        if let Some(n) = table.whole("memory_mb", 24..=1_000_000, " MB") {
+        if let Some(n) = table.integer("memory_mb", 24..=1_000_000, " MB") {
             limits.memory_mb = n.value;
         }
         table.finish();
@@ -77,27 +77,27 @@
 fn locality(table: Option<Table<'_>>) -> Locality {
     let mut locality = Locality { zones: Vec::new(), zone: 0, crossing: 0.0, balancers: 1 };
     let Some(table) = table else { return locality };
-    for zone in table.texts("zones") {
+    for zone in table.strings("zones") {
         if locality.zones.contains(&zone.value) {
-            table.wrong(&zone, format!("{:?} is named twice", zone.value), None);
+            table.report(&zone, format!("{:?} is named twice", zone.value), None);
         }
         locality.zones.push(zone.value);
     }
-    if let Some(zone) = table.text("zone") {
+    if let Some(zone) = table.string("zone") {
         match locality.zones.iter().position(|name| *name == zone.value) {
             Some(i) => locality.zone = i as u32,
             None => {
-                let help = instead(&zone.value, locality.zones.iter().map(String::as_str));
-                table.wrong(&zone, format!("no zone {:?}", zone.value), Some(help));
+                let help = suggestion(&zone.value, locality.zones.iter().map(String::as_str));
+                table.report(&zone, format!("no zone {:?}", zone.value), Some(help));
             }
         }
     } else if !locality.zones.is_empty() {
-        table.missing("zone", "which of the zones this balancer is in");
+        table.report_missing("zone", "which of the zones this balancer is in");
     }
     if let Some(price) = table.number("crossing", 0.0..=1.0, " of an answer's worth") {
         locality.crossing = price.value;
     }
-    if let Some(n) = table.whole("balancers", 1..=10_000, "") {
+    if let Some(n) = table.integer("balancers", 1..=10_000, "") {
         locality.balancers = n.value as u32;
     }
     table.finish();
@@ -109,10 +109,10 @@
     let tables = root.tables("listener");
     for table in &tables {
         let protocol = protocol(table);
-        if let Some(address) = table.need_address("address") {
+        if let Some(address) = table.required_address("address") {
             let taken = |l: &Listener| l.address == address.value && address.value.port() != 0;
             if listeners.iter().any(taken) {
-                table.wrong(&address, format!("{} is another listener's", address.value), None);
+                table.report(&address, format!("{} is another listener's", address.value), None);
             }
             let place = place(table, starts);
             listeners.push(Listener { address: address.value, protocol, place });
@@ -120,7 +120,7 @@
         table.finish();
     }
     if tables.is_empty() && !root.has("listener") {
-        root.missing("listener", "at least one [[listener]] with an address");
+        root.report_missing("listener", "at least one [[listener]] with an address");
     }
     listeners
 }
@@ -130,14 +130,14 @@
     let tables = root.tables("class");
     for table in &tables {
         let name = new_name(table, &classes);
-        let latency_objective = table.need_number("aim_ms", 1.0..=HOUR_MS, " ms");
-        let deadline = table.need_number("deadline_ms", 1.0..=HOUR_MS, " ms");
+        let latency_objective = table.required_number("aim_ms", 1.0..=HOUR_MS, " ms");
+        let deadline = table.required_number("deadline_ms", 1.0..=HOUR_MS, " ms");
         if let (Some(latency_objective), Some(deadline)) = (&latency_objective, &deadline)
             && deadline.value < latency_objective.value
         {
             let message =
                 format!("{} ms is under the aim of {} ms", deadline.value, latency_objective.value);
-            table.wrong(deadline, message, None);
+            table.report(deadline, message, None);
         }
         let words = [
             ("safe", Idempotency::Idempotent),
@@ -146,22 +146,22 @@
         ];
         let idempotency = table.choice("effect", &words);
         if idempotency.is_none() && !table.has("effect") {
-            table.missing("effect", "\"safe\", \"keyed\" or \"unsafe\"");
+            table.report_missing("effect", "\"safe\", \"keyed\" or \"unsafe\"");
         }
         let keyed = idempotency.as_ref().is_some_and(|e| e.value == Idempotency::Keyed);
         let window = table.number("window_ms", 1.0..=24.0 * HOUR_MS, " ms");
         match &window {
             None if keyed && !table.has("window_ms") => {
-                table.missing("window_ms", "for how long servers drop repeats");
+                table.report_missing("window_ms", "for how long servers drop repeats");
             }
             Some(window) if !keyed && idempotency.is_some() => {
-                table.wrong(window, "only a keyed class has it", None);
+                table.report(window, "only a keyed class has it", None);
             }
             _ => {}
         }
         let methods = methods(table);
         if methods.is_empty() && !table.has("methods") {
-            table.missing("methods", "at least one method");
+            table.report_missing("methods", "at least one method");
         }
         let priority_weight = table.number("worth", 0.001..=1000.0, "").map_or(1.0, |w| w.value);
         let late_priority_weight =
@@ -186,7 +186,7 @@
         classes.push((name, class));
     }
     if tables.is_empty() && !root.has("class") {
-        root.missing("class", "at least one [[class]]");
+        root.report_missing("class", "at least one [[class]]");
     }
     classes
 }
@@ -197,17 +197,18 @@
     let tables = root.tables("pool");
     for table in &tables {
         let name = new_name(table, &pools);
-        let files = table.texts("files");
+        let files = table.strings("files");
         for (i, file) in files.iter().enumerate() {
             if file.value.is_empty() {
-                table.wrong(file, "a file has a name", None);
+                table.report(file, "a file has a name", None);
             } else if files[..i].iter().any(|f| f.value == file.value) {
-                table.wrong(file, format!("{:?} is named twice", file.value), None);
+                table.report(file, format!("{:?} is named twice", file.value), None);
             }
         }
         if files.is_empty() {
-            let found = Found { field: format!("{}.files", table.here().field), ..table.here() };
-            table.wrong(&found, "expected at least one file of servers", None);
+            let found =
+                Located { field: format!("{}.files", table.location().field), ..table.location() };
+            table.report(&found, "expected at least one file of servers", None);
         }
         let out_at_most = table.number("out_at_most", 0.0..=1.0, " of the servers");
         let reread = table.number("reread_ms", 10.0..=24.0 * HOUR_MS, " ms");
@@ -226,10 +227,10 @@
     if root.has("control") {
         let message = "pools, and routes to them, come from control machines: not beside [control]";
         for table in tables.iter().chain(&root.tables("route")) {
-            table.wrong(&table.here(), message, None);
+            table.report(&table.location(), message, None);
         }
     } else if tables.is_empty() && !root.has("pool") {
-        root.missing("pool", "at least one [[pool]]");
+        root.report_missing("pool", "at least one [[pool]]");
     }
     pools
 }
@@ -247,7 +248,7 @@
         let name = new_name(&table, &names);
         names.extend(name.clone().map(|name| (name, ())));
         let classes = table
-            .texts("class")
+            .strings("class")
             .into_iter()
             .filter_map(|class| index(&table, &class, classes, "class"))
             .collect();
@@ -263,22 +264,22 @@
 
 /// `side` are pools that routes don't lead to.
 fn target(table: &Table<'_>, pools: &Named<Pool>, side: &[String]) -> Option<Target> {
-    let (pool, refuse) = (table.text("pool"), read_refusal(table));
+    let (pool, refuse) = (table.string("pool"), read_refusal(table));
     match (pool, refuse) {
         (Some(_), Some(refuse)) => {
-            table.wrong(&refuse, "a route has a pool or a refusal, not both", None);
+            table.report(&refuse, "a route has a pool or a refusal, not both", None);
             None
         }
         (Some(pool), None) if side.contains(&pool.value) => {
             let message = format!("pool {:?} gets copies of a shadow, and no requests", pool.value);
-            table.wrong(&pool, message, None);
+            table.report(&pool, message, None);
             None
         }
         (Some(pool), None) => index(table, &pool, pools, "pool").map(Target::Pool),
         (None, Some(refuse)) => Some(Target::Refuse(refuse.value)),
         (None, None) => {
             if !table.has("pool") && !table.has("refuse") {
-                table.missing("pool", "a pool, or refuse = \"not-found\"");
+                table.report_missing("pool", "a pool, or refuse = \"not-found\"");
             }
             None
         }
--- a/crates/site-config/src/shadow.rs
+++ b/crates/site-config/src/shadow.rs
@@ -1,7 +1,7 @@
 //! Reads shadows: which pool's requests are copied where, and within which bounds.
 
 use sableloom_shadow::{Bounds, By, Pattern, Rules};
-use sableloom_toml_diagnostics::{Found, Table, instead};
+use sableloom_toml_diagnostics::{Located, Table, suggestion};
 use sableloom_types::Idempotency;
 use sableloom_types::settings::span;
 
@@ -33,20 +33,20 @@
     for table in root.tables("shadow") {
         let name = new_name(&table, &names);
         if name.as_ref().is_some_and(|name| name.contains('/')) {
-            table.wrong(&table.here(), "its name is part of a file's, and has no \"/\"", None);
+            table.report(&table.location(), "its name is part of a file's, and has no \"/\"", None);
         }
         names.extend(name.clone().map(|name| (name, ())));
         let mut pool = |field: &'static str, must: bool| -> Option<usize> {
             let found = match must {
-                true => table.need_text(field, "a pool's name"),
-                false => table.text(field),
+                true => table.required_string(field, "a pool's name"),
+                false => table.string(field),
             }?;
             let at = index(&table, &found, pools, "pool")?;
             // A pool has one part in one shadow: the live one is asked by members, and a candidate
             // of two would be judged by the load of both.
             if let Some((_, other)) = taken.iter().find(|(pool, _)| *pool == at) {
                 let message = format!("pool {:?} is {other} already", found.value);
-                table.wrong(&found, message, None);
+                table.report(&found, message, None);
                 return None;
             }
             taken.push((at, format!("`{}`", found.field)));
@@ -84,13 +84,13 @@
                 let message = format!(
                     "{time_ms} ms is under {least} ms, the longest aim of its classes and T_QoS of its pools"
                 );
-                root.wrong(time, message, None);
+                root.report(time, message, None);
             }
             let record = rest.record.clone().unwrap_or(format!("shadow-{name}.json"));
             if shadows.iter().any(|other: &Shadow| other.record == record) {
                 let field = format!("shadow[{}].record", shadows.len());
-                let found = Found { value: (), span: rest.place.span.clone(), field };
-                root.wrong(&found, format!("{record:?} is another shadow's"), None);
+                let found = Located { value: (), span: rest.place.span.clone(), field };
+                root.report(&found, format!("{record:?} is another shadow's"), None);
             }
             shadows.push(Shadow {
                 name,
@@ -115,7 +115,7 @@
 struct Settings {
     bounds: Bounds,
     rules: Rules,
-    time_ms: Option<Found<f64>>,
+    time_ms: Option<Located<f64>>,
     /// The longest deadline and the longest aim of the classes that are copied.
     longest_ms: f64,
     aim_ms: f64,
@@ -132,10 +132,10 @@
         table.number(field, least..=HOUR_MS, " ms").map_or(otherwise, |n| n.value)
     };
     let whole = |field: &'static str, least: usize, most: usize, otherwise: usize| {
-        table.whole(field, least..=most, "").map_or(otherwise, |n| n.value)
+        table.integer(field, least..=most, "").map_or(otherwise, |n| n.value)
     };
     let kb = |field: &'static str, otherwise: usize| {
-        table.whole(field, 1..=1_000_000, " kB").map_or(otherwise, |n| n.value) << 10
+        table.integer(field, 1..=1_000_000, " kB").map_or(otherwise, |n| n.value) << 10
     };
     let wanted = copied(table, classes);
     // As long as any of the classes that are copied may take.
@@ -149,7 +149,7 @@
     let rest_most = table.number("rest_most_ms", 1.0..=HOUR_MS, " ms");
     if let Some(most) = rest_most.as_ref().filter(|most| most.value < rest_ms) {
         let message = format!("{} ms is under the first rest of {rest_ms} ms", most.value);
-        table.wrong(most, message, None);
+        table.report(most, message, None);
     }
     let rest_most_ms = rest_most.map_or(60_000.0, |most| most.value);
     let bounds = Bounds {
@@ -170,9 +170,9 @@
         seed: 0,
         own: 0,
     };
-    let record = table.text("record");
+    let record = table.string("record");
     if let Some(record) = record.as_ref().filter(|record| record.value.is_empty()) {
-        table.wrong(record, "a file has a name", None);
+        table.report(record, "a file has a name", None);
     }
     Settings {
         bounds,
@@ -182,7 +182,7 @@
         aim_ms: latency_objective,
         settle_ms: ms("settle_ms", 0.0, 1000.0),
         drop: names(table, "drop", &DROP),
-        values: table.flag("values").is_some_and(|values| values.value),
+        values: table.boolean("values").is_some_and(|values| values.value),
         record: record.map(|record| record.value),
         record_ms: ms("record_ms", 100.0, 10_000.0),
         place: crate::Place::default(),
@@ -193,14 +193,14 @@
 fn copied(table: &Table<'_>, classes: &Named<Class>) -> Vec<bool> {
     let safe = |class: &Class| class.idempotency == Idempotency::Idempotent;
     let mut copied = vec![false; classes.len()];
-    for name in table.texts("classes") {
+    for name in table.strings("classes") {
         let Some(at) = index(table, &name, classes, "class") else { continue };
         if !safe(&classes[at].1) {
             let message =
                 format!("{:?} is not safe, and no such request is ever copied", name.value);
             let known: Vec<_> =
                 classes.iter().filter(|(_, c)| safe(c)).map(|(name, _)| name.as_str()).collect();
-            table.wrong(&name, message, Some(instead("", known)));
+            table.report(&name, message, Some(suggestion("", known)));
         }
         copied[at] = safe(&classes[at].1);
     }
@@ -208,7 +208,7 @@
         copied = classes.iter().map(|(_, class)| safe(class)).collect();
         if !classes.is_empty() && !copied.contains(&true) {
             let message = "no class is safe, so there is nothing to copy";
-            table.wrong(&table.here(), message, None);
+            table.report(&table.location(), message, None);
         }
     }
     copied
@@ -216,7 +216,7 @@
 
 /// Names of header fields, or those that hold where nothing is said.
 fn names(table: &Table<'_>, field: &'static str, otherwise: &[&str]) -> Vec<String> {
-    let found = table.texts(field);
+    let found = table.strings(field);
     match table.has(field) {
         true => found.iter().filter_map(|name| header_name(table, name)).collect(),
         false => otherwise.iter().map(|name| name.to_string()).collect(),
@@ -229,15 +229,15 @@
         return Rules { fields, ..Rules::default() };
     };
     let patterns = |field: &'static str| -> Vec<Pattern> {
-        let pattern = |text: Found<String>| match text.value.parse() {
+        let pattern = |text: Located<String>| match text.value.parse() {
             Ok(pattern) => Some(pattern),
             Err(e) => {
                 let message = format!("{:?} is no pointer into an answer: {e}", text.value);
-                table.wrong(&text, message, None);
+                table.report(&text, message, None);
                 None
             }
         };
-        table.texts(field).into_iter().filter_map(pattern).collect()
+        table.strings(field).into_iter().filter_map(pattern).collect()
     };
     let rules = Rules {
         fields: names(&table, "fields", &FIELDS),
--- a/crates/site-config/src/tenants.rs
+++ b/crates/site-config/src/tenants.rs
@@ -31,17 +31,17 @@
 /// The section `[tenants]`.
 pub(crate) fn tenants(root: &Table<'_>, starts: &[usize]) -> Option<Tenants> {
     let table = root.table("tenants")?;
-    let header = table.need_text("header", "the header that names a request's tenant");
+    let header = table.required_string("header", "the header that names a request's tenant");
     if !root.has("control") {
         let help = "limits come from control machines; name them in [control]".to_string();
-        table.wrong(&table.here(), "there are no limits without [control]", Some(help));
+        table.report(&table.location(), "there are no limits without [control]", Some(help));
     }
     table.finish();
     let found = header?;
     let header = header_name(&table, &found)?;
     if CONNECTION_HEADERS.contains(&header.as_str()) {
         let message = format!("{header:?} concerns a connection and goes with no request");
-        table.wrong(&found, message, None);
+        table.report(&found, message, None);
     }
     Some(Tenants { header, place: place(&table, starts) })
 }
--- a/crates/toml-diagnostics/src/tests.rs
+++ b/crates/toml-diagnostics/tests/diagnostics.rs
@@ -1,4 +1,6 @@
-use super::*;
+//! Everything that is wrong in a file is reported with its line, column and field.
+
+use sableloom_toml_diagnostics::{MAX_PROBLEMS, Problem, Table, closest_name, read, suggestion};
 
 fn problems(text: &str, reading: impl FnOnce(&Table<'_>)) -> Vec<String> {
     let read = read("f.toml", text.as_bytes(), |table| {
@@ -9,18 +11,18 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_with_its_place() {
+fn every_problem_of_a_file_is_reported_with_its_location() {
     let text = "adress = \"127.0.0.1:1\"\nshare = 1.5\nwhole = 2.5\n\
                 mode = \"fsat\"\n\n[[pool]]\nname = \"a b\"\nfiles = [\"x\", 7]\n";
     let found = problems(text, |t| {
-        t.need_address("address");
+        t.required_address("address");
         t.number("share", 0.0..=1.0, "");
-        t.whole("whole", 1..=9, "");
+        t.integer("whole", 1..=9, "");
         t.choice("mode", &[("fast", 1), ("slow", 2)]);
         for pool in t.tables("pool") {
-            pool.need_name("name");
-            pool.texts("files");
-            pool.need_number("aim_ms", 1.0..=9.0, " ms");
+            pool.required_name("name");
+            pool.strings("files");
+            pool.required_number("aim_ms", 1.0..=9.0, " ms");
             pool.finish();
         }
     });
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn what_is_no_toml_is_told_with_its_place() {
+fn invalid_toml_and_invalid_utf8_are_reported_with_their_location() {
     let found = problems("a = 1\nb = = 2\n[c\n", |_| {});
     assert!(found.len() >= 2, "{found:?}");
     assert!(found[0].starts_with("f.toml:2:"), "{found:?}");
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn addresses_tell_what_they_lack() {
+fn an_invalid_address_is_reported_with_the_reason() {
     for (text, says) in [
         ("points-1:80", "names are not looked up"),
         ("127.0.0.1", "no port"),
@@ -55,15 +57,15 @@
         ("300.0.0.1:80", "is no address"),
         ("", "is no address"),
     ] {
-        let found = problems(&format!("at = \"{text}\""), |t| drop(t.need_address("at")));
+        let found = problems(&format!("at = \"{text}\""), |t| drop(t.required_address("at")));
         assert!(found.len() == 1 && found[0].contains(says), "{text}: {found:?}");
     }
-    let found = problems("at = \"[::1]:80\"", |t| drop(t.need_address("at")));
+    let found = problems("at = \"[::1]:80\"", |t| drop(t.required_address("at")));
     assert!(found.is_empty(), "{found:?}");
 }
 
 #[test]
-fn numbers_that_are_none_are_refused() {
+fn values_that_are_no_finite_number_within_bounds_are_rejected() {
     for text in ["nan", "inf", "-inf", "-1", "99999999999999999999", "1e400", "\"1\"", "true"] {
         let found = problems(&format!("n = {text}"), |t| {
             t.number("n", 0.0..=1000.0, "");
@@ -72,13 +74,13 @@
     }
     let found = problems("n = 0x10\nm = 1_000", |t| {
         assert_eq!(t.number("n", 0.0..=1000.0, "").map(|n| n.value), Some(16.0));
-        assert_eq!(t.whole("m", 0..=1000, "").map(|n| n.value), Some(1000));
+        assert_eq!(t.integer("m", 0..=1000, "").map(|n| n.value), Some(1000));
     });
     assert!(found.is_empty(), "{found:?}");
 }
 
 #[test]
-fn a_file_of_the_wrong_kind_is_told_in_bounds() {
+fn problems_over_the_maximum_are_counted_and_not_listed() {
     let text: String = (0..500).map(|i| format!("x{i} = {i}\n")).collect();
     let found = problems(&text, |_| {});
     assert_eq!(found.len(), MAX_PROBLEMS + 1);
@@ -86,9 +88,9 @@
 }
 
 #[test]
-fn only_a_near_name_is_suggested() {
-    assert_eq!(closest("adress", ["address", "zone"]), Some("address"));
-    assert_eq!(closest("zone", ["address", "weight"]), None);
-    assert_eq!(instead("x", []), "there is none");
-    assert_eq!(instead("quite", ["a", "b"]), "known are: a, b");
+fn only_a_similar_name_is_suggested() {
+    assert_eq!(closest_name("adress", ["address", "zone"]), Some("address"));
+    assert_eq!(closest_name("zone", ["address", "weight"]), None);
+    assert_eq!(suggestion("x", []), "there is none");
+    assert_eq!(suggestion("quite", ["a", "b"]), "known are: a, b");
 }
