--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 use sableloom_distribution::{MAX_BODY_BYTES, ResourceKind, ResourceName, ServiceName, hash_bytes};
 use sableloom_server_list::{ServerFields, read_server_fields};
-use sableloom_site_config::{PoolSettings, read_conditions, read_refusal};
+use sableloom_site_config::{PoolSettings, read_conditions, read_rejection};
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 
 use crate::body::{Body, RouteRule, ServerEntry};
@@ -240,7 +240,7 @@
         table.report_missing("rank", "the route's place among all routes, lower first");
     }
     let rank = table.integer("rank", 0..=u32::MAX as usize, "");
-    let refuse = read_refusal(table).map(|status| status.value);
+    let refuse = read_rejection(table).map(|status| status.value);
     let conditions = read_conditions(table);
     let classes = table.strings("class").into_iter().map(|class| class.value).collect();
     let rule = RouteRule {
--- a/crates/resources/tests/change.rs
+++ b/crates/resources/tests/change.rs
@@ -7,7 +7,7 @@
     Body, BodyError, Empty, FORMAT_VERSION, Inventory, ListedServer, ServerState, is_finished,
     listing, read_change,
 };
-use sableloom_site_config::{Class, ClassDefaults};
+use sableloom_site_config::{Class, ClassDefaults, Pool};
 
 const FIRST: &str = r#"number = 1
 epoch = 1
@@ -125,9 +125,10 @@
 "#;
     let site = sableloom_site_config::read("site.toml", site).expect("a good site");
     let mut expected = site.pools[0].clone();
-    (expected.files, expected.out_at_most, expected.reread_ms) = (Vec::new(), 1.0, 0.0);
+    (expected.files, expected.max_removed_share, expected.reread_interval_ms) =
+        (Vec::new(), 1.0, 0.0);
     let classes: Vec<Class> = site.classes.clone();
-    assert_eq!(settings.into_pool("points", &ClassDefaults::of(&classes)), expected);
+    assert_eq!(Pool::new("points", settings, &ClassDefaults::of(&classes)), expected);
 
     let (_, Body::Server(server)) = body(&entry, ResourceKind::Server, "points-2") else {
         panic!("a server")
--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -58,14 +58,14 @@
         println!(
             "fleet {}: {} of {} members, at {address}",
             fleet.name,
-            fleet.own,
+            fleet.own_name,
             fleet.members.len()
         );
     }
     if let Some(control) = &site.control {
         println!(
             "control: subscriber {}, {} control machines, {} services; pools and routes come from there",
-            control.own,
+            control.subscriber,
             control.machines.len(),
             control.services.len()
         );
@@ -224,20 +224,20 @@
             },
             None => "it fits".to_string(),
         };
-        println!("not:     `{}`, line {}: {why}", route.name, route.place.line);
+        println!("not:     `{}`, line {}: {why}", route.name, route.location.line);
     }
     let target = match found.map(|i| &site.routes[i]) {
         Some(route) => {
-            println!("route:   `{}`, line {}", route.name, route.place.line);
+            println!("route:   `{}`, line {}", route.name, route.location.line);
             route.target
         }
         None => {
             println!("route:   none fits; [otherwise]");
-            site.otherwise
+            site.fallback
         }
     };
     let pool = match target {
-        Target::Refuse(status) => {
+        Target::Reject(status) => {
             println!("refused: {status}");
             return Ok(());
         }
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -59,31 +59,31 @@
 
 /// The others on the list.
 pub fn others(fleet: &Fleet) -> Vec<Listed> {
-    let others = fleet.members.iter().filter(|m| m.name != fleet.own);
+    let others = fleet.members.iter().filter(|m| m.name != fleet.own_name);
     others.map(|m| Listed { name: m.name.clone(), address: m.address }).collect()
 }
 
 /// Takes this balancer's place among the others.
 pub async fn start(fleet: &Fleet, clock: Clock, told: Rc<dyn Told>) -> Result<Rc<Running>, String> {
     let Some(address) = fleet.address() else {
-        return Err(format!("field `fleet.own`: no member {:?}", fleet.own));
+        return Err(format!("field `fleet.own`: no member {:?}", fleet.own_name));
     };
     let tenths = clock.now().0 / 100_000 - LIVES_FROM * 10;
     let life = tenths.clamp(1, i64::from(u32::MAX) - 1);
     // Of the time as well: its nonce must not be that of an earlier process with the same number.
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(40);
-    let claim = span(fleet.claim_ms);
+    let claim = span(fleet.lease_ms);
     let questions = Times::default();
     let setup = Setup {
         fleet: fleet.name.clone(),
-        own: fleet.own.clone(),
+        own: fleet.own_name.clone(),
         talk: Talk {
-            period: span(fleet.period_ms),
-            answer: span(fleet.answer_ms),
+            period: span(fleet.probe_interval_ms),
+            answer: span(fleet.probe_timeout_ms),
             ..Talk::default()
         },
-        part: Times { claim, again: span(fleet.claim_ms / 4.0), ..questions },
+        part: Times { claim, again: span(fleet.lease_ms / 4.0), ..questions },
     };
     let options = Options {
         setup,
@@ -100,7 +100,7 @@
             std::io::ErrorKind::AddrInUse => "; another process, perhaps of this name, holds it",
             _ => "",
         };
-        format!("field `fleet`: {:?} at {address}: {e}{held}", fleet.own)
+        format!("field `fleet`: {:?} at {address}: {e}{held}", fleet.own_name)
     })
 }
 
@@ -108,7 +108,7 @@
     let (site, _) = load(path).map_err(|wrong| lines_of(&wrong))?;
     let fleet = site.fleet.ok_or(format!("{}: it has no [fleet]", path.display()))?;
     let Some(operator) = fleet.operator else {
-        let line = fleet.place.line;
+        let line = fleet.location.line;
         let what = "field `fleet.operator`: missing; expected the address that operators ask from";
         return Err(format!("{}:{line}: {what}", path.display()));
     };
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -76,7 +76,7 @@
         .iter()
         .map(|class| class.methods.iter().map(method).collect::<Result<Vec<_>, _>>())
         .collect::<Result<Vec<_>, _>>()?;
-    let longest = Duration::from_secs_f64(site.longest_ms() / 1e3);
+    let longest = Duration::from_secs_f64(site.longest_deadline_ms() / 1e3);
     let hash = site.hash.clone();
     let (named, subscribes) = (site.fleet.clone(), site.control.clone());
     let router = Router::new(Routing { number: 1, site, table, pools }, clock);
@@ -95,7 +95,7 @@
             let told = Rc::new(ToPools(router.clone()));
             let running = fleet::start(fleet, clock, told).await;
             let running =
-                running.map_err(|e| format!("{}:{}: {e}", path.display(), fleet.place.line))?;
+                running.map_err(|e| format!("{}:{}: {e}", path.display(), fleet.location.line))?;
             // Without this it told others until the first sweep that it has no list of servers, and two that
             // had told so were taken to agree.
             running.serves(router.servers());
@@ -208,7 +208,7 @@
     let mut listeners = Vec::new();
     for (i, listener) in site.listeners.iter().enumerate() {
         let place =
-            format!("{}:{}: field `listener[{i}].address`", path.display(), listener.place.line);
+            format!("{}:{}: field `listener[{i}].address`", path.display(), listener.location.line);
         let listener =
             listen(listener.address).map_err(|e| format!("{place}: {}: {e}", listener.address))?;
         listeners.push(listener);
@@ -236,7 +236,7 @@
     let pools = started.map(|pool| pool.map(Rc::new)).collect::<Result<Vec<_>, String>>()?;
     for shadow in &site.shadows {
         let ready = context.shadow(site, shadow).await.map_err(|wrong| lines_of(&wrong))?;
-        *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
     }
     Ok(pools)
 }
--- a/crates/sableloom/src/serve/apply.rs
+++ b/crates/sableloom/src/serve/apply.rs
@@ -12,7 +12,7 @@
 use sableloom_distribution::{Rejection, ServiceName, Transaction};
 use sableloom_routes::IndexedRoute;
 use sableloom_server_list::RosterChange;
-use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
+use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_subscription::Applier;
 use sableloom_tenant_limits::Limit;
 use sableloom_types::settings::span;
@@ -196,7 +196,7 @@
 /// How long servers of a pool with these settings drain.
 pub(super) fn drain_of(site: &Site, settings: &PoolSettings) -> sableloom_types::Span {
     let defaults = ClassDefaults::of(&site.classes);
-    span(settings.clone().into_pool("", &defaults).drain_ms)
+    span(Pool::new("", settings.clone(), &defaults).drain_ms)
 }
 
 impl ServicePlan {
--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -35,11 +35,12 @@
         applier.set_scope(&control.services);
         let folder = context.path.parent().unwrap_or(Path::new(""));
         let options = SubscriptionOptions {
-            name: control.own.clone(),
+            name: control.subscriber.clone(),
             machines: control.machines.clone(),
             scope: control.services.clone(),
-            state: control.state.as_ref().map(|file| folder.join(file)),
-            seed: stable_hash(control.own.as_str()) ^ u64::from(std::process::id()).rotate_left(32),
+            state: control.state_file.as_ref().map(|file| folder.join(file)),
+            seed: stable_hash(control.subscriber.as_str())
+                ^ u64::from(std::process::id()).rotate_left(32),
             times: SubscriberTimes::default(),
         };
         let subscription = Subscription::start(options, applier.clone());
--- a/crates/sableloom/src/serve/plan.rs
+++ b/crates/sableloom/src/serve/plan.rs
@@ -11,7 +11,7 @@
 use sableloom_resources::{Body, RouteRule, ServerEntry, ServerState, TenantLimit};
 use sableloom_routes::{IndexedRoute, MAX_PAIRS_PER_ROUTE, RouteOrder, Rule};
 use sableloom_server_list::{MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer};
-use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
+use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
 use sableloom_toml_diagnostics::suggestion;
 
@@ -283,7 +283,7 @@
 
     fn start(&self, settings: PoolSettings) -> Result<StartedPool, String> {
         let defaults = ClassDefaults::of(&self.site.classes);
-        let pool = settings.clone().into_pool(self.update.service.as_str(), &defaults);
+        let pool = Pool::new(self.update.service.as_str(), settings.clone(), &defaults);
         let drain = drain_of(self.site, &settings);
         let feed = match &self.feed {
             Some(feed) => feed.clone(),
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -119,9 +119,9 @@
         let Some(sockets) = self.budget.lend(descriptors) else {
             let name = self.path.display().to_string();
             return Err(vec![Problem {
-                span: shadow.place.span.clone(),
-                line: shadow.place.line,
-                field: format!("{}.in_flight", shadow.place.field),
+                span: shadow.location.span.clone(),
+                line: shadow.location.line,
+                field: format!("{}.in_flight", shadow.location.field),
                 help: Some("raise `limits.sockets`, or have fewer copies out at once".into()),
                 ..Problem::of_file(&name, format!("{descriptors} descriptors are not free for it"))
             }]);
@@ -134,23 +134,27 @@
         let folder = self.path.parent().unwrap_or(Path::new(""));
         Ready::new(MirrorOptions {
             name: shadow.name.clone(),
-            live: site.pools[shadow.of].name.clone(),
-            candidate: group(&shadow.to),
-            control: shadow.control.as_ref().map(group),
+            live: site.pools[shadow.live_pool].name.clone(),
+            candidate: group(&shadow.candidate),
+            control: shadow.control_group.as_ref().map(group),
             bounds: Bounds {
                 seed: stable_hash(&shadow.name),
                 own: u64::from(std::process::id()),
                 ..shadow.bounds.clone()
             },
             rules: shadow.rules.clone(),
-            classes: site.classes.iter().map(|c| (c.name.clone(), c.aim_ms)).collect(),
-            time: Duration::from_secs_f64(shadow.time_ms / 1e3),
+            classes: site
+                .classes
+                .iter()
+                .map(|c| (c.name.clone(), c.latency_objective_ms))
+                .collect(),
+            time: Duration::from_secs_f64(shadow.timeout_ms / 1e3),
             settle: span(shadow.settle_ms),
-            doubt: span(site.longest_ms()),
-            drop: shadow.drop.clone(),
-            values: shadow.values,
-            record: folder.join(&shadow.record),
-            record_every: Duration::from_secs_f64(shadow.record_ms / 1e3),
+            doubt: span(site.longest_deadline_ms()),
+            drop: shadow.dropped_headers.clone(),
+            values: shadow.records_values,
+            record: folder.join(&shadow.record_file),
+            record_every: Duration::from_secs_f64(shadow.record_interval_ms / 1e3),
             clock: self.clock,
             sockets,
         })
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -16,7 +16,7 @@
         let name = self.path.display().to_string();
         let (site, table) = load(&self.path)?;
         let old = router.routing.borrow().clone();
-        let fixed = sableloom_site_config::unchangeable(&name, &old.site, &site);
+        let fixed = sableloom_site_config::changes_requiring_restart(&name, &old.site, &site);
         if !fixed.is_empty() {
             return Err(fixed);
         }
@@ -24,7 +24,7 @@
             && let Err(message) = self.room_for(control.services.len())
         {
             return Err(vec![Problem {
-                line: control.place.line,
+                line: control.location.line,
                 ..Problem::of_file(&name, message)
             }]);
         }
@@ -52,10 +52,10 @@
         // Shadows that are as they were go on; all others begin anew.
         let mut shadows = Vec::new();
         for shadow in &site.shadows {
-            let live = &site.pools[shadow.of].name;
+            let live = &site.pools[shadow.live_pool].name;
             let same = old.site.shadows.iter().any(|before| {
-                old.site.pools[before.of].name == *live
-                    && Shadow { of: shadow.of, ..before.clone() } == *shadow
+                old.site.pools[before.live_pool].name == *live
+                    && Shadow { live_pool: shadow.live_pool, ..before.clone() } == *shadow
             });
             if same {
                 shadows.push(None);
@@ -95,10 +95,9 @@
         // Those that go, and those that have another in their place.
         let mut ending = Vec::new();
         for pool in &old.pools {
-            let stays =
-                site.shadows.iter().zip(&shadows).any(|(shadow, ready)| {
-                    ready.is_none() && site.pools[shadow.of].name == pool.name
-                });
+            let stays = site.shadows.iter().zip(&shadows).any(|(shadow, ready)| {
+                ready.is_none() && site.pools[shadow.live_pool].name == pool.name
+            });
             let ends = pool.mirror.borrow_mut().take_if(|_| !stays);
             ending.extend(ends.map(|mirror| mirror.stop()));
         }
@@ -106,7 +105,7 @@
             let Some(ready) = ready else { continue };
             let names = || shadow.pools().map(|pool| pool.name.as_str());
             let before = ending.iter().filter(|e| e.shares(names())).cloned().collect();
-            *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
+            *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
         }
         let what = format!(
             "configuration {} ({}) in force: {} routes, {} pools{}{}",
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -54,12 +54,12 @@
         let routing = self.routing.borrow().clone();
         if routing.site.control.is_some() {
             let found = with_head(&asked, &message, |head| self.subscribed.borrow().target(head));
-            return match (found, routing.site.otherwise) {
+            return match (found, routing.site.fallback) {
                 (Some(SubscribedTarget::Pool(pool)), _) => {
                     self.judge_tenant(&routing.site, &pool.name, &message)?;
                     pool.call(asked, message)
                 }
-                (Some(SubscribedTarget::Refuse(status)), _) | (None, Target::Refuse(status)) => {
+                (Some(SubscribedTarget::Reject(status)), _) | (None, Target::Reject(status)) => {
                     Err(RequestRejection::NoRoute(status))
                 }
                 // A site with control has no pools.
@@ -67,11 +67,10 @@
             };
         }
         let found = with_head(&asked, &message, |head| routing.table.find(head));
-        let target =
-            found.map_or(routing.site.otherwise, |route| routing.site.routes[route].target);
+        let target = found.map_or(routing.site.fallback, |route| routing.site.routes[route].target);
         match target {
             Target::Pool(pool) => routing.pools[pool].call(asked, message),
-            Target::Refuse(status) => Err(RequestRejection::NoRoute(status)),
+            Target::Reject(status) => Err(RequestRejection::NoRoute(status)),
         }
     }
 }
--- a/crates/sableloom/src/serve/subscribed.rs
+++ b/crates/sableloom/src/serve/subscribed.rs
@@ -30,7 +30,7 @@
     /// To a pool.
     Pool(Rc<RunningPool>),
     /// Nowhere: refused with this status of HTTP.
-    Refuse(u16),
+    Reject(u16),
 }
 
 /// What is in force of the services in scope.
@@ -72,7 +72,7 @@
     pub(super) fn target(&self, head: &Head<'_>) -> Option<SubscribedTarget> {
         let route = self.routes.find(head)?;
         match route.target {
-            Some(status) => Some(SubscribedTarget::Refuse(status)),
+            Some(status) => Some(SubscribedTarget::Reject(status)),
             None => {
                 let pool = self.pools.get(&*route.order.service)?;
                 Some(SubscribedTarget::Pool(pool.running.clone()))
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -23,7 +23,7 @@
 /// The site with the members of its fleet, where a file names them.
 fn with_members(path: &Path, mut site: Site) -> Result<Site, Vec<Problem>> {
     let Some(fleet) = site.fleet.take() else { return Ok(site) };
-    site.fleet = Some(match fleet.file.clone() {
+    site.fleet = Some(match fleet.members_file.clone() {
         None => fleet,
         Some(file) => {
             let at = path.parent().unwrap_or(Path::new("")).join(&file);
@@ -42,11 +42,11 @@
         pool: pool.name.clone(),
         files: pool.files.clone(),
         zones: site.locality.zones.clone(),
-        out_at_most: pool.out_at_most,
+        out_at_most: pool.max_removed_share,
         drain: span(pool.drain_ms),
     };
     let paths = pool.files.iter().map(|file| folder.join(file)).collect();
-    Files { spec, paths, reread: Duration::from_secs_f64(pool.reread_ms / 1e3) }
+    Files { spec, paths, reread: Duration::from_secs_f64(pool.reread_interval_ms / 1e3) }
 }
 
 /// Problems as text, one a line.
--- a/crates/site-config/src/conditions.rs
+++ b/crates/site-config/src/conditions.rs
@@ -1,15 +1,17 @@
-//! Conditions of a route: what it asks of a request.
+//! Conditions of a route on a request, and the status of a route that rejects.
+
+use std::net::Ipv6Addr;
 
 use sableloom_routes::{Header, Host, Path, Rule};
 use sableloom_toml_diagnostics::{Located, Table, suggestion};
 
-use crate::field::header_name;
+use crate::fields::header_name;
 
-/// Methods that can be carried (RFC 9110, section 9.3; RFC 5789). CONNECT and TRACE are for the
-/// hop itself; the answer to HEAD has a length without a body, which is not carried.
+/// Methods of requests that can be forwarded (RFC 9110, section 9.3; RFC 5789). CONNECT and TRACE are for the
+/// hop itself; the response to HEAD has a length without a body, which cannot be forwarded.
 const METHODS: [&str; 6] = ["GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
-/// Refusals of a route, with their status of HTTP.
-const REFUSALS: [(&str, u16); 5] = [
+/// Words for the rejections of a route, with their status of HTTP.
+const REJECTIONS: [(&str, u16); 5] = [
     ("forbidden", 403),
     ("not-found", 404),
     ("gone", 410),
@@ -17,24 +19,29 @@
     ("unavailable", 503),
 ];
 
-/// Reads the hosts, paths, methods and headers of a route. Its classes are left out: whether a class
-/// exists is known to a balancer's site only.
+/// Reads the hosts, paths, methods and headers of a route. Its classes are left out: only a balancer's site
+/// defines classes.
 pub fn read_conditions(table: &Table<'_>) -> Rule {
     Rule {
-        hosts: hosts(table),
-        paths: paths(table.table("path")),
-        methods: methods(table),
-        headers: headers(table),
+        hosts: read_hosts(table),
+        paths: read_paths(table.table("path")),
+        methods: read_methods(table),
+        headers: read_headers(table),
         classes: Vec::new(),
     }
 }
 
-/// Reads the refusal of a route that leads nowhere, as a status of HTTP.
-pub fn read_refusal(table: &Table<'_>) -> Option<Located<u16>> {
-    table.choice("refuse", &REFUSALS)
+/// Longest label of a host name (RFC 1035, section 2.3.4).
+const MAX_LABEL_BYTES: usize = 63;
+/// Longest host name (RFC 1035, section 2.3.4).
+const MAX_HOST_BYTES: usize = 255;
+
+/// Reads the rejection of a route that leads nowhere, as a status of HTTP.
+pub fn read_rejection(table: &Table<'_>) -> Option<Located<u16>> {
+    table.choice("refuse", &REJECTIONS)
 }
 
-pub(crate) fn methods(table: &Table<'_>) -> Vec<String> {
+pub(crate) fn read_methods(table: &Table<'_>) -> Vec<String> {
     let mut methods = Vec::new();
     for method in table.strings("methods") {
         if !METHODS.contains(&method.value.as_str()) {
@@ -46,43 +53,47 @@
     methods
 }
 
-fn hosts(table: &Table<'_>) -> Vec<Host> {
+fn read_hosts(table: &Table<'_>) -> Vec<Host> {
     let mut hosts = Vec::new();
-    for host in table.strings("host") {
-        let (under, name) = match host.value.strip_prefix("*.") {
-            Some(name) => (true, name),
-            None => (false, host.value.as_str()),
-        };
-        let part = |p: &str| {
-            !p.is_empty()
-                && p.len() <= 63
-                && p.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
-        };
-        // RFC 1035, section 2.3.1; an IPv6 address in its brackets, RFC 3986, section 3.2.2.
-        let six = name.strip_prefix('[').and_then(|n| n.strip_suffix(']'));
-        let fits = match six {
-            Some(address) => !under && address.parse::<std::net::Ipv6Addr>().is_ok(),
-            None => name.len() <= 255 && name.split('.').all(part),
-        };
-        if !fits {
-            let message = format!("{:?} is no host name", host.value);
-            let help = "expected a name without a port, as \"shop.example\" or \"*.shop.example\"";
-            table.report(&host, message, Some(help.to_string()));
-            continue;
+    for text in table.strings("host") {
+        match parse_host(&text.value) {
+            Some(host) => hosts.push(host),
+            None => {
+                let message = format!("{:?} is no host name", text.value);
+                let help =
+                    "expected a name without a port, as \"shop.example\" or \"*.shop.example\"";
+                table.report(&text, message, Some(help.to_string()));
+            }
         }
-        let name = name.to_ascii_lowercase();
-        hosts.push(if under { Host::Under(name) } else { Host::Exact(name) });
     }
     hosts
 }
 
-fn paths(table: Option<Table<'_>>) -> Vec<Path> {
+fn parse_host(text: &str) -> Option<Host> {
+    let below = text.strip_prefix("*.");
+    let name = below.unwrap_or(text);
+    // RFC 1035, section 2.3.1; an IPv6 address in its brackets, RFC 3986, section 3.2.2.
+    let bracketed = name.strip_prefix('[').and_then(|name| name.strip_suffix(']'));
+    let fits = match bracketed {
+        Some(address) => below.is_none() && address.parse::<Ipv6Addr>().is_ok(),
+        None => name.len() <= MAX_HOST_BYTES && name.split('.').all(is_label),
+    };
+    let name = name.to_ascii_lowercase();
+    fits.then(|| if below.is_some() { Host::Under(name) } else { Host::Exact(name) })
+}
+
+fn is_label(text: &str) -> bool {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    (1..=MAX_LABEL_BYTES).contains(&text.len()) && text.bytes().all(allowed)
+}
+
+fn read_paths(table: Option<Table<'_>>) -> Vec<Path> {
     let Some(table) = table else { return Vec::new() };
     let mut paths = Vec::new();
-    type Make = fn(String) -> Path;
-    let kinds: [(&'static str, Make); 3] =
+    type Pattern = fn(String) -> Path;
+    let kinds: [(&'static str, Pattern); 3] =
         [("exact", Path::Exact), ("prefix", Path::Prefix), ("suffix", Path::Suffix)];
-    for (kind, make) in kinds {
+    for (kind, pattern) in kinds {
         for path in table.strings(kind) {
             let starts = kind == "suffix" || path.value.starts_with('/') || path.value == "*";
             let clean = path.value.bytes().all(|b| b.is_ascii_graphic() && !b"?#".contains(&b));
@@ -91,7 +102,7 @@
                 let help = "it begins with \"/\", is percent-encoded and has no query";
                 table.report(&path, message, Some(help.to_string()));
             }
-            paths.push(make(path.value));
+            paths.push(pattern(path.value));
         }
     }
     if paths.is_empty() {
@@ -101,7 +112,7 @@
     paths
 }
 
-fn headers(table: &Table<'_>) -> Vec<Header> {
+fn read_headers(table: &Table<'_>) -> Vec<Header> {
     let mut headers = Vec::new();
     for (name, value) in table.string_entries("header") {
         headers.extend(header_name(table, &name).map(|name| Header { name, value }));
--- a/crates/site-config/src/control.rs
+++ b/crates/site-config/src/control.rs
@@ -1,50 +1,52 @@
-//! Reads where a balancer's pools and routes come from, if not from the site itself.
+//! The control machines that a balancer's pools and routes come from, if not from the site itself.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use sableloom_distribution::{ServiceName, SubscriberName};
 use sableloom_toml_diagnostics::{Located, Table};
 
-use crate::Place;
-use crate::field::place;
+use crate::fields::file_name;
+use crate::location::SourceLocation;
 
 /// Control machines that this balancer subscribes to for its pools and routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Control {
     /// This balancer's name as a subscriber; no other subscriber has it.
-    pub own: SubscriberName,
-    /// The control machines. Any of them will do.
+    pub subscriber: SubscriberName,
+    /// The control machines, each of which has the whole configuration.
     pub machines: Vec<SocketAddr>,
     /// The services that this balancer serves.
     pub services: Vec<ServiceName>,
-    /// Where the last good state is kept, from the site's folder; nowhere if none.
-    pub state: Option<String>,
+    /// The file that the last good state is stored in, relative to the site's folder; it is not stored if none.
+    pub state_file: Option<String>,
     /// Where it is written.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// The section `[control]`.
-pub(crate) fn control(table: Option<Table<'_>>, starts: &[usize]) -> Option<Control> {
+pub(crate) fn read_control(table: Option<Table<'_>>) -> Option<Control> {
     let table = table?;
-    let own = table.required_string("own", "this balancer's name as a subscriber");
-    let own = own.and_then(|own| match SubscriberName::try_from(own.value.as_str()) {
+    let subscriber = read_subscriber(&table);
+    let (machines, services) = (read_machines(&table), read_services(&table));
+    let state_file = file_name(&table, "state");
+    table.finish();
+    let location = SourceLocation::of(&table);
+    Some(Control { subscriber: subscriber?, machines, services, state_file, location })
+}
+
+fn read_subscriber(table: &Table<'_>) -> Option<SubscriberName> {
+    let own = table.required_string("own", "this balancer's name as a subscriber")?;
+    match SubscriberName::try_from(own.value.as_str()) {
         Ok(name) => Some(name),
         Err(error) => {
             table.report(&own, format!("{:?}: {error}", own.value), None);
             None
         }
-    });
-    let (machines, services) = (machines(&table), services(&table));
-    let state = table.string("state");
-    if let Some(empty) = state.as_ref().filter(|state| state.value.is_empty()) {
-        table.report(empty, "a file has a name", None);
     }
-    table.finish();
-    let state = state.map(|state| state.value);
-    Some(Control { own: own?, machines, services, state, place: place(&table, starts) })
 }
 
-fn machines(table: &Table<'_>) -> Vec<SocketAddr> {
+fn read_machines(table: &Table<'_>) -> Vec<SocketAddr> {
     let mut machines = Vec::new();
     for text in table.strings("machines") {
         match text.value.parse::<SocketAddr>() {
@@ -71,23 +73,23 @@
     machines
 }
 
-fn services(table: &Table<'_>) -> Vec<ServiceName> {
+fn read_services(table: &Table<'_>) -> Vec<ServiceName> {
     let texts = table.strings("services");
-    let mut services = std::collections::BTreeSet::new();
-    let mut ordered = Vec::new();
+    let mut seen = BTreeSet::new();
+    let mut services = Vec::new();
     for text in &texts {
         match ServiceName::try_from(text.value.as_str()) {
-            Ok(name) if !services.insert(name.clone()) => {
+            Ok(name) if !seen.insert(name.clone()) => {
                 table.report(text, format!("{:?} is named twice", text.value), None);
             }
-            Ok(name) => ordered.push(name),
+            Ok(name) => services.push(name),
             Err(error) => table.report(text, format!("{:?}: {error}", text.value), None),
         }
     }
     if texts.is_empty() {
-        let here = table.location();
-        let found = Located { field: format!("{}.services", here.field), ..here };
-        table.report(&found, "expected at least one service", None);
+        let location = table.location();
+        let field = Located { field: format!("{}.services", location.field), ..location };
+        table.report(&field, "expected at least one service", None);
     }
-    ordered
+    services
 }
--- a/crates/site-config/src/fleet.rs
+++ b/crates/site-config/src/fleet.rs
@@ -1,66 +1,81 @@
-//! Reads the fleet that a balancer belongs to: its name, its members, and its times.
+//! The fleet that a balancer belongs to: its name, its members and its timing.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use sableloom_membership::key_of;
-use sableloom_toml_diagnostics::{self as toml_diagnostics, Located, Problem, Table, suggestion};
+use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table, suggestion};
 
-use crate::Place;
-use crate::field::place;
+use crate::fields::report_empty_file_name;
+use crate::location::SourceLocation;
 
-/// What a balancer may keep of its fleet: a quarter of the 32 MB that all of control may take.
+/// Memory that a balancer may use for its fleet: a quarter of the 32 MB of all of control.
 const MEMBERSHIP_BYTES: usize = 8 << 20;
-/// What it keeps of each member at most: 131 bytes of what is known of it as measured (docs/design/members.md), its
-/// name and address, the maps to find it by, and news of it.
+/// Memory that it uses for each member at most: 131 bytes of state as measured (docs/design/members.md), its name and
+/// address, the maps to find it by, and updates about it.
 const MEMBER_BYTES: usize = 512;
-/// Most members of a fleet, twice those that there are to be.
+/// Maximum number of members of a fleet, twice as many as planned.
 pub const MAX_MEMBERS: usize = MEMBERSHIP_BYTES / MEMBER_BYTES;
 
+/// Time from one probe to the next where nothing is set, in milliseconds.
+const DEFAULT_PROBE_INTERVAL_MS: f64 = 200.0;
+/// Timeout of a probe where nothing is set, as a fraction of the probe interval.
+const PROBE_TIMEOUT_FRACTION_OF_INTERVAL: f64 = 0.4;
+/// Duration of a lease where nothing is set, in probe intervals.
+const DEFAULT_LEASE_INTERVALS: f64 = 10.0;
+/// Shortest duration of a lease where nothing is set, in milliseconds.
+const MIN_DEFAULT_LEASE_MS: f64 = 2000.0;
+/// Shortest duration of a lease in probe intervals: it is renewed several times while it holds.
+const MIN_LEASE_INTERVALS: f64 = 5.0;
+
 /// A member of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its name.
     pub name: String,
-    /// Where it takes datagrams.
+    /// The address that it receives datagrams at.
     pub address: SocketAddr,
 }
 
 /// The fleet that this balancer belongs to; times in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Its name. What comes from another fleet counts for nothing.
+    /// Its name. Datagrams of another fleet are ignored.
     pub name: String,
     /// This balancer's own name, one of the members'.
-    pub own: String,
+    pub own_name: String,
     /// All members, this one included; empty as long as the file that names them has not been read.
     pub members: Vec<Member>,
-    /// The file that names them, if the site does not.
-    pub file: Option<String>,
-    /// Whoever sends from there is shown what this balancer knows of the fleet.
+    /// The file that names the members, if the site does not.
+    pub members_file: Option<String>,
+    /// The address that operators' queries are answered at; queries from another address are ignored.
     pub operator: Option<SocketAddr>,
-    /// From one probe to the next.
-    pub period_ms: f64,
-    /// How long a probed member may take before others are asked.
-    pub answer_ms: f64,
-    /// How long a proof that a member does not act holds.
-    pub claim_ms: f64,
+    /// Time from one probe to the next.
+    pub probe_interval_ms: f64,
+    /// Time after which a probed member that did not answer is probed through others.
+    pub probe_timeout_ms: f64,
+    /// Duration of a lease, the proof that another member does not act.
+    pub lease_ms: f64,
     /// Where it is written.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 impl Fleet {
-    /// Where this balancer takes datagrams.
+    /// The address at which this balancer receives datagrams.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.members.iter().find(|m| m.name == self.own).map(|m| m.address)
+        self.members.iter().find(|m| m.name == self.own_name).map(|m| m.address)
     }
 
-    /// The same fleet with the members that its file names, or what is wrong with that.
+    /// The same fleet with the members that its file names; `file` is what problems call it.
+    ///
+    /// # Errors
+    ///
+    /// If this balancer is none of the members.
     pub fn with_members(mut self, file: &str, members: Vec<Member>) -> Result<Self, Vec<Problem>> {
-        if !members.iter().any(|m| m.name == self.own) {
-            let help = suggestion(&self.own, members.iter().map(|m| m.name.as_str()));
-            let what = format!("no member {:?}, which this balancer is", self.own);
-            return Err(vec![Problem { help: Some(help), ..Problem::of_file(file, what) }]);
+        if !members.iter().any(|m| m.name == self.own_name) {
+            let help = suggestion(&self.own_name, members.iter().map(|m| m.name.as_str()));
+            let message = format!("no member {:?}, which this balancer is", self.own_name);
+            return Err(vec![Problem { help: Some(help), ..Problem::of_file(file, message) }]);
         }
         self.members = members;
         Ok(self)
@@ -68,29 +83,116 @@
 }
 
 /// Reads a file of members; `file` is what problems call it.
+///
+/// # Errors
+///
+/// Everything that is wrong with it.
 pub fn read_members(file: &str, text: &[u8]) -> Result<Vec<Member>, Vec<Problem>> {
-    toml_diagnostics::read(file, text, |root| Some(members(root, "member")))
+    toml_diagnostics::read(file, text, |root| Some(member_sections(root, "member")))
+}
+
+/// The section `[fleet]`.
+pub(crate) fn read_fleet(table: Option<Table<'_>>) -> Option<Fleet> {
+    let table = table?;
+    let (name, own_name) = (table.required_name("name"), table.required_name("own"));
+    let (members_file, members) = read_member_source(&table);
+    if let Some(own) = own_name.as_ref().filter(|_| !members.is_empty())
+        && !members.iter().any(|m| m.name == own.value)
+    {
+        let help = suggestion(&own.value, members.iter().map(|m| m.name.as_str()));
+        table.report(own, format!("no member {:?}", own.value), Some(help));
+    }
+    let operator = read_operator(&table, &members);
+    let Timing { probe_interval_ms, probe_timeout_ms, lease_ms } = read_timing(&table);
+    let location = SourceLocation::of(&table);
+    table.finish();
+    Some(Fleet {
+        name: name?.value,
+        own_name: own_name?.value,
+        members,
+        members_file,
+        operator,
+        probe_interval_ms,
+        probe_timeout_ms,
+        lease_ms,
+        location,
+    })
 }
 
-fn members(table: &Table<'_>, field: &'static str) -> Vec<Member> {
+/// The file that names the members, or the members themselves.
+fn read_member_source(table: &Table<'_>) -> (Option<String>, Vec<Member>) {
+    let Some(file) = table.string("members_file") else {
+        return (None, member_sections(table, "member"));
+    };
+    if table.has("member") {
+        table.report(&file, "members are named here or in a file, not both", None);
+    } else {
+        report_empty_file_name(table, &file);
+    }
+    (Some(file.value), Vec::new())
+}
+
+fn read_operator(table: &Table<'_>, members: &[Member]) -> Option<SocketAddr> {
+    let operator = table.address("operator")?;
+    if members.iter().any(|m| m.address == operator.value) {
+        table.report(&operator, format!("{} is a member's", operator.value), None);
+    } else if operator.value.port() == 0 {
+        table.report(&operator, "whoever asks has a port of its own; 0 is none", None);
+    }
+    Some(operator.value)
+}
+
+/// Times of the probes and leases, in milliseconds.
+struct Timing {
+    probe_interval_ms: f64,
+    probe_timeout_ms: f64,
+    lease_ms: f64,
+}
+
+fn read_timing(table: &Table<'_>) -> Timing {
+    let ms = |field: &'static str, min: f64, max: f64| table.number(field, min..=max, " ms");
+    let interval = ms("period_ms", 20.0, 60_000.0);
+    let probe_interval_ms = interval.map_or(DEFAULT_PROBE_INTERVAL_MS, |time| time.value);
+    let (timeout, lease) = (ms("answer_ms", 5.0, 60_000.0), ms("claim_ms", 200.0, 600_000.0));
+    let probe_timeout_ms = timeout
+        .as_ref()
+        .map_or(probe_interval_ms * PROBE_TIMEOUT_FRACTION_OF_INTERVAL, |time| time.value);
+    let lease_ms = lease.as_ref().map_or(
+        f64::max(MIN_DEFAULT_LEASE_MS, probe_interval_ms * DEFAULT_LEASE_INTERVALS),
+        |time| time.value,
+    );
+    if let Some(timeout) = timeout.filter(|time| time.value * 2.0 > probe_interval_ms) {
+        let message =
+            format!("{probe_timeout_ms} ms is over half of the period of {probe_interval_ms} ms");
+        table.report(&timeout, message, Some("others are asked within the same period".into()));
+    }
+    if let Some(lease) = lease.filter(|time| time.value < probe_interval_ms * MIN_LEASE_INTERVALS) {
+        let message = format!("{lease_ms} ms is under five periods of {probe_interval_ms} ms");
+        let help = "a proof has to be renewed several times while it holds";
+        table.report(&lease, message, Some(help.into()));
+    }
+    Timing { probe_interval_ms, probe_timeout_ms, lease_ms }
+}
+
+fn member_sections(table: &Table<'_>, field: &'static str) -> Vec<Member> {
     let mut members: Vec<Member> = Vec::new();
-    // By hash and by address: a list of thousands is looked over once.
+    // Indexed by hash and by address, so that a list of thousands is read in linear time.
     let (mut names, mut addresses) = (HashMap::new(), HashMap::new());
     let tables = table.tables(field);
-    for one in &tables {
-        let (name, address) = (one.required_name("name"), one.required_address("address"));
-        one.finish();
+    for member in &tables {
+        let (name, address) = (member.required_name("name"), member.required_address("address"));
+        member.finish();
         let (Some(name), Some(address)) = (name, address) else { continue };
         if address.value.port() == 0 {
-            one.report(&address, "a member is found at a port of its own; 0 is none", None);
+            member.report(&address, "a member is found at a port of its own; 0 is none", None);
         }
         match names.insert(key_of(&name.value), name.value.clone()) {
             Some(other) if other == name.value => {
-                one.report(&name, format!("{:?} is named twice", name.value), None);
+                member.report(&name, format!("{:?} is named twice", name.value), None);
             }
             Some(other) => {
                 let message = format!("{:?} and {other:?} have the same hash", name.value);
-                one.report(
+                member.report(
                     &name,
                     message,
                     Some("members know each other by it: rename one".into()),
@@ -99,7 +201,7 @@
             None => {}
         }
         if let Some(other) = addresses.insert(address.value, name.value.clone()) {
-            one.report(&address, format!("{} is {other:?}'s", address.value), None);
+            member.report(&address, format!("{} is {other:?}'s", address.value), None);
         }
         members.push(Member { name: name.value, address: address.value });
     }
@@ -112,62 +214,3 @@
     }
     members
 }
-
-pub(crate) fn fleet(table: Option<Table<'_>>, starts: &[usize]) -> Option<Fleet> {
-    let table = table?;
-    let (name, own) = (table.required_name("name"), table.required_name("own"));
-    let file: Option<Located<String>> = table.string("members_file");
-    let listed = match &file {
-        Some(file) if table.has("member") => {
-            table.report(file, "members are named here or in a file, not both", None);
-            Vec::new()
-        }
-        Some(file) if file.value.is_empty() => {
-            table.report(file, "a file has a name", None);
-            Vec::new()
-        }
-        Some(_) => Vec::new(),
-        None => members(&table, "member"),
-    };
-    if let Some(own) = own.as_ref().filter(|_| !listed.is_empty())
-        && !listed.iter().any(|m| m.name == own.value)
-    {
-        let help = suggestion(&own.value, listed.iter().map(|m| m.name.as_str()));
-        table.report(own, format!("no member {:?}", own.value), Some(help));
-    }
-    let operator = table.address("operator");
-    if let Some(operator) = &operator {
-        if listed.iter().any(|m| m.address == operator.value) {
-            table.report(operator, format!("{} is a member's", operator.value), None);
-        } else if operator.value.port() == 0 {
-            table.report(operator, "whoever asks has a port of its own; 0 is none", None);
-        }
-    }
-    let ms = |field: &'static str, least: f64, most: f64| table.number(field, least..=most, " ms");
-    let period_ms = ms("period_ms", 20.0, 60_000.0).map_or(200.0, |n| n.value);
-    let (answer, claim) = (ms("answer_ms", 5.0, 60_000.0), ms("claim_ms", 200.0, 600_000.0));
-    let answer_ms = answer.as_ref().map_or(period_ms * 0.4, |n| n.value);
-    let claim_ms = claim.as_ref().map_or(f64::max(2000.0, period_ms * 10.0), |n| n.value);
-    if let Some(answer) = answer.filter(|n| n.value * 2.0 > period_ms) {
-        let message = format!("{answer_ms} ms is over half of the period of {period_ms} ms");
-        table.report(&answer, message, Some("others are asked within the same period".into()));
-    }
-    if let Some(claim) = claim.filter(|n| n.value < period_ms * 5.0) {
-        let message = format!("{claim_ms} ms is under five periods of {period_ms} ms");
-        let help = "a proof has to be renewed several times while it holds";
-        table.report(&claim, message, Some(help.into()));
-    }
-    let place = place(&table, starts);
-    table.finish();
-    Some(Fleet {
-        name: name?.value,
-        own: own?.value,
-        members: listed,
-        file: file.map(|f| f.value),
-        operator: operator.map(|o| o.value),
-        period_ms,
-        answer_ms,
-        claim_ms,
-        place,
-    })
-}
--- a/crates/site-config/src/tenants.rs
+++ b/crates/site-config/src/tenants.rs
@@ -1,12 +1,12 @@
-//! How a site's requests say whose they are.
+//! The tenants of requests.
 
 use sableloom_toml_diagnostics::Table;
 
-use crate::Place;
-use crate::field::{header_name, place};
+use crate::fields::header_name;
+use crate::location::SourceLocation;
 
-/// Headers that concern one connection (RFC 9110, section 7.6.1, and what replaces framing): they do not go with a
-/// request, so a limit by one of them would limit nothing.
+/// Headers that concern one connection (RFC 9110, section 7.6.1, and what replaces framing): they are not
+/// forwarded with a request, so a limit by one of them would limit nothing.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -25,11 +25,11 @@
     /// The header that names a request's tenant, in lower case.
     pub header: String,
     /// Where it is written.
-    pub place: Place,
+    pub location: SourceLocation,
 }
 
 /// The section `[tenants]`.
-pub(crate) fn tenants(root: &Table<'_>, starts: &[usize]) -> Option<Tenants> {
+pub(crate) fn read_tenants(root: &Table<'_>) -> Option<Tenants> {
     let table = root.table("tenants")?;
     let header = table.required_string("header", "the header that names a request's tenant");
     if !root.has("control") {
@@ -43,5 +43,5 @@
         let message = format!("{header:?} concerns a connection and goes with no request");
         table.report(&found, message, None);
     }
-    Some(Tenants { header, place: place(&table, starts) })
+    Some(Tenants { header, location: SourceLocation::of(&table) })
 }
--- a/crates/site-config/tests/control.rs
+++ b/crates/site-config/tests/site_config/control.rs
@@ -1,6 +1,6 @@
 //! The section `[control]`.
 
-use sableloom_site_config::{read, unchangeable};
+use crate::support;
 
 const TOP: &str = r#"
 [[listener]]
@@ -25,26 +25,25 @@
 
 /// All problems of a site with this section.
 fn problems(section: &str) -> Vec<String> {
-    let problems = read("site.toml", format!("{TOP}{section}").as_bytes()).expect_err("wrong");
-    problems.iter().map(ToString::to_string).collect()
+    support::problems(&format!("{TOP}{section}"))
 }
 
 #[test]
-fn a_site_with_control_has_no_pools_of_its_own() {
-    let site = read("site.toml", format!("{TOP}{GOOD}").as_bytes()).expect("good");
+fn a_site_with_control_machines_has_no_pools_of_its_own() {
+    let site = support::good(&format!("{TOP}{GOOD}"));
     let control = site.control.as_ref().expect("a section");
-    assert_eq!(control.own.as_str(), "balancer-17");
+    assert_eq!(control.subscriber.as_str(), "balancer-17");
     assert_eq!((control.machines.len(), control.services.len()), (2, 2));
     assert!(site.pools.is_empty() && site.routes.is_empty());
     assert_eq!(site.client_settings().services.len(), 1);
     let pool = "[[pool]]\nname = \"points\"\nfiles = [\"points.toml\"]\n";
     let said = problems(&format!("{GOOD}{pool}"));
-    assert!(said.len() == 1 && said[0].contains("site.toml:18:1: field `pool[0]`"), "{said:?}");
+    assert!(said.len() == 1 && said[0].contains("s.toml:18:1: field `pool[0]`"), "{said:?}");
     assert!(said[0].contains("not beside [control]"), "{said:?}");
 }
 
 #[test]
-fn what_is_wrong_is_said_with_its_field() {
+fn every_problem_names_its_field() {
     for (from, to, says) in [
         (
             "\"balancer-17\"",
@@ -68,14 +67,13 @@
 }
 
 #[test]
-fn the_services_change_while_it_runs_and_nothing_else_of_it() {
-    let site = |text: &str| read("site.toml", format!("{TOP}{text}").as_bytes()).expect("good");
+fn only_the_services_change_without_a_restart() {
+    let site = |text: &str| support::good(&format!("{TOP}{text}"));
     let old = site(GOOD);
     let fewer = site(&GOOD.replace(", \"partners\"", ""));
-    assert!(unchangeable("site.toml", &old, &fewer).is_empty());
+    assert!(support::restart_changes(&old, &fewer).is_empty());
     for other in [GOOD.replace("17", "18"), GOOD.replace("9502", "9503"), GOOD.replace("last", "l")]
     {
-        let said = unchangeable("site.toml", &old, &site(&other));
-        assert_eq!(said.iter().map(|p| &*p.field).collect::<Vec<_>>(), ["control"]);
+        assert_eq!(support::restart_changes(&old, &site(&other)), ["s.toml:12 control"]);
     }
 }
--- a/crates/site-config/tests/fleet.rs
+++ b/crates/site-config/tests/site_config/fleet.rs
@@ -1,8 +1,10 @@
-//! What a site says of the fleet that its balancer belongs to, and all that can be wrong with it.
+//! The section `[fleet]` and files of members.
 
-use sableloom_site_config::{Site, read, read_members, unchangeable};
+use sableloom_site_config::{read, read_members};
 use sableloom_toml_diagnostics::Problem;
 
+use crate::support::{good, restart_changes};
+
 const GOOD: &str = r#"
 [[listener]]
 address = "127.0.0.1:8080"
@@ -31,20 +33,20 @@
 address = "127.0.0.1:7002"
 "#;
 
-fn good(text: &str) -> Site {
-    read("s.toml", text.as_bytes()).unwrap_or_else(|wrong| panic!("{wrong:#?}"))
-}
-
-fn told(wrong: Vec<Problem>) -> String {
-    wrong.iter().map(|p| format!("{p} {}\n", p.help.clone().unwrap_or_default())).collect()
+/// Problems with their help, a line each.
+fn with_help(problems: Vec<Problem>) -> String {
+    problems.iter().map(|p| format!("{p} {}\n", p.help.clone().unwrap_or_default())).collect()
 }
 
 #[test]
-fn its_members_are_counted_and_not_the_number_that_is_written() {
+fn the_members_of_a_fleet_are_counted_in_place_of_the_number_of_balancers() {
     let site = good(GOOD);
     let fleet = site.fleet.as_ref().expect("it is there");
     assert_eq!(fleet.address().map(|a| a.port()), Some(7002));
-    assert_eq!((fleet.period_ms, fleet.answer_ms, fleet.claim_ms), (200.0, 80.0, 2000.0));
+    assert_eq!(
+        (fleet.probe_interval_ms, fleet.probe_timeout_ms, fleet.lease_ms),
+        (200.0, 80.0, 2000.0)
+    );
     assert_eq!(site.deployment_settings(&site.pools[0]).balancers, 2);
     let without = good(GOOD.split_once("[fleet]").expect("it is there").0);
     assert_eq!(
@@ -53,11 +55,11 @@
     );
     let slow = good(&GOOD.replace("own =", "period_ms = 1000\nown ="));
     let fleet = slow.fleet.expect("it is there");
-    assert_eq!((fleet.answer_ms, fleet.claim_ms), (400.0, 10_000.0));
+    assert_eq!((fleet.probe_timeout_ms, fleet.lease_ms), (400.0, 10_000.0));
 }
 
 #[test]
-fn every_fault_names_its_line_and_field() {
+fn every_problem_names_its_line_and_field() {
     for (from, to, says) in [
         ("name = \"points\"\nown", "own", "s.toml:17:1: field `fleet.name`: missing"),
         ("own = \"b2\"", "", "field `fleet.own`: missing"),
@@ -83,23 +85,23 @@
         match read("s.toml", text.as_bytes()) {
             Ok(_) => assert_eq!(says, "", "{to}"),
             Err(wrong) => {
-                let told = told(wrong);
+                let told = with_help(wrong);
                 assert!(!says.is_empty() && told.contains(says), "{says:?} is not told:\n{told}");
             }
         }
     }
     let clash = GOOD.replace("\"b1\"", "\"costarring\"").replace("\"b2\"", "\"liquid\"");
-    let told = told(read("s.toml", clash.as_bytes()).expect_err("they share a hash"));
+    let told = with_help(read("s.toml", clash.as_bytes()).expect_err("they share a hash"));
     assert!(told.contains("\"liquid\" and \"costarring\" have the same hash"), "{told}");
     assert!(told.contains("rename one"), "{told}");
 }
 
 #[test]
-fn a_file_of_members_is_checked_as_the_site_is() {
+fn a_file_of_members_is_checked_like_the_site() {
     let start = GOOD.split_once("[[fleet.member]]").expect("it is there").0;
     let site = good(&format!("{start}members_file = \"m.toml\"\n"));
     let fleet = site.fleet.expect("it is there");
-    assert_eq!((fleet.members.len(), fleet.file.as_deref()), (0, Some("m.toml")));
+    assert_eq!((fleet.members.len(), fleet.members_file.as_deref()), (0, Some("m.toml")));
     let one = |name: &str, port: u16| {
         format!("[[member]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n")
     };
@@ -108,7 +110,7 @@
     let whole = fleet.clone().with_members("m.toml", two).expect("it is named");
     assert_eq!(whole.address().map(|a| a.port()), Some(2));
     let others = members(&(one("b1", 1) + &one("b3", 2))).expect("good");
-    let wrong = told(fleet.with_members("m.toml", others).expect_err("it is not named"));
+    let wrong = with_help(fleet.with_members("m.toml", others).expect_err("it is not named"));
     assert!(wrong.contains("m.toml") && wrong.contains("no member \"b2\""), "{wrong}");
     for (text, says) in [
         (String::new(), "m.toml:1:1: field `member`: missing"),
@@ -120,7 +122,7 @@
         match members(&text) {
             Ok(members) => assert!(says.is_empty() && members.is_empty(), "{text}"),
             Err(wrong) => {
-                let told = told(wrong);
+                let told = with_help(wrong);
                 assert!(told.contains(says), "{says:?} is not told:\n{told}");
             }
         }
@@ -130,18 +132,14 @@
     for n in [7600, 16_384] {
         assert_eq!(members(&many(n)).expect("good").len(), usize::from(n));
     }
-    let wrong = told(members(&many(16_385)).expect_err("too many"));
+    let wrong = with_help(members(&many(16_385)).expect_err("too many"));
     assert!(wrong.contains("16385 members; 16384 at most"), "{wrong}");
 }
 
 #[test]
-fn members_may_change_while_it_runs_and_who_it_is_may_not() {
+fn members_change_without_a_restart_and_the_own_identity_does_not() {
     let old = good(GOOD);
-    let changed = |from: &str, to: &str| {
-        let new = good(&GOOD.replacen(from, to, 1));
-        let told = unchangeable("s.toml", &old, &new);
-        told.iter().map(|p| format!("{}:{} {}", p.file, p.line, p.field)).collect::<Vec<_>>()
-    };
+    let changed = |from: &str, to: &str| restart_changes(&old, &good(&GOOD.replacen(from, to, 1)));
     let more = "[[fleet.member]]\nname = \"b3\"\naddress = \"127.0.0.1:7003\"\n[[fleet.member]]";
     assert_eq!(changed("[[fleet.member]]", more), Vec::<String>::new());
     assert_eq!(changed("7001", "7011"), Vec::<String>::new(), "another's address");
@@ -155,6 +153,5 @@
         assert_eq!(changed(from, to), ["s.toml:17 fleet"], "{to}");
     }
     let without = good(GOOD.split_once("[fleet]").expect("it is there").0);
-    let told = unchangeable("s.toml", &old, &without);
-    assert_eq!(told.iter().map(|p| p.field.as_str()).collect::<Vec<_>>(), ["fleet"]);
+    assert_eq!(restart_changes(&old, &without), ["s.toml:1 fleet"]);
 }
--- a/crates/site-config/tests/keys.rs
+++ b/crates/site-config/tests/site_config/keys.rs
@@ -3,16 +3,14 @@
 
 use sableloom_routes::{Header, Host, Path};
 use sableloom_shadow::{Bounds, By};
-use sableloom_site_config::{Limits, Protocol, Site, Target, read};
+use sableloom_site_config::{Limits, Protocol, Site, Target};
 use sableloom_types::settings::LoadReportSource;
 use sableloom_types::{Idempotency, Span};
 
-fn site(name: &str, text: &str) -> Site {
-    read(name, text.as_bytes()).unwrap_or_else(|problems| panic!("{problems:#?}"))
-}
+use crate::support::good;
 
 fn every_key() -> Site {
-    site("every-key.toml", include_str!("data/every-key.toml"))
+    good(include_str!("data/every-key.toml"))
 }
 
 fn texts(texts: &[&str]) -> Vec<String> {
@@ -25,23 +23,26 @@
     assert_eq!(site.limits, Limits { sockets: 2048, memory_mb: 512 });
     let locality = &site.locality;
     assert_eq!(locality.zones, ["east", "west"]);
-    assert_eq!((locality.zone, locality.crossing, locality.balancers), (1, 0.25, 7));
+    assert_eq!((locality.zone, locality.cross_zone_cost, locality.balancers), (1, 0.25, 7));
     assert_eq!(site.listeners.len(), 1);
     assert_eq!(site.listeners[0].address.to_string(), "127.0.0.1:8080");
     assert_eq!(site.listeners[0].protocol, Protocol::Http1);
-    assert_eq!(site.otherwise, Target::Pool(0));
+    assert_eq!(site.fallback, Target::Pool(0));
 }
 
 #[test]
 fn keys_of_the_fleet_arrive() {
     let fleet = every_key().fleet.expect("a section [fleet]");
-    assert_eq!((fleet.name.as_str(), fleet.own.as_str()), ("points", "b2"));
+    assert_eq!((fleet.name.as_str(), fleet.own_name.as_str()), ("points", "b2"));
     assert_eq!(fleet.operator.map(|address| address.port()), Some(7100));
-    assert_eq!((fleet.period_ms, fleet.answer_ms, fleet.claim_ms), (300.0, 90.0, 4000.0));
+    assert_eq!(
+        (fleet.probe_interval_ms, fleet.probe_timeout_ms, fleet.lease_ms),
+        (300.0, 90.0, 4000.0)
+    );
     let members: Vec<_> =
         fleet.members.iter().map(|m| (m.name.as_str(), m.address.port())).collect();
     assert_eq!(members, [("b1", 7001), ("b2", 7002)]);
-    assert_eq!(fleet.file, None);
+    assert_eq!(fleet.members_file, None);
 }
 
 #[test]
@@ -49,12 +50,18 @@
     let site = every_key();
     let [balance, redeem, transfer] = site.classes.as_slice() else { panic!("three classes") };
     assert_eq!(balance.name, "balance");
-    assert_eq!((balance.aim_ms, balance.deadline_ms, balance.window_ms), (110.0, 550.0, 0.0));
+    assert_eq!(
+        (balance.latency_objective_ms, balance.deadline_ms, balance.dedup_window_ms),
+        (110.0, 550.0, 0.0)
+    );
     assert_eq!(balance.idempotency, Idempotency::Idempotent);
     assert_eq!(balance.methods, ["GET", "OPTIONS"]);
     assert_eq!((balance.priority_weight, balance.late_priority_weight), (3.5, 0.75));
     assert_eq!(redeem.name, "redeem");
-    assert_eq!((redeem.aim_ms, redeem.deadline_ms, redeem.window_ms), (210.0, 900.0, 61_000.0));
+    assert_eq!(
+        (redeem.latency_objective_ms, redeem.deadline_ms, redeem.dedup_window_ms),
+        (210.0, 900.0, 61_000.0)
+    );
     assert_eq!(redeem.idempotency, Idempotency::Keyed);
     assert_eq!(redeem.methods, ["POST"]);
     assert_eq!((redeem.priority_weight, redeem.late_priority_weight), (2.5, 0.5));
@@ -67,18 +74,31 @@
     assert_eq!(site.pools.len(), 1, "the other two are a shadow's");
     let pool = &site.pools[0];
     assert_eq!((pool.name.as_str(), pool.protocol), ("points", Protocol::Http1));
+    let upstream = &pool.upstream;
     assert_eq!(pool.files, ["points-1.toml", "points-2.toml"]);
     assert_eq!(
-        (pool.t_qos_ms, pool.connect_timeout_ms, pool.keepalive_ms),
+        (pool.t_qos_ms, upstream.connect_timeout_ms, upstream.keepalive_ms),
         (120.0, 251.0, 16_000.0)
     );
-    assert_eq!((pool.max_open, pool.max_attempts, pool.retry_after_ms), (1001, 5, 1100.0));
-    assert_eq!((pool.out_at_most, pool.drain_ms, pool.reread_ms), (0.4, 2100.0, 5100.0));
+    assert_eq!(
+        (upstream.max_open, upstream.max_attempts, upstream.retry_after_ms),
+        (1001, 5, 1100.0)
+    );
+    assert_eq!(
+        (pool.max_removed_share, pool.drain_ms, pool.reread_interval_ms),
+        (0.4, 2100.0, 5100.0)
+    );
     let names = texts(&["inflight", "queue", "util", "latency_ms"]);
-    assert_eq!(pool.reports, (LoadReportSource::Pull, names));
-    let cold = &pool.cold;
+    let reports = &upstream.load_reports;
+    assert_eq!((reports.source, &reports.values), (LoadReportSource::Pull, &names));
+    let slow_start = &upstream.slow_start;
     assert_eq!(
-        (cold.from, cold.time_ms, cold.multiple, cold.window_ms),
+        (
+            slow_start.initial_share,
+            slow_start.duration_ms,
+            slow_start.overload_factor,
+            slow_start.overload_window_ms
+        ),
         (0.3, 31_000.0, 2.5, 1600.0)
     );
 }
@@ -138,7 +158,7 @@
         ]
     );
     assert_eq!(rule.classes, [1, 0]);
-    assert_eq!((closed.name.as_str(), closed.target), ("closed", Target::Refuse(410)));
+    assert_eq!((closed.name.as_str(), closed.target), ("closed", Target::Reject(410)));
 }
 
 #[test]
@@ -146,9 +166,9 @@
     let site = every_key();
     assert_eq!(site.shadows.len(), 1);
     let shadow = &site.shadows[0];
-    assert_eq!((shadow.name.as_str(), shadow.of), ("trial", 0));
-    assert_eq!(shadow.to.name, "next");
-    assert_eq!(shadow.control.as_ref().map(|pool| pool.name.as_str()), Some("same"));
+    assert_eq!((shadow.name.as_str(), shadow.live_pool), ("trial", 0));
+    assert_eq!(shadow.candidate.name, "next");
+    assert_eq!(shadow.control_group.as_ref().map(|pool| pool.name.as_str()), Some("same"));
     let bounds = Bounds {
         classes: vec![true, false, false],
         share: 0.2,
@@ -166,10 +186,10 @@
         own: 0,
     };
     assert_eq!(shadow.bounds, bounds);
-    assert_eq!((shadow.time_ms, shadow.settle_ms), (560.0, 1002.0));
-    assert_eq!(shadow.drop, ["x-secret", "cookie"]);
-    assert!(shadow.values);
-    assert_eq!((shadow.record.as_str(), shadow.record_ms), ("trial.json", 10_001.0));
+    assert_eq!((shadow.timeout_ms, shadow.settle_ms), (560.0, 1002.0));
+    assert_eq!(shadow.dropped_headers, ["x-secret", "cookie"]);
+    assert!(shadow.records_values);
+    assert_eq!((shadow.record_file.as_str(), shadow.record_interval_ms), ("trial.json", 10_001.0));
     assert_eq!(shadow.rules.fields, ["content-type", "etag"]);
     assert_eq!(
         shadow.rules.ignore,
@@ -183,15 +203,15 @@
 
 #[test]
 fn keys_of_control_tenants_and_a_file_of_members_arrive() {
-    let site = site("every-control-key.toml", include_str!("data/every-control-key.toml"));
+    let site = good(include_str!("data/every-control-key.toml"));
     let fleet = site.fleet.as_ref().expect("a section [fleet]");
-    assert_eq!(fleet.file.as_deref(), Some("members.toml"));
+    assert_eq!(fleet.members_file.as_deref(), Some("members.toml"));
     let control = site.control.as_ref().expect("a section [control]");
-    assert_eq!(control.own.as_str(), "balancer-17");
+    assert_eq!(control.subscriber.as_str(), "balancer-17");
     let ports: Vec<_> = control.machines.iter().map(|machine| machine.port()).collect();
     assert_eq!(ports, [9501, 9502]);
     let services: Vec<_> = control.services.iter().map(|service| service.as_str()).collect();
     assert_eq!(services, ["points", "partners"]);
-    assert_eq!(control.state.as_deref(), Some("last-good.bin"));
+    assert_eq!(control.state_file.as_deref(), Some("last-good.bin"));
     assert_eq!(site.tenants.as_ref().expect("a section [tenants]").header, "x-customer");
 }
--- a/crates/site-config/tests/shadow.rs
+++ b/crates/site-config/tests/site_config/shadow.rs
@@ -1,10 +1,11 @@
-//! What a site says of shadows, and what can be wrong with it.
+//! The sections `[[shadow]]`.
 
 use sableloom_shadow::{Bounds, By};
-use sableloom_site_config::*;
-use sableloom_toml_diagnostics::Problem;
+use sableloom_site_config::Target;
 use sableloom_types::Span;
 
+use crate::support::{good, problems};
+
 const SITE: &str = r#"
 [[listener]]
 address = "127.0.0.1:8080"
@@ -53,17 +54,8 @@
 to = "next"
 "#;
 
-fn read_site(text: &str) -> Result<Site, Vec<String>> {
-    let said = |wrong: Vec<Problem>| wrong.iter().map(Problem::to_string).collect();
-    read("s.toml", text.as_bytes()).map_err(said)
-}
-
-fn good(text: &str) -> Site {
-    read_site(text).unwrap_or_else(|wrong| panic!("{wrong:#?}"))
-}
-
 #[test]
-fn what_is_not_said_of_a_shadow_has_stated_values() {
+fn a_shadow_without_settings_has_the_documented_defaults() {
     let site = good(SITE);
     let shadow = &site.shadows[0];
     let bounds = Bounds {
@@ -83,28 +75,31 @@
         own: 0,
     };
     assert_eq!(shadow.bounds, bounds);
-    assert_eq!((shadow.time_ms, shadow.settle_ms, shadow.values), (500.0, 1000.0, false));
-    assert_eq!(shadow.drop, ["authorization", "proxy-authorization", "cookie"]);
+    assert_eq!(
+        (shadow.timeout_ms, shadow.settle_ms, shadow.records_values),
+        (500.0, 1000.0, false)
+    );
+    assert_eq!(shadow.dropped_headers, ["authorization", "proxy-authorization", "cookie"]);
     assert_eq!(shadow.rules.fields, ["content-type"]);
-    assert_eq!(shadow.record, "shadow-trial.json");
+    assert_eq!(shadow.record_file, "shadow-trial.json");
 }
 
-/// The pools that get copies are none that requests are led to, wherever they stand.
+/// No route leads to a pool that gets copies, wherever it is written.
 #[test]
-fn pools_of_shadows_leave_the_others_in_their_order() {
+fn pools_of_shadows_are_taken_out_and_the_others_keep_their_order() {
     let text = format!("{SITE}control = \"old\"\n");
     let site = good(&text);
     let names: Vec<_> = site.pools.iter().map(|pool| pool.name.as_str()).collect();
     assert_eq!(names, ["points", "partners"]);
     let shadow = &site.shadows[0];
-    assert_eq!((shadow.of, shadow.to.name.as_str()), (0, "next"));
-    assert_eq!(shadow.control.as_ref().map(|pool| pool.name.as_str()), Some("old"));
-    assert_eq!((site.routes[0].target, site.otherwise), (Target::Pool(1), Target::Pool(0)));
+    assert_eq!((shadow.live_pool, shadow.candidate.name.as_str()), (0, "next"));
+    assert_eq!(shadow.control_group.as_ref().map(|pool| pool.name.as_str()), Some("old"));
+    assert_eq!((site.routes[0].target, site.fallback), (Target::Pool(1), Target::Pool(0)));
     assert_eq!(site.every_pool().count(), 4);
 }
 
 #[test]
-fn all_that_is_wrong_with_a_shadow_is_said() {
+fn every_problem_of_a_shadow_names_its_field() {
     let end = SITE.lines().count();
     // A line of the shadow, or another text in place of one; what is said of it.
     let cases: [(&str, &str, String); 22] = [
@@ -136,10 +131,10 @@
             "+" => format!("{SITE}{line}\n"),
             old => SITE.replace(old, line),
         };
-        let wrong = read_site(&text).expect_err(line);
+        let wrong = problems(&text);
         assert!(wrong.iter().any(|w| w.contains(&says)), "{line}: {says:?} is not in {wrong:#?}");
     }
     let unsafe_only = SITE.replace("effect = \"safe\"", "effect = \"unsafe\"");
-    let wrong = read_site(&unsafe_only).expect_err("nothing to copy");
+    let wrong = problems(&unsafe_only);
     assert!(wrong[0].contains("field `shadow[0]`: no class is safe"), "{wrong:#?}");
 }
--- a/crates/site-config/tests/site.rs
+++ b/crates/site-config/tests/site_config/site.rs
@@ -1,10 +1,10 @@
-//! What a site says, what can be wrong with it, and what a running balancer takes over.
+//! Listeners, classes, pools and routes.
 
 use sableloom_routes::{Host, Path};
-use sableloom_site_config::*;
-use sableloom_toml_diagnostics::Problem;
-use sableloom_types::Idempotency;
-use sableloom_types::Span;
+use sableloom_site_config::{Limits, Target};
+use sableloom_types::{Idempotency, Span};
+
+use crate::support::{good, problems, restart_changes};
 
 const GOOD: &str = r#"
 [[listener]]
@@ -36,22 +36,14 @@
 pool = "points"
 "#;
 
-fn good(text: &str) -> Site {
-    read("s.toml", text.as_bytes()).unwrap_or_else(|wrong| panic!("{wrong:#?}"))
-}
-
-fn wrong(text: &str) -> Vec<String> {
-    read("s.toml", text.as_bytes()).expect_err(text).iter().map(Problem::to_string).collect()
-}
-
 #[test]
-fn what_is_not_said_has_stated_values() {
+fn fields_that_are_not_set_have_the_documented_defaults() {
     let site = good(GOOD);
     assert_eq!(site.limits, Limits { sockets: 1024, memory_mb: 256 });
-    assert_eq!(site.otherwise, Target::Refuse(404));
+    assert_eq!(site.fallback, Target::Reject(404));
     let pool = &site.pools[0];
-    // T_QoS is the mean of the aims, and a drain as long as any client waits, but a second at least.
-    assert_eq!((pool.t_qos_ms, pool.drain_ms, pool.out_at_most), (150.0, 1000.0, 0.5));
+    // T_QoS is the mean latency objective, and a drain is as long as the longest deadline, but at least a second.
+    assert_eq!((pool.t_qos_ms, pool.drain_ms, pool.max_removed_share), (150.0, 1000.0, 0.5));
     assert_eq!(site.classes[1].idempotency, Idempotency::Keyed);
     let rule = &site.routes[0].rule;
     let exact = |name: &str| Host::Exact(name.into());
@@ -74,7 +66,7 @@
 }
 
 #[test]
-fn each_thing_that_is_wrong_is_named() {
+fn every_problem_names_its_location_and_field() {
     for (from, to, says) in [
         ("127.0.0.1:8080", "localhost:8080", "s.toml:3:11: field `listener[0].address`"),
         ("\"GET\"", "\"HEAD\"", "field `class[0].methods`: \"HEAD\" is not carried"),
@@ -131,23 +123,19 @@
     ] {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from}");
-        let told = wrong(&text);
+        let told = problems(&text);
         assert!(told.iter().any(|line| line.contains(says)), "{says:?} is not told:\n{told:#?}");
     }
     let bad = GOOD.replace("aim_ms = 100", "aim_ms = 0").replace("\"points.toml\"", "7");
-    assert!(wrong(&bad).len() >= 2, "all at once");
+    assert!(problems(&bad).len() >= 2, "all at once");
     let twice = format!("{GOOD}\n[[listener]]\naddress = \"127.0.0.1:8080\"\n");
-    assert!(wrong(&twice)[0].contains("another listener's"));
+    assert!(problems(&twice)[0].contains("another listener's"));
 }
 
 #[test]
-fn what_needs_a_restart_is_named_and_the_rest_is_not() {
+fn only_changes_that_need_a_restart_are_named() {
     let old = good(GOOD);
-    let changed = |from: &str, to: &str| {
-        let new = good(&GOOD.replacen(from, to, 1));
-        let told = unchangeable("s.toml", &old, &new);
-        told.iter().map(|p| format!("{}:{} {}", p.file, p.line, p.field)).collect::<Vec<_>>()
-    };
+    let changed = |from: &str, to: &str| restart_changes(&old, &good(&GOOD.replacen(from, to, 1)));
     for (from, to) in [
         ("[[listener]]", "# moved down by a comment\n\n[[listener]]"),
         ("\"points.toml\"", "[\"a\", \"b\"]\nout_at_most = 0.1\ndrain_ms = 5\nreread_ms = 50"),
@@ -165,7 +153,7 @@
         ("[[route]]", "[limits]\nmemory_mb = 32\n[[route]]", "s.toml:1 limits"),
         ("[[route]]", "[locality]\nbalancers = 3\n[[route]]", "s.toml:1 locality"),
     ] {
-        // T_QoS follows the aims where it is not stated.
+        // T_QoS follows the latency objectives where it is not set.
         let told = changed(from, to);
         assert_eq!(told[0], field, "{to}");
         assert!(told.len() == 1 || told[1].ends_with("t_qos_ms"), "{told:?}");
--- a/crates/site-config/tests/tenants.rs
+++ b/crates/site-config/tests/site_config/tenants.rs
@@ -1,6 +1,6 @@
 //! The section `[tenants]`.
 
-use sableloom_site_config::{read, unchangeable};
+use crate::support::{good, problems, restart_changes};
 
 const TOP: &str = r#"
 [[listener]]
@@ -26,19 +26,19 @@
 }
 
 #[test]
-fn a_header_names_the_tenant_and_may_change_while_it_runs() {
-    let site = |section: &str| read("site.toml", text(section).as_bytes()).expect("good");
+fn the_header_of_tenants_changes_without_a_restart() {
+    let site = |section: &str| good(&text(section));
     let (none, some) = (site(""), site("[tenants]\nheader = \"X-Customer\"\n"));
     assert_eq!(none.tenants, None);
     assert_eq!(some.tenants.as_ref().expect("a section").header, "x-customer");
-    assert!(unchangeable("site.toml", &none, &some).is_empty());
-    assert!(unchangeable("site.toml", &some, &none).is_empty());
+    assert!(restart_changes(&none, &some).is_empty());
+    assert!(restart_changes(&some, &none).is_empty());
 }
 
 #[test]
-fn what_is_wrong_is_said_with_its_line_and_field() {
+fn every_problem_names_its_line_and_field() {
     for (section, says) in [
-        ("[tenants]\n", "site.toml:16:1: field `tenants.header`: missing"),
+        ("[tenants]\n", "s.toml:16:1: field `tenants.header`: missing"),
         (
             "[tenants]\nheader = \"two words\"\n",
             "17:10: field `tenants.header`: \"two words\" is no",
@@ -49,12 +49,10 @@
             "`tenants.headers`: unknown field; did you mean `header`?",
         ),
     ] {
-        let problems = read("site.toml", text(section).as_bytes()).expect_err(section);
-        let told: Vec<String> = problems.iter().map(ToString::to_string).collect();
+        let told = problems(&text(section));
         assert!(told.iter().any(|told| told.contains(says)), "{says} in {told:#?}");
     }
     let alone = format!("{TOP}[tenants]\nheader = \"X-Customer\"\n");
-    let told = read("site.toml", alone.as_bytes()).expect_err("no control");
-    let told: Vec<String> = told.iter().map(ToString::to_string).collect();
+    let told = problems(&alone);
     assert!(told.iter().any(|told| told.contains("no limits without [control]")), "{told:?}");
 }
