--- a/crates/resources/src/body.rs
+++ b/crates/resources/src/body.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sableloom_distribution::ResourceKind;
-use sableloom_routes::{Header, Host, Path, Rule};
+use sableloom_routes::{HeaderCondition, HostPattern, PathPattern, Rule};
 use sableloom_server_list::State;
 use sableloom_site_config::PoolSettings;
 use serde::{Deserialize, Serialize};
@@ -61,13 +61,13 @@
     /// Order among all routes, lower first; equal ranks are ordered by service, then by name.
     pub rank: u32,
     /// Hosts.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<HostPattern>,
     /// Paths.
-    pub paths: Vec<Path>,
+    pub paths: Vec<PathPattern>,
     /// Methods.
     pub methods: Vec<String>,
     /// Headers; every one of them must be there.
-    pub headers: Vec<Header>,
+    pub headers: Vec<HeaderCondition>,
     /// Names of classes; none for all. A balancer's site says which there are.
     pub classes: Vec<String>,
     /// Refuses what the route takes with this status of HTTP; otherwise it leads to the service's pool.
--- a/crates/resources/tests/encoding.rs
+++ b/crates/resources/tests/encoding.rs
@@ -2,7 +2,7 @@
 
 use sableloom_distribution::ResourceKind;
 use sableloom_resources::{Body, RouteRule};
-use sableloom_routes::{Header, Host, Path};
+use sableloom_routes::{HeaderCondition, HostPattern, PathPattern};
 use sableloom_site_config::PoolSettings;
 use sableloom_toml_diagnostics::read;
 
@@ -43,16 +43,19 @@
 fn a_route_body_is_these_bytes() {
     let body = Body::Route(RouteRule {
         rank: 300,
-        hosts: vec![Host::Exact("a.example".into()), Host::Under("b.example".into())],
+        hosts: vec![
+            HostPattern::Exact("a.example".into()),
+            HostPattern::Subdomains("b.example".into()),
+        ],
         paths: vec![
-            Path::Exact("/e".into()),
-            Path::Prefix("/p/".into()),
-            Path::Suffix(".s".into()),
+            PathPattern::Exact("/e".into()),
+            PathPattern::Prefix("/p/".into()),
+            PathPattern::Suffix(".s".into()),
         ],
         methods: vec!["GET".into(), "POST".into()],
         headers: vec![
-            Header { name: "x-any".into(), value: None },
-            Header { name: "x-tenant".into(), value: Some("gold".into()) },
+            HeaderCondition { name: "x-any".into(), value: None },
+            HeaderCondition { name: "x-tenant".into(), value: Some("gold".into()) },
         ],
         classes: vec!["balance".into()],
         refuse: Some(410),
--- a/crates/routes/examples/matching.rs
+++ b/crates/routes/examples/matching.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use oorandom::Rand64;
-use sableloom_routes::*;
+use sableloom_routes::{HostPattern, PathPattern, RequestHead, RouteTable, Rule};
 
 const MATCHES: usize = 1_000_000;
 
@@ -18,7 +18,7 @@
         let before = resident_kb();
         let rules: Vec<Rule> = (0..count).map(rule).collect();
         let start = Instant::now();
-        let table = Table::compile(rules).expect("rules");
+        let table = RouteTable::compile(rules).expect("rules");
         let compiled = start.elapsed().as_secs_f64() * 1e3;
         let held = resident_kb().saturating_sub(before);
         let mut rng = Rand64::new(1);
@@ -42,17 +42,17 @@
 
 fn rule(n: usize) -> Rule {
     Rule {
-        hosts: vec![Host::Exact(host(n))],
-        paths: vec![Path::Prefix(format!("/v1/shop-{n}/"))],
+        hosts: vec![HostPattern::Exact(host(n))],
+        paths: vec![PathPattern::Prefix(format!("/v1/shop-{n}/"))],
         ..Rule::default()
     }
 }
 
-fn time(table: &Table, heads: &[(String, String)], found: Option<()>) -> f64 {
+fn time(table: &RouteTable, heads: &[(String, String)], found: Option<()>) -> f64 {
     let start = Instant::now();
     for i in 0..MATCHES {
         let (host, path) = &heads[i % heads.len()];
-        let head = Head {
+        let head = RequestHead {
             host: host.as_bytes(),
             path: path.as_bytes(),
             method: b"GET",
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -1,24 +1,30 @@
-//! Routes of many services that come and go one by one.
+//! Routes of many services that are added and removed one by one.
 //!
-//! [`Table`](crate::Table) is compiled whole: a fleet's 21,000 routes take a second of processor time each
-//! time that one of them changes. [`RouteIndex`] has the same meaning and takes one route at a time, at a
-//! cost that goes with that route's own patterns. A lookup asks a hash map for the host and for each name
-//! above it, and in each of those found, for the patterns that the path meets; it allocates nothing, and services whose hosts can't match cost it nothing.
+//! [`RouteTable`](crate::RouteTable) is compiled as a whole: 21,000 routes of a fleet take a second of processor time
+//! each time that one of them changes. [`RouteIndex`] has the same meaning and takes one route at a time, at a cost in
+//! proportion to the patterns of that route. A lookup asks a hash map for the host and for each of its parent domains,
+//! and in each of those found, for the patterns that the path matches. It allocates nothing, and services whose hosts
+//! do not match cost it nothing.
+
+mod patterns;
+mod postings;
 
 use std::collections::BTreeMap;
 
 use arrayvec::ArrayVec;
 use rustc_hash::FxHashMap;
 
-use crate::texts::{Postings, Slot, Texts};
-use crate::{HOST_MAX, Head, Host, Path, Rule, name_of, rest_fails};
+use crate::request::{MAX_HOST_BYTES, RequestHead, host_name};
+use crate::rule::{HostPattern, PathPattern, Rule};
+use patterns::PatternMap;
+use postings::{Postings, Slot};
 
-/// Most pairs of a host and a path pattern of one route: each is listed by itself. 60 KB of patterns could
-/// otherwise make a hundred million of them.
+/// Maximum number of pairs of a host and a path pattern of one route: each is listed by itself. Otherwise 60 KB of
+/// patterns could make a hundred million of them.
 pub const MAX_PAIRS_PER_ROUTE: usize = 20_000;
 
-/// What decides between two routes that both match: the lower rank, then the lower service, then the lower
-/// name.
+/// The order of routes. Of two routes that match, the one with the lower rank is taken, then the one of the lower
+/// service, then the one of the lower name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteOrder {
     /// Lower comes first.
@@ -29,80 +35,80 @@
     pub name: Box<str>,
 }
 
-/// A route and what it leads to.
+/// A route and its target.
 #[derive(Clone, Debug)]
 pub struct IndexedRoute<T> {
-    /// Its place among all routes.
+    /// Its position in the order of all routes.
     pub order: RouteOrder,
-    /// What it asks of a request.
+    /// Its conditions on a request.
     pub rule: Rule,
-    /// What a request that it matches gets.
+    /// The target of a request that matches.
     pub target: T,
 }
 
 /// Routes of one host pattern, by their path patterns.
 #[derive(Default)]
-struct Paths {
+struct PathIndex {
     any: Postings,
-    exact: Texts,
-    prefixes: Texts,
-    suffixes: Texts,
+    exact: PatternMap,
+    prefixes: PatternMap,
+    suffixes: PatternMap,
 }
 
 /// Routes by host pattern, then by path pattern.
 pub struct RouteIndex<T> {
     routes: Vec<Option<IndexedRoute<T>>>,
-    free: Vec<Slot>,
+    free_slots: Vec<Slot>,
     by_service: FxHashMap<Box<str>, BTreeMap<Box<str>, Slot>>,
-    any_host: Paths,
+    any_host: PathIndex,
     /// By the whole name, in lower case.
-    exact_hosts: FxHashMap<Box<[u8]>, Paths>,
-    /// By the name that they lie under, in lower case.
-    under_hosts: FxHashMap<Box<[u8]>, Paths>,
+    exact_hosts: FxHashMap<Box<[u8]>, PathIndex>,
+    /// By the parent domain, in lower case.
+    subdomain_hosts: FxHashMap<Box<[u8]>, PathIndex>,
 }
 
 impl<T> Default for RouteIndex<T> {
     fn default() -> Self {
         Self {
             routes: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             by_service: FxHashMap::default(),
-            any_host: Paths::default(),
+            any_host: PathIndex::default(),
             exact_hosts: FxHashMap::default(),
-            under_hosts: FxHashMap::default(),
+            subdomain_hosts: FxHashMap::default(),
         }
     }
 }
 
 impl<T> RouteIndex<T> {
-    /// Adds a route, or puts it in place of the one with its service and name. It is to have at most
-    /// [`MAX_PAIRS_PER_ROUTE`] pairs.
+    /// Adds a route, or replaces the one with its service and name. It must have at most [`MAX_PAIRS_PER_ROUTE`]
+    /// pairs of patterns.
     pub fn set(&mut self, route: IndexedRoute<T>) {
         let RouteOrder { service, name, .. } = &route.order;
         self.remove(service, name);
         let (service, name) = (service.clone(), name.clone());
-        let hosts = hosts_of(&route.rule);
+        let hosts = host_keys(&route.rule);
         let slot = self.store(route);
         for host in &hosts {
-            self.list(host, slot);
+            self.add_postings(host, slot);
         }
         self.by_service.entry(service).or_default().insert(name, slot);
     }
 
-    /// Takes a route out. Whether it was there.
+    /// Removes a route, and returns whether it was there.
     pub fn remove(&mut self, service: &str, name: &str) -> bool {
         let Some(names) = self.by_service.get_mut(service) else { return false };
         let Some(slot) = names.remove(name) else { return false };
         if names.is_empty() {
             self.by_service.remove(service);
         }
-        self.unlist(slot);
+        self.remove_postings(slot);
         self.routes[slot as usize] = None;
-        self.free.push(slot);
+        self.free_slots.push(slot);
         true
     }
 
-    /// Takes all routes of a service out. How many there were.
+    /// Removes all routes of a service, and returns their number.
     pub fn remove_service(&mut self, service: &str) -> usize {
         let names = self.by_service.get(service);
         let names: Vec<Box<str>> = names.into_iter().flat_map(BTreeMap::keys).cloned().collect();
@@ -114,49 +120,49 @@
         self.by_service.get(service).into_iter().flat_map(BTreeMap::keys).map(|name| &**name)
     }
 
-    /// Routes that are in force.
+    /// Number of routes.
     pub fn len(&self) -> usize {
-        self.routes.len() - self.free.len()
+        self.routes.len() - self.free_slots.len()
     }
 
-    /// Whether no route is in force.
+    /// Whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Patterns of hosts that are kept, and of paths of routes for any host.
+    /// Number of host patterns, and of path patterns of routes for any host.
     pub fn patterns(&self) -> usize {
         let paths = [&self.any_host.exact, &self.any_host.prefixes, &self.any_host.suffixes];
-        let paths: usize = paths.iter().map(|texts| texts.len()).sum();
-        self.exact_hosts.len() + self.under_hosts.len() + paths
+        let paths: usize = paths.iter().map(|map| map.len()).sum();
+        self.exact_hosts.len() + self.subdomain_hosts.len() + paths
     }
 
     /// The first route in order whose conditions all hold.
-    pub fn find(&self, head: &Head<'_>) -> Option<&IndexedRoute<T>> {
+    pub fn find(&self, head: &RequestHead<'_>) -> Option<&IndexedRoute<T>> {
         let mut search = Search { index: self, head, best: None };
-        search.paths(&self.any_host);
-        let name = name_of(head.host);
-        if name.len() > HOST_MAX {
+        search.try_paths(&self.any_host);
+        let name = host_name(head.host);
+        if name.len() > MAX_HOST_BYTES {
             return search.best;
         }
-        let lower: ArrayVec<u8, HOST_MAX> = name.iter().map(u8::to_ascii_lowercase).collect();
+        let lower: ArrayVec<u8, MAX_HOST_BYTES> = name.iter().map(u8::to_ascii_lowercase).collect();
         if let Some(paths) = self.exact_hosts.get(lower.as_slice()) {
-            search.paths(paths);
+            search.try_paths(paths);
         }
-        if self.under_hosts.is_empty() {
+        if self.subdomain_hosts.is_empty() {
             return search.best;
         }
-        // Under a host is something before its dot.
+        // A subdomain has something before the dot.
         for dot in (1..lower.len()).filter(|at| lower[*at] == b'.') {
-            if let Some(paths) = self.under_hosts.get(&lower[dot + 1..]) {
-                search.paths(paths);
+            if let Some(paths) = self.subdomain_hosts.get(&lower[dot + 1..]) {
+                search.try_paths(paths);
             }
         }
         search.best
     }
 
     fn store(&mut self, route: IndexedRoute<T>) -> Slot {
-        match self.free.pop() {
+        match self.free_slots.pop() {
             Some(slot) => {
                 self.routes[slot as usize] = Some(route);
                 slot
@@ -168,67 +174,69 @@
         }
     }
 
-    fn list(&mut self, host: &HostKey, slot: Slot) {
+    fn add_postings(&mut self, host: &HostKey, slot: Slot) {
         let routes = &self.routes;
         let Some(route) = &routes[slot as usize] else { return };
-        let paths = match host {
+        let paths: &mut PathIndex = match host {
             HostKey::Any => &mut self.any_host,
             HostKey::Exact(name) => self.exact_hosts.entry(name.clone()).or_default(),
-            HostKey::Under(name) => self.under_hosts.entry(name.clone()).or_default(),
+            HostKey::Subdomains(name) => self.subdomain_hosts.entry(name.clone()).or_default(),
         };
         let before = |other: &Slot| order_of(routes, *other).cmp(&Some(&route.order));
         if route.rule.paths.is_empty() {
             paths.any.insert(slot, before);
         }
         for path in &route.rule.paths {
-            let (texts, text) = paths.texts(path);
-            texts.insert(text, slot, before);
+            let (map, text) = paths.map_and_key(path);
+            map.insert(text, slot, before);
         }
     }
 
-    fn unlist(&mut self, slot: Slot) {
+    fn remove_postings(&mut self, slot: Slot) {
         let routes = &self.routes;
         let Some(route) = &routes[slot as usize] else { return };
         let before = |other: &Slot| order_of(routes, *other).cmp(&Some(&route.order));
-        let unlist = |paths: &mut Paths| {
+        let remove = |paths: &mut PathIndex| {
             if route.rule.paths.is_empty() {
                 paths.any.remove(before);
             }
             for path in &route.rule.paths {
-                let (texts, text) = paths.texts(path);
-                texts.remove(text, before);
+                let (map, text) = paths.map_and_key(path);
+                map.remove(text, before);
             }
             paths.is_empty()
         };
-        for host in hosts_of(&route.rule) {
+        for host in host_keys(&route.rule) {
             match host {
                 HostKey::Any => {
-                    unlist(&mut self.any_host);
+                    remove(&mut self.any_host);
+                }
+                HostKey::Exact(name) => remove_from_host(&mut self.exact_hosts, &name, remove),
+                HostKey::Subdomains(name) => {
+                    remove_from_host(&mut self.subdomain_hosts, &name, remove)
                 }
-                HostKey::Exact(name) => unlist_host(&mut self.exact_hosts, &name, unlist),
-                HostKey::Under(name) => unlist_host(&mut self.under_hosts, &name, unlist),
             }
         }
     }
 }
 
-/// A host pattern as it is looked up.
+/// The key of a host pattern.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum HostKey {
     Any,
     Exact(Box<[u8]>),
-    Under(Box<[u8]>),
+    Subdomains(Box<[u8]>),
 }
 
 /// The host patterns of a rule, each once.
-fn hosts_of(rule: &Rule) -> Vec<HostKey> {
+fn host_keys(rule: &Rule) -> Vec<HostKey> {
     let lower = |name: &str| name.to_ascii_lowercase().into_bytes().into_boxed_slice();
     let mut hosts: Vec<HostKey> = rule
         .hosts
         .iter()
         .map(|host| match host {
-            Host::Exact(name) => HostKey::Exact(lower(name)),
-            Host::Under(name) => HostKey::Under(lower(name)),
+            HostPattern::Exact(name) => HostKey::Exact(lower(name)),
+            HostPattern::Subdomains(name) => HostKey::Subdomains(lower(name)),
         })
         .collect();
     if hosts.is_empty() {
@@ -243,56 +251,57 @@
     routes[slot as usize].as_ref().map(|route| &route.order)
 }
 
-fn unlist_host(
-    hosts: &mut FxHashMap<Box<[u8]>, Paths>,
+/// Removes a route from a host pattern, and the pattern once it has no route.
+fn remove_from_host(
+    hosts: &mut FxHashMap<Box<[u8]>, PathIndex>,
     name: &[u8],
-    unlist: impl Fn(&mut Paths) -> bool,
+    remove: impl Fn(&mut PathIndex) -> bool,
 ) {
-    if hosts.get_mut(name).is_some_and(unlist) {
+    if hosts.get_mut(name).is_some_and(remove) {
         hosts.remove(name);
     }
 }
 
-impl Paths {
-    /// The patterns of this path's kind, and its text as it is looked up.
-    fn texts<'p>(&mut self, path: &'p Path) -> (&mut Texts, &'p [u8]) {
+impl PathIndex {
+    /// The patterns of this pattern's kind, and its text as the key.
+    fn map_and_key<'p>(&mut self, path: &'p PathPattern) -> (&mut PatternMap, &'p [u8]) {
         match path {
-            Path::Exact(text) => (&mut self.exact, text.as_bytes()),
-            Path::Prefix(text) => (&mut self.prefixes, text.as_bytes()),
-            Path::Suffix(text) => (&mut self.suffixes, text.as_bytes()),
+            PathPattern::Exact(text) => (&mut self.exact, text.as_bytes()),
+            PathPattern::Prefix(text) => (&mut self.prefixes, text.as_bytes()),
+            PathPattern::Suffix(text) => (&mut self.suffixes, text.as_bytes()),
         }
     }
 
     fn is_empty(&self) -> bool {
-        let texts = [&self.exact, &self.prefixes, &self.suffixes];
-        self.any.is_empty() && texts.iter().all(|texts| texts.len() == 0)
+        let maps = [&self.exact, &self.prefixes, &self.suffixes];
+        self.any.is_empty() && maps.iter().all(|map| map.len() == 0)
     }
 }
 
-/// A lookup under way.
+/// The state of a lookup.
 struct Search<'i, 'h, T> {
     index: &'i RouteIndex<T>,
-    head: &'h Head<'h>,
+    head: &'h RequestHead<'h>,
     best: Option<&'i IndexedRoute<T>>,
 }
 
 impl<T> Search<'_, '_, T> {
-    fn paths(&mut self, paths: &Paths) {
+    fn try_paths(&mut self, paths: &PathIndex) {
         let path = self.head.path;
-        self.postings(&paths.any);
-        paths.exact.equal_to(path, |postings| self.postings(postings));
-        paths.prefixes.starting(path, |postings| self.postings(postings));
-        paths.suffixes.ending(path, |postings| self.postings(postings));
+        self.try_postings(&paths.any);
+        paths.exact.for_exact(path, |postings| self.try_postings(postings));
+        paths.prefixes.for_prefixes_of(path, |postings| self.try_postings(postings));
+        paths.suffixes.for_suffixes_of(path, |postings| self.try_postings(postings));
     }
 
-    /// Tries these in order, as long as they come before the best that was found.
-    fn postings(&mut self, postings: &Postings) {
+    /// Tries these routes in order, as long as they come before the best one so far.
+    fn try_postings(&mut self, postings: &Postings) {
         for slot in postings.as_slice() {
             let Some(route) = &self.index.routes[*slot as usize] else { continue };
             if self.best.is_some_and(|best| best.order <= route.order) {
                 return;
             }
-            if rest_fails(&route.rule, self.head).is_none() {
+            if route.rule.unindexed_mismatch(self.head).is_none() {
                 self.best = Some(route);
                 return;
             }
--- /dev/null
+++ b/crates/routes/src/index/postings.rs
@@ -0,0 +1,48 @@
+//! Routes that share a pattern.
+
+use std::cmp::Ordering;
+
+/// The index of a route in its [`RouteIndex`](crate::RouteIndex).
+pub(super) type Slot = u32;
+
+/// Slots of routes that share a pattern, in the order of the routes. Most patterns have one route.
+#[derive(Default)]
+pub(super) enum Postings {
+    #[default]
+    None,
+    One(Slot),
+    Many(Vec<Slot>),
+}
+
+impl Postings {
+    pub(super) fn as_slice(&self) -> &[Slot] {
+        match self {
+            Postings::None => &[],
+            Postings::One(slot) => std::slice::from_ref(slot),
+            Postings::Many(slots) => slots,
+        }
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.as_slice().is_empty()
+    }
+
+    /// Adds a slot at its position in the order; a route that names a pattern twice is listed once.
+    pub(super) fn insert(&mut self, slot: Slot, order: impl Fn(&Slot) -> Ordering) {
+        let Err(at) = self.as_slice().binary_search_by(order) else { return };
+        match self {
+            Postings::None => *self = Postings::One(slot),
+            Postings::One(other) if at == 0 => *self = Postings::Many(vec![slot, *other]),
+            Postings::One(other) => *self = Postings::Many(vec![*other, slot]),
+            Postings::Many(slots) => slots.insert(at, slot),
+        }
+    }
+
+    pub(super) fn remove(&mut self, order: impl Fn(&Slot) -> Ordering) {
+        let Ok(at) = self.as_slice().binary_search_by(order) else { return };
+        match self {
+            Postings::Many(slots) if slots.len() > 1 => _ = slots.remove(at),
+            _ => *self = Postings::None,
+        }
+    }
+}
--- a/crates/routes/tests/allocation.rs
+++ b/crates/routes/tests/allocation.rs
@@ -1,21 +1,30 @@
-//! A match allocates nothing, whatever it meets on its way.
+//! A lookup allocates nothing, however many patterns match.
 
-use sableloom_routes::*;
+use sableloom_routes::{
+    HeaderCondition, HostPattern, IndexedRoute, PathPattern, RequestHead, RouteIndex, RouteOrder,
+    RouteTable, Rule,
+};
 
 fn rules() -> impl Iterator<Item = Rule> {
     (0..1000).map(|n| Rule {
-        hosts: vec![Host::Under("example".into()), Host::Exact(format!("h{n}.example"))],
-        paths: vec![Path::Prefix(format!("/a/{n}")), Path::Suffix(format!("{n}.png"))],
+        hosts: vec![
+            HostPattern::Subdomains("example".into()),
+            HostPattern::Exact(format!("h{n}.example")),
+        ],
+        paths: vec![
+            PathPattern::Prefix(format!("/a/{n}")),
+            PathPattern::Suffix(format!("{n}.png")),
+        ],
         methods: vec!["GET".into()],
-        headers: vec![Header { name: "x".into(), value: Some("1".into()) }],
+        headers: vec![HeaderCondition { name: "x".into(), value: Some("1".into()) }],
         classes: vec![0],
     })
 }
 
-/// Four lookups that meet many patterns, without an allocation.
-fn check(find: impl Fn(&Head<'_>) -> Option<usize>) {
+/// Four lookups in which many patterns match, without an allocation.
+fn check(find: impl Fn(&RequestHead<'_>) -> Option<usize>) {
     let find = |host: &str, path: &str, method: &str| {
-        let head = Head {
+        let head = RequestHead {
             host: host.as_bytes(),
             path: path.as_bytes(),
             method: method.as_bytes(),
@@ -38,13 +47,13 @@
 }
 
 #[test]
-fn a_match_allocates_nothing() {
-    let table = Table::compile(rules().collect()).expect("rules");
+fn a_lookup_in_the_table_allocates_nothing() {
+    let table = RouteTable::compile(rules().collect()).expect("rules");
     check(|head| table.find(head));
 }
 
 #[test]
-fn a_match_in_the_index_allocates_nothing() {
+fn a_lookup_in_the_index_allocates_nothing() {
     let mut index = RouteIndex::default();
     for (n, rule) in rules().enumerate() {
         let service = format!("service-{}", n % 10).into();
--- a/crates/routes/tests/property.rs
+++ b/crates/routes/tests/property.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
-use sableloom_routes::*;
+use sableloom_routes::{
+    HeaderCondition, HostPattern, IndexedRoute, PathPattern, RequestHead, RouteIndex, RouteOrder,
+    RouteTable, Rule,
+};
 
 const SEEDS: u64 = 2000;
 
@@ -22,19 +25,19 @@
 fn rule(rng: &mut Rand64) -> Rule {
     Rule {
         hosts: some(rng, 2, |rng| match rng.rand_range(0..2) {
-            0 => Host::Exact(word(rng, 4)),
-            _ => Host::Under(word(rng, 3)),
+            0 => HostPattern::Exact(word(rng, 4)),
+            _ => HostPattern::Subdomains(word(rng, 3)),
         }),
         paths: some(rng, 2, |rng| {
             let text = word(rng, 4);
             match rng.rand_range(0..3) {
-                0 => Path::Exact(text),
-                1 => Path::Prefix(text),
-                _ => Path::Suffix(text),
+                0 => PathPattern::Exact(text),
+                1 => PathPattern::Prefix(text),
+                _ => PathPattern::Suffix(text),
             }
         }),
         methods: some(rng, 1, |rng| ["GET", "POST"][rng.rand_range(0..2) as usize].into()),
-        headers: some(rng, 1, |rng| Header {
+        headers: some(rng, 1, |rng| HeaderCondition {
             name: "x".into(),
             value: (rng.rand_range(0..2) == 0).then(|| "1".into()),
         }),
@@ -54,19 +57,19 @@
     let name = host.split(':').next().unwrap_or_default().to_lowercase();
     let name = name.strip_suffix('.').unwrap_or(&name).to_string();
     rules.iter().position(|rule| {
-        let host = |h: &Host| match h {
-            Host::Exact(e) => name == e.to_lowercase(),
-            Host::Under(u) => {
+        let host = |h: &HostPattern| match h {
+            HostPattern::Exact(e) => name == e.to_lowercase(),
+            HostPattern::Subdomains(u) => {
                 let end = format!(".{}", u.to_lowercase());
                 name.ends_with(&end) && name.len() > end.len()
             }
         };
-        let path = |p: &Path| match p {
-            Path::Exact(t) => path == t,
-            Path::Prefix(t) => path.starts_with(t.as_str()),
-            Path::Suffix(t) => path.ends_with(t.as_str()),
+        let path = |p: &PathPattern| match p {
+            PathPattern::Exact(t) => path == t,
+            PathPattern::Prefix(t) => path.starts_with(t.as_str()),
+            PathPattern::Suffix(t) => path.ends_with(t.as_str()),
         };
-        let header = |h: &Header| match &h.value {
+        let header = |h: &HeaderCondition| match &h.value {
             None => !x.is_empty(),
             Some(v) => x.contains(&v.as_str()),
         };
@@ -81,8 +84,8 @@
 fn check(seed: u64) -> usize {
     let mut rng = Rand64::new(u128::from(seed));
     let rules = some(&mut rng, 12, rule);
-    let table = Table::compile(rules.clone()).expect("few rules");
-    let mut met = 0;
+    let table = RouteTable::compile(rules.clone()).expect("few rules");
+    let mut matched = 0;
     for _ in 0..60 {
         let host = word(&mut rng, 6) + ["", ":80"][rng.rand_range(0..2) as usize];
         let path = word(&mut rng, 6);
@@ -92,7 +95,7 @@
         let has = |name: &str, value: Option<&str>| {
             name == "x" && value.map_or(!x.is_empty(), |v| x.contains(&v))
         };
-        let head = Head {
+        let head = RequestHead {
             host: host.as_bytes(),
             path: path.as_bytes(),
             method: method.as_bytes(),
@@ -105,18 +108,18 @@
             found, expected,
             "SEED={seed}: {host:?} {path:?} {method} {class} {x:?}\n{rules:#?}"
         );
-        // What is told of a rule agrees with what was decided.
+        // The explanation of a rule agrees with the decision.
         for rule in 0..rules.len() {
             let one = naive(&rules[rule..=rule], &host, &path, method, class, &x);
             assert_eq!(
-                table.why_not(rule, &head).is_none(),
+                table.mismatch(rule, &head).is_none(),
                 one.is_some(),
                 "SEED={seed} rule {rule}"
             );
         }
-        met += usize::from(found.is_some());
+        matched += usize::from(found.is_some());
     }
-    met
+    matched
 }
 
 #[test]
@@ -125,10 +128,10 @@
         check(seed);
         return;
     }
-    let met: usize = (0..SEEDS).map(check).sum();
-    // Neither nothing nor all of it met a rule: both ends are tried.
+    let matched: usize = (0..SEEDS).map(check).sum();
+    // Some requests matched a rule and some did not: both outcomes are tried.
     let all = SEEDS as usize * 60;
-    assert!(met > all / 10 && met < all * 9 / 10, "{met} of {all}");
+    assert!(matched > all / 10 && matched < all * 9 / 10, "{matched} of {all}");
 }
 
 /// Changes routes of few services one by one, and compares each lookup with one table compiled of all.
@@ -136,7 +139,7 @@
     let mut rng = Rand64::new(u128::from(seed));
     let mut index = RouteIndex::default();
     let mut routes: BTreeMap<RouteOrder, Rule> = BTreeMap::new();
-    let mut met = 0;
+    let mut matched = 0;
     // Every other history gathers many patterns under few hosts.
     let many = seed % 2 == 1;
     let (steps, names) = if many { (120, 40) } else { (40, 6) };
@@ -168,12 +171,12 @@
             }
         }
         assert_eq!(index.len(), routes.len(), "SEED={seed}");
-        let table = Table::compile(routes.values().cloned().collect()).expect("few rules");
+        let table = RouteTable::compile(routes.values().cloned().collect()).expect("few rules");
         for _ in 0..10 {
             let host = word(&mut rng, 6) + ["", ":80"][rng.rand_range(0..2) as usize];
             let path = word(&mut rng, 6);
             let has = |_: &str, value: Option<&str>| value.is_none();
-            let head = Head {
+            let head = RequestHead {
                 host: host.as_bytes(),
                 path: path.as_bytes(),
                 method: ["GET", "POST"][rng.rand_range(0..2) as usize].as_bytes(),
@@ -183,24 +186,24 @@
             let expected = table.find(&head).and_then(|at| routes.keys().nth(at));
             let found = index.find(&head).map(|route| &route.order);
             assert_eq!(found, expected, "SEED={seed}: {host:?} {path:?}\n{routes:#?}");
-            met += usize::from(found.is_some());
+            matched += usize::from(found.is_some());
         }
     }
-    // Nothing is kept of routes that are gone.
+    // Nothing remains of removed routes.
     ["alpha", "beta", "gamma"].iter().for_each(|service| {
         index.remove_service(service);
     });
     assert_eq!(index.patterns(), 0, "SEED={seed}");
-    met
+    matched
 }
 
 #[test]
-fn the_index_agrees_with_one_table_of_all_routes() {
+fn the_index_agrees_with_a_table_compiled_of_all_routes() {
     if let Some(seed) = std::env::var("SEED").ok().and_then(|s| s.parse().ok()) {
         check_index(seed);
         return;
     }
-    let met: usize = (0..SEEDS / 40).map(check_index).sum();
+    let matched: usize = (0..SEEDS / 40).map(check_index).sum();
     let all = SEEDS as usize / 40 * 800;
-    assert!(met > all / 10 && met < all * 9 / 10, "{met} of {all}");
+    assert!(matched > all / 10 && matched < all * 9 / 10, "{matched} of {all}");
 }
--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -11,7 +11,7 @@
 };
 use sableloom_exchange::Clock;
 use sableloom_http1::{Dialect, class_of};
-use sableloom_routes::{Head, Why};
+use sableloom_routes::{Mismatch, RequestHead};
 use sableloom_server_files::bytes_of;
 use sableloom_server_list::{self as serverlist, Lists};
 use sableloom_site_config::{Pool, Site, Target};
@@ -202,7 +202,7 @@
         let is = |v: &header::HeaderValue| value.is_none_or(|value| value.as_bytes() == v);
         headers.get_all(name).iter().any(is)
     };
-    let head = Head {
+    let head = RequestHead {
         host,
         path: uri.path().as_bytes(),
         method: method.as_str().as_bytes(),
@@ -213,12 +213,12 @@
     let host = String::from_utf8_lossy(host);
     println!("request: {method} {}{}, class {}", host, uri.path(), site.classes[class].name);
     for (i, route) in site.routes.iter().enumerate().take(found.unwrap_or(site.routes.len())) {
-        let why = match table.why_not(i, &head) {
-            Some(Why::Host) => "another host".to_string(),
-            Some(Why::Path) => "another path".to_string(),
-            Some(Why::Method) => "another method".to_string(),
-            Some(Why::Class) => "another class".to_string(),
-            Some(Why::Header(h)) => match &h.value {
+        let why = match table.mismatch(i, &head) {
+            Some(Mismatch::Host) => "another host".to_string(),
+            Some(Mismatch::Path) => "another path".to_string(),
+            Some(Mismatch::Method) => "another method".to_string(),
+            Some(Mismatch::Class) => "another class".to_string(),
+            Some(Mismatch::Header(h)) => match &h.value {
                 Some(value) => format!("no header {}: {value}", h.name),
                 None => format!("no header {}", h.name),
             },
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -7,7 +7,7 @@
 use sableloom_distribution::ServiceName;
 use sableloom_exchange::{Clock, Message, Reply, RequestContext, RequestRejection, Service, Work};
 use sableloom_fleet::{Running as Fleet, Told};
-use sableloom_routes::{Head, Table};
+use sableloom_routes::{RequestHead, RouteTable};
 use sableloom_site_config::{Site, Target};
 use sableloom_types::settings::stable_hash;
 use serde_json::{Value, json};
@@ -27,7 +27,7 @@
     /// From 1, one more with each configuration that is taken over.
     pub(super) number: u64,
     pub(super) site: Site,
-    pub(super) table: Table,
+    pub(super) table: RouteTable,
     /// In the order of the site's pools.
     pub(super) pools: Vec<Rc<RunningPool>>,
 }
@@ -76,14 +76,18 @@
 }
 
 /// Looks at a request as routes do.
-fn with_head<T>(asked: &RequestContext, message: &Message, look: impl FnOnce(&Head<'_>) -> T) -> T {
+fn with_head<T>(
+    asked: &RequestContext,
+    message: &Message,
+    look: impl FnOnce(&RequestHead<'_>) -> T,
+) -> T {
     let host = message.fields.get("host").unwrap_or_default();
     let end = message.target.iter().position(|b| *b == b'?');
     let has = |name: &str, value: Option<&str>| {
         let is = |v: &[u8]| value.is_none_or(|value| value.as_bytes() == v);
         message.fields.iter().any(|(n, v)| n == name.as_bytes() && is(&v))
     };
-    look(&Head {
+    look(&RequestHead {
         host: &host,
         path: &message.target[..end.unwrap_or(message.target.len())],
         method: &message.verb,
--- a/crates/sableloom/src/serve/subscribed.rs
+++ b/crates/sableloom/src/serve/subscribed.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sableloom_distribution::ServiceName;
-use sableloom_routes::{Head, RouteIndex};
+use sableloom_routes::{RequestHead, RouteIndex};
 use sableloom_site_config::PoolSettings;
 use sableloom_tenant_limits::TenantLimits;
 use sableloom_types::settings::stable_hash;
@@ -69,7 +69,7 @@
 
 impl SubscribedServices {
     /// Where the first route in order that matches leads.
-    pub(super) fn target(&self, head: &Head<'_>) -> Option<SubscribedTarget> {
+    pub(super) fn target(&self, head: &RequestHead<'_>) -> Option<SubscribedTarget> {
         let route = self.routes.find(head)?;
         match route.target {
             Some(status) => Some(SubscribedTarget::Reject(status)),
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sableloom_routes::Table;
+use sableloom_routes::RouteTable;
 use sableloom_server_files::{Files, bytes_of};
 use sableloom_server_list::Spec;
 use sableloom_site_config::{Pool, Site};
@@ -11,7 +11,7 @@
 use sableloom_types::settings::span;
 
 /// A site's text, read and checked; or all that is wrong.
-pub fn load(path: &Path) -> Result<(Site, Table), Vec<Problem>> {
+pub fn load(path: &Path) -> Result<(Site, RouteTable), Vec<Problem>> {
     let name = path.display().to_string();
     let path = path.to_path_buf();
     let text = bytes_of(&path).map_err(|e| vec![Problem::of_file(&name, e)])?;
--- a/crates/site-config/src/conditions.rs
+++ b/crates/site-config/src/conditions.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv6Addr;
 
-use sableloom_routes::{Header, Host, Path, Rule};
+use sableloom_routes::{HeaderCondition, HostPattern, PathPattern, Rule};
 use sableloom_toml_diagnostics::{Located, Table, suggestion};
 
 use crate::fields::header_name;
@@ -53,7 +53,7 @@
     methods
 }
 
-fn read_hosts(table: &Table<'_>) -> Vec<Host> {
+fn read_hosts(table: &Table<'_>) -> Vec<HostPattern> {
     let mut hosts = Vec::new();
     for text in table.strings("host") {
         match parse_host(&text.value) {
@@ -69,7 +69,7 @@
     hosts
 }
 
-fn parse_host(text: &str) -> Option<Host> {
+fn parse_host(text: &str) -> Option<HostPattern> {
     let below = text.strip_prefix("*.");
     let name = below.unwrap_or(text);
     // RFC 1035, section 2.3.1; an IPv6 address in its brackets, RFC 3986, section 3.2.2.
@@ -79,7 +79,9 @@
         None => name.len() <= MAX_HOST_BYTES && name.split('.').all(is_label),
     };
     let name = name.to_ascii_lowercase();
-    fits.then(|| if below.is_some() { Host::Under(name) } else { Host::Exact(name) })
+    fits.then(|| {
+        if below.is_some() { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) }
+    })
 }
 
 fn is_label(text: &str) -> bool {
@@ -87,12 +89,15 @@
     (1..=MAX_LABEL_BYTES).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-fn read_paths(table: Option<Table<'_>>) -> Vec<Path> {
+fn read_paths(table: Option<Table<'_>>) -> Vec<PathPattern> {
     let Some(table) = table else { return Vec::new() };
     let mut paths = Vec::new();
-    type Pattern = fn(String) -> Path;
-    let kinds: [(&'static str, Pattern); 3] =
-        [("exact", Path::Exact), ("prefix", Path::Prefix), ("suffix", Path::Suffix)];
+    type Pattern = fn(String) -> PathPattern;
+    let kinds: [(&'static str, Pattern); 3] = [
+        ("exact", PathPattern::Exact),
+        ("prefix", PathPattern::Prefix),
+        ("suffix", PathPattern::Suffix),
+    ];
     for (kind, pattern) in kinds {
         for path in table.strings(kind) {
             let starts = kind == "suffix" || path.value.starts_with('/') || path.value == "*";
@@ -112,10 +117,10 @@
     paths
 }
 
-fn read_headers(table: &Table<'_>) -> Vec<Header> {
+fn read_headers(table: &Table<'_>) -> Vec<HeaderCondition> {
     let mut headers = Vec::new();
     for (name, value) in table.string_entries("header") {
-        headers.extend(header_name(table, &name).map(|name| Header { name, value }));
+        headers.extend(header_name(table, &name).map(|name| HeaderCondition { name, value }));
     }
     headers
 }
--- a/crates/site-config/src/site.rs
+++ b/crates/site-config/src/site.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_routes::{Table, TableError};
+use sableloom_routes::{RouteTable, RouteTableError};
 use sableloom_types::settings::{
     DeploymentSettings, FamilyInfo, LoadReportSource, PolicyLimits, Prices, RegistryMode, Safety,
     Stats,
@@ -87,8 +87,8 @@
     /// # Errors
     ///
     /// If the routes have more patterns than a table holds.
-    pub fn table(&self) -> Result<Table, TableError> {
-        Table::compile(self.routes.iter().map(|route| route.rule.clone()).collect())
+    pub fn table(&self) -> Result<RouteTable, RouteTableError> {
+        RouteTable::compile(self.routes.iter().map(|route| route.rule.clone()).collect())
     }
 
     /// All pools, those of shadows included.
--- a/crates/site-config/tests/site_config/keys.rs
+++ b/crates/site-config/tests/site_config/keys.rs
@@ -1,7 +1,7 @@
 //! Every key of an operator's file arrives in its field: a renamed field must not change its key, and a key that
 //! is silently lost would leave a default in force.
 
-use sableloom_routes::{Header, Host, Path};
+use sableloom_routes::{HeaderCondition, HostPattern, PathPattern};
 use sableloom_shadow::{Bounds, By};
 use sableloom_site_config::{Limits, Protocol, Site, Target};
 use sableloom_types::settings::LoadReportSource;
@@ -137,14 +137,14 @@
     let rule = &shop.rule;
     assert_eq!(
         rule.hosts,
-        [Host::Exact("shop.example".into()), Host::Under("shop.example".into())]
+        [HostPattern::Exact("shop.example".into()), HostPattern::Subdomains("shop.example".into())]
     );
     assert_eq!(
         rule.paths,
         [
-            Path::Exact("/exact".into()),
-            Path::Prefix("/prefix/".into()),
-            Path::Suffix(".suffix".into())
+            PathPattern::Exact("/exact".into()),
+            PathPattern::Prefix("/prefix/".into()),
+            PathPattern::Suffix(".suffix".into())
         ]
     );
     assert_eq!(rule.methods, ["GET", "POST"]);
@@ -153,8 +153,8 @@
     assert_eq!(
         headers,
         [
-            Header { name: "x-any".into(), value: None },
-            Header { name: "x-tenant".into(), value: Some("gold".into()) }
+            HeaderCondition { name: "x-any".into(), value: None },
+            HeaderCondition { name: "x-tenant".into(), value: Some("gold".into()) }
         ]
     );
     assert_eq!(rule.classes, [1, 0]);
--- a/crates/site-config/tests/site_config/site.rs
+++ b/crates/site-config/tests/site_config/site.rs
@@ -1,6 +1,6 @@
 //! Listeners, classes, pools and routes.
 
-use sableloom_routes::{Host, Path};
+use sableloom_routes::{HostPattern, PathPattern};
 use sableloom_site_config::{Limits, Target};
 use sableloom_types::{Idempotency, Span};
 
@@ -46,16 +46,16 @@
     assert_eq!((pool.t_qos_ms, pool.drain_ms, pool.max_removed_share), (150.0, 1000.0, 0.5));
     assert_eq!(site.classes[1].idempotency, Idempotency::Keyed);
     let rule = &site.routes[0].rule;
-    let exact = |name: &str| Host::Exact(name.into());
+    let exact = |name: &str| HostPattern::Exact(name.into());
     assert_eq!(
         rule.hosts,
-        [exact("shop.example"), Host::Under("shop.example".into()), exact("[::1]")]
+        [exact("shop.example"), HostPattern::Subdomains("shop.example".into()), exact("[::1]")]
     );
     let paths = [
-        Path::Exact("/b".into()),
-        Path::Exact("/c".into()),
-        Path::Prefix("/a/".into()),
-        Path::Suffix(".x".into()),
+        PathPattern::Exact("/b".into()),
+        PathPattern::Exact("/c".into()),
+        PathPattern::Prefix("/a/".into()),
+        PathPattern::Suffix(".x".into()),
     ];
     assert_eq!(rule.paths, paths);
     let settings = site.deployment_settings(pool).policy_settings();
