--- a/crates/server-files/tests/keys.rs
+++ b/crates/server-files/tests/keys.rs
@@ -37,7 +37,7 @@
 struct Lists(UnboundedSender<(ListKind, Vec<ListedEndpoint>)>);
 
 impl EndpointListener for Lists {
-    fn listed(self: Rc<Self>, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
+    fn endpoints_updated(self: Rc<Self>, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         let _ = self.0.send((kind, endpoints));
     }
 }
