--- a/crates/resources/tests/encoding.rs
+++ b/crates/resources/tests/encoding.rs
@@ -58,7 +58,7 @@
             HeaderCondition { name: "x-tenant".into(), value: Some("gold".into()) },
         ],
         classes: vec!["balance".into()],
-        refuse: Some(410),
+        refusal_status: Some(410),
     });
     let bytes = body.encode();
     assert_eq!(hex(&bytes), ROUTE_BYTES);
