--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -12,7 +12,7 @@
 use sableloom_exchange::Clock;
 use sableloom_http1::{Dialect, class_of};
 use sableloom_routes::{Mismatch, RequestHead};
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_server_list::{self as serverlist, Lists};
 use sableloom_site_config::{Pool, Site, Target};
 use sableloom_toml_diagnostics::Problem;
@@ -91,7 +91,7 @@
     let named = files.spec.files.iter().zip(&files.paths);
     let readings: Vec<_> = named
         .map(|(name, path)| {
-            let bytes = bytes_of(path).map_err(|e| vec![Problem::of_file(name, e)])?;
+            let bytes = read_file(path).map_err(|e| vec![Problem::of_file(name, e.to_string())])?;
             serverlist::read(name, &bytes, &files.spec).map(Arc::new)
         })
         .collect();
@@ -119,7 +119,7 @@
         let text = texts.entry(&problem.file).or_insert_with(|| {
             let own = path.display().to_string() == problem.file;
             let at = if own { path.to_path_buf() } else { folder.join(&problem.file) };
-            bytes_of(&at).ok().and_then(|bytes| String::from_utf8(bytes).ok())
+            read_file(&at).ok().and_then(|bytes| String::from_utf8(bytes).ok())
         });
         let bare = Problem { help: None, ..problem.clone() };
         let mut diagnostic = MietteDiagnostic::new(bare.to_string());
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -9,7 +9,7 @@
 use sableloom_distribution::{
     LagStatus, LogStatus, MachineStatus, Position, PublisherStatus, RejectionStatus, SessionStatus,
 };
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_toml_diagnostics::Problem;
 use serde_json::{Value, json};
 use tokio::signal::unix::{SignalKind, signal};
@@ -71,7 +71,7 @@
     let mut terminate =
         signal(SignalKind::terminate()).map_err(|error| format!("SIGTERM: {error}"))?;
     let shown_file = config.display().to_string();
-    let text = bytes_of(&config.to_path_buf()).map_err(|error| format!("{shown_file}: {error}"))?;
+    let text = read_file(config).map_err(|error| format!("{shown_file}: {error}"))?;
     let settings = read_settings(&shown_file, &text).map_err(|wrong| shown(config, &wrong))?;
     let base = config.parent().unwrap_or(Path::new(""));
     let server =
--- a/crates/sableloom/src/rehearse.rs
+++ b/crates/sableloom/src/rehearse.rs
@@ -10,7 +10,7 @@
     LaunchOptions, Options as Play, Report, beside, compared, page, play, table,
 };
 use sableloom_rehearsal::{Lists, Script, timeline};
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_toml_diagnostics::Problem;
 
 /// What to rehearse.
@@ -83,7 +83,7 @@
 
 fn load(path: &Path) -> Result<Script, String> {
     let name = path.display().to_string();
-    let bytes = bytes_of(&path.to_path_buf()).map_err(|e| format!("{name}: {e}"))?;
+    let bytes = read_file(path).map_err(|e| format!("{name}: {e}"))?;
     sableloom_rehearsal::read(&name, &bytes).map_err(|wrong| {
         let lines: Vec<String> = wrong.iter().map(Problem::to_string).collect();
         lines.join("\n")
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use sableloom_server_files::{Prepared, ServerFiles};
+use sableloom_server_files::{PreparedFiles, ServerFiles};
 use sableloom_site_config::Shadow;
 use sableloom_toml_diagnostics::Problem;
 
@@ -29,7 +29,7 @@
             }]);
         }
         enum Next {
-            Kept(Rc<RunningPool>, Box<Prepared>),
+            Kept(Rc<RunningPool>, Box<PreparedFiles>),
             New(Rc<ServerFiles>),
         }
         let (mut next, mut problems) = (Vec::new(), Vec::new());
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -158,9 +158,11 @@
     pub(super) fn status(&self, fleet: Option<&Fleet>, control: Option<Value>) -> Value {
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
-            let (list, version, servers) = pool.files()?.version();
-            Some(json!({"name": pool.name, "open": pool.exchange.open_requests(), "list": list,
-                   "version": version, "servers": servers}))
+            let list = pool.files()?.version();
+            Some(
+                json!({"name": pool.name, "open": pool.exchange.open_requests(), "list": list.revision,
+                   "version": list.hash, "servers": list.servers}),
+            )
         };
         let mut status = json!({
             "configuration": routing.number, "hash": routing.site.hash, "open": self.open(),
@@ -179,8 +181,8 @@
     pub(super) fn servers(&self) -> u32 {
         let routing = self.routing.borrow();
         let lists = routing.pools.iter().filter_map(|pool| {
-            let (_, version, _) = pool.files()?.version();
-            Some(stable_hash(&format!("{} {version}", pool.name)) as u32)
+            let list = pool.files()?.version();
+            Some(stable_hash(&format!("{} {}", pool.name, list.hash)) as u32)
         });
         // 0 says that nothing is known.
         lists.fold(self.subscribed.borrow().digest(), |all, one| all ^ one).max(1)
--- a/crates/sableloom/src/shadow.rs
+++ b/crates/sableloom/src/shadow.rs
@@ -7,7 +7,7 @@
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table};
 use plotters::prelude::*;
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_shadow::{Finding, Judgement, LatencySummary, Limits, Record, What, judge};
 
 /// Something speaks against the candidate.
@@ -99,7 +99,7 @@
 fn read(files: &[PathBuf]) -> Result<Record, String> {
     let one = |file: &Path| -> Result<Record, String> {
         let wrong = |e: String| format!("{}: {e}", file.display());
-        let bytes = bytes_of(&file.to_path_buf()).map_err(wrong)?;
+        let bytes = read_file(file).map_err(|e| wrong(e.to_string()))?;
         let mut reader = serde_json::Deserializer::from_slice(&bytes);
         let record: Record = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let (line, column) = (e.inner().line(), e.inner().column());
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sableloom_routes::RouteTable;
-use sableloom_server_files::{Files, bytes_of};
+use sableloom_server_files::{Files, read_file};
 use sableloom_server_list::Spec;
 use sableloom_site_config::{Pool, Site};
 use sableloom_toml_diagnostics::Problem;
@@ -14,7 +14,7 @@
 pub fn load(path: &Path) -> Result<(Site, RouteTable), Vec<Problem>> {
     let name = path.display().to_string();
     let path = path.to_path_buf();
-    let text = bytes_of(&path).map_err(|e| vec![Problem::of_file(&name, e)])?;
+    let text = read_file(&path).map_err(|e| vec![Problem::of_file(&name, e.to_string())])?;
     let site = sableloom_site_config::read(&name, &text)?;
     let table = site.table().map_err(|e| vec![Problem::of_file(&name, format!("routes: {e}"))])?;
     Ok((with_members(&path, site)?, table))
@@ -27,7 +27,7 @@
         None => fleet,
         Some(file) => {
             let at = path.parent().unwrap_or(Path::new("")).join(&file);
-            let text = bytes_of(&at).map_err(|e| vec![Problem::of_file(&file, e)])?;
+            let text = read_file(&at).map_err(|e| vec![Problem::of_file(&file, e.to_string())])?;
             let members = sableloom_site_config::read_members(&file, &text)?;
             fleet.with_members(&file, members)?
         }
@@ -46,7 +46,7 @@
         drain: span(pool.drain_ms),
     };
     let paths = pool.files.iter().map(|file| folder.join(file)).collect();
-    Files { spec, paths, reread: Duration::from_secs_f64(pool.reread_interval_ms / 1e3) }
+    Files { spec, paths, reread_interval: Duration::from_secs_f64(pool.reread_interval_ms / 1e3) }
 }
 
 /// Problems as text, one a line.
--- a/crates/server-files/src/watcher/tests.rs
+++ b/crates/server-files/src/watcher/tests.rs
@@ -24,50 +24,50 @@
 }
 
 fn follows(watcher: &FileWatcher, path: PathBuf) -> (Arc<Notify>, Subscription) {
-    let news = Arc::new(Notify::new());
-    let subscription = watcher.subscribe(news.clone());
+    let changed = Arc::new(Notify::new());
+    let subscription = watcher.subscribe(changed.clone());
     subscription.follow(&[path]);
-    (news, subscription)
+    (changed, subscription)
 }
 
-async fn arrives(news: &Notify) {
+async fn notified(changed: &Notify) {
     let patience = Duration::from_secs(60);
-    timeout(patience, news.notified()).await.expect("news");
+    timeout(patience, changed.notified()).await.expect("a notification");
 }
 
-async fn is_quiet(news: &Notify) -> bool {
-    timeout(Duration::ZERO, news.notified()).await.is_err()
+async fn is_quiet(changed: &Notify) -> bool {
+    timeout(Duration::ZERO, changed.notified()).await.is_err()
 }
 
 #[tokio::test]
-async fn news_of_a_file_reaches_those_that_follow_it_and_no_others() {
+async fn a_change_notifies_the_subscribers_of_its_file_and_no_others() {
     let (watcher, folder) = (FileWatcher::new(), Folder::new("dispatch"));
     let (a, _a) = follows(&watcher, folder.0.join("a"));
     let (b, _b) = follows(&watcher, folder.0.join("b"));
     let (last, _last) = follows(&watcher, folder.0.join("last"));
     folder.write("a");
     folder.write("nobody's");
-    // Notices come in their order: with this one all before it have come.
+    // Notifications arrive in order: with this one all before it have arrived.
     folder.write("last");
-    arrives(&last).await;
-    arrives(&a).await;
+    notified(&last).await;
+    notified(&a).await;
     assert!(is_quiet(&b).await);
-    assert_eq!(locked(&watcher.table).folders.len(), 1);
+    assert_eq!(locked(&watcher.registry).sizes().0, 1);
 }
 
 #[tokio::test]
-async fn two_ways_to_one_folder_are_one_watch_and_both_have_news() {
+async fn two_paths_to_one_folder_share_one_watch_and_both_are_notified() {
     let (watcher, folder) = (FileWatcher::new(), Folder::new("spellings"));
     std::fs::create_dir_all(folder.0.join("real")).expect("a folder");
     let (straight, _straight) = follows(&watcher, folder.0.join("real/a"));
     let (round, _round) = follows(&watcher, folder.0.join("real/../real/a"));
     folder.write("real/a");
-    arrives(&straight).await;
-    arrives(&round).await;
+    notified(&straight).await;
+    notified(&round).await;
 }
 
 #[tokio::test]
-async fn a_folder_that_comes_again_is_watched_again_for_all_that_need_it() {
+async fn a_folder_that_is_created_again_is_watched_again_for_all_its_subscribers() {
     let (watcher, folder) = (FileWatcher::new(), Folder::new("again"));
     let inner = folder.0.join("inner");
     std::fs::create_dir_all(&inner).expect("a folder");
@@ -75,36 +75,36 @@
     let (b, of_b) = follows(&watcher, inner.join("b"));
     for _ in 0..3 {
         std::fs::remove_dir(&inner).expect("removed");
-        arrives(&a).await;
-        arrives(&b).await;
+        notified(&a).await;
+        notified(&b).await;
         std::fs::create_dir(&inner).expect("a folder, perhaps of the same inode");
         of_a.follow(&[inner.join("a")]);
         of_b.follow(&[inner.join("b")]);
-        // What the two follows did to each other is no news of a file.
+        // The two calls of `follow` notify each other; that is no change of a file.
         let _ = (is_quiet(&a).await, is_quiet(&b).await);
-        for (name, news) in [("a", &a), ("b", &b)] {
+        for (name, changed) in [("a", &a), ("b", &b)] {
             folder.write(&format!("inner/{name}"));
-            arrives(news).await;
+            notified(changed).await;
             std::fs::remove_file(inner.join(name)).expect("removed");
         }
     }
 }
 
 #[tokio::test]
-async fn folders_that_nobody_follows_any_more_are_let_go() {
+async fn folders_without_subscribers_are_removed_from_the_watch() {
     let (watcher, folder) = (FileWatcher::new(), Folder::new("let-go"));
     for i in 0..50 {
         let inner = folder.0.join(i.to_string());
         std::fs::create_dir_all(&inner).expect("a folder");
         drop(follows(&watcher, inner.join("a")));
     }
-    let (_news, _last) = follows(&watcher, folder.0.join("a"));
-    let table = locked(&watcher.table);
-    assert_eq!((table.folders.len(), table.paths.len(), table.subscribers.len()), (1, 1, 1));
+    let (_changed, _last) = follows(&watcher, folder.0.join("a"));
+    let registry = locked(&watcher.registry);
+    assert_eq!(registry.sizes(), (1, 1, 1));
 }
 
 #[tokio::test]
-async fn readings_that_hang_do_not_keep_others_from_being_read() {
+async fn readings_that_hang_do_not_block_other_readings() {
     let watcher = FileWatcher::new();
     let mut ends = Vec::new();
     for _ in 0..MAX_READINGS {
--- a/crates/server-files/tests/keys.rs
+++ b/crates/server-files/tests/keys.rs
@@ -55,7 +55,7 @@
         out_at_most: 1.0,
         drain: Span(0),
     };
-    let files = Files { spec, paths: vec![path], reread: Duration::from_secs(3600) };
+    let files = Files { spec, paths: vec![path], reread_interval: Duration::from_secs(3600) };
     let local = LocalSet::new();
     let (kind, mut endpoints) = local
         .run_until(async move {
--- a/crates/server-files/tests/pools.rs
+++ b/crates/server-files/tests/pools.rs
@@ -46,7 +46,7 @@
         drain: Span(0),
     };
     // Without news nothing is read again while the test lasts.
-    Files { spec, paths: vec![path.to_path_buf()], reread: Duration::from_secs(3600) }
+    Files { spec, paths: vec![path.to_path_buf()], reread_interval: Duration::from_secs(3600) }
 }
 
 fn entries(folder: &str) -> Vec<PathBuf> {
