--- a/crates/resources/src/read_change.rs
+++ b/crates/resources/src/read_change.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 use sableloom_distribution::{MAX_BODY_BYTES, ResourceKind, ResourceName, ServiceName, hash_bytes};
 use sableloom_server_list::{ServerFields, read_server_fields};
-use sableloom_site_config::{PoolSettings, read_conditions, read_refusal};
+use sableloom_site_config::{PoolSettings, read_conditions, read_rejection};
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 
 use crate::body::Body;
@@ -49,20 +49,21 @@
 
 fn required_whole(table: &Table<'_>, name: &'static str, max: usize) -> Option<usize> {
     if !table.has(name) {
-        table.missing(name, &format!("a whole number from 1 to {max}"));
+        table.report_missing(name, &format!("a whole number from 1 to {max}"));
     }
-    table.whole(name, 1..=max, "").map(|found| found.value)
+    table.integer(name, 1..=max, "").map(|found| found.value)
 }
 
 /// Checks the last table, which shows that the file is complete: a truncated file must not be applied in part.
 fn check_end(root: &Table<'_>, tables: usize) {
     let Some(end) = root.table("end") else {
-        return root.missing("end", "a last table [end] with changes = their number; is it cut?");
+        return root
+            .report_missing("end", "a last table [end] with changes = their number; is it cut?");
     };
-    let count = end.need_number("changes", 0.0..=MAX_ENTRIES as f64, " changes");
+    let count = end.required_number("changes", 0.0..=MAX_ENTRIES as f64, " changes");
     if let Some(count) = count.filter(|count| count.value != tables as f64) {
         let message = format!("{tables} changes are here, not {}", count.value);
-        end.wrong(&count, message, Some("is the file cut, or half written?".into()));
+        end.report(&count, message, Some("is the file cut, or half written?".into()));
     }
     end.finish();
 }
@@ -90,12 +91,12 @@
             self.tables += 1;
             if self.tables == MAX_ENTRIES + 1 {
                 let message = format!("more than {MAX_ENTRIES} changes in one file");
-                table.wrong(&table.here(), message, None);
+                table.report(&table.location(), message, None);
             }
             let edit = read_edit(&table);
             table.finish();
             let Some(edit) = edit else { continue };
-            let field = table.here().field;
+            let field = table.location().field;
             self.check_unique(&table, &edit, &field);
             check_size(&table, &edit);
             self.entries.push(ChangeEntry { edit, line: table.line() as u32, field });
@@ -113,7 +114,7 @@
             }
         };
         if let Some(earlier) = earlier {
-            table.wrong(&table.here(), format!("{earlier} names the same"), None);
+            table.report(&table.location(), format!("{earlier} names the same"), None);
         }
     }
 }
@@ -125,17 +126,17 @@
     if bytes > MAX_BODY_BYTES {
         let message =
             format!("it takes {bytes} bytes, more than the {MAX_BODY_BYTES} of a resource");
-        table.wrong(&table.here(), message, None);
+        table.report(&table.location(), message, None);
     }
 }
 
 fn read_service(table: &Table<'_>) -> Option<ServiceName> {
     const EXPECTED: &str = "1 to 128 of a-z, 0-9, \".\", \"_\" and \"-\"";
-    let found = table.need_text("service", EXPECTED)?;
+    let found = table.required_string("service", EXPECTED)?;
     match ServiceName::try_from(found.value.as_str()) {
         Ok(service) => Some(service),
         Err(_) => {
-            table.wrong(&found, format!("expected {EXPECTED}, found {:?}", found.value), None);
+            table.report(&found, format!("expected {EXPECTED}, found {:?}", found.value), None);
             None
         }
     }
@@ -171,14 +172,14 @@
 
 fn read_route(table: &Table<'_>) -> Option<Edit> {
     let service = read_service(table);
-    let name = table.need_name("name");
+    let name = table.required_name("name");
     if !table.has("rank") {
-        table.missing("rank", "the route's place among all routes, lower first");
+        table.report_missing("rank", "the route's place among all routes, lower first");
     }
-    let rank = table.whole("rank", 0..=u32::MAX as usize, "");
-    let refusal_status = read_refusal(table).map(|status| status.value);
+    let rank = table.integer("rank", 0..=u32::MAX as usize, "");
+    let refusal_status = read_rejection(table).map(|status| status.value);
     let conditions = read_conditions(table);
-    let classes = table.texts("class").into_iter().map(|class| class.value).collect();
+    let classes = table.strings("class").into_iter().map(|class| class.value).collect();
     let rule = RouteRule {
         rank: rank?.value as u32,
         hosts: conditions.hosts,
@@ -193,7 +194,7 @@
 
 fn read_tenant(table: &Table<'_>) -> Option<Edit> {
     let service = read_service(table);
-    let name = table.need_name("name");
+    let name = table.required_name("name");
     let limit = TenantLimit::read(table);
     Some(set(service?, &name?.value, Body::Tenant(limit?)))
 }
@@ -208,10 +209,10 @@
     // Each field is read, so that the problems of all are reported, and a misspelt one gets the right suggestion.
     let read = |(field, kind): (&'static str, ResourceKind)| {
         if !table.has(field) {
-            let _ = table.text(field);
+            let _ = table.string(field);
             return None;
         }
-        Some((kind, table.need_name(field).map(|found| found.value)))
+        Some((kind, table.required_name(field).map(|found| found.value)))
     };
     let named: Vec<(ResourceKind, Option<String>)> = kinds.into_iter().filter_map(read).collect();
     match &named[..] {
@@ -219,7 +220,7 @@
         [(kind, name)] => Some(Edit::Remove(resource_name(service?, *kind, name.as_deref()?))),
         _ => {
             let message = "it removes a server, a route or a tenant, not several of them";
-            table.wrong(&table.here(), message, None);
+            table.report(&table.location(), message, None);
             None
         }
     }
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -10,7 +10,7 @@
 use sableloom_control::{
     Server, StartError, StatusError, check_file, check_folder, fetch, read_settings,
 };
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_toml_diagnostics::Problem;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -116,7 +116,7 @@
     // Handled before anything is started, so that an early signal is not lost.
     let mut terminate = signal(SignalKind::terminate()).map_err(ControlError::Signal)?;
     let file = config.display().to_string();
-    let text = bytes_of(&config.to_path_buf()).map_err(|cause| ControlError::Unreadable {
+    let text = read_file(config).map_err(|cause| ControlError::Unreadable {
         file: file.clone(),
         cause: cause.to_string(),
     })?;
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -69,7 +69,7 @@
     let pools = start_pools(&context, &site).await?;
     let settings = Rc::new(site.client_settings());
     let dialect = Dialect::Open(methods_of(&site)?);
-    let longest = Duration::from_secs_f64(site.longest_ms() / 1e3);
+    let longest = Duration::from_secs_f64(site.longest_deadline_ms() / 1e3);
     let hash = site.hash.clone();
     let (fleet_settings, control_settings) = (site.fleet.clone(), site.control.clone());
     let router = Router::new(Routing { number: 1, site, table, pools }, clock);
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use sableloom_server_files::{Prepared, ServerFiles};
+use sableloom_server_files::{PreparedFiles, ServerFiles};
 use sableloom_site_config::{Shadow, Site};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_traffic_mirror::Ready;
@@ -18,7 +18,7 @@
 /// A pool whose files of servers have been read.
 enum PreparedPool {
     /// It runs already, and its files change.
-    Running(Rc<RunningPool>, Box<Prepared>),
+    Running(Rc<RunningPool>, Box<PreparedFiles>),
     /// It is to be started.
     New(Rc<ServerFiles>),
 }
@@ -35,7 +35,7 @@
 /// A pool that goes on running, with its new files.
 struct KeptPool {
     running: Rc<RunningPool>,
-    files: Box<Prepared>,
+    files: Box<PreparedFiles>,
 }
 
 /// Reads the site again and puts it in force. Returns a summary for the log.
@@ -75,13 +75,13 @@
 /// services.
 fn check_changeable(context: &PoolContext, old: &Site, new: &Site) -> Result<(), Vec<Problem>> {
     let name = context.path.display().to_string();
-    let fixed = sableloom_site_config::unchangeable(&name, old, new);
+    let fixed = sableloom_site_config::changes_requiring_restart(&name, old, new);
     if !fixed.is_empty() {
         return Err(fixed);
     }
     let Some(control) = &new.control else { return Ok(()) };
     context.check_pool_count(control.services.len()).map_err(|error| {
-        vec![Problem { line: control.place.line, ..Problem::of_file(&name, error.to_string()) }]
+        vec![Problem { line: control.location.line, ..Problem::of_file(&name, error.to_string()) }]
     })
 }
 
@@ -135,9 +135,10 @@
 
 /// Whether the old site has the same shadow of the same pool.
 fn is_unchanged(old: &Site, new: &Site, shadow: &Shadow) -> bool {
-    let live = &new.pools[shadow.of].name;
+    let live = &new.pools[shadow.live_pool].name;
     old.shadows.iter().any(|before| {
-        old.pools[before.of].name == *live && Shadow { of: shadow.of, ..before.clone() } == *shadow
+        old.pools[before.live_pool].name == *live
+            && Shadow { live_pool: shadow.live_pool, ..before.clone() } == *shadow
     })
 }
 
@@ -175,11 +176,9 @@
 ) {
     let mut ending = Vec::new();
     for pool in &old.pools {
-        let stays = site
-            .shadows
-            .iter()
-            .zip(&mirrors)
-            .any(|(shadow, ready)| ready.is_none() && site.pools[shadow.of].name == pool.name);
+        let stays = site.shadows.iter().zip(&mirrors).any(|(shadow, ready)| {
+            ready.is_none() && site.pools[shadow.live_pool].name == pool.name
+        });
         let ends = pool.mirror.borrow_mut().take_if(|_| !stays);
         ending.extend(ends.map(|mirror| mirror.stop()));
     }
@@ -187,7 +186,7 @@
         let Some(ready) = ready else { continue };
         let names = || shadow.pools().map(|pool| pool.name.as_str());
         let before = ending.iter().filter(|e| e.shares(names())).cloned().collect();
-        *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
     }
 }
 
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -9,7 +9,7 @@
     Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
 };
 use sableloom_fleet::{Running as Fleet, Told};
-use sableloom_routes::{Head, Table};
+use sableloom_routes::{RequestHead, RouteTable};
 use sableloom_site_config::{Site, Target};
 use sableloom_tenant_limits::LimitShare;
 use sableloom_types::Time;
@@ -33,7 +33,7 @@
     /// 1 for the first configuration, and one more for each later one.
     pub(super) number: u64,
     pub(super) site: Site,
-    pub(super) table: Table,
+    pub(super) table: RouteTable,
     /// In the order of the site's pools.
     pub(super) pools: Vec<Rc<RunningPool>>,
 }
@@ -62,11 +62,10 @@
             return self.call_subscribed(&routing.site, context, message);
         }
         let found = with_head(&context, &message, |head| routing.table.find(head));
-        let target =
-            found.map_or(routing.site.otherwise, |route| routing.site.routes[route].target);
+        let target = found.map_or(routing.site.fallback, |route| routing.site.routes[route].target);
         match target {
             Target::Pool(pool) => routing.pools[pool].call(context, message),
-            Target::Refuse(status) => Err(RequestRejection::NoRoute(status)),
+            Target::Reject(status) => Err(RequestRejection::NoRoute(status)),
         }
     }
 }
@@ -75,7 +74,7 @@
 fn with_head<T>(
     context: &RequestContext,
     message: &Message,
-    read: impl FnOnce(&Head<'_>) -> T,
+    read: impl FnOnce(&RequestHead<'_>) -> T,
 ) -> T {
     let host = message.fields.get("host").unwrap_or_default();
     let end = message.target.iter().position(|b| *b == b'?');
@@ -83,7 +82,7 @@
         let is = |v: &[u8]| value.is_none_or(|value| value.as_bytes() == v);
         message.fields.iter().any(|(n, v)| n == name.as_bytes() && is(&v))
     };
-    read(&Head {
+    read(&RequestHead {
         host: &host,
         path: &message.target[..end.unwrap_or(message.target.len())],
         method: &message.method,
@@ -112,12 +111,12 @@
         message: Message,
     ) -> Result<LocalFuture<Reply>, RequestRejection> {
         let found = with_head(&context, &message, |head| self.subscribed.borrow().target(head));
-        match (found, site.otherwise) {
+        match (found, site.fallback) {
             (Some(SubscribedTarget::Pool(pool)), _) => {
                 self.check_tenant_limit(site, &pool.name, &message)?;
                 pool.call(context, message)
             }
-            (Some(SubscribedTarget::Refuse(status)), _) | (None, Target::Refuse(status)) => {
+            (Some(SubscribedTarget::Reject(status)), _) | (None, Target::Reject(status)) => {
                 Err(RequestRejection::NoRoute(status))
             }
             // A site with control has no pools.
@@ -194,9 +193,11 @@
     pub(super) fn status(&self, fleet: Option<&Fleet>, control: Option<Value>) -> Value {
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
-            let (list, version, servers) = pool.files()?.version();
-            Some(json!({"name": pool.name, "open": pool.exchange.open_requests(), "list": list,
-                   "version": version, "servers": servers}))
+            let list = pool.files()?.version();
+            Some(
+                json!({"name": pool.name, "open": pool.exchange.open_requests(), "list": list.revision,
+                   "version": list.hash, "servers": list.servers}),
+            )
         };
         let mut status = json!({
             "configuration": routing.number, "hash": routing.site.hash, "open": self.open_requests(),
@@ -219,8 +220,8 @@
     pub(super) fn servers_digest(&self) -> u32 {
         let routing = self.routing.borrow();
         let lists = routing.pools.iter().filter_map(|pool| {
-            let (_, version, _) = pool.files()?.version();
-            Some(stable_hash(&format!("{} {version}", pool.name)) as u32)
+            let list = pool.files()?.version();
+            Some(stable_hash(&format!("{} {}", pool.name, list.hash)) as u32)
         });
         // 0 means that nothing is known.
         lists.fold(self.subscribed.borrow().digest(), |all, one| all ^ one).max(1)
