--- a/crates/resources/src/route_rule.rs
+++ b/crates/resources/src/route_rule.rs
@@ -1,6 +1,6 @@
 //! The body of a route.
 
-use sableloom_routes::{Header, Host, Path, Rule};
+use sableloom_routes::{HeaderCondition, HostPattern, PathPattern, Rule};
 use serde::{Deserialize, Serialize};
 
 /// A route to a service, or a route that refuses its requests. Its name is the key of its resource. Encoded by position:
@@ -10,13 +10,13 @@
     /// The order among all routes, the lowest first; equal ranks are ordered by service, then by name.
     pub rank: u32,
     /// The hosts; none for all.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<HostPattern>,
     /// The paths; none for all.
-    pub paths: Vec<Path>,
+    pub paths: Vec<PathPattern>,
     /// The methods; none for all.
     pub methods: Vec<String>,
     /// The headers that a request must have, all of them.
-    pub headers: Vec<Header>,
+    pub headers: Vec<HeaderCondition>,
     /// The names of request classes; none for all. Each balancer's site defines its classes.
     pub classes: Vec<String>,
     /// The HTTP status with which the route refuses its requests; without one it leads to the service's pool.
--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -10,7 +10,7 @@
 
 /// What to check.
 #[derive(clap::Args)]
-pub struct CheckOptions {
+pub(crate) struct CheckOptions {
     /// The site's configuration, in TOML
     file: PathBuf,
 }
@@ -18,10 +18,10 @@
 /// The problems that a check found.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct CheckError(ProblemReport);
+pub(crate) struct CheckError(ProblemReport);
 
 /// Checks a site's configuration and its files of servers, and prints a summary.
-pub fn check(options: &CheckOptions) -> Result<(), CheckError> {
+pub(crate) fn check(options: &CheckOptions) -> Result<(), CheckError> {
     let failed = |problems: &[Problem]| CheckError(ProblemReport::new(&options.file, problems));
     let (site, _) = load(&options.file).map_err(|problems| failed(&problems))?;
     let (mut problems, mut servers) = (Vec::new(), 0);
@@ -44,14 +44,14 @@
         println!(
             "fleet {}: {} of {} members, at {address}",
             fleet.name,
-            fleet.own,
+            fleet.own_name,
             fleet.members.len()
         );
     }
     if let Some(control) = &site.control {
         println!(
             "control: subscriber {}, {} control machines, {} services; pools and routes come from there",
-            control.own,
+            control.subscriber,
             control.machines.len(),
             control.services.len()
         );
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -10,7 +10,7 @@
 use sableloom_control::{
     Server, StartError, StatusError, check_file, check_folder, fetch, read_settings,
 };
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_toml_diagnostics::Problem;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -19,7 +19,7 @@
 /// What to do.
 #[derive(clap::Args)]
 #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
-pub struct Options {
+pub(crate) struct Options {
     /// The control machine's settings, in TOML
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
@@ -58,7 +58,7 @@
 
 /// Why the command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum ControlError {
+pub(crate) enum ControlError {
     /// Neither a command nor settings were given.
     #[error("--config is missing")]
     MissingConfig,
@@ -103,7 +103,7 @@
 }
 
 /// Runs a command.
-pub async fn run(options: Options) -> Result<(), ControlError> {
+pub(crate) async fn run(options: Options) -> Result<(), ControlError> {
     match (options.command, options.config) {
         (Some(Command::Status(options)), _) => status(&options).await,
         (Some(Command::Check(options)), _) => check(&options),
@@ -116,7 +116,7 @@
     // Handled before anything is started, so that an early signal is not lost.
     let mut terminate = signal(SignalKind::terminate()).map_err(ControlError::Signal)?;
     let file = config.display().to_string();
-    let text = bytes_of(&config.to_path_buf()).map_err(|cause| ControlError::Unreadable {
+    let text = read_file(config).map_err(|cause| ControlError::Unreadable {
         file: file.clone(),
         cause: cause.to_string(),
     })?;
