--- a/crates/resources/src/resolve.rs
+++ b/crates/resources/src/resolve.rs
@@ -9,7 +9,7 @@
     Change, LogEntry, Origin, Resource, ResourceKind, ResourceName, ServiceName,
 };
 use sableloom_server_list::MOST_SERVERS;
-use sableloom_toml_diagnostics::{Problem, instead};
+use sableloom_toml_diagnostics::{Problem, suggestion};
 
 use crate::body::Body;
 use crate::change_file::{ChangeEntry, ChangeFile, Edit};
@@ -128,7 +128,7 @@
     fn report_unknown(&mut self, entry: &ChangeEntry, name: &ResourceName, existing: &Names) {
         let known =
             existing.iter().filter(|other| other.kind == name.kind).map(|other| &*other.key);
-        let help = instead(&name.key, known);
+        let help = suggestion(&name.key, known);
         let what = match name.kind {
             ResourceKind::Pool => "pool",
             ResourceKind::Server => "server",
--- a/crates/resources/src/tenant.rs
+++ b/crates/resources/src/tenant.rs
@@ -60,13 +60,13 @@
 
     /// Reads a `[[tenant]]`. The default burst is the requests of one second, rounded up.
     pub(crate) fn read(table: &Table<'_>) -> Option<Self> {
-        let rate = table.need_number(
+        let rate = table.required_number(
             "requests_per_second",
             REQUESTS_PER_SECOND_RANGE,
             " requests a second",
         );
         let bounds = *BURST_RANGE.start() as usize..=*BURST_RANGE.end() as usize;
-        let burst = table.whole("burst", bounds, " requests");
+        let burst = table.integer("burst", bounds, " requests");
         let requests_per_second = rate?.value;
         let one_second = requests_per_second.ceil() as u32;
         let burst = burst.map_or(one_second, |burst| burst.value as u32);
--- a/crates/sableloom/src/route.rs
+++ b/crates/sableloom/src/route.rs
@@ -6,7 +6,7 @@
 
 use hyper::{HeaderMap, Method, StatusCode, header};
 use sableloom_http1::{Dialect, class_of};
-use sableloom_routes::{Head, Table, Why};
+use sableloom_routes::{Mismatch, RequestHead, RouteTable};
 use sableloom_site_config::{Pool, Site, Target};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::EndpointStatus;
@@ -61,7 +61,7 @@
     let class = classify(&site, &request)?;
     let target = print_route(&site, &table, &request, class);
     match target {
-        Target::Refuse(status) => println!("refused: {status}"),
+        Target::Reject(status) => println!("refused: {status}"),
         Target::Pool(pool) => print_pool(&options.file, &site, &site.pools[pool])?,
     }
     Ok(())
@@ -84,11 +84,11 @@
 }
 
 /// Prints the routes that do not match and the one that does, and returns its target.
-fn print_route(site: &Site, table: &Table, request: &Request, class: usize) -> Target {
+fn print_route(site: &Site, table: &RouteTable, request: &Request, class: usize) -> Target {
     let Request { method, uri, headers } = request;
     let host = headers.get(header::HOST).map(|h| h.as_bytes()).unwrap_or_default();
     let has = |name: &str, value: Option<&str>| has_header(headers, name, value);
-    let head = Head {
+    let head = RequestHead {
         host,
         path: uri.path().as_bytes(),
         method: method.as_str().as_bytes(),
@@ -99,17 +99,17 @@
     let host = String::from_utf8_lossy(host);
     println!("request: {method} {}{}, class {}", host, uri.path(), site.classes[class].name);
     for (i, route) in site.routes.iter().enumerate().take(found.unwrap_or(site.routes.len())) {
-        let why = describe_mismatch(table.why_not(i, &head));
-        println!("not:     `{}`, line {}: {why}", route.name, route.place.line);
+        let why = describe_mismatch(table.mismatch(i, &head));
+        println!("not:     `{}`, line {}: {why}", route.name, route.location.line);
     }
     match found.map(|i| &site.routes[i]) {
         Some(route) => {
-            println!("route:   `{}`, line {}", route.name, route.place.line);
+            println!("route:   `{}`, line {}", route.name, route.location.line);
             route.target
         }
         None => {
             println!("route:   none fits; [otherwise]");
-            site.otherwise
+            site.fallback
         }
     }
 }
@@ -119,13 +119,13 @@
     headers.get_all(name).iter().any(is)
 }
 
-fn describe_mismatch(why: Option<Why<'_>>) -> String {
+fn describe_mismatch(why: Option<Mismatch<'_>>) -> String {
     match why {
-        Some(Why::Host) => "another host".to_string(),
-        Some(Why::Path) => "another path".to_string(),
-        Some(Why::Method) => "another method".to_string(),
-        Some(Why::Class) => "another class".to_string(),
-        Some(Why::Header(h)) => match &h.value {
+        Some(Mismatch::Host) => "another host".to_string(),
+        Some(Mismatch::Path) => "another path".to_string(),
+        Some(Mismatch::Method) => "another method".to_string(),
+        Some(Mismatch::Class) => "another class".to_string(),
+        Some(Mismatch::Header(h)) => match &h.value {
             Some(value) => format!("no header {}: {value}", h.name),
             None => format!("no header {}", h.name),
         },
--- a/crates/sableloom/src/serve/planner.rs
+++ b/crates/sableloom/src/serve/planner.rs
@@ -13,9 +13,9 @@
 use sableloom_server_list::{
     MAX_CLOCK_DIFFERENCE_MS, MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer,
 };
-use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
+use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
-use sableloom_toml_diagnostics::instead;
+use sableloom_toml_diagnostics::suggestion;
 
 use super::endpoint_feed::EndpointFeed;
 use super::error::PoolError;
@@ -132,7 +132,7 @@
         let zones = &self.site.locality.zones;
         let zone = server.zone.as_deref().unwrap_or_default();
         if !zone.is_empty() && !zones.is_empty() && !zones.iter().any(|known| known == zone) {
-            let help = instead(zone, zones.iter().map(String::as_str));
+            let help = suggestion(zone, zones.iter().map(String::as_str));
             self.reject(resource, "zone", format!("no zone {zone:?}; {help}"));
         }
         if !(0.0..=MOST_WEIGHT).contains(&server.weight) {
@@ -161,7 +161,7 @@
         let rule = match route.to_rule(&classes) {
             Ok(rule) => rule,
             Err(unknown) => {
-                let help = instead(&unknown.0, classes.iter().copied());
+                let help = suggestion(&unknown.0, classes.iter().copied());
                 return self.reject(resource, "class", format!("{unknown}; {help}"));
             }
         };
@@ -289,7 +289,7 @@
     /// Starts a pool with these settings.
     fn start(&self, settings: PoolSettings) -> Result<StartedPool, PoolError> {
         let defaults = ClassDefaults::of(&self.site.classes);
-        let pool = settings.clone().into_pool(self.update.service.as_str(), &defaults);
+        let pool = Pool::new(self.update.service.as_str(), settings.clone(), &defaults);
         let drain = drain_of(self.site, &settings);
         let feed = match &self.feed {
             Some(feed) => feed.clone(),
--- a/crates/sableloom/src/serve/startup.rs
+++ b/crates/sableloom/src/serve/startup.rs
@@ -62,7 +62,7 @@
         .map(|(index, listener)| {
             listen(listener.address).map_err(|cause| ServeError::Listen {
                 file: path.display().to_string(),
-                line: listener.place.line,
+                line: listener.location.line,
                 index,
                 address: listener.address,
                 cause,
@@ -99,7 +99,7 @@
     let pools = started.collect::<Result<Vec<_>, PoolError>>()?;
     for shadow in &site.shadows {
         let ready = prepare_mirror(context, site, shadow).await.map_err(ServeError::Problems)?;
-        *pools[shadow.of].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
     }
     Ok(pools)
 }
@@ -115,7 +115,7 @@
     let running =
         fleet::start(settings, clock, updates).await.map_err(|cause| ServeError::Fleet {
             file: path.display().to_string(),
-            line: settings.place.line,
+            line: settings.location.line,
             cause: cause.into(),
         })?;
     // Without this it would send until the first sweep that it has no list of servers, and two members that had sent
--- a/crates/sableloom/src/serve/subscribed.rs
+++ b/crates/sableloom/src/serve/subscribed.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sableloom_distribution::ServiceName;
-use sableloom_routes::{Head, RouteIndex};
+use sableloom_routes::{RequestHead, RouteIndex};
 use sableloom_site_config::PoolSettings;
 use sableloom_tenant_limits::TenantLimits;
 use sableloom_types::settings::stable_hash;
@@ -30,7 +30,7 @@
     /// A pool.
     Pool(Rc<RunningPool>),
     /// The request is rejected with this HTTP status.
-    Refuse(u16),
+    Reject(u16),
 }
 
 /// The services in scope, as far as they are in force.
@@ -70,10 +70,10 @@
 
 impl SubscribedServices {
     /// The target of the first route in order that matches.
-    pub(super) fn target(&self, head: &Head<'_>) -> Option<SubscribedTarget> {
+    pub(super) fn target(&self, head: &RequestHead<'_>) -> Option<SubscribedTarget> {
         let route = self.routes.find(head)?;
         match route.target {
-            Some(status) => Some(SubscribedTarget::Refuse(status)),
+            Some(status) => Some(SubscribedTarget::Reject(status)),
             None => {
                 let pool = self.pools.get(&*route.order.service)?;
                 Some(SubscribedTarget::Pool(pool.running.clone()))
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use sableloom_exchange::Clock;
-use sableloom_routes::Table;
-use sableloom_server_files::{Files, bytes_of};
+use sableloom_routes::RouteTable;
+use sableloom_server_files::{Files, read_file};
 use sableloom_server_list::{self as server_list, Lists, Spec};
 use sableloom_site_config::{Pool, Site};
 use sableloom_toml_diagnostics::Problem;
@@ -17,10 +17,10 @@
 /// # Errors
 ///
 /// All problems of the file and of the list of members that it names.
-pub(crate) fn load(path: &Path) -> Result<(Site, Table), Vec<Problem>> {
+pub(crate) fn load(path: &Path) -> Result<(Site, RouteTable), Vec<Problem>> {
     let name = path.display().to_string();
     let path = path.to_path_buf();
-    let text = bytes_of(&path).map_err(|e| vec![Problem::of_file(&name, e)])?;
+    let text = read_file(&path).map_err(|e| vec![Problem::of_file(&name, e.to_string())])?;
     let site = sableloom_site_config::read(&name, &text)?;
     let table = site.table().map_err(|e| vec![Problem::of_file(&name, format!("routes: {e}"))])?;
     Ok((with_members(&path, site)?, table))
@@ -29,11 +29,11 @@
 /// The site with the members of its fleet, where a file names them.
 fn with_members(path: &Path, mut site: Site) -> Result<Site, Vec<Problem>> {
     let Some(fleet) = site.fleet.take() else { return Ok(site) };
-    site.fleet = Some(match fleet.file.clone() {
+    site.fleet = Some(match fleet.members_file.clone() {
         None => fleet,
         Some(file) => {
             let at = path.parent().unwrap_or(Path::new("")).join(&file);
-            let text = bytes_of(&at).map_err(|e| vec![Problem::of_file(&file, e)])?;
+            let text = read_file(&at).map_err(|e| vec![Problem::of_file(&file, e.to_string())])?;
             let members = sableloom_site_config::read_members(&file, &text)?;
             fleet.with_members(&file, members)?
         }
@@ -48,11 +48,11 @@
         pool: pool.name.clone(),
         files: pool.files.clone(),
         zones: site.locality.zones.clone(),
-        out_at_most: pool.out_at_most,
+        out_at_most: pool.max_removed_share,
         drain: span(pool.drain_ms),
     };
     let paths = pool.files.iter().map(|file| folder.join(file)).collect();
-    Files { spec, paths, reread: Duration::from_secs_f64(pool.reread_ms / 1e3) }
+    Files { spec, paths, reread_interval: Duration::from_secs_f64(pool.reread_interval_ms / 1e3) }
 }
 
 /// Reads a pool's files of servers as a balancer would at its start.
@@ -66,7 +66,7 @@
     let named = files.spec.files.iter().zip(&files.paths);
     let readings: Vec<_> = named
         .map(|(name, path)| {
-            let bytes = bytes_of(path).map_err(|e| vec![Problem::of_file(name, e)])?;
+            let bytes = read_file(path).map_err(|e| vec![Problem::of_file(name, e.to_string())])?;
             server_list::read(name, &bytes, &files.spec).map(Arc::new)
         })
         .collect();
