--- a/crates/server-files/src/cached_file.rs
+++ b/crates/server-files/src/cached_file.rs
@@ -11,7 +11,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::file::read_file;
-use crate::source::Files;
+use crate::files::Files;
 
 /// A file whose metadata has been the same for less than this may have changed again within the same tick of its
 /// file system's clock, of which two seconds is the coarsest one in use (FAT). It is read again until then.
--- a/crates/server-files/src/lib.rs
+++ b/crates/server-files/src/lib.rs
@@ -37,9 +37,11 @@
 
 mod cached_file;
 mod file;
+mod files;
 mod path_entries;
 mod source;
 mod watcher;
 
 pub use file::{FileError, read_file};
-pub use source::{Files, ListVersion, PreparedFiles, ServerFiles};
+pub use files::Files;
+pub use source::{ListVersion, PreparedFiles, ServerFiles};
--- a/crates/server-files/src/source.rs
+++ b/crates/server-files/src/source.rs
@@ -1,13 +1,12 @@
 //! The files of one pool as a source of its endpoints: when they are read, and what is applied.
 
 use std::cell::{Cell, RefCell};
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
 use sableloom_exchange::{Clock, EndpointListener, EndpointSource, Task};
-use sableloom_server_list::{Change, Lists, OfferResult, Spec};
+use sableloom_server_list::{Change, Lists, OfferResult};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::ListKind;
 use tokio::sync::{Mutex, Notify, OwnedMutexGuard};
@@ -15,6 +14,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use crate::cached_file::{CachedFile, read_files, readings};
+use crate::files::Files;
 use crate::watcher::{FileWatcher, Subscription};
 
 /// Files that are written one after the other are read once they have been unchanged for this long.
@@ -24,17 +24,6 @@
 /// Maximum number of changes that one line of the log names.
 const MAX_LOGGED_CHANGES: usize = 12;
 
-/// A pool's files.
-#[derive(Clone, Debug)]
-pub struct Files {
-    /// Their settings.
-    pub spec: Spec,
-    /// The files' paths, in the order of the spec's names.
-    pub paths: Vec<PathBuf>,
-    /// How often the files are read again without a notification of a change.
-    pub reread_interval: Duration,
-}
-
 /// The files of one pool, as a source of its endpoints.
 pub struct ServerFiles {
     files: RefCell<Files>,
