--- a/crates/sableloom/src/serve/applier.rs
+++ b/crates/sableloom/src/serve/applier.rs
@@ -100,7 +100,7 @@
         }
         let subscribed = &mut *self.router.subscribed.borrow_mut();
         let replaced = self.apply_pool(subscribed, &in_force, plan.pool, feed.as_deref());
-        self.router.ending.borrow_mut().extend(replaced);
+        self.router.ending_pools.borrow_mut().extend(replaced);
         for name in &plan.routes_removed {
             subscribed.routes.remove(service.as_str(), name);
         }
@@ -164,7 +164,7 @@
             .collect();
         for service in left {
             let pool = subscribed.remove(&service);
-            self.router.ending.borrow_mut().extend(pool.map(|pool| pool.running));
+            self.router.ending_pools.borrow_mut().extend(pool.map(|pool| pool.running));
         }
     }
 }
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -66,7 +66,7 @@
     replace_mirrors(&old, &site, &pools, mirrors);
     let number = old.number + 1;
     let summary = summarize(number, &site, &removed);
-    router.ending.borrow_mut().extend(removed);
+    router.ending_pools.borrow_mut().extend(removed);
     *router.routing.borrow_mut() = Rc::new(Routing { number, site, table, pools });
     Ok(summary)
 }
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -45,7 +45,7 @@
     /// The services that control machines have set; empty without a `[control]` section.
     pub(super) subscribed: RefCell<SubscribedServices>,
     /// Pools that are no longer in force and may have open requests.
-    pub(super) ending: RefCell<Vec<Rc<RunningPool>>>,
+    pub(super) ending_pools: RefCell<Vec<Rc<RunningPool>>>,
     /// This balancer's share of the fleet's capacity, once it is known.
     capacity_share: Cell<Option<Share>>,
     pub(super) clock: Clock,
@@ -98,7 +98,7 @@
         Rc::new(Self {
             routing: RefCell::new(Rc::new(routing)),
             subscribed: RefCell::default(),
-            ending: RefCell::default(),
+            ending_pools: RefCell::default(),
             capacity_share: Cell::new(None),
             clock,
         })
@@ -150,7 +150,7 @@
         if let Some(pool) = self.subscribed.borrow().pools.get(service) {
             return Some(pool.feed.clone());
         }
-        let ending = self.ending.borrow();
+        let ending = self.ending_pools.borrow();
         let mut feeds = ending.iter().filter(|pool| pool.name == service.as_str());
         feeds.find_map(|pool| match &pool.source {
             ServerSource::Feed(feed) => Some(feed.clone()),
@@ -162,7 +162,7 @@
     pub(super) fn pools(&self) -> Vec<Rc<RunningPool>> {
         let mut pools = self.routing.borrow().pools.clone();
         pools.extend(self.subscribed.borrow().running_pools().cloned());
-        pools.extend(self.ending.borrow().iter().cloned());
+        pools.extend(self.ending_pools.borrow().iter().cloned());
         pools
     }
 
@@ -229,7 +229,7 @@
     /// Closes idle connections, and pools that are no longer in force and have no open request.
     pub(super) fn sweep(&self) {
         self.pools().iter().for_each(|pool| pool.transport.sweep());
-        self.ending.borrow_mut().retain(|pool| {
+        self.ending_pools.borrow_mut().retain(|pool| {
             let open = pool.exchange.open_requests() > 0;
             if !open {
                 pool.exchange.close();
--- a/crates/sableloom/tests/command_line.rs
+++ b/crates/sableloom/tests/command_line.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_demo_says_that_its_port_is_in_use() {
+fn the_demo_reports_that_its_port_is_in_use() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address").to_string();
     let output = run(&["demo", "--listen", &at]);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn without_a_command_or_a_configuration_it_helps_and_ends_with_2() {
+fn without_a_command_or_a_configuration_it_prints_help_and_exits_with_2() {
     let output = run(&[]);
     assert_eq!(output.status.code(), Some(2));
     let said = text(&output.stdout);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_wrong_argument_is_named() {
+fn a_wrong_argument_is_reported_by_name() {
     for (arguments, name) in [
         (&["demo", "--request", "5"][..], "--request"),
         (&["demo", "--requests", "many"], "--requests"),
--- a/crates/sableloom/tests/control/machine.rs
+++ b/crates/sableloom/tests/control/machine.rs
@@ -6,7 +6,7 @@
 use sableloom_testkit::{Site, program};
 use serde_json::Value;
 
-use crate::process::Process;
+use sableloom_testkit::Process;
 
 /// A control machine's folder: its settings and its changes, gone once it is dropped.
 pub struct Folder {
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -16,29 +16,29 @@
 };
 use sableloom_types::{Span, Time};
 
-use crate::process::Process;
+use sableloom_testkit::Process;
 
 const MACHINES: &str = "SABLELOOM_TEST_SUBSCRIBER_MACHINES";
 const SERVICES: &str = "SABLELOOM_TEST_SUBSCRIBER_SERVICES";
-/// A server with this id is refused by the subscriber that is started as refusing.
-pub const REFUSED_ID: &str = "refused";
-const REFUSES: &str = "SABLELOOM_TEST_SUBSCRIBER_REFUSES";
+/// A server with this id is rejected by a subscriber that is started to reject it.
+pub const REJECTED_ID: &str = "refused";
+const REJECTS: &str = "SABLELOOM_TEST_SUBSCRIBER_REFUSES";
 
 /// How a subscriber is started.
 pub struct Options<'o> {
     pub machines: &'o [SocketAddr],
     pub services: &'o [&'o str],
-    pub refuses: bool,
+    pub rejects: bool,
 }
 
-/// Starts a subscriber as a process of its own: this test program with the one test that is none.
+/// Starts a subscriber as a process of its own: this test program with the one test that runs a subscriber.
 pub fn start(options: &Options<'_>) -> Process {
     let machines: Vec<String> = options.machines.iter().map(ToString::to_string).collect();
     let mut command = Command::new(env::current_exe().expect("this program"));
     command.args(["subscriber_process", "--exact", "--nocapture", "--test-threads=1"]);
     command.env(MACHINES, machines.join(",")).env(SERVICES, options.services.join(","));
-    if options.refuses {
-        command.env(REFUSES, "1");
+    if options.rejects {
+        command.env(REJECTS, "1");
     }
     let mut child = command.stdout(Stdio::piped()).spawn().expect("a subscriber starts");
     let lines = child.stdout.take().expect("piped");
@@ -50,22 +50,23 @@
     let (Ok(machines), Ok(services)) = (env::var(MACHINES), env::var(SERVICES)) else { return };
     let machines = machines.split(',').map(|m| m.parse().expect("an address")).collect();
     let scope = services.split(',').map(|s| ServiceName::try_from(s).expect("a name")).collect();
-    // The harness has begun a line.
-    say("");
-    Shell::new(machines, scope).run();
+    // The test harness has begun a line.
+    print_line("");
+    SubscriberProcess::new(machines, scope).run();
 }
 
-struct Shell {
+/// The state machine over one blocking connection.
+struct SubscriberProcess {
     machines: Vec<SocketAddr>,
     subscriber: Subscriber,
     started: Instant,
     stream: Option<TcpStream>,
     frames: FrameReader,
     applied: BTreeMap<ResourceName, Resource>,
-    refuses: bool,
+    rejects: bool,
 }
 
-impl Shell {
+impl SubscriberProcess {
     fn new(machines: Vec<SocketAddr>, scope: Vec<ServiceName>) -> Self {
         let name = SubscriberName::try_from("balancer-1").expect("a name");
         let seed = u64::from(std::process::id());
@@ -83,7 +84,7 @@
             stream: None,
             frames: FrameReader::new(),
             applied: BTreeMap::new(),
-            refuses: env::var_os(REFUSES).is_some(),
+            rejects: env::var_os(REJECTS).is_some(),
         }
     }
 
@@ -91,16 +92,19 @@
         Time(self.started.elapsed().as_micros() as i64)
     }
 
-    fn decide(&mut self, decision: impl FnOnce(&mut Subscriber, Time, &mut Vec<SubscriberOutput>)) {
-        let (now, mut orders) = (self.now(), Vec::new());
-        decision(&mut self.subscriber, now, &mut orders);
-        for order in orders {
-            self.carry_out(order);
+    fn with_subscriber(
+        &mut self,
+        call: impl FnOnce(&mut Subscriber, Time, &mut Vec<SubscriberOutput>),
+    ) {
+        let (now, mut outputs) = (self.now(), Vec::new());
+        call(&mut self.subscriber, now, &mut outputs);
+        for output in outputs {
+            self.apply_output(output);
         }
     }
 
     fn run(mut self) {
-        self.decide(Subscriber::start);
+        self.with_subscriber(Subscriber::start);
         loop {
             let due = self.subscriber.due().map_or(1_000, |due| due.since(self.now()).0.max(100));
             let wait = Duration::from_micros(due as u64);
@@ -110,7 +114,7 @@
             }
             let now = self.now();
             if self.subscriber.due().is_some_and(|due| due <= now) {
-                self.decide(Subscriber::tick);
+                self.with_subscriber(Subscriber::tick);
             }
         }
     }
@@ -132,14 +136,16 @@
                 Some(message) => {
                     match &message {
                         PublisherMessage::Changes { changes, .. } => {
-                            say(&format!("received {} changes", changes.len()));
+                            print_line(&format!("received {} changes", changes.len()));
                         }
                         PublisherMessage::Current { position, .. } => {
-                            say(&format!("current {position}"))
+                            print_line(&format!("current {position}"))
                         }
                         _ => {}
                     }
-                    self.decide(|subscriber, now, out| subscriber.message(now, message, out));
+                    self.with_subscriber(|subscriber, now, out| {
+                        subscriber.message(now, message, out)
+                    });
                 }
             }
         }
@@ -147,11 +153,11 @@
 
     fn lost(&mut self, why: &str) {
         let reason = DisconnectReason::Lost(why.into());
-        self.decide(|subscriber, now, out| subscriber.disconnected(now, reason, out));
+        self.with_subscriber(|subscriber, now, out| subscriber.disconnected(now, reason, out));
     }
 
-    fn carry_out(&mut self, order: SubscriberOutput) {
-        match order {
+    fn apply_output(&mut self, output: SubscriberOutput) {
+        match output {
             SubscriberOutput::Connect { control } => self.connect(self.machines[control]),
             SubscriberOutput::Send(message) => {
                 // A broken connection is found by the next read.
@@ -161,7 +167,7 @@
             }
             SubscriberOutput::Close { .. } => self.stream = None,
             SubscriberOutput::Apply(transaction) => self.apply(transaction),
-            SubscriberOutput::Event(event) => say_event(&event),
+            SubscriberOutput::Event(event) => print_event(&event),
             SubscriberOutput::Save => {}
         }
     }
@@ -171,11 +177,13 @@
         match TcpStream::connect(machine) {
             Ok(stream) => {
                 self.stream = Some(stream);
-                self.decide(Subscriber::connected);
+                self.with_subscriber(Subscriber::connected);
             }
             Err(e) => {
                 let reason = DisconnectReason::ConnectFailed(e.to_string().into());
-                self.decide(|subscriber, now, out| subscriber.disconnected(now, reason, out));
+                self.with_subscriber(|subscriber, now, out| {
+                    subscriber.disconnected(now, reason, out)
+                });
             }
         }
     }
@@ -196,16 +204,16 @@
                 }
                 let held =
                     self.applied.keys().filter(|name| name.service == update.service).count();
-                say(&format!(
+                print_line(&format!(
                     "applied {how} {} {} {:016x} {held}",
                     update.service, update.version, update.digest
                 ));
             }
-            self.decide(|subscriber, now, out| {
+            self.with_subscriber(|subscriber, now, out| {
                 subscriber.apply_finished(now, transaction.transfer, Ok(()), out);
             });
         } else {
-            self.decide(|subscriber, now, out| {
+            self.with_subscriber(|subscriber, now, out| {
                 subscriber.apply_finished(now, transaction.transfer, Err(rejections), out);
             });
         }
@@ -213,8 +221,8 @@
 
     fn rejections(&self, transaction: &Transaction) -> Vec<Rejection> {
         let changes = transaction.services.iter().flat_map(|update| &update.changes);
-        let refused = changes.filter_map(|change| match change {
-            Change::Set(resource) if self.refuses && &*resource.name.key == REFUSED_ID => {
+        let rejected = changes.filter_map(|change| match change {
+            Change::Set(resource) if self.rejects && &*resource.name.key == REJECTED_ID => {
                 Some(resource)
             }
             _ => None,
@@ -225,11 +233,11 @@
             field: Arc::from("zone"),
             problem: Arc::from("no such zone here"),
         };
-        refused.map(rejection).collect()
+        rejected.map(rejection).collect()
     }
 }
 
-fn say_event(event: &SubscriberEvent) {
+fn print_event(event: &SubscriberEvent) {
     let line = match event {
         SubscriberEvent::Connected { control, position } => {
             format!("connected {control} {position}")
@@ -237,18 +245,18 @@
         SubscriberEvent::Disconnected { control, reason } => {
             format!("disconnected {control} {reason}")
         }
-        // Said of each bookmark.
+        // Every bookmark has this event; the messages are printed instead.
         SubscriberEvent::Current { .. } => return,
         SubscriberEvent::Diverged { control, seen, other } => {
             format!("diverged {control} {seen} {other}")
         }
         other => format!("{other:?}"),
     };
-    say(&line);
+    print_line(&line);
 }
 
-fn say(line: &str) {
-    // Whoever listens is gone when the test is over.
+fn print_line(line: &str) {
+    // The test that reads the output may be over.
     if writeln!(std::io::stdout().lock(), "{line}").is_err() {
         std::process::exit(0);
     }
--- a/crates/sableloom/tests/site.rs
+++ b/crates/sableloom/tests/site.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_shipped_example_is_good() {
+fn the_shipped_examples_pass_the_check() {
     let output = run(&["check", example().to_str().expect("a path")]);
     let said = text(&output.stdout);
     assert!(output.status.success(), "{said}{}", text(&output.stderr));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_said_at_once_with_its_place() {
+fn all_problems_are_reported_at_once_with_their_place() {
     let site = copied();
     let good = std::fs::read_to_string(site.path("site.toml")).expect("a file");
     let bad = good
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn files_of_servers_are_checked_too() {
+fn files_of_servers_are_checked_as_well() {
     let site = copied();
     let points = std::fs::read_to_string(site.path("points.example.toml")).expect("a file");
     site.write("points.example.toml", &points.replace("127.0.0.1:9002", "127.0.0.1:9001"));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_request_is_followed_to_its_servers() {
+fn route_shows_the_route_pool_and_servers_of_a_request() {
     let file = example();
     let file = file.to_str().expect("a path");
     let follow = |request: &str, more: &[&str]| {
--- a/crates/sableloom/tests/sockets/server_files.rs
+++ b/crates/sableloom/tests/sockets/server_files.rs
@@ -9,26 +9,22 @@
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use sableloom_testkit::{Balancer, Message, Peer, Site, ok, read, servers};
-
-pub const CLASSES: &str = r#"
-[[listener]]
-address = "127.0.0.1:0"
-
-[[class]]
-name = "read"
-aim_ms = 5000
-deadline_ms = 20000
-effect = "safe"
-methods = ["GET"]
+use sableloom_testkit::control::peer_that_answers;
+use sableloom_testkit::{Balancer, Message, Peer, READ_CLASS, Site, ok, read, servers};
 
+/// The listener and the classes of a site: one of idempotent requests, one of others.
+pub fn classes() -> String {
+    format!(
+        r#"{READ_CLASS}
 [[class]]
 name = "pay"
 aim_ms = 5000
 deadline_ms = 20000
 effect = "unsafe"
 methods = ["POST"]
-"#;
+"#
+    )
+}
 
 /// A pool that reads its files only when it hears of them: no test passes by the slow reading.
 pub fn pool(name: &str, more: &str) -> String {
@@ -39,7 +35,8 @@
 }
 
 fn one_pool(more: &str) -> String {
-    format!("{CLASSES}\n{}[otherwise]\npool = \"points\"\n", pool("points", more))
+    let classes = classes();
+    format!("{classes}\n{}[otherwise]\npool = \"points\"\n", pool("points", more))
 }
 
 pub fn list(peers: &[(&str, &Peer)]) -> String {
@@ -56,9 +53,7 @@
 
 /// Which peer serves a request now.
 fn serves(balancer: &Balancer, id: &str) -> String {
-    let answer = balancer.ask(read(id, ""));
-    assert_eq!(answer.status(), 200, "{id}");
-    String::from_utf8(answer.body).expect("a name")
+    peer_that_answers(balancer, id, read(id, ""))
 }
 
 /// A peer that answers once it is told to; what came to it.
--- a/crates/sableloom/tests/sockets/server_files/main_file.rs
+++ b/crates/sableloom/tests/sockets/server_files/main_file.rs
@@ -2,11 +2,12 @@
 
 use sableloom_testkit::{Balancer, LONG, Site, named, program, read};
 
-use super::{CLASSES, list, one_pool, pool, waiting};
+use super::{classes, list, one_pool, pool, waiting};
 
 fn two_pools(routes: &str) -> String {
+    let classes = classes();
     format!(
-        "{CLASSES}\n{}{}{routes}\n",
+        "{classes}\n{}{}{routes}\n",
         pool("points", "out_at_most = 1.0"),
         pool("shop", "out_at_most = 1.0")
     )
@@ -59,7 +60,7 @@
     }
     came.recv_timeout(LONG).expect("a request");
     // The route goes, and its pool too.
-    let text = format!("{CLASSES}\n{}{SHOP}", pool("shop", ""));
+    let text = format!("{}\n{}{SHOP}", classes(), pool("shop", ""));
     site.replace("site.toml", &text);
     balancer.hang_up();
     balancer.says(&["SIGHUP", "in force", "1 routes", "without points"]);
@@ -153,7 +154,7 @@
         "site.toml",
         &format!("[limits]\nsockets = 64\n{}", {
             let pools: String = (0..12).map(|i| pool(&format!("p{i}"), "")).collect();
-            format!("{CLASSES}\n{pools}")
+            format!("{}\n{pools}", classes())
         }),
     );
     let said = run(&site);
--- a/crates/sableloom/tests/sockets/shadow.rs
+++ b/crates/sableloom/tests/sockets/shadow.rs
@@ -12,14 +12,15 @@
 use sableloom_testkit::{Balancer, Message, Peer, Site, answer, eventually, program};
 use serde_json::Value;
 
-use crate::server_files::{CLASSES, list, pool};
+use crate::server_files::{classes, list, pool};
 
 /// Copies without a bound on their rate, so that what a test expects does not hang on time.
 fn site(shadow: &str, pools: &[&str]) -> String {
     let pools: String =
         pools.iter().map(|name| pool(name, "out_at_most = 1.0\nt_qos_ms = 100")).collect();
+    let classes = classes();
     format!(
-        "{CLASSES}\n{pools}[[route]]\nname = \"all\"\npath.prefix = \"/\"\npool = \"points\"\n\n\
+        "{classes}\n{pools}[[route]]\nname = \"all\"\npath.prefix = \"/\"\npool = \"points\"\n\n\
          {}",
         if shadow.is_empty() { String::new() } else { shadowed(shadow) }
     )
--- a/crates/sableloom/tests/subscription/strange.rs
+++ b/crates/sableloom/tests/subscription/invalid_messages.rs
@@ -10,8 +10,8 @@
 };
 use sableloom_resources::{Body, TenantLimit};
 use sableloom_site_config::PoolSettings;
-use sableloom_testkit::control::{Process, site};
-use sableloom_testkit::{LONG, Site};
+use sableloom_testkit::control::site;
+use sableloom_testkit::{LONG, Process, Site};
 
 /// A balancer that subscribes to a control machine that this test plays.
 fn subscribe() -> (TcpListener, Site, Process) {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn limits_that_are_none_are_refused_by_file_line_and_field() {
+fn invalid_limits_are_rejected_with_file_line_and_field() {
     let service = ServiceName::try_from("points").expect("a name");
     let pool = Body::Pool(PoolSettings::default());
     let limit = |name: &str, requests_per_second, burst| {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_control_machine_of_another_version_is_named_by_it() {
+fn a_control_machine_of_another_protocol_version_is_reported_with_both_versions() {
     let (listener, _folder, process) = subscribe();
     let mut stream = accept(&listener);
     let position = Position { epoch: 1, number: 1, chain: 1 };
--- a/crates/sableloom/tests/subscription/main.rs
+++ b/crates/sableloom/tests/subscription/main.rs
@@ -1,9 +1,8 @@
 //! Balancers that take their pools and routes from a control machine, as processes: control machine, balancers
-//! and scripted servers over real sockets. Each step waits for what a process says, and nothing is judged by
-//! its time.
+//! and scripted servers over real sockets. Each step waits for a line that a process logs; no test measures time.
 
-mod cut;
-mod moves;
-mod strange;
+mod invalid_messages;
+mod service_moves;
 mod tenants;
 mod transactions;
+mod without_control;
--- a/crates/sableloom/tests/subscription/moves.rs
+++ b/crates/sableloom/tests/subscription/service_moves.rs
@@ -5,7 +5,9 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-use sableloom_testkit::control::*;
+use sableloom_testkit::control::{
+    Control, remove, request, served_by, server, service, site, status,
+};
 use sableloom_testkit::{Balancer, LONG, Peer, Site, eventually, named, ok};
 
 /// A server that holds each request until it is let go.
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_service_moves_from_one_balancer_to_another_under_requests() {
+fn a_service_moves_between_balancers_while_requests_are_open() {
     let Held { peer: slow, came, release } = Held::start();
     let other = named("other");
     let points = service("points", "h") + &server("points", "other", &other, "");
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn what_waits_in_a_pool_that_was_replaced_goes_to_no_server_that_has_left() {
+fn requests_queued_in_a_replaced_pool_go_to_no_removed_server() {
     const REQUESTS: usize = 40;
     let Held { peer: slow, came, release } = Held::start();
     let other = named("other");
--- a/crates/sableloom/tests/subscription/tenants.rs
+++ b/crates/sableloom/tests/subscription/tenants.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-use sableloom_testkit::control::*;
+use sableloom_testkit::control::{Control, request, served_by, server, service, site, status};
 use sableloom_testkit::{Balancer, Message, Peer, Site, eventually, named, ok};
 use serde_json::json;
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_limit_arrives_by_delta_is_changed_and_is_removed() {
+fn a_limit_is_set_changed_and_removed_by_deltas() {
     let (peer, count) = counting();
     let control = control(&peer, "");
     let (_folder, balancer) = balancer(&control, "one", HEADER);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_services_tenants_come_and_go_under_requests() {
+fn tenants_of_a_service_are_added_and_removed_under_load() {
     const CLIENTS: usize = 4;
     const REQUESTS: usize = 100;
     let (peer, count) = counting();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_balancer_that_waits_for_its_part_lets_nothing_of_a_limited_tenant_pass() {
+fn a_balancer_without_a_capacity_share_rejects_every_request_of_a_limited_tenant() {
     let (peer, count) = counting();
     let control = control(&peer, &tenant("t", "1000", 1_000));
     // The other member never speaks, so that the wait is not cut short.
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn without_a_header_nothing_is_limited_and_that_is_said_once() {
+fn without_a_tenant_header_nothing_is_limited_and_that_is_logged_once() {
     let peer = named("a");
     let control = control(&peer, "");
     let (folder, balancer) = balancer(&control, "one", "");
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn limits_outlive_a_restart_and_go_with_their_service() {
+fn limits_survive_a_restart_and_are_removed_with_their_service() {
     let a = named("a");
     let mut control = control(&a, &(tenant("t1", "20", 20) + &tenant("t2", "0.5", 1)));
     let (folder, mut balancer) = balancer(&control, "one", HEADER);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_snapshot_takes_limits_away_that_are_not_in_it() {
+fn a_snapshot_removes_limits_that_it_does_not_contain() {
     let a = named("a");
     let first = service("points", "h") + &server("points", "a", &a, "");
     let tenants = tenant("t", SLOW, 1) + &tenant("u", SLOW, 1);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_service_that_leaves_the_scope_takes_its_limits_along() {
+fn limits_are_removed_when_their_service_leaves_the_scope() {
     let a = named("a");
     let partners = service("partners", "p") + &server("partners", "a", &a, "");
     let points = service("points", "h") + &server("points", "a", &a, "");
--- a/crates/sableloom/tests/subscription/transactions.rs
+++ b/crates/sableloom/tests/subscription/transactions.rs
@@ -2,7 +2,9 @@
 
 use std::fmt::Write;
 
-use sableloom_testkit::control::*;
+use sableloom_testkit::control::{
+    Control, remove, request, route, served_by, server, service, site, status,
+};
 use sableloom_testkit::{Balancer, Site, named};
 
 #[test]
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn one_balancer_refuses_what_another_takes() {
+fn one_balancer_rejects_a_transaction_that_another_applies() {
     let (a, b) = (named("a"), named("b"));
     let services = ["points", "partners", "third"];
     let first = service("points", "h") + &server("points", "a", &a, "");
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_while_a_snapshot_is_under_way_gets_nothing() {
+fn a_server_removed_during_a_snapshot_gets_no_request() {
     let (a, b) = (named("a"), named("b"));
     let points =
         service("points", "h") + &server("points", "a", &a, "") + &server("points", "b", &b, "");
--- a/crates/sableloom/tests/subscription/cut.rs
+++ b/crates/sableloom/tests/subscription/without_control.rs
@@ -1,7 +1,9 @@
 //! Without a control machine a balancer serves on, and starts again, with its last good state.
 
-use sableloom_testkit::control::*;
-use sableloom_testkit::{Balancer, Site, eventually, named};
+use sableloom_testkit::control::{
+    Control, remove, served_by, server, service, signal, site, status,
+};
+use sableloom_testkit::{Balancer, Process, Site, eventually, named};
 
 fn one_service() -> (sableloom_testkit::Peer, Control, Site) {
     let peer = named("a");
@@ -16,7 +18,7 @@
 }
 
 #[test]
-fn a_change_and_its_reversal_while_cut_change_nothing() {
+fn a_change_and_its_reversal_while_disconnected_have_no_effect() {
     let (a, mut control, folder) = one_service();
     let (b, balancer) = (named("b"), Balancer::serving(&folder));
     control.kill();
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn a_balancer_frozen_for_longer_than_the_log_holds_gets_a_snapshot() {
+fn a_balancer_frozen_past_the_end_of_the_log_gets_a_snapshot() {
     let (a, b) = (named("a"), named("b"));
     let first = service("points", "h") + &server("points", "a", &a, "");
     let other = service("partners", "p") + &server("partners", "a", &a, "");
@@ -60,7 +62,7 @@
 }
 
 #[test]
-fn a_restart_while_cut_begins_from_the_file() {
+fn a_restart_while_disconnected_begins_from_the_state_file() {
     let (_peer, mut control, folder) = one_service();
     let mut balancer = Balancer::serving(&folder);
     let file = folder.path("last-good.bin");
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn a_folder_that_can_not_be_written_is_said_and_serving_goes_on() {
+fn a_state_file_that_can_not_be_written_is_logged_and_serving_continues() {
     let (_peer, control, folder) = one_service();
     let text =
         site(control.address, "one", &["points"], "").replace("last-good", "missing/last-good");
--- a/crates/testkit/examples/changes.rs
+++ b/crates/testkit/examples/changes.rs
@@ -14,8 +14,8 @@
 
 use serde_json::Value;
 
-use sableloom_testkit::Site;
-use sableloom_testkit::control::{Control, Process, route, server_at, service, site};
+use sableloom_testkit::control::{Control, route, server_at, service, site};
+use sableloom_testkit::{Process, Site};
 
 const SERVERS: usize = 48;
 const ROUTES: usize = 84;
--- a/crates/testkit/src/control.rs
+++ b/crates/testkit/src/control.rs
@@ -1,85 +1,11 @@
 //! A control machine as a process, its change files, and balancers that subscribe to it.
 
-use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
-use std::path::Path;
-use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{Receiver, channel};
-use std::thread;
+use std::process::Command;
 
 use serde_json::Value;
 
-use crate::{Balancer, LONG, Message, Peer, Site, program, read};
-
-/// A site's listener and classes.
-const CLASSES: &str = r#"
-[[listener]]
-address = "127.0.0.1:0"
-
-[[class]]
-name = "read"
-aim_ms = 5000
-deadline_ms = 20000
-effect = "safe"
-methods = ["GET"]
-"#;
-
-/// A process of the program, ended with its test.
-pub struct Process {
-    child: Child,
-    lines: Receiver<String>,
-}
-
-impl Process {
-    /// The program under test with these arguments.
-    pub fn start(arguments: &[&str]) -> Self {
-        Self::of(&program(), arguments)
-    }
-
-    /// Another program with these arguments.
-    pub fn of(program: &Path, arguments: &[&str]) -> Self {
-        let mut command = Command::new(program);
-        command.args(arguments).env_remove("ROUTER_CONFIG").stderr(Stdio::piped());
-        let mut child = command.spawn().expect("it starts");
-        let log = BufReader::new(child.stderr.take().expect("piped"));
-        let (said, lines) = channel();
-        thread::spawn(move || {
-            log.lines().map_while(Result::ok).all(|line| said.send(line).is_ok());
-        });
-        Self { child, lines }
-    }
-
-    /// Waits for a line that has all of these in it, and returns it.
-    pub fn says(&self, parts: &[&str]) -> String {
-        let mut said = Vec::new();
-        loop {
-            let Ok(line) = self.lines.recv_timeout(LONG) else {
-                panic!("nothing said of {parts:?}, but {said:#?}");
-            };
-            if parts.iter().all(|part| line.contains(part)) {
-                return line;
-            }
-            said.push(line);
-        }
-    }
-
-    /// Its process.
-    pub fn pid(&self) -> u32 {
-        self.child.id()
-    }
-
-    /// Ends it at once.
-    pub fn kill(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-impl Drop for Process {
-    fn drop(&mut self) {
-        self.kill();
-    }
-}
+use crate::{Balancer, Message, Peer, Process, READ_CLASS, Site, program, read};
 
 /// A control machine and its folder of changes.
 pub struct Control {
@@ -189,7 +115,7 @@
 /// A site that subscribes to these services.
 pub fn site(control: SocketAddr, own: &str, services: &[&str], more: &str) -> String {
     format!(
-        "{more}{CLASSES}\n[control]\nown = \"{own}\"\nmachines = [\"{control}\"]\n\
+        "{more}{READ_CLASS}\n[control]\nown = \"{own}\"\nmachines = [\"{control}\"]\n\
          services = {services:?}\nstate = \"last-good.bin\"\n"
     )
 }
@@ -203,7 +129,12 @@
 
 /// Which peer serves a request for this host now.
 pub fn served_by(balancer: &Balancer, id: &str, host: &str) -> String {
-    let answer: Message = balancer.ask(request(id, host));
+    peer_that_answers(balancer, id, request(id, host))
+}
+
+/// Which peer answers this request: the body of the answer is its name.
+pub fn peer_that_answers(balancer: &Balancer, id: &str, request: String) -> String {
+    let answer: Message = balancer.ask(request);
     assert_eq!(answer.status(), 200, "{id}");
     String::from_utf8(answer.body).expect("a name")
 }
--- a/crates/testkit/src/files.rs
+++ b/crates/testkit/src/files.rs
@@ -10,6 +10,19 @@
 use crate::LONG;
 use crate::discovery::{entry, list};
 
+/// The listener and a class of idempotent requests, for a site's file.
+pub const READ_CLASS: &str = r#"
+[[listener]]
+address = "127.0.0.1:0"
+
+[[class]]
+name = "read"
+aim_ms = 5000
+deadline_ms = 20000
+effect = "safe"
+methods = ["GET"]
+"#;
+
 /// A configuration with a class of each effect and these upstreams.
 pub fn config(upstreams: &[SocketAddr]) -> Value {
     let class = |name: &str, effect: &str| {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -8,6 +8,7 @@
 mod files;
 mod peer;
 mod probe;
+mod process;
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -15,9 +16,10 @@
 pub use balancer::{Balancer, program, spawn};
 pub use connection::{Conn, Message, answer, ok, post, read};
 pub use discovery::{Discovery, Told, entry, list};
-pub use files::{ConfigFile, Site, config, only_own_times, servers};
+pub use files::{ConfigFile, READ_CLASS, Site, config, only_own_times, servers};
 pub use peer::{HeldBack, Peer, named};
 pub use probe::ForwardingProbe;
+pub use process::{PROCESS_TIMEOUT, Process};
 
 /// What a test waits for at most before it fails: far past anything that is expected.
 pub const LONG: Duration = Duration::from_secs(30);
