--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -44,14 +44,14 @@
         println!(
             "fleet {}: {} of {} members, at {address}",
             fleet.name,
-            fleet.own,
+            fleet.own_name,
             fleet.members.len()
         );
     }
     if let Some(control) = &site.control {
         println!(
             "control: subscriber {}, {} control machines, {} services; pools and routes come from there",
-            control.own,
+            control.subscriber,
             control.machines.len(),
             control.services.len()
         );
--- a/crates/sableloom/src/serve/service_plan.rs
+++ b/crates/sableloom/src/serve/service_plan.rs
@@ -6,7 +6,7 @@
 use sableloom_distribution::ServiceName;
 use sableloom_routes::IndexedRoute;
 use sableloom_server_list::RosterChange;
-use sableloom_site_config::{ClassDefaults, PoolSettings, Site};
+use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
 use sableloom_types::Span;
 use sableloom_types::settings::span;
@@ -82,5 +82,5 @@
 /// How long servers of a pool with these settings drain.
 pub(super) fn drain_of(site: &Site, settings: &PoolSettings) -> Span {
     let defaults = ClassDefaults::of(&site.classes);
-    span(settings.clone().into_pool("", &defaults).drain_ms)
+    span(Pool::new("", settings.clone(), &defaults).drain_ms)
 }
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -131,7 +131,7 @@
         self.stream = Some(stream);
         self.frames.push(&buffer[..count]);
         while self.stream.is_some() {
-            match self.frames.next::<PublisherMessage>().expect("control sends messages") {
+            match self.frames.next_message::<PublisherMessage>().expect("control sends messages") {
                 None => return,
                 Some(message) => {
                     match &message {
@@ -209,12 +209,12 @@
                     update.service, update.version, update.digest
                 ));
             }
-            self.with_subscriber(|subscriber, now, out| {
-                subscriber.apply_finished(now, transaction.transfer, Ok(()), out);
+            self.with_subscriber(|subscriber, _, out| {
+                subscriber.apply_finished(transaction.transfer, Ok(()), out);
             });
         } else {
-            self.with_subscriber(|subscriber, now, out| {
-                subscriber.apply_finished(now, transaction.transfer, Err(rejections), out);
+            self.with_subscriber(|subscriber, _, out| {
+                subscriber.apply_finished(transaction.transfer, Err(rejections), out);
             });
         }
     }
