--- a/crates/sableloom/src/control/status_json/tests.rs
+++ b/crates/sableloom/src/control/status_json/tests.rs
@@ -96,6 +96,43 @@
     }
 }
 
+/// The session of [`report`] as JSON.
+fn expected_session() -> Value {
+    json!({
+        "session": 32,
+        "balancer": "balancer-17",
+        "services": 33,
+        "has": { "epoch": 34, "number": 35, "chain": "0000000000000024" },
+        "queued_bytes": 37,
+        "silent_ms": 38,
+        "lagging": 39,
+        "lags": [{ "service": "orders", "has": 40, "wants": 41, "behind_ms": 42 }],
+        "rejecting": 43,
+        "rejections": [
+            {
+                "service": "points",
+                "has": 44,
+                "refused": 45,
+                "behind_ms": 46,
+                "problem": {
+                    "file": "00000030.toml",
+                    "line": 31,
+                    "resource": "server points-1 of points",
+                    "field": "zone",
+                    "problem": "no such zone",
+                },
+            },
+            {
+                "service": "partners",
+                "has": 47,
+                "refused": 48,
+                "behind_ms": 49,
+                "problem": null,
+            },
+        ],
+    })
+}
+
 #[test]
 fn the_json_of_a_status_has_exactly_these_keys_and_values() {
     let expected = json!({
@@ -107,39 +144,7 @@
         "next": 21,
         "latest": 22,
         "waits_for": "00000021.toml: missing",
-        "sessions": [{
-            "session": 32,
-            "balancer": "balancer-17",
-            "services": 33,
-            "has": { "epoch": 34, "number": 35, "chain": "0000000000000024" },
-            "queued_bytes": 37,
-            "silent_ms": 38,
-            "lagging": 39,
-            "lags": [{ "service": "orders", "has": 40, "wants": 41, "behind_ms": 42 }],
-            "rejecting": 43,
-            "rejections": [
-                {
-                    "service": "points",
-                    "has": 44,
-                    "refused": 45,
-                    "behind_ms": 46,
-                    "problem": {
-                        "file": "00000030.toml",
-                        "line": 31,
-                        "resource": "server points-1 of points",
-                        "field": "zone",
-                        "problem": "no such zone",
-                    },
-                },
-                {
-                    "service": "partners",
-                    "has": 47,
-                    "refused": 48,
-                    "behind_ms": 49,
-                    "problem": null,
-                },
-            ],
-        }],
+        "sessions": [expected_session()],
         "lagging": 10,
         "rejecting": 11,
         "snapshots": 12,
--- a/crates/sableloom/tests/control/machine.rs
+++ b/crates/sableloom/tests/control/machine.rs
@@ -9,19 +9,19 @@
 use sableloom_testkit::Process;
 
 /// A control machine's folder: its settings and its changes, gone once it is dropped.
-pub struct Folder {
+pub(crate) struct Folder {
     site: Site,
 }
 
 impl Folder {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         let site = Site::new("");
         std::fs::create_dir(site.path("changes")).expect("a folder");
         Self { site }
     }
 
     /// Puts a whole change into the log, as an operator is asked to: renamed into its place.
-    pub fn change(&self, number: u64, epoch: u32, tables: &[String]) {
+    pub(crate) fn change(&self, number: u64, epoch: u32, tables: &[String]) {
         let text = change(number, epoch, tables);
         let new = self.site.path("changes/.new");
         std::fs::write(&new, text).expect("a file");
@@ -29,12 +29,12 @@
     }
 
     /// Writes a file of changes as it is.
-    pub fn write(&self, number: u64, text: &str) {
+    pub(crate) fn write(&self, number: u64, text: &str) {
         std::fs::write(self.site.path(&name(number)), text).expect("a file");
     }
 
     /// Puts a copy of the folder in its place.
-    pub fn replaced_by_copy(&self) {
+    pub(crate) fn replaced_by_copy(&self) {
         let (now, before) = (self.site.path("changes"), self.site.path("before"));
         std::fs::rename(&now, &before).expect("a rename");
         std::fs::create_dir(&now).expect("a folder");
@@ -45,11 +45,11 @@
     }
 
     /// Starts a control machine on this folder.
-    pub fn start(&self, limits: &str) -> Machine {
+    pub(crate) fn start(&self, limits: &str) -> Machine {
         self.start_at("127.0.0.1:0".parse().expect("an address"), limits)
     }
 
-    pub fn start_at(&self, listen: SocketAddr, limits: &str) -> Machine {
+    pub(crate) fn start_at(&self, listen: SocketAddr, limits: &str) -> Machine {
         let settings =
             format!("listen = \"{listen}\"\nchanges = \"changes\"\n[limits]\n{limits}\n");
         self.site.write("control.toml", &settings);
@@ -70,23 +70,23 @@
 }
 
 /// The text of a change with these tables.
-pub fn change(number: u64, epoch: u32, tables: &[String]) -> String {
+pub(crate) fn change(number: u64, epoch: u32, tables: &[String]) -> String {
     let (all, count) = (tables.concat(), tables.len());
     format!("number = {number}\nepoch = {epoch}\n{all}[end]\nchanges = {count}\n")
 }
 
 /// A pool's table.
-pub fn pool(service: &str) -> String {
+pub(crate) fn pool(service: &str) -> String {
     format!("[[pool]]\nservice = \"{service}\"\n")
 }
 
 /// A server's table; servers of one service differ in their port.
-pub fn server(service: &str, id: &str, port: u16) -> String {
+pub(crate) fn server(service: &str, id: &str, port: u16) -> String {
     format!("[[server]]\nservice = \"{service}\"\nid = \"{id}\"\naddress = \"127.0.0.1:{port}\"\n")
 }
 
 /// The table of a route with a path of so many bytes.
-pub fn route(service: &str, name: &str, bytes: usize) -> String {
+pub(crate) fn route(service: &str, name: &str, bytes: usize) -> String {
     let path = "x".repeat(bytes);
     format!(
         "[[route]]\nservice = \"{service}\"\nname = \"{name}\"\nrank = 1\npath.exact = \"/{path}\"\n"
@@ -94,21 +94,21 @@
 }
 
 /// A control machine as a process.
-pub struct Machine {
-    pub process: Process,
-    pub address: SocketAddr,
+pub(crate) struct Machine {
+    pub(crate) process: Process,
+    pub(crate) address: SocketAddr,
 }
 
 impl Machine {
     /// Its status, as `sableloom control status` prints it.
-    pub fn status(&self) -> Value {
+    pub(crate) fn status(&self) -> Value {
         let output = control(&["status", "--json", "--at", &self.address.to_string()]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         serde_json::from_slice(&output.stdout).expect("JSON")
     }
 
     /// The version and digest that it has of a service.
-    pub fn held(&self, service: &str) -> (u64, String) {
+    pub(crate) fn held(&self, service: &str) -> (u64, String) {
         let status = self.status();
         let services = status["services"].as_array().expect("a list");
         let held = services.iter().find(|held| held["service"] == service).expect("the service");
@@ -116,13 +116,13 @@
         (held["version"].as_u64().expect("a number"), digest)
     }
 
-    pub fn kill(mut self) {
+    pub(crate) fn kill(mut self) {
         self.process.kill();
     }
 }
 
 /// Runs `sableloom control` with these arguments.
-pub fn control(arguments: &[&str]) -> Output {
+pub(crate) fn control(arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
     command.arg("control").args(arguments).env_remove("ROUTER_CONFIG");
     command.output().expect("the program runs")
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -21,18 +21,18 @@
 const MACHINES: &str = "SABLELOOM_TEST_SUBSCRIBER_MACHINES";
 const SERVICES: &str = "SABLELOOM_TEST_SUBSCRIBER_SERVICES";
 /// A server with this id is rejected by a subscriber that is started to reject it.
-pub const REJECTED_ID: &str = "refused";
+pub(crate) const REJECTED_ID: &str = "refused";
 const REJECTS: &str = "SABLELOOM_TEST_SUBSCRIBER_REFUSES";
 
 /// How a subscriber is started.
-pub struct Options<'o> {
-    pub machines: &'o [SocketAddr],
-    pub services: &'o [&'o str],
-    pub rejects: bool,
+pub(crate) struct Options<'o> {
+    pub(crate) machines: &'o [SocketAddr],
+    pub(crate) services: &'o [&'o str],
+    pub(crate) rejects: bool,
 }
 
 /// Starts a subscriber as a process of its own: this test program with the one test that runs a subscriber.
-pub fn start(options: &Options<'_>) -> Process {
+pub(crate) fn start(options: &Options<'_>) -> Process {
     let machines: Vec<String> = options.machines.iter().map(ToString::to_string).collect();
     let mut command = Command::new(env::current_exe().expect("this program"));
     command.args(["subscriber_process", "--exact", "--nocapture", "--test-threads=1"]);
@@ -46,7 +46,7 @@
 }
 
 /// What `subscriber_process` does; nothing if it was not started as a subscriber.
-pub fn run() {
+pub(crate) fn run() {
     let (Ok(machines), Ok(services)) = (env::var(MACHINES), env::var(SERVICES)) else { return };
     let machines = machines.split(',').map(|m| m.parse().expect("an address")).collect();
     let scope = services.split(',').map(|s| ServiceName::try_from(s).expect("a name")).collect();
--- a/crates/sableloom/tests/sockets/server_files.rs
+++ b/crates/sableloom/tests/sockets/server_files.rs
@@ -13,7 +13,7 @@
 use sableloom_testkit::{Balancer, Message, Peer, READ_CLASS, Site, ok, read, servers};
 
 /// The listener and the classes of a site: one of idempotent requests, one of others.
-pub fn classes() -> String {
+pub(crate) fn classes() -> String {
     format!(
         r#"{READ_CLASS}
 [[class]]
@@ -27,7 +27,7 @@
 }
 
 /// A pool that reads its files only when it hears of them: no test passes by the slow reading.
-pub fn pool(name: &str, more: &str) -> String {
+pub(crate) fn pool(name: &str, more: &str) -> String {
     format!(
         "[[pool]]\nname = \"{name}\"\nfiles = [\"{name}.toml\"]\nreread_ms = 600000\n{more}\n\
          [pool.cold]\ntime_ms = 0\n\n"
@@ -39,7 +39,7 @@
     format!("{classes}\n{}[otherwise]\npool = \"points\"\n", pool("points", more))
 }
 
-pub fn list(peers: &[(&str, &Peer)]) -> String {
+pub(crate) fn list(peers: &[(&str, &Peer)]) -> String {
     servers("", peers.iter().map(|(id, peer)| (*id, peer.address, "")))
 }
 
