--- a/crates/sableloom/tests/command_line.rs
+++ b/crates/sableloom/tests/command_line.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 use std::process::{Command, Output};
 
-use sableloom_testkit::program;
+use sableloom_testkit::{Site, program};
 
 fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
@@ -80,3 +80,53 @@
         assert!(said.contains(name), "{arguments:?}: {said}");
     }
 }
+
+#[test]
+fn a_command_that_fails_prints_exactly_its_error_and_exits_with_1() {
+    const UNREADABLE: &str = "it can't be read: No such file or directory (os error 2)\n";
+    let folder = Site::new("[limits]\n");
+    folder.write("control.toml", "listen = \"127.0.0.1:0\"\n");
+    std::fs::create_dir(folder.path("changes")).expect("a folder");
+    folder.write("changes/00000001.toml", "number = 2\nepoch = 1\n[end]\nchanges = 0\n");
+    let missing = format!("1 problems\n  × missing.toml:1:1: {UNREADABLE}");
+    let cases: [(&[&str], &str); 10] = [
+        (&["check", "missing.toml"], &missing),
+        (&["route", "missing.toml", "--request", "GET /"], &missing),
+        (&["serve", "--config", "missing.toml"], &format!("missing.toml:1:1: {UNREADABLE}")),
+        (
+            &["fleet", "members", "--config", "missing.toml"],
+            &format!("missing.toml:1:1: {UNREADABLE}"),
+        ),
+        (&["control", "--config", "missing.toml"], &format!("missing.toml: {UNREADABLE}")),
+        (
+            &["control", "check", "missing.toml"],
+            "1 problems\n  × missing.toml:1:1: it is not there\n",
+        ),
+        (
+            &["control", "--config", "control.toml"],
+            "1 problems\n  × control.toml:1:1: field `changes`: missing; expected the folder of change files\n",
+        ),
+        (
+            &["control", "check", "changes"],
+            "1 problems\n  × 00000001.toml:1:1: field `number`: 2 is not the number of its name, 1\n  \
+             help: a change keeps the number that it was first given\n",
+        ),
+        (
+            &["control", "status", "--at", "127.0.0.1:1"],
+            "127.0.0.1:1: Connection refused (os error 111)\n",
+        ),
+        (
+            &["serve", "--config", "site.toml"],
+            "site.toml:1:1: field `listener`: missing; expected at least one [[listener]] with an address\n\
+             site.toml:1:1: field `class`: missing; expected at least one [[class]]\n\
+             site.toml:1:1: field `pool`: missing; expected at least one [[pool]]\n",
+        ),
+    ];
+    for (arguments, error) in cases {
+        let mut command = Command::new(program());
+        command.args(arguments).current_dir(folder.path("")).env_remove("ROUTER_CONFIG");
+        let output = command.output().expect("the program runs");
+        assert_eq!(text(&output.stderr), format!("sableloom: {error}"), "{arguments:?}");
+        assert_eq!(output.status.code(), Some(1), "{arguments:?}");
+    }
+}
