--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -12,6 +12,7 @@
 use crate::position::{Position, ServiceVersion};
 use crate::rejection::Rejection;
 use crate::resource::Change;
+use crate::violation::PublisherViolation;
 
 /// Consecutive bookmarks that do not match the applied state, after which the connection is closed: the first leads to
 /// the complete scope being sent again.
@@ -39,7 +40,7 @@
     ) -> Result<(), DisconnectReason> {
         let incoming = self.incoming.as_mut().filter(|incoming| incoming.id() == id);
         let Some(incoming) = incoming else {
-            return Err(DisconnectReason::violation("changes of no transaction"));
+            return Err(PublisherViolation::ChangesWithoutBegin.into());
         };
         incoming.add_changes(changes)?;
         self.check_buffer()
@@ -54,7 +55,7 @@
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         let Some(incoming) = self.incoming.take().filter(|incoming| incoming.id() == id) else {
-            return Err(DisconnectReason::violation("the end of no transaction"));
+            return Err(PublisherViolation::CommitWithoutBegin.into());
         };
         let bytes = incoming.bytes;
         let mut transfers = incoming.commit(position, targets)?;
@@ -69,12 +70,12 @@
             return Ok(());
         }
         if transfers.is_empty() {
-            out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transfer: id }));
+            out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transaction: id }));
             return Ok(());
         }
         let services = transfers.iter().map(|transfer| self.update(transfer)).collect();
         self.pending.push_back(PendingTransaction { id, transfers, bytes });
-        out.push(SubscriberOutput::Apply(Transaction { transfer: id, position, services }));
+        out.push(SubscriberOutput::Apply(Transaction { id, position, services }));
         Ok(())
     }
 
@@ -90,7 +91,7 @@
             self.applied.apply(transfer);
         }
         out.push(SubscriberOutput::Save);
-        self.answer(SubscriberMessage::Ack { transfer: transaction.id }, out);
+        self.answer(SubscriberMessage::Ack { transaction: transaction.id }, out);
     }
 
     /// The caller has rejected a transaction.
@@ -109,7 +110,7 @@
         let event = SubscriberEvent::Rejected { services, rejections: rejections.clone() };
         out.push(SubscriberOutput::Event(event));
         let reason = NackReason::Rejected(rejections);
-        self.answer(SubscriberMessage::Nack { transfer: transaction.id, reason }, out);
+        self.answer(SubscriberMessage::Nack { transaction: transaction.id, reason }, out);
     }
 
     /// A bookmark has come: if it does not match the applied state, the complete scope is sent again, once.
@@ -130,7 +131,7 @@
         if digest != self.applied.scope_digest() {
             self.mismatched_bookmarks += 1;
             if self.mismatched_bookmarks > MAX_MISMATCHED_BOOKMARKS {
-                return Err(DisconnectReason::violation("bookmarks do not fit what is held"));
+                return Err(PublisherViolation::BookmarkMismatch.into());
             }
             self.send_complete_scope(out);
             return Ok(());
@@ -155,7 +156,7 @@
         self.counters.mismatches += 1;
         let versions = services.iter().filter_map(|service| self.applied.version(service));
         let reason = NackReason::Mismatch(versions.collect());
-        out.push(SubscriberOutput::Send(SubscriberMessage::Nack { transfer: id, reason }));
+        out.push(SubscriberOutput::Send(SubscriberMessage::Nack { transaction: id, reason }));
         out.push(SubscriberOutput::Event(SubscriberEvent::Mismatch { services }));
     }
 
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -210,11 +210,11 @@
                 ));
             }
             self.with_subscriber(|subscriber, _, out| {
-                subscriber.apply_finished(transaction.transfer, Ok(()), out);
+                subscriber.apply_finished(transaction.id, Ok(()), out);
             });
         } else {
             self.with_subscriber(|subscriber, _, out| {
-                subscriber.apply_finished(transaction.transfer, Err(rejections), out);
+                subscriber.apply_finished(transaction.id, Err(rejections), out);
             });
         }
     }
