--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -134,7 +134,7 @@
     pub(crate) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
-        let Ok(Some(message)) = reader.next::<PublisherMessage>() else {
+        let Ok(Some(message)) = reader.next_message::<PublisherMessage>() else {
             panic!("a publisher sends no message");
         };
         match message {
@@ -144,7 +144,7 @@
                 }
                 frame
             }
-            PublisherMessage::Changes { transfer, mut changes }
+            PublisherMessage::Changes { transaction, mut changes }
                 if !self.quiet && self.below(50) == 0 =>
             {
                 for change in &mut changes {
@@ -154,7 +154,7 @@
                         resource.body = body.into();
                     }
                 }
-                encode(&PublisherMessage::Changes { transfer, changes })
+                encode(&PublisherMessage::Changes { transaction, changes })
             }
             _ => frame,
         }
--- a/crates/sableloom/src/diagnostics.rs
+++ b/crates/sableloom/src/diagnostics.rs
@@ -8,7 +8,7 @@
 use miette::{
     GraphicalReportHandler, GraphicalTheme, LabeledSpan, MietteDiagnostic, NamedSource, Report,
 };
-use sableloom_server_files::bytes_of;
+use sableloom_server_files::read_file;
 use sableloom_toml_diagnostics::Problem;
 
 /// Columns that a report is wrapped at.
@@ -51,7 +51,7 @@
     let folder = path.parent().unwrap_or(Path::new(""));
     let is_main = path.display().to_string() == file;
     let at = if is_main { path.to_path_buf() } else { folder.join(file) };
-    bytes_of(&at).ok().and_then(|bytes| String::from_utf8(bytes).ok())
+    read_file(&at).ok().and_then(|bytes| String::from_utf8(bytes).ok())
 }
 
 /// A problem with its help, and with its place in the text if that is known.
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -16,7 +16,7 @@
 use sableloom_site_config::Fleet;
 use sableloom_types::settings::span;
 
-pub use command::{Command, run};
+pub(crate) use command::{Command, run};
 
 /// Process incarnations are tenths of seconds since this second of Unix time, the first of 2025: they fit 32 bits for
 /// 13 years.
@@ -28,7 +28,7 @@
 
 /// Why this balancer can't be a member of its fleet.
 #[derive(Debug, thiserror::Error)]
-pub enum StartError {
+pub(crate) enum StartError {
     /// The list of members does not name this balancer.
     #[error("field `fleet.own`: no member {0:?}")]
     NotListed(String),
@@ -52,8 +52,8 @@
 }
 
 /// The other members of the list.
-pub fn others(fleet: &Fleet) -> Vec<ListedMember> {
-    let others = fleet.members.iter().filter(|member| member.name != fleet.own);
+pub(crate) fn others(fleet: &Fleet) -> Vec<ListedMember> {
+    let others = fleet.members.iter().filter(|member| member.name != fleet.own_name);
     others
         .map(|member| ListedMember { name: member.name.clone(), address: member.address })
         .collect()
@@ -64,12 +64,12 @@
 /// # Errors
 ///
 /// [`StartError`] if the list does not name this balancer, or its address can't be taken.
-pub async fn start(
+pub(crate) async fn start(
     fleet: &Fleet,
     clock: Clock,
     observer: Rc<dyn FleetObserver>,
 ) -> Result<Rc<RunningMember>, StartError> {
-    let own = &fleet.own;
+    let own = &fleet.own_name;
     let address = fleet.address().ok_or_else(|| StartError::NotListed(own.clone()))?;
     let tenths = clock.now().0 / TENTH - INCARNATIONS_FROM * 10;
     let options = RunOptions {
@@ -89,15 +89,15 @@
 fn settings(fleet: &Fleet) -> MemberSettings {
     MemberSettings {
         fleet: fleet.name.clone(),
-        own: fleet.own.clone(),
+        own: fleet.own_name.clone(),
         membership: MembershipTiming {
-            probe_interval: span(fleet.period_ms),
-            probe_timeout: span(fleet.answer_ms),
+            probe_interval: span(fleet.probe_interval_ms),
+            probe_timeout: span(fleet.probe_timeout_ms),
             ..MembershipTiming::default()
         },
         share: ShareTiming {
-            lease: span(fleet.claim_ms),
-            query_interval: span(fleet.claim_ms / QUERIES_PER_LEASE),
+            lease: span(fleet.lease_ms),
+            query_interval: span(fleet.lease_ms / QUERIES_PER_LEASE),
             ..ShareTiming::default()
         },
     }
--- a/crates/sableloom/src/fleet/command.rs
+++ b/crates/sableloom/src/fleet/command.rs
@@ -13,7 +13,7 @@
 
 /// What to show.
 #[derive(clap::Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Shows what one balancer knows of its fleet: who is there, since when, by whose word, its own part
     Members(OneBalancer),
     /// Shows where several balancers' knowledge differs. Ends with 0 if they agree, 1 if not
@@ -22,7 +22,7 @@
 
 /// The balancer to query.
 #[derive(clap::Args)]
-pub struct OneBalancer {
+pub(crate) struct OneBalancer {
     /// Where the balancer takes datagrams
     #[arg(required_unless_present = "config", conflicts_with = "config", requires = "from")]
     address: Option<SocketAddr>,
@@ -36,7 +36,7 @@
 
 /// The balancers to query.
 #[derive(clap::Args)]
-pub struct SeveralBalancers {
+pub(crate) struct SeveralBalancers {
     /// Where the balancers take datagrams; without any, all members of the site are asked
     #[arg(required_unless_present = "config", requires = "from")]
     addresses: Vec<SocketAddr>,
@@ -50,7 +50,7 @@
 
 /// Why a command can't be run.
 #[derive(Debug, thiserror::Error)]
-pub enum CommandError {
+pub(crate) enum CommandError {
     /// The site's file is wrong.
     #[error("{0}")]
     Site(String),
@@ -83,7 +83,7 @@
 fn fleet_of(path: &Path) -> Result<(Fleet, SocketAddr), CommandError> {
     let (site, _) = load(path).map_err(|problems| CommandError::Site(lines_of(&problems)))?;
     let fleet = site.fleet.ok_or_else(|| CommandError::NoFleet(path.to_path_buf()))?;
-    let line = fleet.place.line;
+    let line = fleet.location.line;
     let operator = fleet.operator;
     let operator =
         operator.ok_or_else(|| CommandError::NoOperator { file: path.to_path_buf(), line })?;
@@ -96,7 +96,7 @@
 ///
 /// [`CommandError`] if the command line or the site names no balancer, or `members` gets no status. `compare` lists
 /// balancers that give none.
-pub async fn run(command: Command) -> Result<ExitCode, CommandError> {
+pub(crate) async fn run(command: Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Members(balancer) => show_members(balancer).await,
         Command::Compare(balancers) => compare(balancers).await,
