--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -1,6 +1,6 @@
 //! What membership costs a member by the size of its fleet: datagrams and bytes a second, processor time, memory;
-//! at rest, while one starts, and while a quarter starts at once. The very state machines of a balancer on a
-//! simulated net; the slopes by least squares.
+//! at rest, while one starts, and while a quarter starts at once. The state machines of a balancer on a
+//! simulated network; the slopes by least squares.
 //!
 //! `cargo run --release -p sableloom-fleet --example scale -- [SIZES]`, by default `100 300 1000`. All members
 //! know all others, so that memory grows with the square of the size. Of sizes above 3,000 only the memory is
@@ -18,16 +18,16 @@
 
 /// How long a fleet at rest is watched.
 const WATCHED: i64 = 10 * S;
-/// How long starts are watched: past the wait for proofs that others may hold.
+/// How long starts are watched: past the start wait.
 const STARTS: i64 = 3 * S;
-/// Within this all know all, or it is given up.
+/// The longest time in which all may come to know all; after that the program goes on.
 const SETTLES_WITHIN: i64 = 600 * S;
 /// How often in a second a member's bytes are looked at.
 const QUARTERS: usize = 4;
 /// The largest fleet that is played.
 const MAX_PLAYED: usize = 3000;
 /// The size that figures are extrapolated to.
-const LETTER: f64 = 7600.0;
+const EXTRAPOLATED_SIZE: f64 = 7600.0;
 
 struct Member {
     core: FleetMember,
@@ -80,14 +80,14 @@
 }
 
 fn start(net: &mut Net<Member>, i: usize, listed: &Arc<MemberList>) {
-    net.start(i, |life, seed, now| {
+    net.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
             fleet: "points".to_string(),
             own: name(i),
             membership: Default::default(),
             share: Default::default(),
         };
-        let core = FleetMember::new(&settings, life, listed.clone(), seed, now);
+        let core = FleetMember::new(&settings, process_incarnation, listed.clone(), seed, now);
         Member { core, time: Duration::ZERO, events: 0, received: 0 }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
@@ -179,7 +179,7 @@
     gained.max().unwrap_or(0)
 }
 
-/// Runs until all know all, and says how long that took and what it sent on the way, if it happens.
+/// Runs until all know all, and prints how long that took and what was sent meanwhile.
 fn settle(net: &mut Net<Member>, n: usize) {
     let (from, bytes) = (net.now, net.bytes);
     let count = running(net).count();
@@ -198,7 +198,7 @@
     );
 }
 
-/// Runs until all updates have been passed on as often as they are.
+/// Runs until no member has an update left to send.
 fn calm(net: &mut Net<Member>) {
     let until = net.now + SETTLES_WITHIN;
     while net.now < until
@@ -218,7 +218,7 @@
 }
 
 /// The line through these points, and the root of the mean square of what it leaves.
-fn line(points: &[(f64, f64)]) -> (f64, f64, f64) {
+fn least_squares(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
     let (x, y) = (mean(|p| p.0), mean(|p| p.1));
@@ -294,7 +294,7 @@
     );
     let (played, large): (Vec<usize>, Vec<usize>) =
         sizes.into_iter().partition(|n| *n <= MAX_PLAYED);
-    // First, as memory that a play has let go of is used again.
+    // First, as memory that a play has freed is used again.
     for n in large {
         show_memory(n);
     }
@@ -312,11 +312,13 @@
     if figures.is_empty() {
         return;
     }
-    println!("\nby least squares: what; at 0, slope for each 1,000 members, residual; at {LETTER}");
+    println!(
+        "\nby least squares: what; at 0, slope for each 1,000 members, residual; at {EXTRAPOLATED_SIZE}"
+    );
     for (what, of) in rows {
         let points: Vec<(f64, f64)> = figures.iter().map(|f| (f.n, of(f))).collect();
-        let (at_0, slope, residual) = line(&points);
-        let at_size = at_0 + slope * LETTER;
+        let (at_0, slope, residual) = least_squares(&points);
+        let at_size = at_0 + slope * EXTRAPOLATED_SIZE;
         println!("{what:46} {at_0:10.1} {:10.2} {residual:10.2} {at_size:10.1}", slope * 1e3);
     }
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -1,5 +1,5 @@
-//! What a member sends and receives in its worst second, with the headers of UDP, IP and ICMP, whatever happens in a
-//! fleet whose list is too long for all to call all.
+//! Bytes that a member sends and receives in its worst second, with the headers of UDP, IP and ICMP, in a fleet with a
+//! long list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use sableloom_simulated_network::{HEADERS, Net, Process, S, Sent, address, place};
 use sableloom_types::Time;
 
-/// Longer than the lists whose members all call one another.
+/// Longer than a short list, whose members all ping one another.
 const MEMBERS: usize = 600;
 /// How often in a second a member's bytes are looked at.
 const QUARTERS: usize = 4;
@@ -32,7 +32,7 @@
         for (_, bytes) in &out.datagrams {
             self.count("sent", bytes);
         }
-        *self.kinds.entry("questions").or_default() += out.absence_queries.len();
+        *self.kinds.entry("absence queries").or_default() += out.absence_queries.len();
         sent.datagrams.extend(out.datagrams);
         sent.knocks.extend(out.absence_queries.into_iter().map(|(_, at)| at));
     }
@@ -77,14 +77,14 @@
 }
 
 fn start(net: &mut Net<Member>, i: usize, list: &Arc<MemberList>) {
-    net.start(i, |life, seed, now| {
+    net.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
             fleet: "points".to_string(),
             own: name(i),
             membership: MembershipTiming::default(),
             share: Timing::default(),
         };
-        let core = FleetMember::new(&settings, life, list.clone(), seed, now);
+        let core = FleetMember::new(&settings, process_incarnation, list.clone(), seed, now);
         Member { core, kinds: BTreeMap::new() }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn no_member_has_more_than_its_budget_in_any_second() {
+fn no_member_exceeds_its_budget_in_any_second() {
     let list =
         MemberList::new((0..MEMBERS).map(|i| ListedMember { name: name(i), address: address(i) }));
     let mut net: Net<Member> = Net::new(MEMBERS, 5, 0.01);
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -1,6 +1,6 @@
-//! Every interleaving of three members to a depth: starts, ends, questions, answers, words and time, each
-//! datagram delivered at any later moment or never. The parts add up to one at most in every state, those
-//! told last and not looked at again included, as a process that is stopped has them.
+//! Every interleaving of three members to a depth: starts, ends, absence queries, their answers, pings, acks and time,
+//! each datagram delivered at any later time or never. The shares add up to one at most in every state, those that were
+//! published last and not looked at again included, as a stopped process has them.
 
 use std::collections::HashSet;
 use std::fmt::Write as _;
@@ -10,10 +10,10 @@
 use sableloom_types::{Span, Time};
 
 const N: usize = 3;
-/// Datagrams on the way at most.
-const ON_THE_WAY: usize = 3;
+/// Datagrams in flight at most.
+const MAX_IN_FLIGHT: usize = 3;
 
-/// A proof holds for two steps of time, and one that starts waits for three.
+/// A proof holds for two steps of time, and a process that starts waits for three.
 fn times() -> Timing {
     let times = Timing {
         lease: Span(2),
@@ -28,41 +28,41 @@
 
 #[derive(Clone, Debug)]
 struct Member {
-    standing: CapacityShare,
-    told: Share,
-    life: u32,
+    capacity_share: CapacityShare,
+    published: Share,
+    process: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Datagram {
     /// To a member, whatever process that is by then.
-    Call { from: usize, life: u32, to: usize },
+    Ping { from: usize, process: u32, to: usize },
     /// The answer, to this process alone.
-    Word { from: usize, to: usize, meant: u32 },
+    Ack { from: usize, to: usize, meant: u32 },
     /// Whether anybody is there.
-    Knock { from: usize, life: u32, to: usize, asked: i64 },
+    AbsenceQuery { from: usize, process: u32, to: usize, queried: i64 },
     /// Nobody is.
-    Absent { to: usize, life: u32, of: usize, asked: i64 },
+    Absent { to: usize, process: u32, of: usize, queried: i64 },
 }
 
 #[derive(Clone, Debug)]
 struct State {
     now: i64,
-    lives: u32,
+    processes: u32,
     members: [Option<Member>; N],
-    way: Vec<Datagram>,
+    in_flight: Vec<Datagram>,
 }
 
-/// What is left out, to see that the search finds what then goes wrong.
+/// A rule that is left out, to see that the search finds the violation.
 #[derive(Clone, Copy, PartialEq)]
 enum Without {
     Nothing,
     /// A process acts as soon as it has started.
     Waiting,
-    /// What was told last holds for good.
-    Ends,
-    /// A call from a member does not end the proof that it is gone.
-    Signs,
+    /// A published share never expires.
+    Expiry,
+    /// A ping from a member does not end the proof that it is absent.
+    EndingProofs,
 }
 
 impl State {
@@ -70,52 +70,57 @@
         Time(self.now)
     }
 
-    fn starts(&mut self, i: usize) {
-        self.lives += 1;
+    fn start(&mut self, i: usize) {
+        self.processes += 1;
         let others = (0..N as u32).filter(|k| *k != i as u32);
-        let standing = CapacityShare::new(self.now(), others, times());
-        let told = standing.share(self.now());
-        self.members[i] = Some(Member { standing, told, life: self.lives });
+        let share = CapacityShare::new(self.now(), others, times());
+        let published = share.share(self.now());
+        self.members[i] =
+            Some(Member { capacity_share: share, published, process: self.processes });
     }
 
-    /// The process of this life, if it still runs, is called and looks at its part.
-    fn with(&mut self, i: usize, life: Option<u32>, what: impl FnOnce(&mut CapacityShare, Time)) {
+    /// Calls this process, if it still runs, and publishes its share.
+    fn with(
+        &mut self,
+        i: usize,
+        process: Option<u32>,
+        what: impl FnOnce(&mut CapacityShare, Time),
+    ) {
         let now = self.now();
         let member = self.members[i].as_mut();
-        if let Some(member) = member.filter(|m| life.is_none_or(|life| m.life == life)) {
-            what(&mut member.standing, now);
-            member.told = member.standing.share(now);
+        if let Some(member) = member.filter(|m| process.is_none_or(|process| m.process == process))
+        {
+            what(&mut member.capacity_share, now);
+            member.published = member.capacity_share.share(now);
         }
     }
 
-    fn arrives(&mut self, datagram: Datagram, without: Without) {
+    fn deliver(&mut self, datagram: Datagram, without: Without) {
         match datagram {
-            Datagram::Call { from, life, to } => {
+            Datagram::Ping { from, process, to } => {
                 if self.members[to].is_some() {
-                    self.with(to, None, |standing, now| {
-                        if without != Without::Signs {
-                            standing.heard(now, from as u32);
+                    self.with(to, None, |share, now| {
+                        if without != Without::EndingProofs {
+                            share.heard(now, from as u32);
                         }
                     });
-                    self.way.push(Datagram::Word { from: to, to: from, meant: life });
+                    self.in_flight.push(Datagram::Ack { from: to, to: from, meant: process });
                 }
             }
-            Datagram::Word { from, to, meant } => {
+            Datagram::Ack { from, to, meant } => {
                 let n = N as u16;
-                self.with(to, Some(meant), |standing, now| {
-                    standing.acknowledged(now, from as u32, n)
-                });
-                self.with(to, None, |standing, now| standing.heard(now, from as u32));
+                self.with(to, Some(meant), |share, now| share.acknowledged(now, from as u32, n));
+                self.with(to, None, |share, now| share.heard(now, from as u32));
             }
-            Datagram::Knock { from, life, to, asked } => {
+            Datagram::AbsenceQuery { from, process, to, queried } => {
                 if self.members[to].is_none() {
-                    self.way.push(Datagram::Absent { to: from, life, of: to, asked });
+                    self.in_flight.push(Datagram::Absent { to: from, process, of: to, queried });
                 }
             }
-            Datagram::Absent { to, life, of, asked } => {
-                let asked = Time(asked);
-                self.with(to, Some(life), |standing, _| {
-                    standing.proved_absent(of as u32, asked);
+            Datagram::Absent { to, process, of, queried } => {
+                let queried = Time(queried);
+                self.with(to, Some(process), |share, _| {
+                    share.proved_absent(of as u32, queried);
                 });
             }
         }
@@ -127,34 +132,41 @@
         let mut step = |change: &dyn Fn(&mut State)| {
             let mut next = self.clone();
             change(&mut next);
-            if next.way.len() <= ON_THE_WAY {
-                next.way.sort();
+            if next.in_flight.len() <= MAX_IN_FLIGHT {
+                next.in_flight.sort();
                 all.push(next);
             }
         };
         step(&|s| s.now += 1);
         for i in 0..N {
             let Some(member) = &self.members[i] else {
-                step(&|s| s.starts(i));
+                step(&|s| s.start(i));
                 continue;
             };
             step(&|s| s.members[i] = None);
-            // It is called by its timer.
+            // Its timer fires.
             step(&|s| s.with(i, None, |_, _| {}));
-            let life = member.life;
-            // All at once, as one that has just started does.
+            let process = member.process;
+            // All at once, as a process that has just started does.
             let others = (0..N).filter(|to| *to != i);
-            let calls: Vec<_> = others.map(|to| Datagram::Call { from: i, life, to }).collect();
-            step(&|s| s.way.extend(calls.clone()));
+            let pings: Vec<_> = others.map(|to| Datagram::Ping { from: i, process, to }).collect();
+            step(&|s| s.in_flight.extend(pings.clone()));
             for to in (0..N).filter(|to| *to != i) {
-                step(&|s| s.way.push(Datagram::Call { from: i, life, to }));
-                step(&|s| s.way.push(Datagram::Knock { from: i, life, to, asked: s.now }));
+                step(&|s| s.in_flight.push(Datagram::Ping { from: i, process, to }));
+                step(&|s| {
+                    s.in_flight.push(Datagram::AbsenceQuery {
+                        from: i,
+                        process,
+                        to,
+                        queried: s.now,
+                    })
+                });
             }
         }
-        for (k, datagram) in self.way.iter().enumerate() {
+        for (k, datagram) in self.in_flight.iter().enumerate() {
             step(&|s| {
-                s.way.remove(k);
-                s.arrives(datagram.clone(), without);
+                s.in_flight.remove(k);
+                s.deliver(datagram.clone(), without);
             });
         }
         all
@@ -162,11 +174,11 @@
 
     fn sum(&self, without: Without) -> f64 {
         let share = |member: &Member| match without {
-            Without::Ends => Share { until: None, ..member.told }.fraction(self.now()),
-            Without::Waiting if member.told.balancers == 0 => {
-                1.0 / f64::from(member.told.balancers_after)
+            Without::Expiry => Share { until: None, ..member.published }.fraction(self.now()),
+            Without::Waiting if member.published.balancers == 0 => {
+                1.0 / f64::from(member.published.balancers_after)
             }
-            _ => member.told.fraction(self.now()),
+            _ => member.published.fraction(self.now()),
         };
         self.members.iter().flatten().map(share).sum()
     }
@@ -185,32 +197,33 @@
     }
 }
 
-/// All three have spoken to one another, long ago.
+/// All three have acknowledged each other, long ago.
 fn settled() -> State {
-    let mut state = State { now: 0, lives: 0, members: [const { None }; N], way: Vec::new() };
-    (0..N).for_each(|i| state.starts(i));
+    let mut state =
+        State { now: 0, processes: 0, members: [const { None }; N], in_flight: Vec::new() };
+    (0..N).for_each(|i| state.start(i));
     state.now = 10;
     for (i, k) in (0..N * N).map(|ik| (ik / N, ik % N)).filter(|(i, k)| i != k) {
-        state.with(i, None, |standing, now| standing.acknowledged(now, k as u32, N as u16));
+        state.with(i, None, |share, now| share.acknowledged(now, k as u32, N as u16));
     }
     assert!((state.sum(Without::Nothing) - 1.0).abs() < 1e-9);
     state
 }
 
-/// The same, and then one has died, which both others know for certain.
+/// The same, and then one has ended, which is proved to both others.
 fn one_absent() -> State {
     let mut state = settled();
     state.members[2] = None;
     state.now += 1;
-    let asked = state.now();
+    let queried = state.now();
     for i in 0..2 {
-        state.with(i, None, |standing, _| assert!(standing.proved_absent(2, asked)));
+        state.with(i, None, |share, _| assert!(share.proved_absent(2, queried)));
     }
     assert!((state.sum(Without::Nothing) - 1.0).abs() < 1e-9, "two share");
     state
 }
 
-/// How many states there are to this depth, or the first in which the parts are too much.
+/// How many states there are to this depth, or the first in which the shares exceed one.
 fn search(from: State, depth: usize, without: Without) -> Result<usize, Box<State>> {
     let mut seen = HashSet::from([from.hash()]);
     let mut level = vec![from];
@@ -233,16 +246,16 @@
 }
 
 #[test]
-fn three_that_are_settled_never_have_too_much_within_six_steps() {
+fn shares_of_three_settled_members_never_exceed_one_within_six_steps() {
     let states = search(settled(), 6, Without::Nothing);
     let states = states.unwrap_or_else(|state| panic!("too much: {state:#?}"));
     println!("{states} states");
     assert!(states > 100_000, "{states}");
 }
 
-/// The same from after the death of one, the question about it answered: deeper into what matters.
+/// The same from a state with a proof of absence, which is deeper into what matters.
 #[test]
-fn three_of_which_one_is_proved_absent_never_have_too_much_within_six_steps() {
+fn shares_never_exceed_one_within_six_steps_after_a_proof_of_absence() {
     let state = one_absent();
     let states = search(state, 6, Without::Nothing);
     let states = states.unwrap_or_else(|state| panic!("too much: {state:#?}"));
@@ -253,7 +266,7 @@
 /// The search finds what goes wrong without each of the rules.
 #[test]
 fn without_a_rule_the_search_finds_too_much() {
-    for without in [Without::Waiting, Without::Ends, Without::Signs] {
+    for without in [Without::Waiting, Without::Expiry, Without::EndingProofs] {
         assert!(search(one_absent(), 6, without).is_err());
     }
 }
--- a/crates/fleet/tests/parts.rs
+++ b/crates/fleet/tests/shares.rs
@@ -1,6 +1,6 @@
-//! Thousands of schedules of loss, cuts, stops, crashes, late and doubled datagrams and drift: after every
-//! event the parts of all add up to one at most, whatever each believes, those that are stopped included.
-//! A seed makes each, and a failure names it.
+//! Thousands of schedules of loss, partitions, stops, crashes, late and duplicated datagrams and drift: after every
+//! event the shares of all members add up to one at most, those of stopped processes included, whatever their views
+//! are. A seed makes each schedule, and a failure names it.
 
 use std::net::SocketAddr;
 
@@ -12,17 +12,17 @@
 use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, on_all_cores, place};
 use sableloom_types::Time;
 
-/// A member and its part, as the shell holds it between two calls.
+/// A member and its share, as the policy has it between two events.
 struct Member {
     core: FleetMember,
-    part: Share,
+    share: Share,
 }
 
 impl Member {
     fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut FleetMember, &mut Output)) {
         let mut out = Output::default();
         what(&mut self.core, &mut out);
-        self.part = self.core.share();
+        self.share = self.core.share();
         sent.datagrams.extend(out.datagrams);
         sent.knocks.extend(out.absence_queries.into_iter().map(|(_, at)| at));
         sent.changes.extend(out.changes);
@@ -59,29 +59,37 @@
 }
 
 fn start(net: &mut Net<Member>, i: usize, of: usize) {
-    net.start(i, |life, seed, now| {
+    net.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
             fleet: "points".to_string(),
             own: format!("b{}", i + 1),
             membership: MembershipTiming::default(),
             share: Timing::default(),
         };
-        let core = FleetMember::new(&settings, life, MemberList::new(listed(of)), seed, now);
-        Member { part: core.share(), core }
+        let core = FleetMember::new(
+            &settings,
+            process_incarnation,
+            MemberList::new(listed(of)),
+            seed,
+            now,
+        );
+        Member { share: core.share(), core }
     });
     net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
 }
 
-/// What all that run have together, each by its own clock.
+/// The sum of the shares of all that run, each by its own clock.
 fn sum(net: &Net<Member>) -> f64 {
     let running = net.places.iter().enumerate();
-    let parts = running.filter_map(|(i, p)| Some(p.process.as_ref()?.part.fraction(net.local(i))));
-    parts.sum()
+    let shares =
+        running.filter_map(|(i, p)| Some(p.process.as_ref()?.share.fraction(net.local(i))));
+    shares.sum()
 }
 
-fn numbers(net: &Net<Member>) -> Vec<Option<(u32, ShareReason)>> {
-    let part = |p: &sableloom_simulated_network::Place<Member>| p.process.as_ref().map(|m| m.part);
-    net.places.iter().map(|p| part(p).map(|part| (part.balancers, part.reason))).collect()
+fn balancers_and_reasons(net: &Net<Member>) -> Vec<Option<(u32, ShareReason)>> {
+    let share =
+        |p: &sableloom_simulated_network::Place<Member>| p.process.as_ref().map(|m| m.share);
+    net.places.iter().map(|p| share(p).map(|share| (share.balancers, share.reason))).collect()
 }
 
 fn run(net: &mut Net<Member>, until: i64, seed: u64) {
@@ -89,9 +97,9 @@
         let sum = sum(net);
         assert!(
             sum <= 1.0 + 1e-9,
-            "seed {seed}, at {} ms: the parts add up to {sum}: {:?}",
+            "seed {seed}, at {} ms: the shares add up to {sum}: {:?}",
             net.now / MS,
-            numbers(net)
+            balancers_and_reasons(net)
         );
     });
 }
@@ -103,21 +111,25 @@
     while net.now < from + most {
         let next = net.now + 50 * MS;
         run(net, next, seed);
-        if numbers(net).iter().flatten().all(|n| *n == (running, ShareReason::Sharing)) {
+        if balancers_and_reasons(net)
+            .iter()
+            .flatten()
+            .all(|n| *n == (running, ShareReason::Sharing))
+        {
             return Some(net.now - from);
         }
     }
     None
 }
 
-/// Once the net is whole, all share among those that run within this: the longest proof, calls of the
-/// missing one a period of up to nine times its length, and the longest doubt.
+/// The longest time in which all share among those that run once the network is healed: the longest proof, pings of
+/// the missing, one in a probe interval of up to nine times its length, and the longest suspicion.
 const SHARED_WITHIN: i64 = 90 * S;
 
 fn schedule(seed: u64) {
     let n = 2 + (seed % 6) as usize;
     let mut net: Net<Member> = Net::new(n, seed, 0.09);
-    // Some nets hold datagrams back for longer than a proof lasts.
+    // Some networks hold datagrams back for longer than a proof holds.
     net.delay = [30 * MS, 400 * MS, 4 * S][(seed / 6 % 3) as usize];
     net.doubled = 0.2;
     (0..n).for_each(|i| start(&mut net, i, n));
@@ -165,29 +177,33 @@
     net.heal();
     net.delay = 30 * MS;
     let took = until_shared(&mut net, SHARED_WITHIN, seed);
-    assert!(took.is_some(), "seed {seed}: they do not share among themselves: {:?}", numbers(&net));
+    assert!(
+        took.is_some(),
+        "seed {seed}: they do not share among themselves: {:?}",
+        balancers_and_reasons(&net)
+    );
 }
 
 #[test]
-fn the_parts_of_all_add_up_to_one_at_most_whatever_happens() {
+fn shares_add_up_to_one_at_most_in_every_schedule() {
     on_all_cores(0..10_000, schedule);
 }
 
-/// All start at once: nobody waits for longer than it takes to speak to all.
+/// All start at once: none waits for longer than it takes to probe all.
 #[test]
-fn who_starts_together_shares_at_once() {
+fn members_that_start_together_share_within_a_second() {
     on_all_cores(0..50, |seed| {
         let n = 24;
         let mut net: Net<Member> = Net::new(n, seed, 0.02);
         (0..n).for_each(|i| start(&mut net, i, n));
         let took = until_shared(&mut net, S, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&net));
     });
 }
 
-/// Half are killed where their systems go on: the rest take over, and give back as they return.
+/// Half are killed and their systems go on: the rest take over their shares, and give them back as they return.
 #[test]
-fn what_the_killed_had_goes_over_and_comes_back() {
+fn shares_of_killed_members_are_taken_over_and_given_back() {
     on_all_cores(0..50, |seed| {
         let n = 12;
         let mut net: Net<Member> = Net::new(n, seed, 0.02);
@@ -195,16 +211,16 @@
         assert!(until_shared(&mut net, S, seed).is_some(), "seed {seed}");
         (0..6).for_each(|i| net.kill(i));
         let took = until_shared(&mut net, 6 * S, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&net));
         (0..6).for_each(|i| start(&mut net, i, n));
         let took = until_shared(&mut net, 6 * S, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&net));
     });
 }
 
-/// A cut is no death: neither side takes over anything, and both go on with what they had.
+/// A partition proves nothing: neither side takes over a share, and both keep theirs.
 #[test]
-fn a_cut_gives_nobody_more() {
+fn a_partition_enlarges_no_share() {
     on_all_cores(0..50, |seed| {
         let n = 10;
         let mut net: Net<Member> = Net::new(n, seed, 0.02);
@@ -216,7 +232,7 @@
         for _ in 0..40 {
             let until = net.now + 500 * MS;
             run(&mut net, until, seed);
-            let all = numbers(&net);
+            let all = balancers_and_reasons(&net);
             assert!(
                 all.iter().flatten().all(|n| *n == (10, ShareReason::Sharing)),
                 "seed {seed}: {all:?}"
@@ -227,16 +243,20 @@
     });
 }
 
-/// One that was stopped while others came back holds nothing of theirs when it wakes, at no moment.
+/// A member that was stopped while others came back has nothing of their shares when it resumes, at no time.
 #[test]
-fn one_that_wakes_has_no_more_than_its_own() {
+fn a_resumed_member_has_no_more_than_its_own_share() {
     on_all_cores(0..200, |seed| {
         let n = 6;
         let mut net: Net<Member> = Net::new(n, seed, 0.05);
         (0..n).for_each(|i| start(&mut net, i, n));
         assert!(until_shared(&mut net, S, seed).is_some(), "seed {seed}");
         (0..4).for_each(|i| net.kill(i));
-        assert!(until_shared(&mut net, 6 * S, seed).is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(
+            until_shared(&mut net, 6 * S, seed).is_some(),
+            "seed {seed}: {:?}",
+            balancers_and_reasons(&net)
+        );
         // It has half of all, and is stopped; then the others come back.
         net.stop(5, 10 * S);
         let until = net.now + 100 * MS;
@@ -244,34 +264,38 @@
         (0..4).for_each(|i| start(&mut net, i, n));
         let until = net.now + 9 * S;
         run(&mut net, until, seed);
-        let all = numbers(&net);
+        let all = balancers_and_reasons(&net);
         assert!(all[..5].iter().flatten().all(|n| n.0 == 6), "seed {seed}: {all:?}");
         let took = until_shared(&mut net, 40 * S, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&net));
     });
 }
 
-/// A fleet of 24 grows to 60, each on all lists before it starts; the parts of those there shrink first.
+/// A fleet of 24 grows to 60, each on all lists before it starts; the shares of the first shrink before that.
 #[test]
-fn a_fleet_that_grows_never_has_too_much() {
+fn shares_of_a_growing_fleet_never_exceed_one() {
     on_all_cores(0..4, |seed| {
         let (few, many) = (24, 60);
         let mut net: Net<Member> = Net::new(many, seed, 0.02);
         (0..few).for_each(|i| start(&mut net, i, many));
-        assert!(until_shared(&mut net, 6 * S, seed).is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(
+            until_shared(&mut net, 6 * S, seed).is_some(),
+            "seed {seed}: {:?}",
+            balancers_and_reasons(&net)
+        );
         for i in few..many {
             start(&mut net, i, many);
             let until = net.now + 50 * MS;
             run(&mut net, until, seed);
         }
         let took = until_shared(&mut net, 20 * S, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", numbers(&net));
+        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&net));
     });
 }
 
 /// The bound that docs/design/members.md states: what is kept of a member, its name apart.
 #[test]
-fn what_is_kept_of_a_member_is_bounded() {
+fn bytes_kept_of_a_member_are_bounded() {
     let bytes =
         size_of::<sableloom_membership::Peer>() + sableloom_capacity_share::BYTES_PER_MEMBER;
     assert!(bytes < 200, "{bytes}");
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -1,4 +1,4 @@
-//! Members whose systems never answer, as behind a cut: questions to them must not pile up.
+//! Members whose systems never answer, as in a partition: absence queries to them must not pile up.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// More than may wait at once, and asked faster than their silence is over.
+/// More than may wait at once, and queried faster than queries time out.
 const SILENT: usize = 200;
-/// Far past anything that is expected.
+/// Far longer than anything takes.
 const LONG: Duration = Duration::from_secs(30);
 
-struct Nobody;
+struct IgnoringObserver;
 
-impl FleetObserver for Nobody {
+impl FleetObserver for IgnoringObserver {
     fn share(&self, _: Share) {}
     fn log(&self, _: &str) {}
 }
@@ -42,13 +42,13 @@
         process_incarnation: 1,
         seed: 1,
         clock: Clock::new(),
-        observer: Rc::new(Nobody),
+        observer: Rc::new(IgnoringObserver),
     }
 }
 
 #[test]
-fn questions_that_find_no_place_are_dropped() {
-    // They hold their addresses and never say anything.
+fn absence_queries_beyond_the_bound_are_dropped() {
+    // They hold their addresses and never answer.
     let silent: Vec<UdpSocket> = (0..SILENT).map(|_| loopback()).collect();
     let others = silent.iter().enumerate().map(|(number, socket)| ListedMember {
         name: format!("silent-{number}"),
--- a/crates/sableloom/tests/fleet/direct.rs
+++ b/crates/sableloom/tests/fleet/direct.rs
@@ -1,5 +1,5 @@
 //! Two or three balancers that know each other, with their files and datagrams in the test's own hands: lists
-//! that change and differ, names that are taken or move, strangers on the wire, and the operator's view.
+//! that change and differ, addresses that are taken or move, foreign datagrams, and the operator's view.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::process::{Command, Output};
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_member_is_added_by_its_list_and_removed_for_good() {
+fn a_member_is_added_and_removed_by_the_lists() {
     let peer = named("s");
     let (a, b, c, operator) = (free(), free(), free(), free());
     let two = [("a", a), ("b", b)];
@@ -83,7 +83,7 @@
         let whole = text(&compared).contains("they agree; their parts add up to 1.000");
         compared.status.success() && whole
     });
-    // One has other servers: that is shown, and nothing is made of it.
+    // One has other servers: that is shown, and nothing follows.
     sites[0].replace("points.toml", &servers("", [("t", peer.address, "")]));
     eventually("it is shown", || {
         let all = text(&fleet(&["compare", "--config", &path(&third)]));
@@ -103,9 +103,9 @@
     assert!(sites.iter().all(|site| !shown(site).contains("\n c ")));
 }
 
-/// A digest that is not known yet would be taken for a list of servers that differs, or agrees.
+/// A digest that is not stated yet would be taken for an endpoint list that differs, or agrees.
 #[test]
-fn a_balancer_says_from_its_start_which_servers_it_has() {
+fn a_balancer_states_its_endpoints_digest_from_its_start() {
     let peer = named("s");
     let (a, operator) = (free(), free());
     let own = site("a", operator, &[("a", a)], &peer);
@@ -116,12 +116,12 @@
 }
 
 #[test]
-fn where_lists_differ_it_is_shown_and_the_longer_holds() {
+fn the_longest_list_counts_and_compare_shows_the_difference() {
     let peer = named("s");
     let (a, b, gone, operator) = (free(), free(), free(), free());
     let short = site("a", operator, &[("a", a), ("b", b)], &peer);
     let long = site("b", operator, &[("a", a), ("b", b), ("x", gone)], &peer);
-    // Somebody holds the third's address and says nothing: it may be cut off.
+    // A socket holds the third's address and never answers: the member may be partitioned.
     let _silent = UdpSocket::bind(gone).expect("free");
     let running = [Balancer::serving(&short), Balancer::serving(&long)];
     running.iter().for_each(|balancer| drop(balancer.says(&["part: 1 of 3"])));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_name_that_is_taken_can_t_be_taken_again_and_one_that_moves_is_met_anew() {
+fn an_address_can_t_be_taken_twice_and_a_moved_member_is_known_again() {
     let peer = named("s");
     let (a, b, moved, operator) = (free(), free(), free(), free());
     let members = [("a", a), ("b", b)];
@@ -162,22 +162,22 @@
     sites[0].replace("members.toml", &listed("member", &elsewhere));
     first.hang_up();
     let second = Balancer::serving(&sites[1]);
-    // It makes room at the first sign of life, before anything is believed.
+    // Its share shrinks at the first datagram, before any view changes.
     first.says(&["part: 1 of 2"]);
     first.says(&["b is there"]);
     second.says(&["part: 1 of 2"]);
 }
 
-/// Datagrams that are no member's count for nothing, and the balancer goes on.
+/// Datagrams of no member have no effect, and the balancer goes on.
 #[test]
-fn strangers_on_the_wire_are_dropped_and_counted() {
+fn foreign_datagrams_are_dropped_and_counted() {
     let (peer, _) = Peer::upstream(|_, _, conn| {
         conn.write(ok("x"));
         true
     });
     let (a, b, operator) = (free(), free(), free());
     let own = site("a", operator, &[("a", a), ("b", b)], &peer);
-    // The test is b, and a stranger as well.
+    // The test is member b, and a foreign sender as well.
     let (member, stranger) =
         (UdpSocket::bind(b).expect("free"), UdpSocket::bind(free()).expect("free"));
     let balancer = Balancer::serving(&own);
@@ -201,7 +201,7 @@
         (&stranger, bytes(message("points", "b", 1))),
         (&member, bytes(message("others", "b", 1))),
         (&member, bytes(message("points", "c", 1))),
-        // Nobody told what this process drew: it may be a replay of its last life's.
+        // Without the nonce of this process it may be a replay to the last one.
         (&member, bytes(message("points", "b", 12_345))),
         (&member, bytes(message("points", "b", 1))[..9].to_vec()),
         (&member, other_version),
@@ -228,16 +228,16 @@
     assert_eq!(balancer.ask(read("1", "")).status(), 200);
 }
 
-/// The commands' own faults are told in a line.
+/// The commands' own errors are one line.
 #[test]
-fn a_question_that_nobody_answers_is_told() {
+fn an_unanswered_query_is_an_error() {
     let peer = named("s");
     let (a, nobody, operator) = (free(), free(), free());
     let own = site("a", operator, &[("a", a)], &peer);
     let balancer = Balancer::serving(&own);
     let asked = fleet(&["members", &nobody.to_string(), "--from", &operator.to_string()]);
     assert!(!asked.status.success() && text(&asked).contains("no balancer of a fleet is there"));
-    // From another address than the operator's it is a stranger's.
+    // From another address than the operator's it is a foreign datagram.
     let from = free().to_string();
     let asked = fleet(&["members", &a.to_string(), "--from", &from]);
     assert!(
--- a/crates/sableloom/tests/fleet/faults.rs
+++ b/crates/sableloom/tests/fleet/faults.rs
@@ -5,7 +5,7 @@
 /// SIGKILL at the moment when a redeem is out through the balancer: it is not sent again by anyone, its
 /// client learns nothing, and the others go on.
 #[test]
-fn a_balancer_killed_with_a_redeem_out_doubles_nothing() {
+fn a_balancer_killed_during_a_redeem_duplicates_nothing() {
     let run = rehearse(
         4,
         4,
@@ -38,7 +38,7 @@
 /// SIGSTOP between an attempt's first and last byte, and SIGCONT: whatever the woken process believes
 /// of the time, it sends nothing again that may have run.
 #[test]
-fn a_balancer_stopped_in_the_midst_of_an_attempt_and_woken_doubles_nothing() {
+fn a_balancer_suspended_during_an_attempt_duplicates_nothing() {
     let run = rehearse(
         4,
         4,
@@ -67,7 +67,7 @@
 
 /// All are killed in one moment, nodes too; nodes come back cold, all within a second.
 #[test]
-fn a_loss_of_all_power_loses_no_request_that_was_asked_after_it() {
+fn no_request_after_a_loss_of_all_power_is_lost() {
     let run = rehearse(
         6,
         4,
@@ -100,7 +100,7 @@
 
 /// Nothing comes back from two nodes, and they go on receiving: what was sent there may have run.
 #[test]
-fn a_link_that_is_silent_one_way_doubles_nothing() {
+fn a_link_that_is_silent_one_way_duplicates_nothing() {
     let run = rehearse(
         4,
         4,
@@ -129,7 +129,7 @@
 
 /// Connections are reset while a redeem is out on them.
 #[test]
-fn a_link_cut_while_a_redeem_is_out_doubles_nothing() {
+fn a_link_cut_during_a_redeem_duplicates_nothing() {
     let run = rehearse(
         4,
         4,
@@ -171,7 +171,7 @@
 
 /// An answer breaks off in the midst, is spoilt, or is an error: no client is served what no node made.
 #[test]
-fn answers_that_break_off_or_are_spoilt_are_passed_to_nobody() {
+fn truncated_and_corrupt_answers_reach_no_client() {
     let run = rehearse(
         4,
         4,
@@ -203,7 +203,7 @@
 
 /// A node is killed with work in it and comes back cold, twice.
 #[test]
-fn a_node_that_crashes_with_work_in_it_doubles_nothing() {
+fn a_node_that_crashes_with_work_duplicates_nothing() {
     let run = rehearse(
         4,
         3,
@@ -230,7 +230,7 @@
 
 /// A node does nothing for two seconds with work queued, then goes on with it.
 #[test]
-fn a_node_that_pauses_with_work_queued_loses_none() {
+fn a_node_that_pauses_with_queued_work_loses_none() {
     let run = rehearse(
         4,
         3,
@@ -252,7 +252,7 @@
 
 /// SIGTERM to one after the other, each started again: what was taken is finished.
 #[test]
-fn a_planned_restart_of_all_loses_nothing() {
+fn a_planned_restart_of_all_balancers_loses_nothing() {
     let run = rehearse(
         5,
         4,
@@ -278,7 +278,7 @@
 
 /// SIGHUP with a file that breaks off, at all of them at once: they say so and go on as before.
 #[test]
-fn a_bad_file_at_all_balancers_changes_nothing() {
+fn an_invalid_file_at_all_balancers_changes_nothing() {
     let run = rehearse(
         4,
         4,
@@ -312,7 +312,7 @@
 /// One is stopped while its files are spoilt, and past the time at which they would be mended: they stay so until
 /// it has read them, as on a machine that is too slow for the script's times.
 #[test]
-fn a_bad_file_waits_for_a_balancer_that_is_late_to_read_it() {
+fn an_invalid_file_stays_until_a_late_balancer_has_read_it() {
     let run = rehearse(
         2,
         2,
@@ -347,7 +347,7 @@
 
 /// Lists that differ: a node drains and another is taken out, told late to some and not at all to one.
 #[test]
-fn lists_that_differ_break_no_drain() {
+fn differing_endpoint_lists_break_no_drain() {
     let run = rehearse(
         4,
         4,
@@ -388,7 +388,7 @@
 
 /// 300 clients that come again, at once: everyone gets an answer, in time.
 #[test]
-fn a_storm_of_clients_that_come_again_is_answered() {
+fn a_storm_of_reconnecting_clients_is_answered() {
     let run = rehearse(
         4,
         2,
@@ -441,7 +441,7 @@
 /// The platform's mode, with discovery: each balancer's agent is told another list at another time, one
 /// breaks its answers off, one is told nothing for a while; a balancer and a node are killed meanwhile.
 #[test]
-fn discovery_that_is_late_stale_and_broken_doubles_and_loses_nothing() {
+fn late_stale_and_broken_discovery_duplicates_and_loses_nothing() {
     let script = r#"
         list_late = { least_ms = 0, most_ms = 600 }
         [[event]]
@@ -491,7 +491,7 @@
 /// Connections break in the midst of requests and of answers, at any byte: what was whole may have run, and
 /// nothing of half an answer is passed on.
 #[test]
-fn links_that_break_in_the_middle_of_a_body_double_nothing() {
+fn links_that_break_during_a_body_duplicate_nothing() {
     let run = rehearse(
         4,
         4,
@@ -525,7 +525,7 @@
 /// The time of day that a balancer reads at its start is off, either way: servers seem to have started in the
 /// future, or long ago.
 #[test]
-fn a_wall_clock_that_is_off_by_an_hour_breaks_no_rule() {
+fn a_wall_clock_that_is_an_hour_off_breaks_no_rule() {
     let run = rehearse(
         4,
         4,
--- a/crates/sableloom/tests/fleet/harness.rs
+++ b/crates/sableloom/tests/fleet/harness.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_program_that_can_t_start_is_named_and_the_rest_is_ended() {
+fn a_program_that_can_t_start_is_named_and_the_rest_is_terminated() {
     let own = Out::new();
     let ends = script_file(&own.0, "ends", "#!/bin/sh\necho I am out of order >&2\nexit 7\n");
     let before = children(std::process::id());
@@ -79,7 +79,7 @@
 
 /// A process that ends by itself in the midst is told with its last words, and the verdict is not met.
 #[test]
-fn a_balancer_that_ends_unasked_is_told() {
+fn an_unexpected_end_of_a_balancer_is_reported() {
     let own = Out::new();
     // It runs the program, and ends a second after it.
     let text = format!(
@@ -110,7 +110,7 @@
 
 /// A second process of the same name and address: it ends, the first goes on.
 #[test]
-fn a_twin_ends_and_the_first_goes_on() {
+fn a_second_process_at_the_same_address_ends_and_the_first_goes_on() {
     let run = rehearse(3, 2, 40, 3, "[[event]]\nat_ms = 1000\ndo = \"twin\"\nwho = \"b1\"\n");
     run.is_sound();
     let told = run.report.notes.iter().any(|note| note.contains("twin of b1 ended"));
@@ -122,7 +122,7 @@
 /// Far more processes than cores: the run counts, and then each is served as time is plenty, or it is void, and then
 /// the machine was past what the script allows; it is never a false verdict.
 #[test]
-fn sixty_four_processes_are_judged_rightly_or_not_at_all() {
+fn sixty_four_processes_get_a_correct_verdict_or_none() {
     let mut script = script_of(64, 2, 60, 2, "", "");
     let limits = MachineLimits { late: 25 * MS, starved: 0.2, nodes_late: 0.05, slack: 3 * S };
     script.machine = limits;
@@ -158,7 +158,7 @@
 
 /// SIGKILL to the harness: the system ends what it started.
 #[test]
-fn no_process_outlives_a_rig_that_is_killed() {
+fn no_process_outlives_a_killed_harness() {
     let out = Out::new();
     fs::create_dir_all(&out.0).expect("a folder");
     let script = out.0.join("script.toml");
@@ -193,7 +193,7 @@
 
 /// The command: its exit codes, its files, and two runs beside each other.
 #[test]
-fn the_command_tells_by_its_exit_code_and_leaves_a_report() {
+fn the_command_reports_by_its_exit_code_and_a_file() {
     let out = Out::new();
     fs::create_dir_all(&out.0).expect("a folder");
     let script = out.0.join("script.toml");
--- a/crates/sableloom/tests/fleet/members.rs
+++ b/crates/sableloom/tests/fleet/members.rs
@@ -1,12 +1,12 @@
-//! Balancers that know each other: each fault, what they then believe, and that nobody ever takes for its own
-//! what somebody else may still use. The four rules are looked at in every run, as everywhere here.
+//! Balancers that know each other: each fault, the views that follow, and that no balancer ever takes over a share
+//! that another may still use. The four rules are checked in every run, as everywhere here.
 
 use sableloom_harness::Report;
 use serde_json::Value;
 
 use crate::{Run, rehearse_with, until_it_counts};
 
-/// Plays a script of balancers that know each other, until they agree after the last deed.
+/// Plays a script of balancers that know each other, until they agree after the last event.
 fn know(balancers: usize, seconds: u32, more: &str) -> Run {
     let text = format!("{more}\n[expect]\nagree_within_ms = 120000\n");
     let fleet = "members = true";
@@ -22,7 +22,7 @@
     parts.filter_map(|(_, of)| number(of)).collect()
 }
 
-/// Nobody ever had more than one of so many.
+/// No balancer ever had more than one of so many shares.
 fn nobody_has_more_than(run: &Run, of: u32) {
     for (b, log) in run.logs.iter().enumerate() {
         let all = shares(log);
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn who_starts_together_knows_all_and_shares() {
+fn members_that_start_together_agree_and_share() {
     let run = know(8, 4, "");
     agreed_on(&run, &[0, 1, 2, 3, 4, 5, 6, 7]);
     nobody_has_more_than(&run, 8);
 }
 
 #[test]
-fn what_one_that_was_killed_had_goes_over_to_the_rest() {
+fn the_share_of_a_killed_member_goes_to_the_rest() {
     let more = "[[event]]\nat_ms = 1500\ndo = \"kill\"\nwho = \"b1\"\nwhen = \"effect-out\"\n";
     let run = know(5, 5, more);
     agreed_on(&run, &[1, 2, 3, 4]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn most_killed_at_once_leave_all_to_the_few() {
+fn survivors_take_over_the_shares_of_a_killed_majority() {
     let more = "[[group]]\nname = \"most\"\nof = \"balancers\"\ncount = 5\n\
                 [[event]]\nat_ms = 1500\ndo = \"kill\"\nwho = \"most\"\n";
     let run = know(8, 5, more);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn who_comes_back_has_its_part_again_and_nobody_keeps_it() {
+fn a_member_that_restarts_gets_its_share_back() {
     let more = "[[group]]\nname = \"half\"\nof = \"balancers\"\ncount = 3\n\
                 [[event]]\nat_ms = 1000\ndo = \"kill\"\nwho = \"half\"\n\
                 back = { least_ms = 2000, most_ms = 3000 }\n";
@@ -81,14 +81,14 @@
         assert!(all.contains(&3) && all.last() == Some(&6), "{all:?}");
     }
     for log in &run.logs[..3] {
-        // In its second life as in its first it waits for the others, and then has its own.
+        // The second process waits for the others as the first did, and then has its share.
         let again = log.rsplit_once("listening on").expect("it came back").1;
         assert!(shares(again).iter().all(|n| *n >= 4), "{again}");
     }
 }
 
 #[test]
-fn a_restart_within_a_second_is_another_life() {
+fn a_restart_within_a_second_is_a_new_process_incarnation() {
     let more = "[[event]]\nat_ms = 1500\ndo = \"kill\"\nwho = \"b2\"\n\
                 back = { least_ms = 300, most_ms = 300 }\n";
     let run = know(4, 5, more);
@@ -100,9 +100,9 @@
     }
 }
 
-/// A stopped process holds its address: it may go on at any moment, and nobody takes what it has.
+/// A stopped process holds its address: it may go on at any time, and no other takes over its share.
 #[test]
-fn one_that_is_frozen_loses_nothing_and_throws_nobody_out() {
+fn a_frozen_member_keeps_its_share_and_declares_nobody_dead() {
     let more = "[[event]]\nat_ms = 1500\ndo = \"freeze\"\nwho = \"b3\"\nfor_ms = 15000\n";
     let run = know(5, 18, more);
     agreed_on(&run, &[0, 1, 2, 3, 4]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn halves_that_were_cut_apart_take_nothing_from_each_other() {
+fn partitioned_halves_take_over_no_share() {
     let more = "[[group]]\nname = \"left\"\nof = \"balancers\"\ncount = 3\n\
                 [[group]]\nname = \"right\"\nof = \"balancers\"\nmembers = [\"b4\", \"b5\", \"b6\"]\n\
                 [[event]]\nat_ms = 1000\ndo = \"peers\"\nwho = \"left\"\nto = \"right\"\n\
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn one_that_hears_and_is_not_heard_keeps_its_own() {
+fn a_member_that_hears_and_is_not_heard_keeps_its_share() {
     let more = "[[event]]\nat_ms = 1000\ndo = \"peers\"\nwho = \"b1\"\nto = \"all\"\nway = \"there\"\n\
                 how = \"silent\"\nfor_ms = 6000\n";
     let run = know(5, 9, more);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn loss_doubling_and_disorder_leave_all_in_agreement() {
+fn members_agree_despite_loss_duplication_and_reordering() {
     let more = "[[event]]\nat_ms = 500\ndo = \"peers\"\nwho = \"all\"\nto = \"all\"\nloss = 0.3\n\
                 doubled = 0.3\nreordered = 0.3\ndelay_ms = 5\njitter_ms = 40\nfor_ms = 8000\n";
     let run = know(6, 10, more);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn after_a_loss_of_all_power_all_share_again() {
+fn all_share_again_after_a_loss_of_all_power() {
     let more = "[[event]]\nat_ms = 1500\ndo = \"power-loss\"\nwho = \"all\"\nkeep = \"empty\"\n\
                 back = { least_ms = 0, most_ms = 1000 }\n";
     let run = know(6, 6, more);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_planned_restart_of_one_after_another_is_told_and_loses_nothing() {
+fn a_rolling_restart_announces_each_leave_and_loses_nothing() {
     let more = "[[event]]\nat_ms = 500\ndo = \"term\"\nwho = \"all\"\nspread_ms = 12000\n\
                 back = { least_ms = 1000, most_ms = 1500 }\n";
     let run = know(4, 14, more);
@@ -163,9 +163,9 @@
     assert!(left >= 3, "{left} of 4 were told that another left");
 }
 
-/// Each is killed and comes back several times, close after another.
+/// Each is killed and restarted several times, in quick succession.
 #[test]
-fn members_that_flap_are_counted_when_they_are_there() {
+fn flapping_members_are_counted_while_they_run() {
     let more = "[[event]]\nat_ms = 1000\ndo = \"kill\"\nwho = \"b1\"\nevery_ms = 1500\ntimes = 3\n\
                 back = { least_ms = 500, most_ms = 500 }\n\
                 [[event]]\nat_ms = 1600\ndo = \"kill\"\nwho = \"b2\"\nevery_ms = 1700\ntimes = 2\n\
@@ -176,14 +176,14 @@
     nobody_has_more_than(&run, 3);
 }
 
-/// The wall clock went back an hour before a restart: its life is earlier than the one that all remember, and
-/// it is told so.
+/// The wall clock went back an hour before a restart: the process incarnation is earlier than the one that all know,
+/// and others tell it so.
 #[test]
-fn a_life_from_a_clock_that_went_back_is_corrected() {
+fn a_process_incarnation_from_a_clock_that_went_back_is_corrected() {
     let more = "[[event]]\nat_ms = 500\ndo = \"wall-clock\"\nwho = \"b2\"\nby_ms = -3600000\n\
                 [[event]]\nat_ms = 4000\ndo = \"kill\"\nwho = \"b2\"\n\
                 back = { least_ms = 300, most_ms = 300 }\n";
-    // By then the others have known its first life, also where they share two cores with other tests.
+    // By then the others have known its first process, also where they share two cores with other tests.
     let run = know(4, 7, more);
     agreed_on(&run, &[0, 1, 2, 3]);
     let lives = run.logs[0].lines().filter_map(|l| l.split_once("fleet: b2 is there, life "));
@@ -194,9 +194,9 @@
     assert!(own > u64::from(lives[0]) && own < u64::from(lives[0]) + 30_000, "{own} {lives:?}");
 }
 
-/// One runs for six tenths of its time only, under load: it may be doubted, and objects; nobody takes its part.
+/// One runs for six tenths of its time only, under load: it may be suspected, and refutes; no other takes over its share.
 #[test]
-fn a_slow_one_under_load_keeps_its_place() {
+fn a_slow_member_under_load_is_not_declared_dead() {
     let more = "[[event]]\nat_ms = 500\ndo = \"freeze\"\nwho = \"b2\"\nfor_ms = 400\nevery_ms = 1000\n\
                 times = 8\n[[event]]\nat_ms = 2000\ndo = \"storm\"\ncount = 120\nover_ms = 3000\n";
     let run = know(5, 9, more);
