--- a/crates/distribution/examples/tenants.rs
+++ b/crates/distribution/examples/tenants.rs
@@ -70,22 +70,24 @@
 }
 
 fn main() {
-    let mut kept = None;
-    let measured = allocation_counter::measure(|| kept = Some(store(SERVICES)));
-    let tenants = kept.as_ref().map_or(0, Store::tenant_count);
+    let mut restored = None;
+    let measured = allocation_counter::measure(|| restored = Some(store(SERVICES)));
+    let tenants = restored.as_ref().map_or(0, Store::tenant_count);
     println!(
         "{}",
         json!({"what": "store", "tenants": tenants, "bytes": measured.bytes_current,
                "each": measured.bytes_current / tenants as i64})
     );
     for scope in SCOPES {
-        let mut kept = None;
-        let measured = allocation_counter::measure(|| kept = Some(subscriber(scope)));
-        let held = kept.as_ref().map_or(0, |kept| kept.status(sableloom_types::Time(0)).tenants);
+        let mut restored = None;
+        let measured = allocation_counter::measure(|| restored = Some(subscriber(scope)));
+        let applied = restored
+            .as_ref()
+            .map_or(0, |restored| restored.status(sableloom_types::Time(0)).tenants);
         println!(
             "{}",
-            json!({"what": "subscriber", "services": scope, "tenants": held,
-                   "bytes": measured.bytes_current, "each": measured.bytes_current / held as i64})
+            json!({"what": "subscriber", "services": scope, "tenants": applied,
+                   "bytes": measured.bytes_current, "each": measured.bytes_current / applied as i64})
         );
     }
 }
--- a/crates/distribution/src/subscriber/transaction.rs
+++ b/crates/distribution/src/subscriber/transaction.rs
@@ -28,7 +28,7 @@
     changes: ResourceChanges,
 }
 
-/// A transaction that the caller has been told to apply and has not answered.
+/// A transaction that was handed to the caller and has not been answered.
 #[derive(Debug)]
 pub(super) struct PendingTransaction {
     pub(super) id: u64,
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -23,7 +23,7 @@
 /// Messages of a publisher, with the frame that each encodes to.
 fn publisher_frames() -> Vec<(PublisherMessage, Vec<u8>)> {
     let position = Position { epoch: 1, number: 300, chain: 5 };
-    let held = ServiceVersion { service: service("ab"), version: 300, digest: 7 };
+    let committed = ServiceVersion { service: service("ab"), version: 300, digest: 7 };
     vec![
         (PublisherMessage::Welcome { position }, vec![0, 0, 0, 6, 2, 0, 1, 0xac, 2, 5]),
         (
@@ -51,7 +51,7 @@
             ],
         ),
         (
-            PublisherMessage::Commit { transaction: 1, position, services: vec![held] },
+            PublisherMessage::Commit { transaction: 1, position, services: vec![committed] },
             vec![0, 0, 0, 14, 2, 4, 1, 1, 0xac, 2, 5, 1, 2, b'a', b'b', 0xac, 2, 7],
         ),
         (
--- a/crates/distribution/tests/sim/applier.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -118,8 +118,8 @@
     fn check_together(&self, transaction: &Transaction, history: &History) {
         let after = |service: &ServiceName| {
             let updated = transaction.services.iter().find(|update| update.service == *service);
-            let held = self.services.get(service).map_or(0, |applied| applied.version);
-            updated.map_or(held, |update| update.version)
+            let current = self.services.get(service).map_or(0, |applied| applied.version);
+            updated.map_or(current, |update| update.version)
         };
         for update in transaction.services.iter().filter(|update| !update.snapshot) {
             let before = self.services.get(&update.service).map_or(0, |applied| applied.version);
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -37,12 +37,12 @@
         self.with_subscriber(index, |subscriber, now, out| subscriber.start(now, out));
         let balancer = &mut self.balancers[index];
         if let Some(subscriber) = &balancer.subscriber {
-            let held: BTreeSet<ServiceName> = subscriber
+            let restored: BTreeSet<ServiceName> = subscriber
                 .service_versions()
-                .filter(|held| held.version > 0)
-                .map(|held| held.service)
+                .filter(|restored| restored.version > 0)
+                .map(|restored| restored.service)
                 .collect();
-            balancer.applier.services.retain(|service, _| held.contains(service));
+            balancer.applier.services.retain(|service, _| restored.contains(service));
         }
     }
 
@@ -151,10 +151,10 @@
         let balancer = &self.balancers[index];
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
             for (service, applied) in &balancer.applier.services {
-                let held: Vec<_> = subscriber.resources(service).collect();
+                let resources: Vec<_> = subscriber.resources(service).collect();
                 // A service that has left the scope and returned is empty until its snapshot comes.
                 assert!(
-                    held.is_empty() || held.iter().copied().eq(applied.contents.values()),
+                    resources.is_empty() || resources.iter().copied().eq(applied.contents.values()),
                     "applier and subscriber differ"
                 );
             }
--- a/crates/resources/src/body.rs
+++ b/crates/resources/src/body.rs
@@ -29,7 +29,7 @@
 pub enum BodyError {
     /// There are no bytes.
     #[error("an empty body")]
-    EmptyInventory,
+    Empty,
     /// The body has another version of the encoding.
     #[error("a body in version {0} of the encoding; this program knows {FORMAT_VERSION}")]
     Version(u8),
@@ -71,7 +71,7 @@
     ///
     /// If the bytes are not exactly one body of this kind and of [`FORMAT_VERSION`].
     pub fn decode(kind: ResourceKind, bytes: &[u8]) -> Result<Self, BodyError> {
-        let (version, rest) = bytes.split_first().ok_or(BodyError::EmptyInventory)?;
+        let (version, rest) = bytes.split_first().ok_or(BodyError::Empty)?;
         if *version != FORMAT_VERSION {
             return Err(BodyError::Version(*version));
         }
