--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -19,7 +19,7 @@
 use sableloom_http1::{Budget, Dialect, Frontend, Limits as ClientLimits};
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::Site;
-use sableloom_traffic_mirror::Ending;
+use sableloom_traffic_mirror::MirrorEnding;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::spawn_local;
@@ -135,7 +135,7 @@
     }
     // A candidate that hangs holds up no end.
     let last = Instant::now() + SHADOW_LAST;
-    while !shadows.iter().all(Ending::is_over) && Instant::now() < last {
+    while !shadows.iter().all(MirrorEnding::has_ended) && Instant::now() < last {
         sleep(Duration::from_millis(5)).await;
     }
     Ok(())
@@ -236,7 +236,7 @@
     let pools = started.map(|pool| pool.map(Rc::new)).collect::<Result<Vec<_>, String>>()?;
     for shadow in &site.shadows {
         let ready = context.shadow(site, shadow).await.map_err(|wrong| lines_of(&wrong))?;
-        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.start(Vec::new())));
     }
     Ok(pools)
 }
--- a/crates/sableloom/src/serve/pools.rs
+++ b/crates/sableloom/src/serve/pools.rs
@@ -11,10 +11,10 @@
 use sableloom_exchange::{EndpointSource, ExchangeOptions};
 use sableloom_http1::{Budget, Upstreams};
 use sableloom_server_files::ServerFiles;
-use sableloom_shadow::Bounds;
+use sableloom_shadow::CopyLimits;
 use sableloom_site_config::{Pool, Shadow, Site};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_traffic_mirror::{Group, Mirror, Options as MirrorOptions, Ready};
+use sableloom_traffic_mirror::{Mirror, MirrorOptions, MirroredPool, PreparedMirror};
 use sableloom_types::settings::{span, stable_hash};
 
 use super::feed::ServerFeed;
@@ -114,8 +114,13 @@
     }
 
     /// Makes a shadow ready, or says what is wrong.
-    pub(super) async fn shadow(&self, site: &Site, shadow: &Shadow) -> Result<Ready, Vec<Problem>> {
-        let descriptors = MirrorOptions::sockets(shadow.bounds.in_flight, shadow.pools().count());
+    pub(super) async fn shadow(
+        &self,
+        site: &Site,
+        shadow: &Shadow,
+    ) -> Result<PreparedMirror, Vec<Problem>> {
+        let descriptors =
+            MirrorOptions::descriptors(shadow.limits.max_in_flight, shadow.pools().count());
         let Some(sockets) = self.budget.lend(descriptors) else {
             let name = self.path.display().to_string();
             return Err(vec![Problem {
@@ -126,21 +131,21 @@
                 ..Problem::of_file(&name, format!("{descriptors} descriptors are not free for it"))
             }]);
         };
-        let group = |pool: &Pool| Group {
+        let group = |pool: &Pool| MirroredPool {
             name: pool.name.clone(),
             settings: site.deployment_settings(pool),
             files: files(&self.path, site, pool),
         };
         let folder = self.path.parent().unwrap_or(Path::new(""));
-        Ready::new(MirrorOptions {
+        PreparedMirror::new(MirrorOptions {
             name: shadow.name.clone(),
-            live: site.pools[shadow.live_pool].name.clone(),
+            live_pool: site.pools[shadow.live_pool].name.clone(),
             candidate: group(&shadow.candidate),
-            control: shadow.control_group.as_ref().map(group),
-            bounds: Bounds {
-                seed: stable_hash(&shadow.name),
-                own: u64::from(std::process::id()),
-                ..shadow.bounds.clone()
+            control_group: shadow.control_group.as_ref().map(group),
+            limits: CopyLimits {
+                sample_seed: stable_hash(&shadow.name),
+                jitter_seed: u64::from(std::process::id()),
+                ..shadow.limits.clone()
             },
             rules: shadow.rules.clone(),
             classes: site
@@ -148,15 +153,15 @@
                 .iter()
                 .map(|c| (c.name.clone(), c.latency_objective_ms))
                 .collect(),
-            time: Duration::from_secs_f64(shadow.timeout_ms / 1e3),
+            copy_timeout: Duration::from_secs_f64(shadow.timeout_ms / 1e3),
             settle: span(shadow.settle_ms),
-            doubt: span(site.longest_deadline_ms()),
-            drop: shadow.dropped_headers.clone(),
-            values: shadow.records_values,
-            record: folder.join(&shadow.record_file),
-            record_every: Duration::from_secs_f64(shadow.record_interval_ms / 1e3),
+            unknown_outcome_time: span(site.longest_deadline_ms()),
+            dropped_headers: shadow.dropped_headers.clone(),
+            records_values: shadow.records_values,
+            record_file: folder.join(&shadow.record_file),
+            record_interval: Duration::from_secs_f64(shadow.record_interval_ms / 1e3),
             clock: self.clock,
-            sockets,
+            descriptors: sockets,
         })
         .await
     }
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -104,8 +104,8 @@
         for (shadow, ready) in site.shadows.iter().zip(shadows) {
             let Some(ready) = ready else { continue };
             let names = || shadow.pools().map(|pool| pool.name.as_str());
-            let before = ending.iter().filter(|e| e.shares(names())).cloned().collect();
-            *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
+            let before = ending.iter().filter(|e| e.copied_to_any_of(names())).cloned().collect();
+            *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.start(before)));
         }
         let what = format!(
             "configuration {} ({}) in force: {} routes, {} pools{}{}",
--- a/crates/sableloom/src/shadow.rs
+++ b/crates/sableloom/src/shadow.rs
@@ -8,7 +8,9 @@
 use comfy_table::{CellAlignment, Table};
 use plotters::prelude::*;
 use sableloom_server_files::read_file;
-use sableloom_shadow::{Finding, Judgement, LatencySummary, Limits, Record, What, judge};
+use sableloom_shadow::{
+    Estimate, Finding, FindingKind, Judgement, JudgementLimits, LatencySummary, Record, judge,
+};
 
 /// Something speaks against the candidate.
 const AGAINST: u8 = 1;
@@ -41,16 +43,16 @@
     #[arg(long, value_enum, default_value_t = Form::Text)]
     format: Form,
     /// Fewer compared pairs of a class tell nothing
-    #[arg(long, default_value_t = Limits::default().least)]
+    #[arg(long, default_value_t = JudgementLimits::default().min_pairs)]
     least: u64,
     /// Share of pairs that may differ
-    #[arg(long, value_parser = share, default_value_t = Limits::default().differ)]
+    #[arg(long, value_parser = share, default_value_t = JudgementLimits::default().max_differing)]
     differ_at_most: f64,
     /// Share of copies that may fail
-    #[arg(long, value_parser = share, default_value_t = Limits::default().fail)]
+    #[arg(long, value_parser = share, default_value_t = JudgementLimits::default().max_failing)]
     fail_at_most: f64,
     /// Share of copies that may be late where the live answer was not, beyond the reverse
-    #[arg(long, value_parser = share, default_value_t = Limits::default().late)]
+    #[arg(long, value_parser = share, default_value_t = JudgementLimits::default().max_late_excess)]
     late_at_most: f64,
 }
 
@@ -73,11 +75,11 @@
 pub fn run(options: Options) -> Result<ExitCode, String> {
     let Command::Report(report) = options.command;
     let record = read(&report.files)?;
-    let limits = Limits {
-        least: report.least,
-        differ: report.differ_at_most,
-        fail: report.fail_at_most,
-        late: report.late_at_most,
+    let limits = JudgementLimits {
+        min_pairs: report.least,
+        max_differing: report.differ_at_most,
+        max_failing: report.fail_at_most,
+        max_late_excess: report.late_at_most,
     };
     let judgement = judge(&record, &limits);
     let text = match report.format {
@@ -89,7 +91,7 @@
     };
     // Nothing to print to is no other verdict.
     let _ = std::io::Write::write_all(&mut std::io::stdout(), text.as_bytes());
-    Ok(match (judgement.against(), judgement.is_early()) {
+    Ok(match (judgement.is_against_candidate(), judgement.has_too_few_pairs()) {
         (true, _) => ExitCode::from(AGAINST),
         (false, true) => ExitCode::from(EARLY),
         (false, false) => ExitCode::SUCCESS,
@@ -106,7 +108,7 @@
             let place = format!("{}:{line}:{column}", file.display());
             format!("{place}: field `{}`: {}", e.path(), e.inner())
         })?;
-        record.known().map_err(wrong)?;
+        record.check_format().map_err(|e| wrong(e.to_string()))?;
         Ok(record)
     };
     let mut all = files.iter().map(|file| Ok((file, one(file)?)));
@@ -135,16 +137,16 @@
 
 fn tables(record: &Record) -> Vec<Shown> {
     let counts = record.classes.iter().filter(|c| c.ended > 0).map(|c| {
-        let all = [c.ended, c.refused, c.failed, c.disturbed, c.same, c.different];
+        let all = [c.ended, c.not_sent, c.failed, c.disturbed, c.same, c.different];
         std::iter::once(c.name.clone()).chain(all.iter().map(u64::to_string)).collect()
     });
     let counts = counts.collect();
     let mut times: Vec<Vec<String>> = Vec::new();
-    for class in record.classes.iter().filter(|c| c.candidate.count() > 0) {
+    for class in record.classes.iter().filter(|c| c.candidate_latency.count() > 0) {
         let sides = [
-            ("live", &class.live),
-            ("candidate", &class.candidate),
-            ("control", &class.control_times),
+            ("live", &class.live_latency),
+            ("candidate", &class.candidate_latency),
+            ("control", &class.control_latency),
         ];
         for (side, spread) in sides.into_iter().filter(|(_, spread)| spread.count() > 0) {
             let mut row = vec![format!("{} {side}", class.name), spread.count().to_string()];
@@ -167,32 +169,34 @@
 }
 
 fn said(finding: &Finding) -> String {
-    let (pairs, of) = finding.pairs;
-    let what = match &finding.what {
-        What::Few => return format!("{}: {pairs} pairs compared, too few to tell", finding.class),
-        What::Differs(place) => format!("differs at {place}: {pairs} of {of} pairs"),
-        What::Fails => format!("fails: {pairs} of {of} copies"),
-        What::Late => {
+    let (pairs, of) = (finding.affected, finding.total);
+    let what = match &finding.kind {
+        FindingKind::TooFewPairs => {
+            return format!("{}: {pairs} pairs compared, too few to tell", finding.class);
+        }
+        FindingKind::Differs(place) => format!("differs at {place}: {pairs} of {of} pairs"),
+        FindingKind::Fails => format!("fails: {pairs} of {of} copies"),
+        FindingKind::Late => {
             format!("late where the live answer was in time, or failed: {pairs} of {of} copies")
         }
     };
-    let (share, low, high) = finding.share;
+    let Estimate { share, low, high } = finding.estimate;
     let mut all = format!("{}: {what}", finding.class);
-    let beside = match (finding.chance, &finding.what) {
+    let beside = match (finding.p_value, &finding.kind) {
         (None, _) => "",
-        (Some(_), What::Late) => "beyond the reverse, ",
+        (Some(_), FindingKind::Late) => "beyond the reverse, ",
         (Some(_), _) => "beyond the control group, ",
     };
     let _ =
         write!(all, "; {beside}{:.2}% ({:.2} to {:.2})", 100.0 * share, 100.0 * low, 100.0 * high);
-    if let Some(chance) = finding.chance {
+    if let Some(chance) = finding.p_value {
         let _ = write!(all, ", by chance alone in {:.2}% of cases", 100.0 * chance);
     }
     all
 }
 
 fn verdict(judgement: &Judgement) -> &'static str {
-    match (judgement.against(), judgement.is_early()) {
+    match (judgement.is_against_candidate(), judgement.has_too_few_pairs()) {
         (true, _) => "something speaks against the candidate",
         (false, true) => "too early to tell",
         (false, false) => "nothing speaks against the candidate",
@@ -200,9 +204,9 @@
 }
 
 fn head(record: &Record) -> [String; 2] {
-    let (live, candidate) = &record.pools;
+    let (live, candidate) = (&record.pools.live, &record.pools.candidate);
     let control = record.control.as_ref().map(|c| format!(", control {c}")).unwrap_or_default();
-    let minutes = record.until_ms.saturating_sub(record.from_ms) as f64 / 60_000.0;
+    let minutes = record.written_ms.saturating_sub(record.started_ms) as f64 / 60_000.0;
     [
         format!(
             "shadow {}: live {live}, candidate {candidate}{control}; {minutes:.1} min",
@@ -214,7 +218,7 @@
             record.sampled,
             record.copied,
             share_of(record.copied, record.seen),
-            record.rests
+            record.breaker_openings
         ),
     ]
 }
@@ -223,8 +227,8 @@
 fn examples(record: &Record) -> Vec<Vec<String>> {
     let mut rows = Vec::new();
     for class in &record.classes {
-        for (place, at) in &class.places {
-            for e in &at.examples {
+        for (place, counts) in &class.differences {
+            for e in &counts.examples {
                 let row = [&class.name, place, &e.id, &e.live, &e.candidate];
                 rows.push(row.into_iter().cloned().collect());
             }
@@ -360,12 +364,13 @@
     for (title, heads, rows) in tables(record).into_iter().filter(|(.., rows)| !rows.is_empty()) {
         let _ = write!(out, "<h2>{title}</h2>{}", html_table(&heads, &rows));
     }
-    for class in record.classes.iter().filter(|c| c.candidate.count() > 0) {
-        let mut sides = vec![("live", &class.live, BLUE), ("candidate", &class.candidate, RED)];
-        if class.control_times.count() > 0 {
-            sides.push(("control", &class.control_times, RGBColor(0, 140, 70)));
+    for class in record.classes.iter().filter(|c| c.candidate_latency.count() > 0) {
+        let mut sides =
+            vec![("live", &class.live_latency, BLUE), ("candidate", &class.candidate_latency, RED)];
+        if class.control_latency.count() > 0 {
+            sides.push(("control", &class.control_latency, RGBColor(0, 140, 70)));
         }
-        let svg = chart(&sides, class.aim_ms)?;
+        let svg = chart(&sides, class.latency_objective_ms)?;
         let _ = write!(out, "<h2>{}: times</h2>{svg}", escaped(&class.name));
     }
     let examples = examples(record);
--- a/crates/shadow/src/changes.rs
+++ b/crates/shadow/src/changes.rs
@@ -6,7 +6,7 @@
 
 use sableloom_types::{Span, Time};
 
-use crate::mix;
+use crate::hash::mix;
 
 /// Number of slots, a power of two. Keys that share a slot are not distinguished: some pairs are left out of
 /// the comparison needlessly, but none is compared wrongly. With 500 changes a second and pairs that last 0.1 s,
@@ -16,19 +16,19 @@
 #[derive(Debug)]
 struct Slot {
     /// Number of changes in progress.
-    open: AtomicU32,
+    in_progress: AtomicU32,
     /// When the effects of the last ended change were complete, in microseconds.
-    last: AtomicI64,
+    last_complete: AtomicI64,
 }
 
 impl Slot {
     fn new() -> Self {
-        Self { open: AtomicU32::new(0), last: AtomicI64::new(i64::MIN) }
+        Self { in_progress: AtomicU32::new(0), last_complete: AtomicI64::new(i64::MIN) }
     }
 
     fn touched(&self, since: Time) -> bool {
         // In this order, because the end of a change stores its time first.
-        self.open.load(SeqCst) > 0 || self.last.load(SeqCst) >= since.0
+        self.in_progress.load(SeqCst) > 0 || self.last_complete.load(SeqCst) >= since.0
     }
 }
 
@@ -59,18 +59,18 @@
         [own, &self.all]
     }
 
-    /// Begins a change: an unsafe request was accepted.
+    /// Begins a change: a request that is not idempotent was accepted.
     pub fn begin(&self, key: Option<u64>) {
         for slot in self.slots(key) {
-            slot.open.fetch_add(1, SeqCst);
+            slot.in_progress.fetch_add(1, SeqCst);
         }
     }
 
     /// Ends a change, which is complete at the given time at the latest.
-    pub fn end(&self, key: Option<u64>, by: Time) {
+    pub fn end(&self, key: Option<u64>, complete_by: Time) {
         for slot in self.slots(key) {
-            slot.last.fetch_max(by.plus(self.settle).0, SeqCst);
-            slot.open.fetch_sub(1, SeqCst);
+            slot.last_complete.fetch_max(complete_by.plus(self.settle).0, SeqCst);
+            slot.in_progress.fetch_sub(1, SeqCst);
         }
     }
 
--- a/crates/shadow/src/gate.rs
+++ b/crates/shadow/src/gate.rs
@@ -2,210 +2,102 @@
 //! the live pool is not overloaded, and within limits on rate, number and bytes. A circuit breaker stops
 //! copies to a candidate that fails, and probes it with a single copy later.
 
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
 
 use sableloom_types::{Idempotency, Span, Time};
 
-use crate::mix;
+use crate::counts::{CopyCounts, SkipReason};
+use crate::hash::{mix, unit_interval};
+use crate::limits::{CopyLimits, SampleBy};
 
-/// What the sample is chosen by.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
-    /// The key, so that the candidate sees a sampled key as often as the live servers do: otherwise a candidate
-    /// with a cache would seem slower than it is. Requests without a key go by their id.
-    Key,
-    /// The id of the request.
-    Request,
-}
-
-/// Limits on the cost of copying.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
-    /// Classes that are copied, by index. Unsafe requests never are, even if their class is listed.
-    pub classes: Vec<bool>,
-    /// The share of these requests that is sampled.
-    pub share: f64,
-    /// What the sample is chosen by.
-    pub by: By,
-    /// Maximum rate of copies: over `s` seconds at most `per_second * s` plus a burst of a tenth of a second's
-    /// copies, at least one.
-    pub per_second: f64,
-    /// Maximum number of copies in flight.
-    pub in_flight: usize,
-    /// Maximum number of bytes that copies in flight hold, requests and live answers together.
-    pub held: usize,
-    /// Maximum number of bytes of one request and its live answer.
-    pub each: usize,
-    /// No copies for this time after a live request was refused or failed.
-    pub calm: Span,
-    /// No copies while more live requests are open; 0 for no limit.
-    pub live_open: usize,
-    /// Failed copies in a row after which the candidate rests.
-    pub trip: u32,
-    /// Length of the first rest, with up to a quarter of jitter, because several balancers may share the
-    /// candidate.
-    pub rest: Span,
-    /// Maximum length of a rest: it doubles each time the probe after a rest fails.
-    pub rest_most: Span,
-    /// Seed of the sample, the same at all balancers, so that they sample the same keys.
-    pub seed: u64,
-    /// Seed of the jitter, different at each balancer, so that they do not probe at the same time.
-    pub own: u64,
-}
-
-/// Why an answered request of the sample was not copied.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SkipReason {
-    /// Live requests were refused or failed recently.
-    Pressed,
-    /// Too many live requests are open.
-    LiveOpen,
-    /// The maximum rate is reached.
-    Rate,
-    /// The maximum number in flight is reached.
-    InFlight,
-    /// The maximum number of bytes is reached.
-    Held,
-    /// The request and its answer are too large.
-    Large,
-    /// The candidate rests.
-    Resting,
-    /// The comparing thread has ended.
-    Gone,
-}
-
-impl SkipReason {
-    /// All reasons.
-    pub const ALL: [SkipReason; 8] = [
-        SkipReason::Pressed,
-        SkipReason::LiveOpen,
-        SkipReason::Rate,
-        SkipReason::InFlight,
-        SkipReason::Held,
-        SkipReason::Large,
-        SkipReason::Resting,
-        SkipReason::Gone,
-    ];
-
-    /// Its name in reports.
-    pub fn name(self) -> &'static str {
-        match self {
-            SkipReason::Pressed => "live pressed",
-            SkipReason::LiveOpen => "live open",
-            SkipReason::Rate => "rate",
-            SkipReason::InFlight => "in flight",
-            SkipReason::Held => "bytes held",
-            SkipReason::Large => "too large",
-            SkipReason::Resting => "candidate rests",
-            SkipReason::Gone => "copying ended",
-        }
-    }
-}
-
-/// Counters, readable from any thread.
-#[derive(Debug, Default)]
-pub struct Counts {
-    /// Safe requests of the copied classes.
-    pub seen: AtomicU64,
-    /// Sampled requests that were served.
-    pub sampled: AtomicU64,
-    /// Copies.
-    pub copied: AtomicU64,
-    /// Rests of the candidate.
-    pub rests: AtomicU64,
-    skipped: [AtomicU64; SkipReason::ALL.len()],
-}
-
-impl Counts {
-    fn add(to: &AtomicU64) {
-        to.fetch_add(1, Ordering::Relaxed);
-    }
-
-    /// Number of requests that were not copied for this reason.
-    pub fn skipped(&self, why: SkipReason) -> u64 {
-        self.skipped[why as usize].load(Ordering::Relaxed)
-    }
-}
+/// Number of bursts that a second's copies are.
+const BURSTS_PER_SECOND: f64 = 10.0;
+/// The shortest time of an open circuit breaker, as a fraction of the time without jitter.
+const MIN_JITTER_FACTOR: f64 = 0.75;
+/// Width of the jitter, as a fraction of the time without jitter.
+const JITTER_RANGE: f64 = 0.5;
 
 /// A copy in flight.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "its end is to be told"]
-pub struct Copied {
+#[must_use = "its end must be reported to the gate"]
+pub struct CopyInFlight {
     bytes: usize,
-    /// Number of rests of the candidate before it was sent.
-    era: u64,
-    trial: bool,
+    /// How often the circuit breaker had opened when the copy was sent.
+    breaker_openings: u64,
+    /// Whether it probes the candidate.
+    probe: bool,
 }
 
 /// How a copy ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CopyEnd {
     /// Served by the candidate.
     Served,
     /// Not sent, for a reason that has nothing to do with the candidate.
-    Refused,
+    NotSent,
     /// Failed or timed out, or no server of the candidate was available.
     Failed,
 }
 
+/// The circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    Open,
-    Resting {
-        until: Time,
-    },
+enum Breaker {
+    /// Copies are sent.
+    Closed,
+    /// No copies until then; the next one is a probe.
+    Open { until: Time },
     /// A probe is in flight.
-    Trying,
+    HalfOpen,
 }
 
-/// Decides what is copied.
+/// Decides which requests are copied.
 #[derive(Debug)]
 pub struct Gate {
-    bounds: Bounds,
-    counts: std::sync::Arc<Counts>,
+    limits: CopyLimits,
+    counts: Arc<CopyCounts>,
+    /// Copies that the rate permits now.
     tokens: f64,
-    filled: Time,
-    out: usize,
-    held: usize,
-    calm_from: Time,
-    phase: Phase,
-    /// Copies in a row that were not served.
-    failed: u32,
-    rest: Span,
-    era: u64,
-    gone: bool,
+    tokens_updated: Time,
+    in_flight: usize,
+    held_bytes: usize,
+    quiet_until: Time,
+    breaker: Breaker,
+    consecutive_failures: u32,
+    breaker_open_time: Span,
+    breaker_openings: u64,
+    worker_ended: bool,
 }
 
 impl Gate {
     /// A gate without copies yet.
-    pub fn new(bounds: Bounds, now: Time) -> Self {
+    pub fn new(limits: CopyLimits, now: Time) -> Self {
         Self {
-            counts: std::sync::Arc::default(),
-            tokens: burst(&bounds),
-            filled: now,
-            out: 0,
-            held: 0,
-            calm_from: Time(i64::MIN),
-            phase: Phase::Open,
-            failed: 0,
-            rest: bounds.rest,
-            era: 0,
-            gone: false,
-            bounds,
+            counts: Arc::default(),
+            tokens: burst(&limits),
+            tokens_updated: now,
+            in_flight: 0,
+            held_bytes: 0,
+            quiet_until: Time(i64::MIN),
+            breaker: Breaker::Closed,
+            consecutive_failures: 0,
+            breaker_open_time: limits.breaker_open_time,
+            breaker_openings: 0,
+            worker_ended: false,
+            limits,
         }
     }
 
     /// The counters.
-    pub fn counts(&self) -> std::sync::Arc<Counts> {
+    pub fn counts(&self) -> Arc<CopyCounts> {
         self.counts.clone()
     }
 
     /// Number of copies in flight.
-    pub fn out(&self) -> usize {
-        self.out
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    /// Whether a live request is sampled; only safe ones are. `id` is a hash of its id.
+    /// Whether a live request is sampled; only idempotent ones are. `id` is a hash of its id.
     pub fn samples(
         &self,
         class: usize,
@@ -213,134 +105,149 @@
         key: Option<u64>,
         id: u64,
     ) -> bool {
-        if idempotency != Idempotency::Idempotent || self.bounds.classes.get(class) != Some(&true) {
+        if idempotency != Idempotency::Idempotent || self.limits.classes.get(class) != Some(&true) {
             return false;
         }
-        Counts::add(&self.counts.seen);
-        let by = match self.bounds.by {
-            By::Key => key.unwrap_or(id),
-            By::Request => id,
+        CopyCounts::add(&self.counts.seen);
+        let sampled_by = match self.limits.sample_by {
+            SampleBy::Key => key.unwrap_or(id),
+            SampleBy::Request => id,
         };
-        let at = mix(by ^ mix(self.bounds.seed)) as f64 / 2f64.powi(64);
-        at < self.bounds.share
+        unit_interval(sampled_by ^ mix(self.limits.sample_seed)) < self.limits.sample_share
     }
 
-    /// A live request was refused, or failed.
-    pub fn pressed(&mut self, now: Time) {
-        self.calm_from = now.plus(self.bounds.calm);
+    /// A live request was rejected or failed: no copies for a while.
+    pub fn note_live_pressure(&mut self, now: Time) {
+        self.quiet_until = now.plus(self.limits.quiet_time);
     }
 
     /// A sampled live request was served: decides whether it is copied. `bytes` is the size of the request and
-    /// its answer, `open` returns the number of open live requests.
-    pub fn served(
+    /// its answer, `live_open` returns the number of open live requests.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not copied.
+    pub fn admit(
         &mut self,
         now: Time,
         bytes: usize,
-        open: impl FnOnce() -> usize,
-    ) -> Result<Copied, SkipReason> {
-        Counts::add(&self.counts.sampled);
-        let verdict = self.verdict(now, bytes, open);
-        match verdict {
-            Ok(_) => Counts::add(&self.counts.copied),
-            Err(why) => Counts::add(&self.counts.skipped[why as usize]),
+        live_open: impl FnOnce() -> usize,
+    ) -> Result<CopyInFlight, SkipReason> {
+        CopyCounts::add(&self.counts.sampled);
+        let admitted = self.try_admit(now, bytes, live_open);
+        match admitted {
+            Ok(_) => CopyCounts::add(&self.counts.copied),
+            Err(reason) => self.counts.add_skipped(reason),
         }
-        verdict
+        admitted
     }
 
-    fn verdict(
+    fn try_admit(
         &mut self,
         now: Time,
         bytes: usize,
-        open: impl FnOnce() -> usize,
-    ) -> Result<Copied, SkipReason> {
-        let bounds = &self.bounds;
-        if self.gone {
-            return Err(SkipReason::Gone);
+        live_open: impl FnOnce() -> usize,
+    ) -> Result<CopyInFlight, SkipReason> {
+        let limits = &self.limits;
+        if self.worker_ended {
+            return Err(SkipReason::WorkerEnded);
         }
-        if now < self.calm_from {
-            return Err(SkipReason::Pressed);
+        if now < self.quiet_until {
+            return Err(SkipReason::LivePressure);
         }
-        if bounds.live_open > 0 && open() > bounds.live_open {
+        if limits.max_live_open > 0 && live_open() > limits.max_live_open {
             return Err(SkipReason::LiveOpen);
         }
-        if bytes > bounds.each {
-            return Err(SkipReason::Large);
+        if bytes > limits.max_pair_bytes {
+            return Err(SkipReason::TooLarge);
         }
-        let trial = match self.phase {
-            Phase::Open => false,
-            Phase::Resting { until } if now >= until => true,
-            Phase::Resting { .. } | Phase::Trying => return Err(SkipReason::Resting),
+        let probe = match self.breaker {
+            Breaker::Closed => false,
+            Breaker::Open { until } if now >= until => true,
+            Breaker::Open { .. } | Breaker::HalfOpen => return Err(SkipReason::BreakerOpen),
         };
-        if self.out >= bounds.in_flight {
+        if self.in_flight >= limits.max_in_flight {
             return Err(SkipReason::InFlight);
         }
-        if self.held + bytes > bounds.held {
-            return Err(SkipReason::Held);
+        if self.held_bytes + bytes > limits.max_held_bytes {
+            return Err(SkipReason::HeldBytes);
         }
-        // Last, so that only copies take tokens. A clock that steps back adds none.
-        let passed = now.since(self.filled).as_micros_f64().max(0.0) / 1e6;
-        self.filled = self.filled.max(now);
-        self.tokens = (self.tokens + passed * bounds.per_second).min(burst(bounds));
-        if self.tokens < 1.0 {
+        // Last, so that only copies take tokens.
+        if !self.take_token(now) {
             return Err(SkipReason::Rate);
         }
-        self.tokens -= 1.0;
-        self.out += 1;
-        self.held += bytes;
-        if trial {
-            self.phase = Phase::Trying;
+        self.in_flight += 1;
+        self.held_bytes += bytes;
+        if probe {
+            self.breaker = Breaker::HalfOpen;
         }
-        Ok(Copied { bytes, era: self.era, trial })
+        Ok(CopyInFlight { bytes, breaker_openings: self.breaker_openings, probe })
+    }
+
+    /// Takes a token of the rate, if there is one. A clock that steps back adds none.
+    fn take_token(&mut self, now: Time) -> bool {
+        let passed = now.since(self.tokens_updated).as_micros_f64().max(0.0) / 1e6;
+        self.tokens_updated = self.tokens_updated.max(now);
+        let refilled = self.tokens + passed * self.limits.max_per_second;
+        self.tokens = refilled.min(burst(&self.limits));
+        if self.tokens < 1.0 {
+            return false;
+        }
+        self.tokens -= 1.0;
+        true
     }
 
-    /// A copy has ended: releases what it holds.
-    pub fn ended(&mut self, now: Time, copied: Copied, end: End) {
-        self.out -= 1;
-        self.held -= copied.bytes;
-        // A copy from before the last rest proves nothing about the time after it.
-        if copied.era != self.era {
+    /// A copy has ended: releases what it holds, and updates the circuit breaker.
+    pub fn copy_ended(&mut self, now: Time, copy: CopyInFlight, end: CopyEnd) {
+        self.in_flight -= 1;
+        self.held_bytes -= copy.bytes;
+        // A copy from before the breaker opened last says nothing about the time after it.
+        if copy.breaker_openings != self.breaker_openings {
             return;
         }
-        match (end, copied.trial) {
-            (End::Served, _) => {
-                self.failed = 0;
-                self.rest = self.bounds.rest;
-                self.phase = Phase::Open;
+        match (end, copy.probe) {
+            (CopyEnd::Served, _) => {
+                self.consecutive_failures = 0;
+                self.breaker_open_time = self.limits.breaker_open_time;
+                self.breaker = Breaker::Closed;
             }
-            // The probe proved nothing: the next copy is the probe.
-            (End::Refused, true) => self.phase = Phase::Resting { until: now },
-            (End::Refused, false) => {}
-            (End::Failed, true) => {
-                let twice = Span(self.rest.0.saturating_mul(2));
-                self.rest = twice.min(self.bounds.rest_most).max(self.bounds.rest);
-                self.rest_from(now);
+            // The probe was not sent: the next copy is the probe.
+            (CopyEnd::NotSent, true) => self.breaker = Breaker::Open { until: now },
+            (CopyEnd::NotSent, false) => {}
+            (CopyEnd::Failed, true) => {
+                let (first, max) =
+                    (self.limits.breaker_open_time, self.limits.max_breaker_open_time);
+                let doubled = Span(self.breaker_open_time.0.saturating_mul(2));
+                self.breaker_open_time = doubled.min(max).max(first);
+                self.open_breaker(now);
             }
-            (End::Failed, false) => {
-                self.failed += 1;
-                if self.failed >= self.bounds.trip {
-                    self.rest_from(now);
+            (CopyEnd::Failed, false) => {
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= self.limits.breaker_threshold {
+                    self.open_breaker(now);
                 }
             }
         }
     }
 
-    fn rest_from(&mut self, now: Time) {
-        self.failed = 0;
-        self.era += 1;
-        Counts::add(&self.counts.rests);
-        let part = mix(self.bounds.own ^ mix(self.era)) as f64 / 2f64.powi(64);
-        let rest = Span::from_micros_f64(self.rest.as_micros_f64() * (0.75 + 0.5 * part));
-        self.phase = Phase::Resting { until: now.plus(rest) };
+    fn open_breaker(&mut self, now: Time) {
+        self.consecutive_failures = 0;
+        self.breaker_openings += 1;
+        CopyCounts::add(&self.counts.breaker_openings);
+        let jitter = unit_interval(self.limits.jitter_seed ^ mix(self.breaker_openings));
+        let factor = MIN_JITTER_FACTOR + JITTER_RANGE * jitter;
+        let open_time = Span::from_micros_f64(self.breaker_open_time.as_micros_f64() * factor);
+        self.breaker = Breaker::Open { until: now.plus(open_time) };
     }
 
-    /// A copy could not be handed over, because the comparing thread has ended.
-    pub fn lost(&mut self, copied: Copied) {
-        self.out -= 1;
-        self.held -= copied.bytes;
-        self.gone = true;
+    /// A copy could not be handed over, because the thread that sends copies has ended.
+    pub fn worker_ended(&mut self, copy: CopyInFlight) {
+        self.in_flight -= 1;
+        self.held_bytes -= copy.bytes;
+        self.worker_ended = true;
     }
 }
 
-fn burst(bounds: &Bounds) -> f64 {
-    (bounds.per_second / 10.0).max(1.0)
+fn burst(limits: &CopyLimits) -> f64 {
+    (limits.max_per_second / BURSTS_PER_SECOND).max(1.0)
 }
--- a/crates/shadow/src/json.rs
+++ b/crates/shadow/src/json.rs
@@ -7,38 +7,38 @@
 /// A value. Numbers have the precision that RFC 8259, section 6, calls interoperable: integers of 64 bits, all
 /// others as doubles.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Json {
+pub(crate) enum Json {
     Null,
     Bool(bool),
-    Whole(i128),
+    Integer(i128),
     Number(f64),
-    Text(String),
-    List(Vec<Json>),
+    String(String),
+    Array(Vec<Json>),
     /// Members sorted by name, duplicates included.
-    Map(Vec<(String, Json)>),
+    Object(Vec<(String, Json)>),
 }
 
 impl Json {
     /// Parses a text; `None` if it is not JSON. serde_json limits the depth to 128.
-    pub fn read(text: &[u8]) -> Option<Self> {
+    pub(crate) fn parse(text: &[u8]) -> Option<Self> {
         serde_json::from_slice(text).ok()
     }
 
-    pub fn kind(&self) -> &'static str {
+    pub(crate) fn type_name(&self) -> &'static str {
         match self {
             Json::Null => "null",
             Json::Bool(_) => "true or false",
-            Json::Whole(_) | Json::Number(_) => "a number",
-            Json::Text(_) => "a text",
-            Json::List(_) => "a list",
-            Json::Map(_) => "an object",
+            Json::Integer(_) | Json::Number(_) => "a number",
+            Json::String(_) => "a text",
+            Json::Array(_) => "a list",
+            Json::Object(_) => "an object",
         }
     }
 
     /// Whether two scalar values are equal; 1 equals 1.0.
-    pub fn same(&self, other: &Json) -> bool {
+    pub(crate) fn equals(&self, other: &Json) -> bool {
         match (self, other) {
-            (Json::Whole(a), Json::Number(b)) | (Json::Number(b), Json::Whole(a)) => {
+            (Json::Integer(a), Json::Number(b)) | (Json::Number(b), Json::Integer(a)) => {
                 *a as f64 == *b
             }
             _ => self == other,
@@ -46,7 +46,7 @@
     }
 
     /// Sort key for the elements of a list whose order is ignored.
-    pub fn order(&self) -> String {
+    pub(crate) fn sort_key(&self) -> String {
         self.to_string()
     }
 }
@@ -56,17 +56,17 @@
         match self {
             Json::Null => f.write_str("null"),
             Json::Bool(b) => write!(f, "{b}"),
-            Json::Whole(n) => write!(f, "{n}"),
+            Json::Integer(n) => write!(f, "{n}"),
             Json::Number(n) => write!(f, "{n}"),
-            Json::Text(text) => write!(f, "{text:?}"),
-            Json::List(list) => {
+            Json::String(text) => write!(f, "{text:?}"),
+            Json::Array(list) => {
                 f.write_str("[")?;
                 for (i, value) in list.iter().enumerate() {
                     write!(f, "{}{value}", if i > 0 { "," } else { "" })?;
                 }
                 f.write_str("]")
             }
-            Json::Map(members) => {
+            Json::Object(members) => {
                 f.write_str("{")?;
                 for (i, (name, value)) in members.iter().enumerate() {
                     write!(f, "{}{name:?}:{value}", if i > 0 { "," } else { "" })?;
@@ -79,8 +79,8 @@
 
 impl<'de> Deserialize<'de> for Json {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Reads;
-        impl<'de> Visitor<'de> for Reads {
+        struct JsonVisitor;
+        impl<'de> Visitor<'de> for JsonVisitor {
             type Value = Json;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("JSON")
@@ -92,23 +92,23 @@
                 Ok(Json::Bool(b))
             }
             fn visit_i64<E>(self, n: i64) -> Result<Json, E> {
-                Ok(Json::Whole(n.into()))
+                Ok(Json::Integer(n.into()))
             }
             fn visit_u64<E>(self, n: u64) -> Result<Json, E> {
-                Ok(Json::Whole(n.into()))
+                Ok(Json::Integer(n.into()))
             }
             fn visit_f64<E>(self, n: f64) -> Result<Json, E> {
                 Ok(Json::Number(n))
             }
             fn visit_str<E>(self, text: &str) -> Result<Json, E> {
-                Ok(Json::Text(text.to_string()))
+                Ok(Json::String(text.to_string()))
             }
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Json, A::Error> {
                 let mut list = Vec::new();
                 while let Some(value) = seq.next_element()? {
                     list.push(value);
                 }
-                Ok(Json::List(list))
+                Ok(Json::Array(list))
             }
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Json, A::Error> {
                 let mut members: Vec<(String, Json)> = Vec::new();
@@ -117,9 +117,9 @@
                 }
                 // A stable sort: duplicates keep their order.
                 members.sort_by(|a, b| a.0.cmp(&b.0));
-                Ok(Json::Map(members))
+                Ok(Json::Object(members))
             }
         }
-        deserializer.deserialize_any(Reads)
+        deserializer.deserialize_any(JsonVisitor)
     }
 }
--- a/crates/shadow/tests/gate.rs
+++ b/crates/shadow/tests/gate.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use oorandom::Rand64;
-use sableloom_shadow::{Bounds, By, Changes, Copied, End, Gate, SkipReason};
+use sableloom_shadow::{Changes, CopyEnd, CopyInFlight, CopyLimits, Gate, SampleBy, SkipReason};
 use sableloom_types::{Idempotency, Span, Time};
 
 fn ms(ms: i64) -> Span {
@@ -15,32 +15,32 @@
     Time(0).plus(ms(t))
 }
 
-fn bounds() -> Bounds {
-    Bounds {
+fn limits() -> CopyLimits {
+    CopyLimits {
         classes: vec![true, false, true],
-        share: 1.0,
-        by: By::Key,
-        per_second: 1_000_000.0,
-        in_flight: 4,
-        held: 1000,
-        each: 400,
-        calm: ms(100),
-        live_open: 0,
-        trip: 3,
-        rest: ms(1000),
-        rest_most: ms(4000),
-        seed: 1,
-        own: 2,
+        sample_share: 1.0,
+        sample_by: SampleBy::Key,
+        max_per_second: 1_000_000.0,
+        max_in_flight: 4,
+        max_held_bytes: 1000,
+        max_pair_bytes: 400,
+        quiet_time: ms(100),
+        max_live_open: 0,
+        breaker_threshold: 3,
+        breaker_open_time: ms(1000),
+        max_breaker_open_time: ms(4000),
+        sample_seed: 1,
+        jitter_seed: 2,
     }
 }
 
-fn served(gate: &mut Gate, t: i64, bytes: usize) -> Result<Copied, SkipReason> {
-    gate.served(at(t), bytes, || 0)
+fn admit(gate: &mut Gate, t: i64, bytes: usize) -> Result<CopyInFlight, SkipReason> {
+    gate.admit(at(t), bytes, || 0)
 }
 
 #[test]
-fn only_safe_requests_of_the_named_classes_are_of_the_sample() {
-    let gate = Gate::new(bounds(), at(0));
+fn only_idempotent_requests_of_the_listed_classes_are_sampled() {
+    let gate = Gate::new(limits(), at(0));
     for class in 0..4 {
         for idempotency in [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent]
         {
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn the_sample_has_its_share_and_goes_by_the_key() {
+fn the_sample_has_its_share_and_is_chosen_by_the_key() {
     for share in [0.0, 0.01, 0.3, 1.0] {
-        let gate = Gate::new(Bounds { share, ..bounds() }, at(0));
+        let gate = Gate::new(CopyLimits { sample_share: share, ..limits() }, at(0));
         // Short numbers in a row, as cards have them.
         let hits = (0..100_000)
             .filter(|key| gate.samples(0, Idempotency::Idempotent, Some(*key), 0))
@@ -71,39 +71,42 @@
             (0..100_000).filter(|id| gate.samples(0, Idempotency::Idempotent, None, *id)).count();
         assert!((ids as f64 / 1e5 - share).abs() < 0.01);
     }
-    let other = Bounds { share: 0.3, own: 77, ..bounds() };
-    let (one, two) = (Bounds { share: 0.3, ..bounds() }, other);
+    let other = CopyLimits { sample_share: 0.3, jitter_seed: 77, ..limits() };
+    let (one, two) = (CopyLimits { sample_share: 0.3, ..limits() }, other);
     let (one, two) = (Gate::new(one, at(0)), Gate::new(two, at(0)));
     let same = |key| {
         one.samples(0, Idempotency::Idempotent, Some(key), 0)
             == two.samples(0, Idempotency::Idempotent, Some(key), 1)
     };
     assert!((0..1000).all(same), "two balancers sample the same keys");
-    let gate = Gate::new(Bounds { share: 0.5, by: By::Request, ..bounds() }, at(0));
+    let gate = Gate::new(
+        CopyLimits { sample_share: 0.5, sample_by: SampleBy::Request, ..limits() },
+        at(0),
+    );
     let hits =
         (0..1000).filter(|id| gate.samples(0, Idempotency::Idempotent, Some(5), *id)).count();
     assert!((400..600).contains(&hits), "{hits}");
 }
 
 #[test]
-fn each_bound_skips_for_its_own_reason() {
-    let mut gate = Gate::new(Bounds { live_open: 10, ..bounds() }, at(0));
-    assert_eq!(served(&mut gate, 0, 401), Err(SkipReason::Large));
-    assert_eq!(gate.served(at(0), 1, || 11), Err(SkipReason::LiveOpen));
-    gate.pressed(at(0));
-    assert_eq!(served(&mut gate, 99, 1), Err(SkipReason::Pressed));
+fn each_limit_skips_copies_for_its_own_reason() {
+    let mut gate = Gate::new(CopyLimits { max_live_open: 10, ..limits() }, at(0));
+    assert_eq!(admit(&mut gate, 0, 401), Err(SkipReason::TooLarge));
+    assert_eq!(gate.admit(at(0), 1, || 11), Err(SkipReason::LiveOpen));
+    gate.note_live_pressure(at(0));
+    assert_eq!(admit(&mut gate, 99, 1), Err(SkipReason::LivePressure));
     let mut out: Vec<_> =
-        (0..2).map(|_| served(&mut gate, 100, 400).expect("there is room")).collect();
-    assert_eq!(served(&mut gate, 100, 201), Err(SkipReason::Held));
-    out.extend((0..2).map(|_| served(&mut gate, 100, 100).expect("there is room")));
-    assert_eq!(served(&mut gate, 100, 1), Err(SkipReason::InFlight));
+        (0..2).map(|_| admit(&mut gate, 100, 400).expect("within the limits")).collect();
+    assert_eq!(admit(&mut gate, 100, 201), Err(SkipReason::HeldBytes));
+    out.extend((0..2).map(|_| admit(&mut gate, 100, 100).expect("within the limits")));
+    assert_eq!(admit(&mut gate, 100, 1), Err(SkipReason::InFlight));
     let counts = gate.counts();
     for why in SkipReason::ALL {
         let once = [
-            SkipReason::Large,
+            SkipReason::TooLarge,
             SkipReason::LiveOpen,
-            SkipReason::Pressed,
-            SkipReason::Held,
+            SkipReason::LivePressure,
+            SkipReason::HeldBytes,
             SkipReason::InFlight,
         ];
         assert_eq!(counts.skipped(why), u64::from(once.contains(&why)), "{why:?}");
@@ -112,148 +115,156 @@
         (counts.sampled.load(Ordering::Relaxed), counts.copied.load(Ordering::Relaxed)),
         (9, 4)
     );
-    // What has ended makes room.
+    // A copy that has ended frees its capacity.
     for copied in out {
-        gate.ended(at(100), copied, End::Served);
+        gate.copy_ended(at(100), copied, CopyEnd::Served);
     }
-    let all = (0..4).map(|_| served(&mut gate, 100, 250).expect("there is room"));
+    let all = (0..4).map(|_| admit(&mut gate, 100, 250).expect("within the limits"));
     assert_eq!(all.count(), 4);
-    let mut gate = Gate::new(bounds(), at(0));
-    let copied = served(&mut gate, 0, 1).expect("there is room");
-    gate.lost(copied);
-    assert_eq!((served(&mut gate, 1, 1), gate.out()), (Err(SkipReason::Gone), 0));
+    let mut gate = Gate::new(limits(), at(0));
+    let copied = admit(&mut gate, 0, 1).expect("within the limits");
+    gate.worker_ended(copied);
+    assert_eq!((admit(&mut gate, 1, 1), gate.in_flight()), (Err(SkipReason::WorkerEnded), 0));
 }
 
 #[test]
-fn a_candidate_that_does_not_answer_rests_longer_each_time_and_is_tried_once() {
-    let mut gate = Gate::new(bounds(), at(0));
-    let old = served(&mut gate, 0, 1).expect("open");
+fn the_circuit_breaker_stays_open_longer_after_each_failed_probe_and_probes_once() {
+    let mut gate = Gate::new(limits(), at(0));
+    let old = admit(&mut gate, 0, 1).expect("open");
     for _ in 0..3 {
-        let copied = served(&mut gate, 0, 1).expect("open");
-        gate.ended(at(0), copied, End::Failed);
+        let copied = admit(&mut gate, 0, 1).expect("open");
+        gate.copy_ended(at(0), copied, CopyEnd::Failed);
     }
     let mut t = 0;
     for (i, rest) in [1000, 2000, 4000, 4000].into_iter().enumerate() {
-        assert_eq!(served(&mut gate, t + rest * 3 / 4 - 1, 1), Err(SkipReason::Resting), "{i}");
+        assert_eq!(admit(&mut gate, t + rest * 3 / 4 - 1, 1), Err(SkipReason::BreakerOpen), "{i}");
         t += rest * 5 / 4;
-        let trial = served(&mut gate, t, 1).expect("one copy tries");
-        assert_eq!(served(&mut gate, t, 1), Err(SkipReason::Resting), "one copy only");
-        gate.ended(at(t), trial, End::Failed);
+        let probe = admit(&mut gate, t, 1).expect("one copy is the probe");
+        assert_eq!(admit(&mut gate, t, 1), Err(SkipReason::BreakerOpen), "one copy only");
+        gate.copy_ended(at(t), probe, CopyEnd::Failed);
     }
     t += 5000;
-    // Not sent is not known: the next tries at once.
-    let trial = served(&mut gate, t, 1).expect("one copy tries");
-    gate.ended(at(t), trial, End::Refused);
-    let trial = served(&mut gate, t, 1).expect("one copy tries");
-    // What was sent before the rests says nothing of now.
-    gate.ended(at(t), old, End::Served);
-    assert_eq!(served(&mut gate, t, 1), Err(SkipReason::Resting));
-    gate.ended(at(t), trial, End::Served);
-    let copied = served(&mut gate, t, 1).expect("open again");
-    gate.ended(at(t), copied, End::Served);
-    assert_eq!(gate.counts().rests.load(Ordering::Relaxed), 5);
-    // Failures in a row are counted, not those among others.
+    // A probe that was not sent shows nothing: the next copy is the probe at once.
+    let probe = admit(&mut gate, t, 1).expect("one copy is the probe");
+    gate.copy_ended(at(t), probe, CopyEnd::NotSent);
+    let probe = admit(&mut gate, t, 1).expect("one copy is the probe");
+    // A copy from before the breaker opened shows nothing about the present.
+    gate.copy_ended(at(t), old, CopyEnd::Served);
+    assert_eq!(admit(&mut gate, t, 1), Err(SkipReason::BreakerOpen));
+    gate.copy_ended(at(t), probe, CopyEnd::Served);
+    let copied = admit(&mut gate, t, 1).expect("closed again");
+    gate.copy_ended(at(t), copied, CopyEnd::Served);
+    assert_eq!(gate.counts().breaker_openings.load(Ordering::Relaxed), 5);
+    // Only consecutive failures are counted.
     for _ in 0..10 {
-        for end in [End::Failed, End::Failed, End::Served] {
-            let copied = served(&mut gate, t, 1).expect("open");
-            gate.ended(at(t), copied, end);
+        for end in [CopyEnd::Failed, CopyEnd::Failed, CopyEnd::Served] {
+            let copied = admit(&mut gate, t, 1).expect("open");
+            gate.copy_ended(at(t), copied, end);
         }
     }
 }
 
 #[test]
-fn a_clock_that_steps_back_gives_nothing_away() {
-    let mut gate = Gate::new(Bounds { per_second: 10.0, ..bounds() }, at(10_000));
-    let one = served(&mut gate, 10_000, 1).expect("the first");
-    gate.ended(at(10_000), one, End::Served);
+fn a_clock_that_steps_back_adds_no_tokens() {
+    let mut gate = Gate::new(CopyLimits { max_per_second: 10.0, ..limits() }, at(10_000));
+    let one = admit(&mut gate, 10_000, 1).expect("the first");
+    gate.copy_ended(at(10_000), one, CopyEnd::Served);
     for t in [0, 10_000, 5000, 10_000] {
-        assert_eq!(served(&mut gate, t, 1), Err(SkipReason::Rate), "{t}");
+        assert_eq!(admit(&mut gate, t, 1), Err(SkipReason::Rate), "{t}");
     }
-    assert!(served(&mut gate, 10_100, 1).is_ok());
+    assert!(admit(&mut gate, 10_100, 1).is_ok());
 }
 
-/// Thousands of histories of requests, ends and trouble. What must hold in each is looked at from
-/// outside: the number and bytes that are out, copies in any window of time, calm, and that a resting
-/// candidate gets one copy at a time.
+/// Thousands of histories of requests, ends and faults. What must hold in each is checked from outside: the number and
+/// bytes in flight, copies in any window of time, the quiet time, and that only one probe is in flight.
 #[test]
-fn bounds_hold_over_seeded_histories() {
+fn limits_hold_over_seeded_histories() {
     for seed in 0..3000u64 {
         let mut rng = Rand64::new(u128::from(seed));
         let mut upto = |most: u64| rng.rand_range(0..most) as i64;
-        let bounds = Bounds {
-            per_second: [1.0, 20.0, 300.0][upto(3) as usize],
-            in_flight: 1 + upto(6) as usize,
-            held: 200 + upto(2000) as usize,
-            each: 50 + upto(500) as usize,
-            calm: ms(upto(50)),
-            trip: 1 + upto(4) as u32,
-            rest: ms(1 + upto(200)),
-            rest_most: ms(200 + upto(2000)),
-            own: seed,
-            ..bounds()
+        let limits = CopyLimits {
+            max_per_second: [1.0, 20.0, 300.0][upto(3) as usize],
+            max_in_flight: 1 + upto(6) as usize,
+            max_held_bytes: 200 + upto(2000) as usize,
+            max_pair_bytes: 50 + upto(500) as usize,
+            quiet_time: ms(upto(50)),
+            breaker_threshold: 1 + upto(4) as u32,
+            breaker_open_time: ms(1 + upto(200)),
+            max_breaker_open_time: ms(200 + upto(2000)),
+            jitter_seed: seed,
+            ..limits()
         };
-        let mut gate = Gate::new(bounds.clone(), at(0));
-        let (mut t, mut calm_from) = (0, 0);
-        // A copy, and what the model knows of it: its bytes, how often the candidate had rested
-        // when it was sent, whether it was one that tries.
-        let mut out: VecDeque<(usize, u64, bool, Copied)> = VecDeque::new();
+        let mut gate = Gate::new(limits.clone(), at(0));
+        let (mut t, mut quiet_until) = (0, 0);
+        // A copy, and what the model knows of it: its bytes, how often the breaker had opened when it was sent, and
+        // whether it was a probe.
+        let mut out: VecDeque<(usize, u64, bool, CopyInFlight)> = VecDeque::new();
         let mut copies: Vec<i64> = Vec::new();
-        let (mut failed, mut rested) = (0, 0);
-        let (mut rests_from, mut trying): (Option<i64>, bool) = (None, false);
+        let (mut failures, mut openings) = (0, 0);
+        let (mut opened_at, mut probing): (Option<i64>, bool) = (None, false);
         let counts = gate.counts();
         for step in 0..300 {
             let place = format!("seed {seed}, step {step}");
             t += upto(30);
             match upto(8) {
                 0 => {
-                    gate.pressed(at(t));
-                    calm_from = t + bounds.calm.0 / 1000;
+                    gate.note_live_pressure(at(t));
+                    quiet_until = t + limits.quiet_time.0 / 1000;
                 }
                 1..4 if !out.is_empty() => {
                     let n = upto(out.len() as u64) as usize;
-                    let (_, era, trial, copied) = out.remove(n).expect("one");
-                    let ends = [End::Served, End::Failed, End::Failed, End::Refused];
+                    let (_, openings_before, probe, copied) = out.remove(n).expect("one");
+                    let ends =
+                        [CopyEnd::Served, CopyEnd::Failed, CopyEnd::Failed, CopyEnd::NotSent];
                     let end = ends[upto(4) as usize];
-                    gate.ended(at(t), copied, end);
-                    if era == rested {
-                        trying &= !trial;
-                        failed = match end {
-                            End::Served => 0,
-                            End::Failed => failed + 1,
-                            End::Refused => failed,
+                    gate.copy_ended(at(t), copied, end);
+                    if openings_before == openings {
+                        probing &= !probe;
+                        failures = match end {
+                            CopyEnd::Served => 0,
+                            CopyEnd::Failed => failures + 1,
+                            CopyEnd::NotSent => failures,
                         };
-                        if end == End::Failed && (trial || failed >= bounds.trip) {
-                            (rested, failed, rests_from) = (rested + 1, 0, Some(t));
-                        } else if end == End::Refused && trial {
-                            rests_from = Some(i64::MIN / 2);
+                        if end == CopyEnd::Failed && (probe || failures >= limits.breaker_threshold)
+                        {
+                            (openings, failures, opened_at) = (openings + 1, 0, Some(t));
+                        } else if end == CopyEnd::NotSent && probe {
+                            opened_at = Some(i64::MIN / 2);
                         }
                     }
-                    assert_eq!(counts.rests.load(Ordering::Relaxed), rested, "{place}");
+                    assert_eq!(
+                        counts.breaker_openings.load(Ordering::Relaxed),
+                        openings,
+                        "{place}"
+                    );
                 }
                 _ => {
                     let bytes = upto(600) as usize;
-                    if let Ok(copied) = served(&mut gate, t, bytes) {
-                        assert!(t >= calm_from, "{place}: copied while pressed");
-                        assert!(bytes <= bounds.each, "{place}: too large");
-                        assert!(!trying, "{place}: another one tries");
-                        let trial = rests_from.take();
-                        let least = bounds.rest.0 * 3 / 4000;
-                        assert!(trial.is_none_or(|from| t - from >= least), "{place}: it rests");
-                        trying = trial.is_some();
+                    if let Ok(copied) = admit(&mut gate, t, bytes) {
+                        assert!(t >= quiet_until, "{place}: copied in the quiet time");
+                        assert!(bytes <= limits.max_pair_bytes, "{place}: too large");
+                        assert!(!probing, "{place}: another probe is in flight");
+                        let probe = opened_at.take();
+                        let least = limits.breaker_open_time.0 * 3 / 4000;
+                        assert!(
+                            probe.is_none_or(|from| t - from >= least),
+                            "{place}: the breaker is open"
+                        );
+                        probing = probe.is_some();
                         copies.push(t);
-                        out.push_back((bytes, rested, trying, copied));
+                        out.push_back((bytes, openings, probing, copied));
                     }
                 }
             }
             let held: usize = out.iter().map(|(bytes, ..)| bytes).sum();
-            assert!(out.len() <= bounds.in_flight && held <= bounds.held, "{place}");
-            assert_eq!(gate.out(), out.len(), "{place}");
+            assert!(out.len() <= limits.max_in_flight && held <= limits.max_held_bytes, "{place}");
+            assert_eq!(gate.in_flight(), out.len(), "{place}");
         }
         assert_eq!(counts.copied.load(Ordering::Relaxed), copies.len() as u64, "seed {seed}");
-        let burst = (bounds.per_second / 10.0).max(1.0);
+        let burst = (limits.max_per_second / 10.0).max(1.0);
         for (i, from) in copies.iter().enumerate() {
             for (n, to) in copies[i..].iter().enumerate() {
-                let most = burst + bounds.per_second * (to - from) as f64 / 1e3;
+                let most = burst + limits.max_per_second * (to - from) as f64 / 1e3;
                 assert!(
                     n as f64 + 1.0 <= most + 1e-6,
                     "seed {seed}: {n} copies in {} ms",
@@ -265,7 +276,7 @@
 }
 
 #[test]
-fn a_read_is_touched_by_changes_of_its_key_around_it() {
+fn a_read_is_touched_by_overlapping_changes_of_its_key() {
     let changes = Changes::new(ms(50));
     let touched = |key, since| changes.touched(key, at(since));
     assert!(!touched(Some(1), 0) && !touched(None, 0));
--- a/crates/site-config/src/shadow.rs
+++ b/crates/site-config/src/shadow.rs
@@ -4,7 +4,7 @@
 mod read;
 mod settings;
 
-use sableloom_shadow::{Bounds, Rules};
+use sableloom_shadow::{ComparisonRules, CopyLimits};
 
 use crate::location::SourceLocation;
 use crate::pool::Pool;
@@ -23,9 +23,9 @@
     /// The control group: a pool that gets the same copies and runs what the live pool runs.
     pub control_group: Option<Pool>,
     /// Limits on the cost of copying; the seed is this process's own.
-    pub bounds: Bounds,
+    pub limits: CopyLimits,
     /// How responses are compared.
-    pub rules: Rules,
+    pub rules: ComparisonRules,
     /// Timeout of a copy.
     pub timeout_ms: f64,
     /// How long it takes until every server sees a change of data.
--- a/crates/site-config/src/shadow/compare.rs
+++ b/crates/site-config/src/shadow/compare.rs
@@ -1,6 +1,6 @@
 //! How the responses of a shadow are compared, and which header fields are copied.
 
-use sableloom_shadow::{Pattern, Rules};
+use sableloom_shadow::{ComparisonRules, Pattern};
 use sableloom_toml_diagnostics::{Located, Table};
 
 use crate::fields::header_name;
@@ -9,13 +9,13 @@
 const DEFAULT_COMPARED_HEADERS: [&str; 1] = ["content-type"];
 
 /// The section `compare` of a shadow.
-pub(super) fn read_rules(table: Option<Table<'_>>) -> Rules {
+pub(super) fn read_rules(table: Option<Table<'_>>) -> ComparisonRules {
     let Some(table) = table else {
-        let fields = DEFAULT_COMPARED_HEADERS.iter().map(ToString::to_string).collect();
-        return Rules { fields, ..Rules::default() };
+        let headers = DEFAULT_COMPARED_HEADERS.iter().map(ToString::to_string).collect();
+        return ComparisonRules { headers, ..ComparisonRules::default() };
     };
-    let rules = Rules {
-        fields: read_header_names(&table, "fields", &DEFAULT_COMPARED_HEADERS),
+    let rules = ComparisonRules {
+        headers: read_header_names(&table, "fields", &DEFAULT_COMPARED_HEADERS),
         ignore: read_patterns(&table, "ignore"),
         unordered: read_patterns(&table, "unordered"),
     };
--- a/crates/site-config/src/shadow/read.rs
+++ b/crates/site-config/src/shadow/read.rs
@@ -153,7 +153,7 @@
         live_pool: pools.serving_index[live],
         candidate,
         control_group,
-        bounds: settings.bounds,
+        limits: settings.limits,
         rules: settings.rules,
         timeout_ms,
         settle_ms: settings.settle_ms,
--- a/crates/site-config/src/shadow/settings.rs
+++ b/crates/site-config/src/shadow/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a shadow: which requests are copied, and within which limits.
 
-use sableloom_shadow::{Bounds, By, Rules};
+use sableloom_shadow::{ComparisonRules, CopyLimits, SampleBy};
 use sableloom_toml_diagnostics::{Located, Table, suggestion};
 use sableloom_types::Idempotency;
 use sableloom_types::settings::span;
@@ -15,8 +15,8 @@
 
 /// The settings of a shadow; times in milliseconds.
 pub(super) struct Settings {
-    pub(super) bounds: Bounds,
-    pub(super) rules: Rules,
+    pub(super) limits: CopyLimits,
+    pub(super) rules: ComparisonRules,
     pub(super) timeout_ms: Option<Located<f64>>,
     /// The longest deadline of the classes that are copied.
     pub(super) longest_deadline_ms: f64,
@@ -37,10 +37,10 @@
     };
     let longest_deadline_ms = longest(|class| class.deadline_ms);
     let longest_objective_ms = longest(|class| class.latency_objective_ms);
-    let bounds = read_bounds(table, copied);
+    let limits = read_limits(table, copied);
     let record_file = file_name(table, "record");
     Settings {
-        bounds,
+        limits,
         rules: read_rules(table.table("compare")),
         timeout_ms: table.number("time_ms", 1.0..=HOUR_MS, " ms"),
         longest_deadline_ms,
@@ -57,32 +57,32 @@
     table.number(field, min..=HOUR_MS, " ms").map_or(default, |time| time.value)
 }
 
-fn read_bounds(table: &Table<'_>, classes: Vec<bool>) -> Bounds {
+fn read_limits(table: &Table<'_>, classes: Vec<bool>) -> CopyLimits {
     let count = |field: &'static str, min: usize, max: usize, default: usize| {
         table.integer(field, min..=max, "").map_or(default, |count| count.value)
     };
     let kilobytes = |field: &'static str, default: usize| {
         table.integer(field, 1..=1_000_000, " kB").map_or(default, |size| size.value) << 10
     };
-    let by = table.choice("by", &[("key", By::Key), ("request", By::Request)]);
+    let by = table.choice("by", &[("key", SampleBy::Key), ("request", SampleBy::Request)]);
     let (rest_ms, max_rest_ms) = read_rests(table);
-    Bounds {
+    CopyLimits {
         classes,
-        share: table.number("share", 0.0..=1.0, " of the requests").map_or(0.1, |n| n.value),
-        by: by.map_or(By::Key, |by| by.value),
-        per_second: table
+        sample_share: table.number("share", 0.0..=1.0, " of the requests").map_or(0.1, |n| n.value),
+        sample_by: by.map_or(SampleBy::Key, |by| by.value),
+        max_per_second: table
             .number("per_second", 0.001..=1_000_000.0, " a second")
             .map_or(50.0, |rate| rate.value),
-        in_flight: count("in_flight", 1, 10_000, 16),
-        held: kilobytes("held_kb", 1 << 10),
-        each: kilobytes("each_kb", 64),
-        calm: span(ms(table, "calm_ms", 0.0, 100.0)),
-        live_open: count("live_open", 0, 1_000_000, 0),
-        trip: count("trip", 1, 10_000, 8) as u32,
-        rest: span(rest_ms),
-        rest_most: span(max_rest_ms),
-        seed: 0,
-        own: 0,
+        max_in_flight: count("in_flight", 1, 10_000, 16),
+        max_held_bytes: kilobytes("held_kb", 1 << 10),
+        max_pair_bytes: kilobytes("each_kb", 64),
+        quiet_time: span(ms(table, "calm_ms", 0.0, 100.0)),
+        max_live_open: count("live_open", 0, 1_000_000, 0),
+        breaker_threshold: count("trip", 1, 10_000, 8) as u32,
+        breaker_open_time: span(rest_ms),
+        max_breaker_open_time: span(max_rest_ms),
+        sample_seed: 0,
+        jitter_seed: 0,
     }
 }
 
--- a/crates/site-config/tests/site_config/keys.rs
+++ b/crates/site-config/tests/site_config/keys.rs
@@ -2,7 +2,7 @@
 //! is silently lost would leave a default in force.
 
 use sableloom_routes::{HeaderCondition, HostPattern, PathPattern};
-use sableloom_shadow::{Bounds, By};
+use sableloom_shadow::{CopyLimits, SampleBy};
 use sableloom_site_config::{Limits, Protocol, Site, Target};
 use sableloom_types::settings::LoadReportSource;
 use sableloom_types::{Idempotency, Span};
@@ -169,28 +169,28 @@
     assert_eq!((shadow.name.as_str(), shadow.live_pool), ("trial", 0));
     assert_eq!(shadow.candidate.name, "next");
     assert_eq!(shadow.control_group.as_ref().map(|pool| pool.name.as_str()), Some("same"));
-    let bounds = Bounds {
+    let limits = CopyLimits {
         classes: vec![true, false, false],
-        share: 0.2,
-        by: By::Request,
-        per_second: 51.0,
-        in_flight: 17,
-        held: 1025 << 10,
-        each: 65 << 10,
-        calm: Span(101_000),
-        live_open: 9,
-        trip: 10,
-        rest: Span(1_001_000),
-        rest_most: Span(60_001_000),
-        seed: 0,
-        own: 0,
+        sample_share: 0.2,
+        sample_by: SampleBy::Request,
+        max_per_second: 51.0,
+        max_in_flight: 17,
+        max_held_bytes: 1025 << 10,
+        max_pair_bytes: 65 << 10,
+        quiet_time: Span(101_000),
+        max_live_open: 9,
+        breaker_threshold: 10,
+        breaker_open_time: Span(1_001_000),
+        max_breaker_open_time: Span(60_001_000),
+        sample_seed: 0,
+        jitter_seed: 0,
     };
-    assert_eq!(shadow.bounds, bounds);
+    assert_eq!(shadow.limits, limits);
     assert_eq!((shadow.timeout_ms, shadow.settle_ms), (560.0, 1002.0));
     assert_eq!(shadow.dropped_headers, ["x-secret", "cookie"]);
     assert!(shadow.records_values);
     assert_eq!((shadow.record_file.as_str(), shadow.record_interval_ms), ("trial.json", 10_001.0));
-    assert_eq!(shadow.rules.fields, ["content-type", "etag"]);
+    assert_eq!(shadow.rules.headers, ["content-type", "etag"]);
     assert_eq!(
         shadow.rules.ignore,
         [
--- a/crates/site-config/tests/site_config/shadow.rs
+++ b/crates/site-config/tests/site_config/shadow.rs
@@ -1,6 +1,6 @@
 //! The sections `[[shadow]]`.
 
-use sableloom_shadow::{Bounds, By};
+use sableloom_shadow::{CopyLimits, SampleBy};
 use sableloom_site_config::Target;
 use sableloom_types::Span;
 
@@ -58,29 +58,29 @@
 fn a_shadow_without_settings_has_the_documented_defaults() {
     let site = good(SITE);
     let shadow = &site.shadows[0];
-    let bounds = Bounds {
+    let limits = CopyLimits {
         classes: vec![true, false],
-        share: 0.1,
-        by: By::Key,
-        per_second: 50.0,
-        in_flight: 16,
-        held: 1 << 20,
-        each: 64 << 10,
-        calm: Span(100_000),
-        live_open: 0,
-        trip: 8,
-        rest: Span(1_000_000),
-        rest_most: Span(60_000_000),
-        seed: 0,
-        own: 0,
+        sample_share: 0.1,
+        sample_by: SampleBy::Key,
+        max_per_second: 50.0,
+        max_in_flight: 16,
+        max_held_bytes: 1 << 20,
+        max_pair_bytes: 64 << 10,
+        quiet_time: Span(100_000),
+        max_live_open: 0,
+        breaker_threshold: 8,
+        breaker_open_time: Span(1_000_000),
+        max_breaker_open_time: Span(60_000_000),
+        sample_seed: 0,
+        jitter_seed: 0,
     };
-    assert_eq!(shadow.bounds, bounds);
+    assert_eq!(shadow.limits, limits);
     assert_eq!(
         (shadow.timeout_ms, shadow.settle_ms, shadow.records_values),
         (500.0, 1000.0, false)
     );
     assert_eq!(shadow.dropped_headers, ["authorization", "proxy-authorization", "cookie"]);
-    assert_eq!(shadow.rules.fields, ["content-type"]);
+    assert_eq!(shadow.rules.headers, ["content-type"]);
     assert_eq!(shadow.record_file, "shadow-trial.json");
 }
 
--- a/crates/traffic-mirror/src/live.rs
+++ b/crates/traffic-mirror/src/mirror.rs
@@ -1,4 +1,4 @@
-//! The live side: observes requests, and hands copies of answered ones to the side thread.
+//! Observes the requests of a live pool, and hands copies of answered ones to the second thread.
 
 use std::cell::RefCell;
 use std::hash::Hasher;
@@ -11,45 +11,58 @@
     Answer, Clock, Exchange, Fields, LocalFuture, Message, Reply, RequestContext, RequestRejection,
     Service,
 };
-use sableloom_shadow::{Copied, End, Gate};
+use sableloom_shadow::{CopyInFlight, Gate};
 use sableloom_types::{Idempotency, Span, Time};
 use tokio::sync::mpsc::{Sender, UnboundedReceiver, error::TrySendError};
 use tokio::task::spawn_local;
 
-use crate::{CapturedRequest, Ending, Job, Options, Shared};
+use crate::ending::MirrorEnding;
+use crate::job::{CapturedRequest, CopyJob, EndedCopy, Shared};
+use crate::options::MirrorOptions;
 
-/// Settings of the live side.
-pub(crate) struct Settings {
+/// Settings of a mirror.
+pub(crate) struct MirrorSettings {
     name: String,
     clock: Clock,
-    doubt: Span,
+    unknown_outcome_time: Span,
 }
 
-impl Settings {
-    pub(crate) fn of(options: &Options) -> Self {
-        Self { name: options.name.clone(), clock: options.clock, doubt: options.doubt }
+impl MirrorSettings {
+    pub(crate) fn of(options: &MirrorOptions) -> Self {
+        Self {
+            name: options.name.clone(),
+            clock: options.clock,
+            unknown_outcome_time: options.unknown_outcome_time,
+        }
     }
 }
 
-/// A shadow over a live pool.
+/// The live thread's ends of the channels to the second thread.
+pub(crate) struct Handover {
+    pub(crate) jobs: Sender<CopyJob>,
+    pub(crate) ended: UnboundedReceiver<EndedCopy>,
+    pub(crate) ending: MirrorEnding,
+}
+
+/// Copies the requests of a live pool.
 pub struct Mirror {
-    settings: Settings,
+    settings: MirrorSettings,
     gate: RefCell<Gate>,
     shared: Arc<Shared>,
-    jobs: RefCell<Option<Sender<Job>>>,
-    ended: RefCell<UnboundedReceiver<(Copied, End)>>,
-    ending: Ending,
+    /// None once it is stopped.
+    jobs: RefCell<Option<Sender<CopyJob>>>,
+    ended: RefCell<UnboundedReceiver<EndedCopy>>,
+    ending: MirrorEnding,
 }
 
 impl Mirror {
     pub(crate) fn new(
-        settings: Settings,
+        settings: MirrorSettings,
         gate: Gate,
         shared: Arc<Shared>,
-        jobs: Sender<Job>,
-        ended: UnboundedReceiver<(Copied, End)>,
-        ending: Ending,
+        handover: Handover,
     ) -> Self {
+        let Handover { jobs, ended, ending } = handover;
         Self {
             settings,
             gate: RefCell::new(gate),
@@ -60,46 +73,50 @@
         }
     }
 
-    /// Its name.
+    /// The name of its shadow.
     pub fn name(&self) -> &str {
         &self.settings.name
     }
 
     /// Stops copying. Copies in flight end within their time limit, the record is written once more, then the
     /// thread ends.
-    pub fn stop(&self) -> Ending {
+    pub fn stop(&self) -> MirrorEnding {
         self.jobs.borrow_mut().take();
         self.ending.clone()
     }
 
     /// Passes a request to the live pool, and observes it.
+    ///
+    /// # Errors
+    ///
+    /// If the live pool rejects the request.
     pub fn call(
         self: &Rc<Self>,
         pool: &Rc<Exchange>,
-        asked: RequestContext,
+        context: RequestContext,
         message: Message,
     ) -> Result<LocalFuture<Reply>, RequestRejection> {
         if self.jobs.borrow().is_none() {
-            return pool.clone().call(asked, message);
+            return pool.clone().call(context, message);
         }
         let now = self.settings.clock.now();
-        self.reap(now);
+        self.release_ended(now);
         if message.idempotency != Idempotency::Idempotent {
-            return self.change(pool, asked, message);
+            return self.call_change(pool, context, message);
         }
         let mut id = FxHasher::default();
         id.write(&message.id);
         let sampled = {
             let gate = self.gate.borrow();
-            gate.samples(asked.class, message.idempotency, asked.key, id.finish())
+            gate.samples(context.class, message.idempotency, context.key, id.finish())
         };
-        let captured = sampled.then(|| CapturedRequest::of(&asked, &message, now));
-        let work = pool.clone().call(asked, message)?;
+        let captured = sampled.then(|| CapturedRequest::of(&context, &message, now));
+        let work = pool.clone().call(context, message)?;
         let (mirror, pool) = (self.clone(), pool.clone());
         Ok(Box::pin(async move {
             let reply = work.await;
             match (&reply, captured) {
-                (Reply::Served(answer), Some(captured)) => mirror.served(&pool, captured, answer),
+                (Reply::Served(answer), Some(captured)) => mirror.copy(&pool, captured, answer),
                 (Reply::Served(_), None) => {}
                 (Reply::Rejected(_) | Reply::Failed, _) => mirror.note_pressure(),
             }
@@ -107,24 +124,24 @@
         }))
     }
 
-    /// An unsafe request: never copied, but its key is marked as changing.
-    fn change(
+    /// Passes on a request that is not idempotent. It is never copied, but its key is marked as changing.
+    fn call_change(
         self: &Rc<Self>,
         pool: &Rc<Exchange>,
-        asked: RequestContext,
+        context: RequestContext,
         message: Message,
     ) -> Result<LocalFuture<Reply>, RequestRejection> {
-        let mut change = Change::begin(self, asked.key);
-        let work = match pool.clone().call(asked, message) {
+        let mut change = Change::begin(self, context.key);
+        let work = match pool.clone().call(context, message) {
             Ok(work) => work,
-            Err(turned) => {
-                change.known = true;
-                return Err(turned);
+            Err(rejection) => {
+                change.outcome_known = true;
+                return Err(rejection);
             }
         };
         Ok(Box::pin(async move {
             let reply = work.await;
-            change.known = reply != Reply::Failed;
+            change.outcome_known = reply != Reply::Failed;
             if !matches!(reply, Reply::Served(_)) {
                 change.mirror.note_pressure();
             }
@@ -132,55 +149,61 @@
         }))
     }
 
-    /// A live request was refused, or failed.
+    /// A live request was rejected or failed.
     fn note_pressure(&self) {
-        self.gate.borrow_mut().pressed(self.settings.clock.now());
+        self.gate.borrow_mut().note_live_pressure(self.settings.clock.now());
     }
 
-    /// Releases what ended copies held.
-    fn reap(&self, now: Time) {
+    /// Reports ended copies to the gate, which releases what they held.
+    fn release_ended(&self, now: Time) {
         let mut ended = self.ended.borrow_mut();
-        while let Ok((copied, end)) = ended.try_recv() {
-            self.gate.borrow_mut().ended(now, copied, end);
+        while let Ok(EndedCopy { copy, end }) = ended.try_recv() {
+            self.gate.borrow_mut().copy_ended(now, copy, end);
         }
     }
 
     /// A sampled request was answered: copies it if the gate permits.
-    fn served(self: &Rc<Self>, pool: &Exchange, captured: CapturedRequest, answer: &Answer) {
+    fn copy(self: &Rc<Self>, pool: &Exchange, captured: CapturedRequest, answer: &Answer) {
         if self.jobs.borrow().is_none() {
             return;
         }
         let now = self.settings.clock.now();
-        self.reap(now);
-        let fields = |fields: &Fields| -> usize {
-            fields.iter().map(|(name, value)| name.len() + value.len()).sum()
+        self.release_ended(now);
+        let size = |headers: &Fields| -> usize {
+            headers.iter().map(|(name, value)| name.len() + value.len()).sum()
         };
         let bytes = captured.target.len()
-            + fields(&captured.fields)
+            + size(&captured.headers)
             + captured.body.len()
-            + fields(&answer.fields)
+            + size(&answer.fields)
             + answer.body.len();
-        let copied = self.gate.borrow_mut().served(now, bytes, || pool.open_requests());
-        if let Ok(copied) = copied {
+        let admitted = self.gate.borrow_mut().admit(now, bytes, || pool.open_requests());
+        if let Ok(copy) = admitted {
             let (mirror, answer) = (self.clone(), answer.clone());
-            let took = now.since(captured.taken);
+            let latency = now.since(captured.received);
             // In a task of its own, so that the answer is sent first.
-            spawn_local(async move { mirror.hand_over(captured, answer, took, copied) });
+            spawn_local(async move { mirror.hand_over(captured, answer, latency, copy) });
         }
     }
 
-    fn hand_over(&self, captured: CapturedRequest, answer: Answer, took: Span, copied: Copied) {
+    fn hand_over(
+        &self,
+        captured: CapturedRequest,
+        answer: Answer,
+        live_latency: Span,
+        copy: CopyInFlight,
+    ) {
         let body = Bytes::copy_from_slice(&answer.body);
         let answer = Answer { body, ..answer };
-        let job = Job { copied, request: captured.detached(), answer, took };
+        let job = CopyJob { copy, request: captured.detached(), answer, live_latency };
         let sent = match self.jobs.borrow().as_ref() {
             Some(jobs) => jobs.try_send(job),
             // It has been stopped meanwhile.
             None => Err(TrySendError::Closed(job)),
         };
-        // The channel has room for the maximum number in flight.
+        // The channel has space for the maximum number of copies in flight.
         if let Err(TrySendError::Closed(job) | TrySendError::Full(job)) = sent {
-            self.gate.borrow_mut().lost(job.copied);
+            self.gate.borrow_mut().worker_ended(job.copy);
             if self.jobs.borrow().is_some() {
                 let name = &self.settings.name;
                 eprintln!("sableloom: shadow {name}: its thread has ended; nothing more is copied");
@@ -194,13 +217,13 @@
     mirror: Rc<Mirror>,
     key: Option<u64>,
     /// Whether its outcome is known, so that it can no longer take effect.
-    known: bool,
+    outcome_known: bool,
 }
 
 impl Change {
     fn begin(mirror: &Rc<Mirror>, key: Option<u64>) -> Self {
         mirror.shared.changes.begin(key);
-        Self { mirror: mirror.clone(), key, known: false }
+        Self { mirror: mirror.clone(), key, outcome_known: false }
     }
 }
 
@@ -208,7 +231,8 @@
     fn drop(&mut self) {
         let settings = &self.mirror.settings;
         let now = settings.clock.now();
-        let by = if self.known { now } else { now.plus(settings.doubt) };
-        self.mirror.shared.changes.end(self.key, by);
+        let complete_by =
+            if self.outcome_known { now } else { now.plus(settings.unknown_outcome_time) };
+        self.mirror.shared.changes.end(self.key, complete_by);
     }
 }
