--- a/crates/shadow/tests/gate.rs
+++ b/crates/shadow/tests/gate.rs
@@ -175,6 +175,112 @@
     assert!(admit(&mut gate, 10_100, 1).is_ok());
 }
 
+/// A copy in flight, and what the model knows of it.
+struct ModelCopy {
+    bytes: usize,
+    /// How often the breaker had opened when it was sent.
+    openings: u64,
+    probe: bool,
+    copy: CopyInFlight,
+}
+
+/// A gate and a naive model of it, which is driven by the same events.
+struct Model {
+    limits: CopyLimits,
+    gate: Gate,
+    t: i64,
+    quiet_until: i64,
+    in_flight: VecDeque<ModelCopy>,
+    /// When each copy was sent.
+    copies: Vec<i64>,
+    consecutive_failures: u32,
+    openings: u64,
+    /// When the breaker opened, while the next copy is a probe.
+    opened_at: Option<i64>,
+    probing: bool,
+}
+
+impl Model {
+    fn new(limits: CopyLimits) -> Self {
+        Self {
+            gate: Gate::new(limits.clone(), at(0)),
+            limits,
+            t: 0,
+            quiet_until: 0,
+            in_flight: VecDeque::new(),
+            copies: Vec::new(),
+            consecutive_failures: 0,
+            openings: 0,
+            opened_at: None,
+            probing: false,
+        }
+    }
+
+    fn live_pressure(&mut self) {
+        self.gate.note_live_pressure(at(self.t));
+        self.quiet_until = self.t + self.limits.quiet_time.0 / 1000;
+    }
+
+    fn end(&mut self, index: usize, end: CopyEnd, step: &str) {
+        let ended = self.in_flight.remove(index).expect("a copy in flight");
+        self.gate.copy_ended(at(self.t), ended.copy, end);
+        if ended.openings == self.openings {
+            self.probing &= !ended.probe;
+            self.consecutive_failures = match end {
+                CopyEnd::Served => 0,
+                CopyEnd::Failed => self.consecutive_failures + 1,
+                CopyEnd::NotSent => self.consecutive_failures,
+            };
+            let too_many = self.consecutive_failures >= self.limits.breaker_threshold;
+            if end == CopyEnd::Failed && (ended.probe || too_many) {
+                self.openings += 1;
+                self.consecutive_failures = 0;
+                self.opened_at = Some(self.t);
+            } else if end == CopyEnd::NotSent && ended.probe {
+                self.opened_at = Some(i64::MIN / 2);
+            }
+        }
+        let openings = self.gate.counts().breaker_openings.load(Ordering::Relaxed);
+        assert_eq!(openings, self.openings, "{step}");
+    }
+
+    fn admit(&mut self, bytes: usize, step: &str) {
+        let Ok(copy) = admit(&mut self.gate, self.t, bytes) else { return };
+        assert!(self.t >= self.quiet_until, "{step}: copied in the quiet time");
+        assert!(bytes <= self.limits.max_pair_bytes, "{step}: too large");
+        assert!(!self.probing, "{step}: another probe is in flight");
+        let opened_at = self.opened_at.take();
+        let min = self.limits.breaker_open_time.0 * 3 / 4000;
+        assert!(opened_at.is_none_or(|from| self.t - from >= min), "{step}: the breaker is open");
+        self.probing = opened_at.is_some();
+        self.copies.push(self.t);
+        let (openings, probe) = (self.openings, self.probing);
+        self.in_flight.push_back(ModelCopy { bytes, openings, probe, copy });
+    }
+
+    fn check_in_flight(&self, step: &str) {
+        let held: usize = self.in_flight.iter().map(|copy| copy.bytes).sum();
+        assert!(self.in_flight.len() <= self.limits.max_in_flight, "{step}");
+        assert!(held <= self.limits.max_held_bytes, "{step}");
+        assert_eq!(self.gate.in_flight(), self.in_flight.len(), "{step}");
+    }
+
+    /// The rate holds in any window of time.
+    fn check_rate(&self, seed: u64) {
+        let copied = self.gate.counts().copied.load(Ordering::Relaxed);
+        assert_eq!(copied, self.copies.len() as u64, "seed {seed}");
+        let rate = self.limits.max_per_second;
+        let burst = (rate / 10.0).max(1.0);
+        for (i, from) in self.copies.iter().enumerate() {
+            for (n, to) in self.copies[i..].iter().enumerate() {
+                let max = burst + rate * (to - from) as f64 / 1e3;
+                let window = to - from;
+                assert!(n as f64 + 1.0 <= max + 1e-6, "seed {seed}: {n} copies in {window} ms");
+            }
+        }
+    }
+}
+
 /// Thousands of histories of requests, ends and faults. What must hold in each is checked from outside: the number and
 /// bytes in flight, copies in any window of time, the quiet time, and that only one probe is in flight.
 #[test]
@@ -182,7 +288,7 @@
     for seed in 0..3000u64 {
         let mut rng = Rand64::new(u128::from(seed));
         let mut upto = |most: u64| rng.rand_range(0..most) as i64;
-        let limits = CopyLimits {
+        let mut model = Model::new(CopyLimits {
             max_per_second: [1.0, 20.0, 300.0][upto(3) as usize],
             max_in_flight: 1 + upto(6) as usize,
             max_held_bytes: 200 + upto(2000) as usize,
@@ -193,85 +299,23 @@
             max_breaker_open_time: ms(200 + upto(2000)),
             jitter_seed: seed,
             ..limits()
-        };
-        let mut gate = Gate::new(limits.clone(), at(0));
-        let (mut t, mut quiet_until) = (0, 0);
-        // A copy, and what the model knows of it: its bytes, how often the breaker had opened when it was sent, and
-        // whether it was a probe.
-        let mut out: VecDeque<(usize, u64, bool, CopyInFlight)> = VecDeque::new();
-        let mut copies: Vec<i64> = Vec::new();
-        let (mut failures, mut openings) = (0, 0);
-        let (mut opened_at, mut probing): (Option<i64>, bool) = (None, false);
-        let counts = gate.counts();
+        });
         for step in 0..300 {
-            let place = format!("seed {seed}, step {step}");
-            t += upto(30);
+            let step = format!("seed {seed}, step {step}");
+            model.t += upto(30);
             match upto(8) {
-                0 => {
-                    gate.note_live_pressure(at(t));
-                    quiet_until = t + limits.quiet_time.0 / 1000;
-                }
-                1..4 if !out.is_empty() => {
-                    let n = upto(out.len() as u64) as usize;
-                    let (_, openings_before, probe, copied) = out.remove(n).expect("one");
+                0 => model.live_pressure(),
+                1..4 if !model.in_flight.is_empty() => {
+                    let index = upto(model.in_flight.len() as u64) as usize;
                     let ends =
                         [CopyEnd::Served, CopyEnd::Failed, CopyEnd::Failed, CopyEnd::NotSent];
-                    let end = ends[upto(4) as usize];
-                    gate.copy_ended(at(t), copied, end);
-                    if openings_before == openings {
-                        probing &= !probe;
-                        failures = match end {
-                            CopyEnd::Served => 0,
-                            CopyEnd::Failed => failures + 1,
-                            CopyEnd::NotSent => failures,
-                        };
-                        if end == CopyEnd::Failed && (probe || failures >= limits.breaker_threshold)
-                        {
-                            (openings, failures, opened_at) = (openings + 1, 0, Some(t));
-                        } else if end == CopyEnd::NotSent && probe {
-                            opened_at = Some(i64::MIN / 2);
-                        }
-                    }
-                    assert_eq!(
-                        counts.breaker_openings.load(Ordering::Relaxed),
-                        openings,
-                        "{place}"
-                    );
+                    model.end(index, ends[upto(4) as usize], &step);
                 }
-                _ => {
-                    let bytes = upto(600) as usize;
-                    if let Ok(copied) = admit(&mut gate, t, bytes) {
-                        assert!(t >= quiet_until, "{place}: copied in the quiet time");
-                        assert!(bytes <= limits.max_pair_bytes, "{place}: too large");
-                        assert!(!probing, "{place}: another probe is in flight");
-                        let probe = opened_at.take();
-                        let least = limits.breaker_open_time.0 * 3 / 4000;
-                        assert!(
-                            probe.is_none_or(|from| t - from >= least),
-                            "{place}: the breaker is open"
-                        );
-                        probing = probe.is_some();
-                        copies.push(t);
-                        out.push_back((bytes, openings, probing, copied));
-                    }
-                }
-            }
-            let held: usize = out.iter().map(|(bytes, ..)| bytes).sum();
-            assert!(out.len() <= limits.max_in_flight && held <= limits.max_held_bytes, "{place}");
-            assert_eq!(gate.in_flight(), out.len(), "{place}");
-        }
-        assert_eq!(counts.copied.load(Ordering::Relaxed), copies.len() as u64, "seed {seed}");
-        let burst = (limits.max_per_second / 10.0).max(1.0);
-        for (i, from) in copies.iter().enumerate() {
-            for (n, to) in copies[i..].iter().enumerate() {
-                let most = burst + limits.max_per_second * (to - from) as f64 / 1e3;
-                assert!(
-                    n as f64 + 1.0 <= most + 1e-6,
-                    "seed {seed}: {n} copies in {} ms",
-                    to - from
-                );
+                _ => model.admit(upto(600) as usize, &step),
             }
+            model.check_in_flight(&step);
         }
+        model.check_rate(seed);
     }
 }
 
