--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sableloom_capacity_share::{Part, Times};
+use sableloom_capacity_share::{Share, Timing};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told};
-use sableloom_membership::{Listed, MemberList, Times as Talk};
+use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -20,7 +20,7 @@
 struct Nobody;
 
 impl Told for Nobody {
-    fn part(&self, _: Part) {}
+    fn share(&self, _: Share) {}
     fn line(&self, _: &str) {}
 }
 
@@ -33,8 +33,8 @@
         setup: Setup {
             fleet: "fleet".to_string(),
             own: "own".to_string(),
-            talk: Talk::default(),
-            part: Times::default(),
+            talk: MembershipTiming::default(),
+            share: Timing::default(),
         },
         address,
         operator: None,
@@ -50,7 +50,7 @@
 fn questions_that_find_no_place_are_dropped() {
     // They hold their addresses and never say anything.
     let silent: Vec<UdpSocket> = (0..SILENT).map(|_| loopback()).collect();
-    let others = silent.iter().enumerate().map(|(number, socket)| Listed {
+    let others = silent.iter().enumerate().map(|(number, socket)| ListedMember {
         name: format!("silent-{number}"),
         address: socket.local_addr().expect("an address"),
     });
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -8,10 +8,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use comfy_table::{Table, presets};
-use sableloom_capacity_share::Times;
+use sableloom_capacity_share::Timing;
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Status, Told, status_of};
-use sableloom_membership::{Listed, MemberList, Times as Talk};
+use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use sableloom_site_config::Fleet;
 use sableloom_types::settings::span;
 
@@ -20,6 +20,9 @@
 /// Lives are tenths of seconds since this one of Unix time, the first of 2025: they fit 32 bits for 13 years.
 const LIVES_FROM: i64 = 1_735_689_600;
 
+/// Queries about an absent member within one lease: a proof of absence is renewed although three of them are lost.
+const QUERIES_PER_LEASE: f64 = 4.0;
+
 /// What to show.
 #[derive(clap::Subcommand)]
 pub enum Command {
@@ -58,9 +61,9 @@
 }
 
 /// The others on the list.
-pub fn others(fleet: &Fleet) -> Vec<Listed> {
+pub fn others(fleet: &Fleet) -> Vec<ListedMember> {
     let others = fleet.members.iter().filter(|m| m.name != fleet.own_name);
-    others.map(|m| Listed { name: m.name.clone(), address: m.address }).collect()
+    others.map(|m| ListedMember { name: m.name.clone(), address: m.address }).collect()
 }
 
 /// Takes this balancer's place among the others.
@@ -73,17 +76,20 @@
     // Of the time as well: its nonce must not be that of an earlier process with the same number.
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(40);
-    let claim = span(fleet.lease_ms);
-    let questions = Times::default();
+    let lease = span(fleet.lease_ms);
     let setup = Setup {
         fleet: fleet.name.clone(),
         own: fleet.own_name.clone(),
-        talk: Talk {
-            period: span(fleet.probe_interval_ms),
-            answer: span(fleet.probe_timeout_ms),
-            ..Talk::default()
+        talk: MembershipTiming {
+            probe_interval: span(fleet.probe_interval_ms),
+            probe_timeout: span(fleet.probe_timeout_ms),
+            ..MembershipTiming::default()
+        },
+        share: Timing {
+            lease,
+            query_interval: span(fleet.lease_ms / QUERIES_PER_LEASE),
+            ..Timing::default()
         },
-        part: Times { claim, again: span(fleet.lease_ms / 4.0), ..questions },
     };
     let options = Options {
         setup,
--- a/crates/scale-test/src/members.rs
+++ b/crates/scale-test/src/members.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sableloom_capacity_share::{Part, Times as ShareTimes, Why};
+use sableloom_capacity_share::{Share, ShareReason, Timing};
 use sableloom_exchange::Clock;
 use sableloom_fleet::{Options, Running, Setup, Told, Traffic};
-use sableloom_membership::{Listed, MemberList, Times as ProbeTimes};
+use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use serde::{Deserialize, Serialize};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -141,8 +141,8 @@
 }
 
 impl Told for Observer {
-    fn part(&self, part: Part) {
-        if part.balancers > 0 && self.to_share.get().is_none() {
+    fn share(&self, share: Share) {
+        if share.balancers > 0 && self.to_share.get().is_none() {
             self.to_share.set(Some(self.started.elapsed()));
         }
     }
@@ -167,8 +167,10 @@
     pub fn start(self: &Rc<Self>, set: MemberSet) {
         let own = self.clone();
         spawn_local(async move {
-            let listed = (0..set.listed)
-                .map(|number| Listed { name: name(number), address: address(number, set.port) });
+            let listed = (0..set.listed).map(|number| ListedMember {
+                name: name(number),
+                address: address(number, set.port),
+            });
             let list = MemberList::new(listed);
             let clock = Clock::new();
             let begun = Instant::now();
@@ -192,8 +194,8 @@
             setup: Setup {
                 fleet: FLEET.to_string(),
                 own: name(number),
-                talk: ProbeTimes::default(),
-                part: ShareTimes::default(),
+                talk: MembershipTiming::default(),
+                share: Timing::default(),
             },
             address: address(number, set.port),
             operator: None,
@@ -235,7 +237,7 @@
             report.add_traffic(traffic);
             let load = load.borrow_mut().rate(now, MemberLoad::of(&traffic));
             report.most_loaded = report.most_loaded.worse(load);
-            report.add_share(running.part());
+            report.add_share(running.share());
             let took = observer.to_share.get().unwrap_or_default().as_millis() as u64;
             report.longest_to_share_ms = report.longest_to_share_ms.max(took);
             let digest = running.view_digest();
@@ -260,13 +262,13 @@
         self.probes_of_absence += traffic.probes_of_absence;
     }
 
-    fn add_share(&mut self, part: Part) {
-        if part.balancers == 0 {
+    fn add_share(&mut self, share: Share) {
+        if share.balancers == 0 {
             return;
         }
-        self.sharing += usize::from(part.why == Why::Shares);
-        let (least, most) = self.share_of.unwrap_or((part.balancers, part.balancers));
-        self.share_of = Some((least.min(part.balancers), most.max(part.balancers)));
+        self.sharing += usize::from(share.reason == ShareReason::Sharing);
+        let (least, most) = self.share_of.unwrap_or((share.balancers, share.balancers));
+        self.share_of = Some((least.min(share.balancers), most.max(share.balancers)));
     }
 
     /// Adds another worker's.
@@ -305,8 +307,8 @@
     /// each other; in a longer one proofs of absence hold for few of the missing at one time.
     pub fn all_know(&self, members: usize) -> bool {
         let all = members as u32;
-        let shares_are_exact =
-            members > ProbeTimes::default().all_called || self.share_of == Some((all, all));
+        let shares_are_exact = members > MembershipTiming::default().max_short_list
+            || self.share_of == Some((all, all));
         self.started == members
             && self.agreeing() == members
             && self.sharing == members
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use sableloom_capacity_share::{Part, Standing, Times as ShareTimes, Why};
+use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_fleet::{Core, Out, Setup};
 use sableloom_membership::{
-    Change, Health, Key, Listed, MemberList, Refused, Standing as Place, Times as MemberTimes,
-    key_of,
+    Change, DropReason, Health, Key, ListedMember, MemberList, Reachability,
+    Timing as MembershipTiming, key_of,
 };
 use sableloom_types::{Span, Time};
 
@@ -52,18 +52,21 @@
     }
 }
 
-fn record_part(trace: &mut Trace, part: Part, now: Time) {
-    let (why, detail) = match part.why {
-        Why::Waits(waits) => (0, waits as i64),
-        Why::Shares => (1, 0),
-        Why::Woken => (2, 0),
-        Why::Twin => (3, 0),
+fn record_share(trace: &mut Trace, share: Share, now: Time) {
+    let (reason, detail) = match share.reason {
+        ShareReason::Waiting(members) => (0, members as i64),
+        ShareReason::Sharing => (1, 0),
+        ShareReason::Resumed => (2, 0),
+        ShareReason::DuplicateIdentity => (3, 0),
     };
-    let until = part.until.map_or(-1, |until| until.0);
-    integers(trace, &[i64::from(part.balancers), until, i64::from(part.after), why, detail]);
-    trace.float(part.share(now));
-    if let Some(until) = part.until {
-        trace.float(part.share(until));
+    let until = share.until.map_or(-1, |until| until.0);
+    integers(
+        trace,
+        &[i64::from(share.balancers), until, i64::from(share.balancers_after), reason, detail],
+    );
+    trace.float(share.fraction(now));
+    if let Some(until) = share.until {
+        trace.float(share.fraction(until));
     }
 }
 
@@ -74,49 +77,49 @@
         29 => LONG_SHARE_LIST,
         _ => rng.rand_range(0..40) as u32,
     };
-    let times = ShareTimes {
-        claim: Span(SECOND + rng.rand_range(0..3) as i64 * SECOND),
-        questions: [10, 1024][seed as usize % 2],
-        ..ShareTimes::default()
+    let timing = Timing {
+        lease: Span(SECOND + rng.rand_range(0..3) as i64 * SECOND),
+        max_queries: [10, 1024][seed as usize % 2],
+        ..Timing::default()
     };
-    trace.integer(times.wait().0);
+    trace.integer(timing.start_wait().0);
     let mut now = Time(SECOND);
-    let mut standing = Standing::new(now, 1..=others, times);
-    standing.first_asked(rng.rand_range(0..40) as u32);
+    let mut share = CapacityShare::new(now, 1..=others, timing);
+    share.start_queries_at(rng.rand_range(0..40) as u32);
     for _ in 0..if others == LONG_SHARE_LIST { 400 } else { 300 } {
         now = now.plus(Span(rng.rand_range(0..300_000) as i64));
         let key = 1 + rng.rand_range(0..u64::from(others) + 3) as u32;
         match rng.rand_range(0..20) {
-            0 => standing.woke(true),
-            1 => standing.woke(false),
+            0 => share.set_resumed(true),
+            1 => share.set_resumed(false),
             2 if rng.rand_range(0..4) == 0 => {
                 let first = rng.rand_range(0..10) as u32;
-                standing.list(first..first + others);
+                share.update_members(first..first + others);
             }
-            3 if rng.rand_range(0..40) == 0 => standing.twin(),
+            3 if rng.rand_range(0..40) == 0 => share.set_duplicate_identity(),
             4..=6 => {
-                let called = standing.call(now);
-                trace.integer(called.len() as i64);
-                called.iter().for_each(|key| trace.integer(i64::from(*key)));
+                let probed = share.due_probes(now);
+                trace.integer(probed.len() as i64);
+                probed.iter().for_each(|key| trace.integer(i64::from(*key)));
             }
-            7 | 8 => standing.sign(now, key),
-            9..=12 => standing.spoke(now, key, rng.rand_range(0..48) as u16),
+            7 | 8 => share.heard(now, key),
+            9..=12 => share.acknowledged(now, key, rng.rand_range(0..48) as u16),
             13..=15 => {
                 let most = [3, usize::MAX][rng.rand_range(0..2) as usize];
                 let wanted: Vec<Key> =
-                    standing.in_turn().filter(|key| !key.is_multiple_of(3)).collect();
-                let asked = standing.ask(now, most, wanted);
+                    share.query_order().filter(|key| !key.is_multiple_of(3)).collect();
+                let asked = share.query_absence(now, most, wanted);
                 asked.to.iter().for_each(|key| trace.integer(i64::from(*key)));
-                integers(trace, &[asked.again_at.0, i64::from(standing.next_asked())]);
+                integers(trace, &[asked.retry_at.0, i64::from(share.next_queried())]);
             }
             _ => {
                 let asked = Time(now.0 - rng.rand_range(0..2_500_000) as i64);
-                trace.integer(i64::from(standing.refused(key, asked)));
+                trace.integer(i64::from(share.proved_absent(key, asked)));
             }
         }
-        record_part(trace, standing.part(now), now);
-        let absent = standing.absent(now) as i64;
-        integers(trace, &[standing.next(now).0, i64::from(standing.listed()), absent]);
+        record_share(trace, share.share(now), now);
+        let absent = share.absent_members(now) as i64;
+        integers(trace, &[share.next_wakeup(now).0, i64::from(share.longest_list()), absent]);
     }
 }
 
@@ -156,8 +159,8 @@
     queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
     next_event: u64,
     list: Arc<MemberList>,
-    member_times: MemberTimes,
-    share_times: ShareTimes,
+    member_timing: MembershipTiming,
+    share_timing: Timing,
     /// Datagrams that are lost, in a thousand.
     loss: u64,
     /// Directions in which nothing passes.
@@ -181,7 +184,9 @@
 }
 
 fn list(members: impl Iterator<Item = usize>) -> Arc<MemberList> {
-    MemberList::new(members.map(|member| Listed { name: name(member), address: address(member) }))
+    MemberList::new(
+        members.map(|member| ListedMember { name: name(member), address: address(member) }),
+    )
 }
 
 impl Network {
@@ -194,11 +199,11 @@
             clock_ahead: (member % 5) as i64 * 37 * MILLISECOND,
             tick_at: -1,
         };
-        let member_times = MemberTimes {
-            period: Span([100, 200, 400][seed as usize % 3] * MILLISECOND),
-            answer: Span([40, 80, 160][seed as usize % 3] * MILLISECOND),
+        let member_timing = MembershipTiming {
+            probe_interval: Span([100, 200, 400][seed as usize % 3] * MILLISECOND),
+            probe_timeout: Span([40, 80, 160][seed as usize % 3] * MILLISECOND),
             has_local_health: !seed.is_multiple_of(9),
-            ..MemberTimes::default()
+            ..MembershipTiming::default()
         };
         let mut network = Self {
             loss: rng.rand_range(0..200),
@@ -209,8 +214,8 @@
             queue: BinaryHeap::new(),
             next_event: 0,
             list: list(0..members),
-            member_times,
-            share_times: ShareTimes::default(),
+            member_timing,
+            share_timing: Timing::default(),
             cuts: Vec::new(),
             replay: None,
         };
@@ -309,8 +314,8 @@
         let setup = Setup {
             fleet: "points".to_string(),
             own: name(member),
-            talk: self.member_times,
-            part: self.share_times,
+            talk: self.member_timing,
+            share: self.share_timing,
         };
         let seed = self.rng.rand_u64();
         // Some processes start with the number of an earlier one, as after a clock was set back.
@@ -406,9 +411,12 @@
         for change in &out.changes {
             record_change(trace, *change);
         }
-        record_part(trace, core.part(), now);
+        record_share(trace, core.share(), now);
         let members = core.members();
-        integers(trace, &[core.next().0, members.number() as i64, i64::from(members.digest())]);
+        integers(
+            trace,
+            &[core.next().0, members.view_version() as i64, i64::from(members.digest())],
+        );
         let tick_at = (core.next().0 - clock_ahead).max(self.now + 1);
         if host.tick_at < 0 || tick_at < host.tick_at {
             host.tick_at = tick_at;
@@ -448,33 +456,35 @@
             integers(
                 trace,
                 &[
-                    i64::from(members.life()),
-                    i64::from(members.doubt()),
-                    members.updates() as i64,
-                    members.count_there() as i64,
+                    i64::from(members.process_incarnation()),
+                    i64::from(members.local_health()),
+                    members.queued_updates() as i64,
+                    members.count_reachable() as i64,
                     members.count_left() as i64,
-                    members.count_unsure() as i64,
-                    i64::from(members.servers()),
+                    members.count_unconfirmed() as i64,
+                    i64::from(members.endpoints_digest()),
                 ],
             );
             for why in [
-                Refused::TooLong,
-                Refused::Version,
-                Refused::Malformed,
-                Refused::Fleet,
-                Refused::Address,
-                Refused::Name,
-                Refused::Echo,
-                Refused::Knock,
+                DropReason::TooLong,
+                DropReason::OtherVersion,
+                DropReason::Malformed,
+                DropReason::OtherFleet,
+                DropReason::UnknownAddress,
+                DropReason::WrongSender,
+                DropReason::StaleNonce,
+                DropReason::AbsenceQuery,
             ] {
                 trace.integer(members.dropped(why) as i64);
             }
-            record_place(trace, members.standing());
+            record_reachability(trace, members.reachability());
             for peer in members.view().peers {
                 let (state, confirmers, ends) = match &peer.health {
                     Health::Unknown => (0, 0, 0),
                     Health::Alive => (1, 0, 0),
-                    Health::Suspect(doubt) => (2, doubt.accusers.len(), doubt.until.0),
+                    Health::Suspect(suspicion) => {
+                        (2, suspicion.confirmers.len(), suspicion.deadline.0)
+                    }
                     Health::Dead => (3, 0, 0),
                     Health::Left => (4, 0, 0),
                 };
@@ -482,16 +492,16 @@
                     trace,
                     &[
                         i64::from(peer.key),
-                        i64::from(peer.life),
+                        i64::from(peer.process_incarnation),
                         i64::from(peer.incarnation),
                         state,
                         confirmers as i64,
                         ends,
                         peer.since.0,
-                        i64::from(peer.by),
-                        peer.heard.map_or(-1, |heard| heard.0),
-                        i64::from(peer.listed),
-                        i64::from(peer.servers),
+                        i64::from(peer.reported_by),
+                        peer.last_heard.map_or(-1, |heard| heard.0),
+                        i64::from(peer.list_length),
+                        i64::from(peer.endpoints_digest),
                     ],
                 );
             }
@@ -499,26 +509,28 @@
     }
 }
 
-fn record_place(trace: &mut Trace, place: Place) {
-    let values = match place {
-        Place::Whole => [0, 0, 0],
-        Place::Part { hears, of } => [1, hears as i64, of as i64],
-        Place::Alone => [2, 0, 0],
-        Place::JustWoken => [3, 0, 0],
+fn record_reachability(trace: &mut Trace, reachability: Reachability) {
+    let values = match reachability {
+        Reachability::Complete => [0, 0, 0],
+        Reachability::Partial { reachable, listed } => [1, reachable as i64, listed as i64],
+        Reachability::Isolated => [2, 0, 0],
+        Reachability::Resumed => [3, 0, 0],
     };
     integers(trace, &values);
 }
 
 fn record_change(trace: &mut Trace, change: Change) {
     let values = match change {
-        Change::Joined(key, life) => [1, i64::from(key), i64::from(life)],
-        Change::Doubted(key, by) => [2, i64::from(key), i64::from(by)],
-        Change::Cleared(key) => [3, i64::from(key), 0],
-        Change::Died(key, by) => [4, i64::from(key), i64::from(by)],
+        Change::Joined { member, process_incarnation } => {
+            [1, i64::from(member), i64::from(process_incarnation)]
+        }
+        Change::Suspected { member, reported_by } => [2, i64::from(member), i64::from(reported_by)],
+        Change::Refuted(key) => [3, i64::from(key), 0],
+        Change::Died { member, reported_by } => [4, i64::from(member), i64::from(reported_by)],
         Change::Left(key) => [5, i64::from(key), 0],
-        Change::Standing(place) => {
+        Change::Reachability(reachability) => {
             trace.integer(6);
-            return record_place(trace, place);
+            return record_reachability(trace, reachability);
         }
         Change::DuplicateIdentity => [7, 0, 0],
     };
--- a/crates/traffic-mirror/src/worker/copy_pool.rs
+++ b/crates/traffic-mirror/src/worker/copy_pool.rs
@@ -8,7 +8,7 @@
     AttemptContext, AttemptOutcome, EndpointSource, Exchange, ExchangeOptions, LocalFuture,
     Transport,
 };
-use sableloom_http1::{Budget, Upstreams};
+use sableloom_http1::{ConnectionBudget, Http1Transport};
 use sableloom_server_files::ServerFiles;
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::{LoadReport, ServerId};
@@ -18,7 +18,7 @@
 /// A pool that gets copies.
 pub(super) struct CopyPool {
     pub(super) exchange: Rc<Exchange>,
-    transport: Rc<Upstreams>,
+    transport: Rc<Http1Transport>,
     files: Rc<ServerFiles>,
 }
 
@@ -32,7 +32,8 @@
         settings.policy_limits.max_attempts = 1;
         let settings = Rc::new(settings);
         let files = ServerFiles::open(pool.files.clone(), options.clock).await?;
-        let transport = Upstreams::new(Budget::new(options.limits.max_in_flight), &settings);
+        let transport =
+            Http1Transport::new(ConnectionBudget::new(options.limits.max_in_flight), &settings);
         let source: Rc<dyn EndpointSource> = files.clone();
         let exchange = Exchange::start(ExchangeOptions {
             settings,
@@ -70,7 +71,7 @@
 }
 
 /// A transport that records the start of attempts in the [`AttemptMade`] that is attached to a message.
-struct ObservedTransport(Rc<Upstreams>);
+struct ObservedTransport(Rc<Http1Transport>);
 
 impl Transport for ObservedTransport {
     fn attempt(self: Rc<Self>, context: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
