--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -22,7 +22,7 @@
 use sableloom_exchange::Clock;
 use sableloom_fleet::Running as Fleet;
 use sableloom_http1::{ConnectionBudget, Dialect, Frontend};
-use sableloom_traffic_mirror::Ending;
+use sableloom_traffic_mirror::MirrorEnding;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -130,7 +130,7 @@
         fleet.leave();
     }
     let end = Instant::now() + MIRROR_END_TIMEOUT;
-    while !mirrors.iter().all(Ending::is_over) && Instant::now() < end {
+    while !mirrors.iter().all(MirrorEnding::has_ended) && Instant::now() < end {
         sleep(MIRROR_END_POLL).await;
     }
 }
