--- a/crates/sableloom/src/serve/startup.rs
+++ b/crates/sableloom/src/serve/startup.rs
@@ -99,7 +99,7 @@
     let pools = started.collect::<Result<Vec<_>, PoolError>>()?;
     for shadow in &site.shadows {
         let ready = prepare_mirror(context, site, shadow).await.map_err(ServeError::Problems)?;
-        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.start(Vec::new())));
     }
     Ok(pools)
 }
