--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -17,10 +17,10 @@
 const ROUTES: usize = 84;
 /// Services of one file of the base: about a megabyte.
 const SERVICES_PER_FILE: usize = 50;
-/// Changes whose time is taken one by one.
+/// Changes that are measured one by one.
 const SINGLE_CHANGES: u64 = 200;
-/// Changes whose processor time is taken together.
-const TOGETHER: u64 = 1_000;
+/// Changes whose processor time is measured together.
+const BATCHED_CHANGES: u64 = 1_000;
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
@@ -61,7 +61,7 @@
     }
     times.sort_by(f64::total_cmp);
     let before = machine.processor_time();
-    for _ in 0..TOGETHER {
+    for _ in 0..BATCHED_CHANGES {
         number += 1;
         write_change(&log, number, services);
     }
@@ -73,7 +73,7 @@
         start.as_secs_f64(),
         times[times.len() / 2],
         times[times.len() * 99 / 100],
-        spent.as_secs_f64() * 1e6 / TOGETHER as f64
+        spent.as_secs_f64() * 1e6 / BATCHED_CHANGES as f64
     );
     machine.end();
     fs::remove_dir_all(&folder).expect("it goes");
@@ -119,7 +119,7 @@
     );
 }
 
-/// One server's weight.
+/// Writes a change of the weight of one server.
 fn write_change(log: &Path, number: u64, services: usize) {
     let mut text = format!("number = {number}\nepoch = 1\n");
     let service = number as usize * 7919 % services;
--- a/crates/sableloom/tests/control/machine.rs
+++ b/crates/sableloom/tests/control/machine.rs
@@ -3,21 +3,21 @@
 use std::net::SocketAddr;
 use std::process::{Command, Output, Stdio};
 
-use sableloom_testkit::{Site, program};
+use sableloom_testkit::{Process, ReservedAddress, Site, program};
 use serde_json::Value;
 
-use sableloom_testkit::Process;
-
 /// A control machine's folder: its settings and its changes, gone once it is dropped.
 pub(crate) struct Folder {
     site: Site,
+    /// Where its control machine listens.
+    address: ReservedAddress,
 }
 
 impl Folder {
     pub(crate) fn new() -> Self {
         let site = Site::new("");
         std::fs::create_dir(site.path("changes")).expect("a folder");
-        Self { site }
+        Self { site, address: ReservedAddress::new() }
     }
 
     /// Puts a whole change into the log, as an operator is asked to: renamed into its place.
@@ -46,7 +46,7 @@
 
     /// Starts a control machine on this folder.
     pub(crate) fn start(&self, limits: &str) -> Machine {
-        self.start_at("127.0.0.1:0".parse().expect("an address"), limits)
+        self.start_at(self.address.get(), limits)
     }
 
     pub(crate) fn start_at(&self, listen: SocketAddr, limits: &str) -> Machine {
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -14,9 +14,8 @@
     ServiceName, Subscriber, SubscriberEvent, SubscriberName, SubscriberOptions, SubscriberOutput,
     SubscriberTiming, Transaction, encode,
 };
-use sableloom_types::{Span, Time};
-
 use sableloom_testkit::Process;
+use sableloom_types::{Span, Time};
 
 const MACHINES: &str = "SABLELOOM_TEST_SUBSCRIBER_MACHINES";
 const SERVICES: &str = "SABLELOOM_TEST_SUBSCRIBER_SERVICES";
--- a/crates/sableloom/tests/subscription/main.rs
+++ b/crates/sableloom/tests/subscription/main.rs
@@ -3,6 +3,7 @@
 
 mod invalid_messages;
 mod service_moves;
+mod status;
 mod tenants;
 mod transactions;
 mod without_control;
--- a/crates/testkit/src/control.rs
+++ b/crates/testkit/src/control.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use crate::{Balancer, Message, Peer, Process, READ_CLASS, Site, program, read};
+use crate::{Balancer, Message, Peer, Process, READ_CLASS, ReservedAddress, Site, program, read};
 
 /// A control machine and its folder of changes.
 pub struct Control {
@@ -13,6 +13,7 @@
     pub folder: Site,
     /// Where it listens.
     pub address: SocketAddr,
+    _reserved: ReservedAddress,
     process: Process,
 }
 
@@ -30,8 +31,9 @@
         for (index, change) in changes.iter().enumerate() {
             write_change(&folder, index + 1, change);
         }
-        let (process, address) = run(&folder, "127.0.0.1:0");
-        Self { folder, address, process }
+        let reserved = ReservedAddress::new();
+        let (process, address) = run(&folder, &reserved.get().to_string());
+        Self { folder, address, _reserved: reserved, process }
     }
 
     /// Writes a further change.
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
 //! The other ends of a balancer's sockets, scripted: servers, clients and discovery; and the
 //! program itself as a process between them. Loopback only. It shares no code with the program.
 
+mod address;
 mod balancer;
 mod connection;
 pub mod control;
@@ -13,6 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+pub use address::ReservedAddress;
 pub use balancer::{Balancer, program, spawn};
 pub use connection::{Conn, Message, answer, ok, post, read};
 pub use discovery::{Discovery, Told, entry, list};
