--- a/crates/testkit/examples/trace_digest/distribution/network.rs
+++ b/crates/testkit/examples/trace_digest/distribution/network.rs
@@ -5,7 +5,7 @@
 use sableloom_distribution::{CodecError, FrameReader, Message};
 
 /// What arrives next.
-pub enum Receiver<M> {
+pub(super) enum Receiver<M> {
     Nothing,
     Message(M),
     Malformed(CodecError),
@@ -14,7 +14,7 @@
 
 /// One direction of a link.
 #[derive(Default)]
-pub struct Direction {
+pub(super) struct Direction {
     /// Bytes with their time of arrival; none for the end.
     sent: VecDeque<(i64, Option<Vec<u8>>)>,
     /// The time of arrival of the last: bytes don't overtake each other.
@@ -25,35 +25,35 @@
 }
 
 impl Direction {
-    pub fn send(&mut self, arrives: i64, bytes: Vec<u8>) {
+    pub(super) fn send(&mut self, arrives: i64, bytes: Vec<u8>) {
         self.last = self.last.max(arrives);
         self.sent.push_back((self.last, Some(bytes)));
     }
 
-    pub fn close(&mut self, arrives: i64) {
+    pub(super) fn close(&mut self, arrives: i64) {
         self.last = self.last.max(arrives);
         self.sent.push_back((self.last, None));
     }
 
     /// Nothing arrives before that time.
-    pub fn stall(&mut self, until: i64) {
+    pub(super) fn stall(&mut self, until: i64) {
         self.stalled_until = until;
     }
 
     /// A byte of the next frame is wrong.
-    pub fn corrupt(&mut self, at: usize) {
+    pub(super) fn corrupt(&mut self, at: usize) {
         self.corrupt_at = Some(at);
     }
 
     /// The last frame that is on the way is lost.
-    pub fn lose_last(&mut self) {
+    pub(super) fn lose_last(&mut self) {
         if let Some((_, Some(_))) = self.sent.back() {
             self.sent.pop_back();
         }
     }
 
     /// Takes the bytes that have arrived into the reader; gives how many.
-    pub fn bytes_taken(&mut self, now: i64) -> usize {
+    pub(super) fn bytes_taken(&mut self, now: i64) -> usize {
         let mut taken = 0;
         while let Some((arrives, Some(bytes))) = self.sent.front_mut() {
             if *arrives > now || self.stalled_until > now {
@@ -71,7 +71,7 @@
     }
 
     /// The next message or the end, if it has arrived.
-    pub fn receive<M: Message>(&mut self, now: i64) -> Receiver<M> {
+    pub(super) fn receive<M: Message>(&mut self, now: i64) -> Receiver<M> {
         self.bytes_taken(now);
         match self.reader.next_message() {
             Ok(Some(message)) => return Receiver::Message(message),
@@ -88,7 +88,7 @@
 }
 
 /// A connection of a balancer to a machine.
-pub struct Link {
+pub(super) struct Link {
     pub balancer: usize,
     pub machine: usize,
     opens: i64,
@@ -102,7 +102,7 @@
 }
 
 impl Link {
-    pub fn new(balancer: usize, machine: usize, opens: i64) -> Self {
+    pub(super) fn new(balancer: usize, machine: usize, opens: i64) -> Self {
         Link {
             balancer,
             machine,
@@ -116,11 +116,11 @@
     }
 
     /// Whether the connection is made now.
-    pub fn opens_at(&self, now: i64) -> bool {
+    pub(super) fn opens_at(&self, now: i64) -> bool {
         !self.is_open && self.opens <= now && !self.subscriber_left
     }
 
-    pub fn is_over(&self) -> bool {
+    pub(super) fn is_over(&self) -> bool {
         self.subscriber_left && (self.publisher_left || !self.is_open)
     }
 }
