--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 use sableloom_exchange::Clock;
-use sableloom_fleet::Running as Fleet;
+use sableloom_fleet::RunningMember;
 use sableloom_http1::{ConnectionBudget, Dialect, Frontend};
 use sableloom_traffic_mirror::MirrorEnding;
 use tokio::net::TcpListener;
@@ -109,19 +109,19 @@
 }
 
 /// Closes idle connections and ended pools from time to time, and tells the fleet which servers are in force.
-async fn sweep(frontend: Rc<Frontend>, router: Rc<Router>, fleet: Option<Rc<Fleet>>) {
+async fn sweep(frontend: Rc<Frontend>, router: Rc<Router>, fleet: Option<Rc<RunningMember>>) {
     loop {
         sleep(SWEEP).await;
         frontend.sweep();
         router.sweep();
         if let Some(fleet) = &fleet {
-            fleet.serves(router.servers_digest());
+            fleet.set_endpoints_digest(router.servers_digest());
         }
     }
 }
 
 /// Finishes the requests that are open, and ends. Mirrors end meanwhile, and write their records once more.
-async fn shut_down(router: &Rc<Router>, ingress: Ingress, fleet: Option<Rc<Fleet>>) {
+async fn shut_down(router: &Rc<Router>, ingress: Ingress, fleet: Option<Rc<RunningMember>>) {
     let mirrors: Vec<_> =
         router.pools().iter().filter_map(|pool| Some(pool.mirror.take()?.stop())).collect();
     let abort = || router.pools().iter().for_each(|pool| pool.exchange.abort_open_requests());
