--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,9 +10,9 @@
     ServerId, Span, Time,
 };
 
-pub const MS: i64 = 1000;
+pub(crate) const MS: i64 = 1000;
 
-pub fn class(idempotency: Idempotency) -> RequestClass {
+pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: Span(200 * MS),
         deadline: Span(600 * MS),
@@ -24,7 +24,7 @@
     }
 }
 
-pub fn settings() -> PolicySettings {
+pub(crate) fn settings() -> PolicySettings {
     PolicySettings {
         classes: vec![
             class(Idempotency::Idempotent),
@@ -57,7 +57,7 @@
     }
 }
 
-pub fn endpoint(id: u32, zone: u32) -> Endpoint {
+pub(crate) fn endpoint(id: u32, zone: u32) -> Endpoint {
     Endpoint {
         id: ServerId(id),
         identity: u64::from(id) * 7919,
@@ -71,21 +71,21 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct TrackedAttempt {
+pub(crate) struct TrackedAttempt {
     pub server: ServerId,
     pub sent: Time,
     pub ended: Option<Outcome>,
 }
 
 #[derive(Clone, Debug)]
-pub struct TrackedRequest {
+pub(crate) struct TrackedRequest {
     pub class: usize,
     pub deadline: Time,
     pub attempts: Vec<TrackedAttempt>,
     pub over: bool,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub settings: PolicySettings,
     pub balancer: Balancer,
     pub now: Time,
@@ -99,7 +99,7 @@
 }
 
 impl World {
-    pub fn new(settings: PolicySettings) -> Self {
+    pub(crate) fn new(settings: PolicySettings) -> Self {
         let now = Time(1_000_000 * MS);
         let balancer = Balancer::new(settings.clone(), 7, now).expect("settings are sound");
         let mut world = Self {
@@ -118,14 +118,14 @@
         world
     }
 
-    pub fn with_servers(settings: PolicySettings, n: u32) -> Self {
+    pub(crate) fn with_servers(settings: PolicySettings, n: u32) -> Self {
         let mut world = Self::new(settings);
         let list: Vec<_> = (0..n).map(|i| endpoint(i, i % 2)).collect();
         world.update_list(ListKind::Restored, &list);
         world
     }
 
-    pub fn update_list(&mut self, kind: ListKind, list: &[Endpoint]) {
+    pub(crate) fn update_list(&mut self, kind: ListKind, list: &[Endpoint]) {
         if matches!(kind, ListKind::Full | ListKind::Restored) {
             self.endpoints.values_mut().for_each(|m| m.status = EndpointStatus::Gone);
         }
@@ -136,12 +136,12 @@
         self.carry_out();
     }
 
-    pub fn request(&mut self, id: u64, class: usize) {
+    pub(crate) fn request(&mut self, id: u64, class: usize) {
         let wait = self.settings.classes[class].deadline;
         self.request_until(id, class, self.now.plus(wait));
     }
 
-    pub fn request_until(&mut self, id: u64, class: usize, deadline: Time) {
+    pub(crate) fn request_until(&mut self, id: u64, class: usize, deadline: Time) {
         let tracked = TrackedRequest { class, deadline, attempts: vec![], over: false };
         assert!(self.requests.insert(id, tracked).is_none(), "ids are not repeated");
         let tenant = self.tenant;
@@ -151,7 +151,7 @@
     }
 
     /// Ends an attempt that is in flight; does nothing if it is not.
-    pub fn outcome(&mut self, id: u64, attempt: usize, outcome: Outcome) {
+    pub(crate) fn outcome(&mut self, id: u64, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(t) = request.attempts.get_mut(attempt).filter(|t| t.ended.is_none()) else {
             return;
@@ -171,7 +171,7 @@
         self.carry_out();
     }
 
-    pub fn client_gone(&mut self, id: u64) {
+    pub(crate) fn client_gone(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.over = true;
         }
@@ -180,7 +180,7 @@
     }
 
     /// Lets time pass and fires timers; attempts time out at the deadline of their request.
-    pub fn pass(&mut self, span: Span) {
+    pub(crate) fn pass(&mut self, span: Span) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1) {
             if self.timers[i].1 > end {
@@ -281,19 +281,19 @@
         self.endpoints[&id.0].zone
     }
 
-    pub fn server_in_flight(&self, id: u64) -> Option<ServerId> {
+    pub(crate) fn server_in_flight(&self, id: u64) -> Option<ServerId> {
         self.requests[&id].attempts.iter().rev().find(|t| t.ended.is_none()).map(|t| t.server)
     }
 
-    pub fn rejected(&self, id: u64) -> bool {
+    pub(crate) fn rejected(&self, id: u64) -> bool {
         self.log.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
 
-    pub fn failed(&self, id: u64) -> bool {
+    pub(crate) fn failed(&self, id: u64) -> bool {
         self.log.contains(&Action::Fail { request: RequestId(id) })
     }
 
-    pub fn forwards_to(&self, server: u32) -> usize {
+    pub(crate) fn forwards_to(&self, server: u32) -> usize {
         let to = |a: &&Action| matches!(a, Action::Forward { server: s, .. } if s.0 == server);
         self.log.iter().filter(to).count()
     }
--- a/crates/sableloom/src/serve/reload.rs
+++ b/crates/sableloom/src/serve/reload.rs
@@ -8,7 +8,7 @@
 use sableloom_server_files::{PreparedFiles, ServerFiles};
 use sableloom_site_config::{Shadow, Site};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_traffic_mirror::Ready;
+use sableloom_traffic_mirror::PreparedMirror;
 
 use super::mirrors::prepare_mirror;
 use super::pools::{PoolContext, RunningPool, ServerSource};
@@ -118,7 +118,7 @@
     old: &Routing,
     site: &Site,
     problems: &mut Vec<Problem>,
-) -> Vec<Option<Ready>> {
+) -> Vec<Option<PreparedMirror>> {
     let mut mirrors = Vec::new();
     for shadow in &site.shadows {
         if is_unchanged(&old.site, site, shadow) {
@@ -172,7 +172,7 @@
     old: &Routing,
     site: &Site,
     pools: &[Rc<RunningPool>],
-    mirrors: Vec<Option<Ready>>,
+    mirrors: Vec<Option<PreparedMirror>>,
 ) {
     let mut ending = Vec::new();
     for pool in &old.pools {
@@ -185,8 +185,8 @@
     for (shadow, ready) in site.shadows.iter().zip(mirrors) {
         let Some(ready) = ready else { continue };
         let names = || shadow.pools().map(|pool| pool.name.as_str());
-        let before = ending.iter().filter(|e| e.shares(names())).cloned().collect();
-        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(before)));
+        let before = ending.iter().filter(|e| e.copied_to_any_of(names())).cloned().collect();
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.start(before)));
     }
 }
 
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -27,7 +27,7 @@
 const LONG_SHARE_LIST: u32 = 700;
 
 /// Digest of the histories of members.
-pub fn membership_digest() -> String {
+pub(crate) fn membership_digest() -> String {
     let mut trace = Trace::default();
     for seed in 0..SHORT_HISTORIES {
         let members = 2 + (seed % 11) as usize;
@@ -38,7 +38,7 @@
 }
 
 /// Digest of the histories of capacity shares.
-pub fn capacity_share_digest() -> String {
+pub(crate) fn capacity_share_digest() -> String {
     let mut trace = Trace::default();
     for seed in 0..SHARE_HISTORIES {
         play_share(seed, &mut trace);
