--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -13,15 +13,17 @@
 use rustix::time::{ClockId, clock_gettime};
 use sableloom_fleet::{FleetMember, MemberSettings, Output};
 use sableloom_membership::{Change, ListedMember, MemberList, key_of};
-use sableloom_simulated_network::{Net, Process, S, Sent, address, place};
+use sableloom_simulated_network::{
+    Network, Output as NetworkOutput, Process, SECOND, address_of, host_at,
+};
 use sableloom_types::Time;
 
 /// How long a fleet at rest is watched.
-const WATCHED: i64 = 10 * S;
+const WATCHED: i64 = 10 * SECOND;
 /// How long starts are watched: past the start wait.
-const STARTS: i64 = 3 * S;
+const STARTS: i64 = 3 * SECOND;
 /// The longest time in which all may come to know all; after that the program goes on.
-const SETTLES_WITHIN: i64 = 600 * S;
+const SETTLES_WITHIN: i64 = 600 * SECOND;
 /// How often in a second a member's bytes are looked at.
 const QUARTERS: usize = 4;
 /// The largest fleet that is played.
@@ -37,35 +39,51 @@
 }
 
 impl Member {
-    fn call(&mut self, sent: &mut Sent<Change>, what: impl FnOnce(&mut FleetMember, &mut Output)) {
+    fn call(
+        &mut self,
+        sent: &mut NetworkOutput<Change>,
+        what: impl FnOnce(&mut FleetMember, &mut Output),
+    ) {
         let mut out = Output::default();
         let begun = processor_time();
         what(&mut self.core, &mut out);
         self.time += processor_time().saturating_sub(begun);
         self.events += 1;
         sent.datagrams.extend(out.datagrams);
-        sent.knocks.extend(out.absence_queries.into_iter().map(|(_, at)| at));
+        sent.absence_queries.extend(out.absence_queries.into_iter().map(|(_, at)| at));
     }
 }
 
 impl Process for Member {
     type Change = Change;
 
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
+    fn receive(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        bytes: &[u8],
+        sent: &mut NetworkOutput<Change>,
+    ) {
         self.received += 1;
         self.call(sent, |core, out| core.receive(now, from, bytes, out));
     }
 
-    fn refused(&mut self, now: Time, at: SocketAddr, asked: Time, sent: &mut Sent<Change>) {
-        let Some(i) = place(at) else { return };
-        self.call(sent, |core, out| core.proved_absent(now, key_of(&name(i)), asked, out));
+    fn proved_absent(
+        &mut self,
+        now: Time,
+        at: SocketAddr,
+        queried: Time,
+        sent: &mut NetworkOutput<Change>,
+    ) {
+        let Some(i) = host_at(at) else { return };
+        self.call(sent, |core, out| core.proved_absent(now, key_of(&name(i)), queried, out));
     }
 
-    fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
+    fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
         self.call(sent, |core, out| core.tick(now, out));
     }
 
-    fn next(&self) -> Time {
+    fn next_wakeup(&self) -> Time {
         self.core.next_wakeup()
     }
 }
@@ -79,8 +97,8 @@
     format!("balancer-{i}")
 }
 
-fn start(net: &mut Net<Member>, i: usize, listed: &Arc<MemberList>) {
-    net.start(i, |process_incarnation, seed, now| {
+fn start(network: &mut Network<Member>, i: usize, listed: &Arc<MemberList>) {
+    network.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
             fleet: "points".to_string(),
             own: name(i),
@@ -90,7 +108,7 @@
         let core = FleetMember::new(&settings, process_incarnation, listed.clone(), seed, now);
         Member { core, time: Duration::ZERO, events: 0, received: 0 }
     });
-    net.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
+    network.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
 }
 
 fn resident_bytes() -> f64 {
@@ -116,8 +134,8 @@
     (resident_bytes() - before) / (members.len() * listed.members().len()) as f64
 }
 
-fn running(net: &Net<Member>) -> impl Iterator<Item = &Member> {
-    net.places.iter().filter_map(|place| place.process.as_ref())
+fn running(network: &Network<Member>) -> impl Iterator<Item = &Member> {
+    network.hosts.iter().filter_map(|place| place.process.as_ref())
 }
 
 /// What a phase took, for each member and second.
@@ -134,26 +152,27 @@
     worst: u64,
 }
 
-fn watch(net: &mut Net<Member>, time: i64) -> Spent {
-    let total = |net: &Net<Member>| {
-        running(net).fold((0.0, 0), |(time, events), member| {
+fn watch(network: &mut Network<Member>, time: i64) -> Spent {
+    let total = |network: &Network<Member>| {
+        running(network).fold((0.0, 0), |(time, events), member| {
             (time + member.time.as_secs_f64() * 1e6, events + member.events)
         })
     };
-    let received = |net: &Net<Member>| running(net).map(|m| m.received).collect::<Vec<_>>();
-    let (before, sent, bytes, from) = (total(net), net.sent, net.bytes, net.now);
+    let received =
+        |network: &Network<Member>| running(network).map(|m| m.received).collect::<Vec<_>>();
+    let (before, sent, bytes, from) = (total(network), network.sent, network.bytes, network.now);
     let (mut most, mut worst) = (0, 0);
-    while net.now < from + time {
-        let counts = received(net);
-        worst = worst.max(worst_second(net, 1));
-        let gained = received(net).into_iter().zip(counts).map(|(now, before)| now - before);
+    while network.now < from + time {
+        let counts = received(network);
+        worst = worst.max(worst_second(network, 1));
+        let gained = received(network).into_iter().zip(counts).map(|(now, before)| now - before);
         most = most.max(gained.max().unwrap_or(0));
     }
-    let after = total(net);
-    let each = running(net).count() as f64 * time as f64 / S as f64;
+    let after = total(network);
+    let each = running(network).count() as f64 * time as f64 / SECOND as f64;
     Spent {
-        datagrams: (net.sent - sent) as f64 / each,
-        bytes: (net.bytes - bytes) as f64 / each,
+        datagrams: (network.sent - sent) as f64 / each,
+        bytes: (network.bytes - bytes) as f64 / each,
         processor: (after.0 - before.0) / each,
         events: (after.1 - before.1) as f64 / each,
         most,
@@ -163,16 +182,16 @@
 
 /// The most bytes that any running member sends and gets in any second of the next so many, with headers; a
 /// second begins each quarter of one.
-fn worst_second(net: &mut Net<Member>, seconds: usize) -> u64 {
-    let traffic = |net: &Net<Member>| -> Vec<u64> {
-        let running = |place: &sableloom_simulated_network::Place<Member>| place.process.is_some();
-        net.places.iter().map(|p| if running(p) { p.traffic } else { 0 }).collect()
+fn worst_second(network: &mut Network<Member>, seconds: usize) -> u64 {
+    let traffic = |network: &Network<Member>| -> Vec<u64> {
+        let running = |place: &sableloom_simulated_network::Host<Member>| place.process.is_some();
+        network.hosts.iter().map(|p| if running(p) { p.traffic } else { 0 }).collect()
     };
-    let mut samples = vec![traffic(net)];
+    let mut samples = vec![traffic(network)];
     for _ in 0..seconds * QUARTERS {
-        let until = net.now + S / QUARTERS as i64;
-        net.run(until);
-        samples.push(traffic(net));
+        let until = network.now + SECOND / QUARTERS as i64;
+        network.run(until);
+        samples.push(traffic(network));
     }
     let seconds = samples.iter().zip(samples.iter().skip(QUARTERS));
     let gained = seconds.flat_map(|(from, to)| to.iter().zip(from).map(|(to, from)| to - from));
@@ -180,18 +199,22 @@
 }
 
 /// Runs until all know all, and prints how long that took and what was sent meanwhile.
-fn settle(net: &mut Net<Member>, n: usize) {
-    let (from, bytes) = (net.now, net.bytes);
-    let count = running(net).count();
+fn settle(network: &mut Network<Member>, n: usize) {
+    let (from, bytes) = (network.now, network.bytes);
+    let count = running(network).count();
     let mut worst = 0;
-    while running(net).any(|member| member.core.membership().count_reachable() + 1 < count) {
-        if net.now > from + SETTLES_WITHIN {
-            return println!("{n:6} {:24} not within {} s", "all know all", SETTLES_WITHIN / S);
+    while running(network).any(|member| member.core.membership().count_reachable() + 1 < count) {
+        if network.now > from + SETTLES_WITHIN {
+            return println!(
+                "{n:6} {:24} not within {} s",
+                "all know all",
+                SETTLES_WITHIN / SECOND
+            );
         }
-        worst = worst.max(worst_second(net, 1));
+        worst = worst.max(worst_second(network, 1));
     }
-    let seconds = (net.now - from) as f64 / S as f64;
-    let each = (net.bytes - bytes) as f64 / seconds.max(1.0) / count as f64;
+    let seconds = (network.now - from) as f64 / SECOND as f64;
+    let each = (network.bytes - bytes) as f64 / seconds.max(1.0) / count as f64;
     println!(
         "{n:6} {:24} {seconds:8.1} s more, {each:.0} bytes/s a member, {worst} in the worst second with headers",
         "all know all after"
@@ -199,13 +222,13 @@
 }
 
 /// Runs until no member has an update left to send.
-fn calm(net: &mut Net<Member>) {
-    let until = net.now + SETTLES_WITHIN;
-    while net.now < until
-        && running(net).any(|member| member.core.membership().queued_updates() > 0)
+fn calm(network: &mut Network<Member>) {
+    let until = network.now + SETTLES_WITHIN;
+    while network.now < until
+        && running(network).any(|member| member.core.membership().queued_updates() > 0)
     {
-        let next = net.now + S;
-        net.run(next);
+        let next = network.now + SECOND;
+        network.run(next);
     }
 }
 
@@ -242,7 +265,7 @@
 type Row = (&'static str, fn(&Figures) -> f64);
 
 fn list(n: usize) -> Arc<MemberList> {
-    MemberList::new((0..n).map(|i| ListedMember { name: name(i), address: address(i) }))
+    MemberList::new((0..n).map(|i| ListedMember { name: name(i), address: address_of(i) }))
 }
 
 fn show_memory(n: usize) -> f64 {
@@ -254,32 +277,32 @@
 fn play(n: usize) -> Figures {
     let memory = show_memory(n);
     let listed = list(n);
-    let mut net: Net<Member> = Net::new(n, 9, 0.01);
-    (0..n).for_each(|i| start(&mut net, i, &listed));
-    show("all start", n, watch(&mut net, STARTS));
-    settle(&mut net, n);
-    let mut net: Net<Member> = Net::new(n, 7, 0.01);
+    let mut network: Network<Member> = Network::new(n, 9, 0.01);
+    (0..n).for_each(|i| start(&mut network, i, &listed));
+    show("all start", n, watch(&mut network, STARTS));
+    settle(&mut network, n);
+    let mut network: Network<Member> = Network::new(n, 7, 0.01);
     let (quarter, begun) = (n / 4, Instant::now());
-    (quarter..n).for_each(|i| start(&mut net, i, &listed));
-    show("three quarters start", n, watch(&mut net, STARTS));
-    settle(&mut net, n);
-    show("just after a start", n, watch(&mut net, WATCHED));
-    calm(&mut net);
-    show("a quarter missing", n, watch(&mut net, WATCHED));
-    start(&mut net, 0, &listed);
-    let one = watch(&mut net, STARTS);
+    (quarter..n).for_each(|i| start(&mut network, i, &listed));
+    show("three quarters start", n, watch(&mut network, STARTS));
+    settle(&mut network, n);
+    show("just after a start", n, watch(&mut network, WATCHED));
+    calm(&mut network);
+    show("a quarter missing", n, watch(&mut network, WATCHED));
+    start(&mut network, 0, &listed);
+    let one = watch(&mut network, STARTS);
     show("one starts", n, one);
-    settle(&mut net, n);
-    calm(&mut net);
-    (1..quarter).for_each(|i| start(&mut net, i, &listed));
-    let many = watch(&mut net, STARTS);
+    settle(&mut network, n);
+    calm(&mut network);
+    (1..quarter).for_each(|i| start(&mut network, i, &listed));
+    let many = watch(&mut network, STARTS);
     show("a quarter starts", n, many);
-    settle(&mut net, n);
-    calm(&mut net);
-    let rest = watch(&mut net, WATCHED);
+    settle(&mut network, n);
+    calm(&mut network);
+    let rest = watch(&mut network, WATCHED);
     show("at rest", n, rest);
-    (0..quarter).for_each(|i| net.kill(i));
-    show("a quarter dies", n, watch(&mut net, WATCHED));
+    (0..quarter).for_each(|i| network.kill(i));
+    show("a quarter dies", n, watch(&mut network, WATCHED));
     println!("{n:6} {:24} {:8.1} s of this machine", "played in", begun.elapsed().as_secs_f64());
     Figures { n: n as f64, rest, one, quarter: many, memory }
 }
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -13,17 +13,19 @@
 use sableloom_membership::{
     Change, Health, Key, ListedMember, MemberList, Membership, Output, Timing, key_of,
 };
-use sableloom_simulated_network::{MS, Net, Process, S, Sent, address, place};
+use sableloom_simulated_network::{
+    MILLISECOND, Network, Output as NetworkOutput, Process, SECOND, address_of, host_at,
+};
 use sableloom_types::{Span, Time};
 
 /// From one probe, or heartbeat, to the next.
-const PERIOD: i64 = 200 * MS;
+const PERIOD: i64 = 200 * MILLISECOND;
 /// Heartbeats that may be missing in a row: as long as the shortest suspicion among ten.
 const MISSED: i64 = 5;
 /// How long a fleet is watched before one is killed,
-const WATCHED: i64 = 30 * S;
+const WATCHED: i64 = 30 * SECOND;
 /// and after it.
-const AFTER: i64 = 60 * S;
+const AFTER: i64 = 60 * SECOND;
 
 enum Member {
     Swim(Box<Membership>),
@@ -42,7 +44,7 @@
     key_of(&format!("m{i}"))
 }
 
-fn carry(out: Output, sent: &mut Sent<Change>) {
+fn carry(out: Output, sent: &mut NetworkOutput<Change>) {
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
 }
@@ -50,7 +52,13 @@
 impl Process for Member {
     type Change = Change;
 
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
+    fn receive(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        bytes: &[u8],
+        sent: &mut NetworkOutput<Change>,
+    ) {
         match self {
             Member::Swim(membership) => {
                 let mut out = Output::default();
@@ -58,7 +66,7 @@
                 carry(out, sent);
             }
             Member::Heartbeats(heart) => {
-                let Some(i) = place(from) else { return };
+                let Some(i) = host_at(from) else { return };
                 heart.heard[i] = now;
                 if std::mem::take(&mut heart.dead[i]) {
                     sent.changes.push(Change::Joined { member: key(i), process_incarnation: 0 });
@@ -67,7 +75,7 @@
         }
     }
 
-    fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
+    fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
         match self {
             Member::Swim(membership) => {
                 let mut out = Output::default();
@@ -78,7 +86,7 @@
                 heart.next = now.plus(Span(PERIOD));
                 for i in (0..heart.heard.len()).filter(|i| *i != heart.own) {
                     // As many bytes as a ping without updates.
-                    sent.datagrams.push((address(i), vec![0; 36]));
+                    sent.datagrams.push((address_of(i), vec![0; 36]));
                     if now.since(heart.heard[i]).0 > MISSED * PERIOD && !heart.dead[i] {
                         heart.dead[i] = true;
                         sent.changes
@@ -89,7 +97,7 @@
         }
     }
 
-    fn next(&self) -> Time {
+    fn next_wakeup(&self) -> Time {
         match self {
             Member::Swim(membership) => membership.next_wakeup(),
             Member::Heartbeats(heart) => heart.next,
@@ -138,16 +146,16 @@
 }
 
 /// How often the network is looked at.
-const SLICE: i64 = 10 * MS;
+const SLICE: i64 = 10 * MILLISECOND;
 
 impl Game {
     /// Starts all members and gives them time to know each other.
-    fn start(&self) -> Net<Member> {
-        let mut net: Net<Member> = Net::new(self.members, self.seed, 0.01);
-        let listed = |i| ListedMember { name: format!("m{i}"), address: address(i) };
+    fn start(&self) -> Network<Member> {
+        let mut network: Network<Member> = Network::new(self.members, self.seed, 0.01);
+        let listed = |i| ListedMember { name: format!("m{i}"), address: address_of(i) };
         let list = MemberList::new((0..self.members).map(listed));
         for i in 0..self.members {
-            net.start(i, |process_incarnation, seed, now| match self.how {
+            network.start(i, |process_incarnation, seed, now| match self.how {
                 How::Heartbeats => Member::Heartbeats(Heart {
                     own: i,
                     heard: vec![now; self.members],
@@ -170,8 +178,8 @@
                     Member::Swim(Box::new(membership))
                 }
             });
-            if let Some(Member::Swim(_)) = &net.places[i].process {
-                net.call(i, |member, now, sent| {
+            if let Some(Member::Swim(_)) = &network.hosts[i].process {
+                network.call(i, |member, now, sent| {
                     if let Member::Swim(membership) = member {
                         let mut output = Output::default();
                         membership.greet(now, &mut output);
@@ -180,61 +188,62 @@
                 });
             }
         }
-        self.run(&mut net, 10 * S);
-        net
+        self.run(&mut network, 10 * SECOND);
+        network
     }
 
-    fn run(&self, net: &mut Net<Member>, until: i64) {
-        while net.now < until {
-            if self.slow && net.now % (2 * S) < SLICE {
-                (0..self.members).step_by(10).for_each(|i| net.stop(i, 600 * MS));
+    fn run(&self, network: &mut Network<Member>, until: i64) {
+        while network.now < until {
+            if self.slow && network.now % (2 * SECOND) < SLICE {
+                (0..self.members).step_by(10).for_each(|i| network.suspend(i, 600 * MILLISECOND));
             }
-            let next = (net.now + SLICE).min(until);
-            net.run(next);
+            let next = (network.now + SLICE).min(until);
+            network.run(next);
         }
     }
 
     /// Watches the fleet with no failure, and then kills a member.
     fn play(&self) -> Seen {
         let watched = if self.members > 500 { WATCHED / 3 } else { WATCHED };
-        let mut net = self.start();
-        net.places.iter_mut().for_each(|place| place.changes.clear());
-        net.loss = self.loss;
-        let (sent, bytes, from) = (net.sent, net.bytes, net.now);
-        let until = net.now + watched;
-        self.run(&mut net, until);
-        let seconds = (net.now - from) as f64 / S as f64 * self.members as f64;
+        let mut network = self.start();
+        network.hosts.iter_mut().for_each(|place| place.changes.clear());
+        network.loss = self.loss;
+        let (sent, bytes, from) = (network.sent, network.bytes, network.now);
+        let until = network.now + watched;
+        self.run(&mut network, until);
+        let seconds = (network.now - from) as f64 / SECOND as f64 * self.members as f64;
         let hours = seconds / 3600.0;
-        let (deaths, held) = false_deaths(&net);
+        let (deaths, held) = false_deaths(&network);
         let mut seen = Seen {
             first: Vec::new(),
             all: Vec::new(),
             false_deaths: deaths as f64 / hours,
-            held: held as f64 / S as f64 / hours,
-            packets: (net.sent - sent) as f64 / seconds,
-            bytes: (net.bytes - bytes) as f64 / seconds,
+            held: held as f64 / SECOND as f64 / hours,
+            packets: (network.sent - sent) as f64 / seconds,
+            bytes: (network.bytes - bytes) as f64 / seconds,
         };
-        self.kill_one(&mut net, &mut seen);
+        self.kill_one(&mut network, &mut seen);
         seen
     }
 
     /// Kills a member, and notes when the first and the last of the others know it.
-    fn kill_one(&self, net: &mut Net<Member>, seen: &mut Seen) {
+    fn kill_one(&self, network: &mut Network<Member>, seen: &mut Seen) {
         let victim = 1;
-        net.kill(victim);
-        let from = net.now;
+        network.kill(victim);
+        let from = network.now;
         let mut first = None;
-        while net.now < from + AFTER {
-            let until = net.now + SLICE;
-            self.run(net, until);
+        while network.now < from + AFTER {
+            let until = network.now + SLICE;
+            self.run(network, until);
             let others = (0..self.members).filter(|i| *i != victim);
-            let knows = |i: usize| net.places[i].process.as_ref().is_some_and(|m| dead(m, victim));
+            let knows =
+                |i: usize| network.hosts[i].process.as_ref().is_some_and(|m| dead(m, victim));
             if first.is_none() && others.clone().any(knows) {
-                first = Some(net.now - from);
+                first = Some(network.now - from);
             }
             if others.clone().all(knows) {
                 seen.first.extend(first);
-                seen.all.push(net.now - from);
+                seen.all.push(network.now - from);
                 break;
             }
         }
@@ -242,9 +251,9 @@
 }
 
 /// How often living members were declared dead, and for how long all together, in microseconds.
-fn false_deaths(net: &Net<Member>) -> (usize, i64) {
+fn false_deaths(network: &Network<Member>) -> (usize, i64) {
     let (mut deaths, mut held) = (0usize, 0i64);
-    for place in &net.places {
+    for place in &network.hosts {
         let mut since: HashMap<Key, i64> = HashMap::new();
         for (at, change) in &place.changes {
             match change {
@@ -258,7 +267,7 @@
                 _ => {}
             }
         }
-        held += since.values().map(|from| net.now - from).sum::<i64>();
+        held += since.values().map(|from| network.now - from).sum::<i64>();
     }
     (deaths, held)
 }
--- a/crates/membership/tests/budget.rs
+++ b/crates/membership/tests/budget.rs
@@ -3,12 +3,12 @@
 
 mod sim;
 
-use sim::{S, Sim};
+use sim::{SECOND, Sim};
 
 /// Longer than a short list, whose members all ping one another.
 const MEMBERS: usize = 600;
 /// Far past the longest suspicion and the pings of a process that has started.
-const SETTLED: i64 = 25 * S;
+const SETTLED: i64 = 25 * SECOND;
 
 /// A member is missing: all together ping it about once in a probe interval, and not each of them.
 #[test]
@@ -16,9 +16,9 @@
     let mut sim = Sim::new(MEMBERS, 3, 0.01);
     (1..MEMBERS).for_each(|i| sim.start(i, MEMBERS));
     sim.run(SETTLED);
-    let from = sim.places[0].traffic;
-    sim.run(SETTLED + 5 * S);
-    let a_second = (sim.places[0].traffic - from) / 5;
+    let from = sim.hosts[0].traffic;
+    sim.run(SETTLED + 5 * SECOND);
+    let a_second = (sim.hosts[0].traffic - from) / 5;
     // Five pings of some 70 bytes with their headers.
     assert!(a_second < 1000, "{a_second} bytes a second come to it");
 }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -9,10 +9,10 @@
     Body, ListedMember, MemberList, MemberState, Membership, Message, Output, Page, Pull, Timing,
     Update, decode, encode, key_of,
 };
-use sableloom_simulated_network::{address, on_all_cores};
+use sableloom_simulated_network::{address_of, for_each_seed};
 use sableloom_types::{Span, Time};
 
-use sim::{MS, S, Sim};
+use sim::{MILLISECOND, SECOND, Sim};
 
 /// Names on the lists; the table takes several pages.
 const LISTED: usize = 600;
@@ -21,17 +21,18 @@
     4..LISTED
 }
 
-const PERIOD: i64 = 200 * MS;
+const PERIOD: i64 = 200 * MILLISECOND;
 /// When the pull begins: over a second after all updates before it, so that the budget leaves space for pages.
-const BEGIN: Time = Time(10 * S);
+const BEGIN: Time = Time(10 * SECOND);
 
 fn name(i: usize) -> String {
     format!("m{i}")
 }
 
 fn member(own: usize, listed: usize) -> Membership {
-    let list =
-        MemberList::new((0..listed).map(|i| ListedMember { name: name(i), address: address(i) }));
+    let list = MemberList::new(
+        (0..listed).map(|i| ListedMember { name: name(i), address: address_of(i) }),
+    );
     // The updates before the pull began must not worsen its local health.
     let times = Timing { has_local_health: false, ..Timing::default() };
     Membership::new("points", &name(own), 9, list, times, own as u64 + 1, Time(0))
@@ -39,7 +40,7 @@
 
 /// The messages to this address.
 fn messages_to(out: &mut Output, at: usize) -> Vec<Message> {
-    let meant = |(to, _): &(SocketAddr, Vec<u8>)| *to == address(at);
+    let meant = |(to, _): &(SocketAddr, Vec<u8>)| *to == address_of(at);
     let all: Vec<_> = std::mem::take(&mut out.datagrams);
     all.iter()
         .filter(|sent| meant(sent))
@@ -49,7 +50,7 @@
 
 fn deliver(membership: &mut Membership, now: Time, from: usize, message: &Message) -> Output {
     let mut out = Output::default();
-    membership.receive(now, address(from), &encode(message).0, &mut out);
+    membership.receive(now, address_of(from), &encode(message).0, &mut out);
     out
 }
 
@@ -291,7 +292,7 @@
 
 /// The longest time in which all have to agree once the network is healed: as with short lists, and the longest
 /// backoff between two pulls.
-const AGREED_WITHIN: i64 = 150 * S;
+const AGREED_WITHIN: i64 = 150 * SECOND;
 
 /// The views of all members, for the message of a failure.
 fn views(sim: &Sim) -> Vec<String> {
@@ -310,57 +311,57 @@
 fn schedule(seed: u64) {
     let n = 4 + (seed % 9) as usize;
     let mut sim = Sim::new(n, seed, 0.1);
-    sim.doubled = 0.2;
-    sim.delay = [30, 400, 2000][(seed / 9 % 3) as usize] * MS;
+    sim.duplication = 0.2;
+    sim.max_delay = [30, 400, 2000][(seed / 9 % 3) as usize] * MILLISECOND;
     (0..n).for_each(|i| start(&mut sim, i, n, seed));
-    while sim.now < 9 * S {
+    while sim.now < 9 * SECOND {
         let a = sim.rng.rand_range(0..n as u64) as usize;
         let shorter = n - sim.rng.rand_range(0..2) as usize;
         match sim.rng.rand_range(0..8) {
             0 => sim.kill(a),
             1 => {
-                let time = (sim.rng.rand_float() * 5.0 * S as f64) as i64;
-                sim.stop(a, time);
+                let time = (sim.rng.rand_float() * 5.0 * SECOND as f64) as i64;
+                sim.suspend(a, time);
             }
-            2 => (0..n).for_each(|i| sim.open[a][i] = false),
+            2 => (0..n).for_each(|i| sim.links[a][i] = false),
             3 => {
                 for (i, j) in (0..n * n).map(|ij| (ij / n, ij % n)) {
-                    sim.open[i][j] = (i <= a) == (j <= a);
+                    sim.links[i][j] = (i <= a) == (j <= a);
                 }
             }
             4 => sim.loss = sim.rng.rand_float() * 0.5,
             5 => sim.heal(),
             _ => start(&mut sim, a, shorter, seed),
         }
-        let until = sim.now + (sim.rng.rand_float() * 1.2 * S as f64) as i64;
+        let until = sim.now + (sim.rng.rand_float() * 1.2 * SECOND as f64) as i64;
         sim.run(until);
     }
     sim.heal();
-    sim.delay = 30 * MS;
+    sim.max_delay = 30 * MILLISECOND;
     // A member that is not on a list gets no answer: operators make the lists the same.
     (0..n).for_each(|i| sim.takes_list(i, n));
     let end = sim.now + AGREED_WITHIN;
     while !sim.views_are_true() {
         assert!(sim.now < end, "seed {seed}: {n} members do not agree: {:#?}", views(&sim));
-        let until = sim.now + 100 * MS;
+        let until = sim.now + 100 * MILLISECOND;
         sim.run(until);
     }
 }
 
 #[test]
 fn views_become_true_by_pulls_after_any_schedule() {
-    on_all_cores(0..3000, schedule);
+    for_each_seed(0..3000, schedule);
 }
 
 /// Without gossip, members learn of most others by pulls alone: a fleet that starts at once knows itself within
 /// seconds.
 #[test]
 fn pulls_alone_make_a_starting_fleet_agree() {
-    on_all_cores(0..100, |seed| {
+    for_each_seed(0..100, |seed| {
         let n = 100;
         let mut sim = Sim::new(n, seed, 0.02);
         (0..n).for_each(|i| start(&mut sim, i, n, 0));
-        let took = sim.until_agreed(15 * S);
+        let took = sim.until_agreed(15 * SECOND);
         assert!(took.is_some(), "seed {seed}");
     });
 }
@@ -371,10 +372,10 @@
     let n = 8;
     let mut sim = Sim::new(n, 1, 0.02);
     (0..n).for_each(|i| start(&mut sim, i, if i == 0 { n - 1 } else { n }, 1));
-    sim.run(120 * S);
-    let from = sim.places[0].traffic;
-    sim.run(180 * S);
-    let a_second = (sim.places[0].traffic - from) / 60;
+    sim.run(120 * SECOND);
+    let from = sim.hosts[0].traffic;
+    sim.run(180 * SECOND);
+    let a_second = (sim.hosts[0].traffic - from) / 60;
     // 20 datagrams of some 70 bytes are its probes and their answers.
     assert!(a_second < 1600, "{a_second} bytes a second");
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -8,15 +8,15 @@
 use sableloom_membership::{
     Change, Key, ListedMember, MemberList, Membership, Output, Timing, decode, key_of,
 };
-use sableloom_simulated_network::{Net, Process, Sent, address};
+use sableloom_simulated_network::{Network, Output as NetworkOutput, Process, address_of};
 use sableloom_types::Time;
 
-pub(crate) use sableloom_simulated_network::{MS, S};
+pub(crate) use sableloom_simulated_network::{MILLISECOND, SECOND};
 
 /// A member alone, without a capacity share.
 pub(crate) struct Member(pub(crate) Membership);
 
-fn carry(out: Output, sent: &mut Sent<Change>) {
+fn carry(out: Output, sent: &mut NetworkOutput<Change>) {
     // Receivers reject datagrams of more than 256 bytes, and pages of more than 1,200.
     assert!(out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()), "a datagram too long");
     sent.datagrams.extend(out.datagrams);
@@ -26,38 +26,44 @@
 impl Process for Member {
     type Change = Change;
 
-    fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], sent: &mut Sent<Change>) {
+    fn receive(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        bytes: &[u8],
+        sent: &mut NetworkOutput<Change>,
+    ) {
         let mut out = Output::default();
         self.0.receive(now, from, bytes, &mut out);
         carry(out, sent);
     }
 
-    fn tick(&mut self, now: Time, sent: &mut Sent<Change>) {
+    fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
         let mut out = Output::default();
         self.0.tick(now, &mut out);
         carry(out, sent);
     }
 
-    fn next(&self) -> Time {
+    fn next_wakeup(&self) -> Time {
         self.0.next_wakeup()
     }
 }
 
 pub(crate) struct Sim {
-    net: Net<Member>,
+    network: Network<Member>,
     keys: HashMap<Key, usize>,
 }
 
 impl Deref for Sim {
-    type Target = Net<Member>;
-    fn deref(&self) -> &Net<Member> {
-        &self.net
+    type Target = Network<Member>;
+    fn deref(&self) -> &Network<Member> {
+        &self.network
     }
 }
 
 impl DerefMut for Sim {
-    fn deref_mut(&mut self) -> &mut Net<Member> {
-        &mut self.net
+    fn deref_mut(&mut self) -> &mut Network<Member> {
+        &mut self.network
     }
 }
 
@@ -70,12 +76,12 @@
 }
 
 pub(crate) fn listed(n: usize) -> Vec<ListedMember> {
-    (0..n).map(|i| ListedMember { name: name(i), address: address(i) }).collect()
+    (0..n).map(|i| ListedMember { name: name(i), address: address_of(i) }).collect()
 }
 
 impl Sim {
     pub(crate) fn new(n: usize, seed: u64, drift: f64) -> Self {
-        Self { net: Net::new(n, seed, drift), keys: (0..n).map(|i| (key(i), i)).collect() }
+        Self { network: Network::new(n, seed, drift), keys: (0..n).map(|i| (key(i), i)).collect() }
     }
 
     /// Starts a member's process with a list of so many names.
@@ -85,7 +91,7 @@
 
     /// The same with another timing.
     pub(crate) fn start_as(&mut self, i: usize, of: usize, timing: Timing) {
-        self.net.start(i, |process_incarnation, seed, now| {
+        self.network.start(i, |process_incarnation, seed, now| {
             Member(Membership::new(
                 "points",
                 &name(i),
@@ -100,12 +106,12 @@
 
     /// The members whose processes run.
     pub(crate) fn fleets(&self) -> impl Iterator<Item = (usize, &Membership)> {
-        let places = self.places.iter().enumerate();
+        let places = self.hosts.iter().enumerate();
         places.filter_map(|(i, place)| Some((i, &place.process.as_ref()?.0)))
     }
 
     pub(crate) fn fleet(&self, i: usize) -> &Membership {
-        &self.places[i].process.as_ref().expect("it runs").0
+        &self.hosts[i].process.as_ref().expect("it runs").0
     }
 
     /// Gives a member a list of so many names.
@@ -139,7 +145,7 @@
         self.fleets().all(|(own, fleet)| {
             fleet.peers().all(|peer| {
                 let i = self.keys[&peer.key];
-                i == own || peer.health.is_reachable() == self.places[i].process.is_some()
+                i == own || peer.health.is_reachable() == self.hosts[i].process.is_some()
             })
         })
     }
@@ -148,7 +154,7 @@
     pub(crate) fn until_agreed(&mut self, most: i64) -> Option<i64> {
         let from = self.now;
         while self.now < from + most {
-            let until = self.now + 100 * MS;
+            let until = self.now + 100 * MILLISECOND;
             self.run(until);
             if self.agree() {
                 return Some(self.now - from);
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -4,18 +4,18 @@
 mod sim;
 
 use sableloom_membership::{Change, Health, Reachability};
-use sableloom_simulated_network::on_all_cores;
+use sableloom_simulated_network::for_each_seed;
 
-use sim::{MS, S, Sim, key};
+use sim::{MILLISECOND, SECOND, Sim, key};
 
 /// The longest time in which all have to agree once the network is healed: rounds of pings of the missing, one in a
 /// probe interval of up to nine times its length while local health is bad, and the longest suspicion.
-const AGREED_WITHIN: i64 = 90 * S;
+const AGREED_WITHIN: i64 = 90 * SECOND;
 
 fn started(n: usize, seed: u64, drift: f64) -> Sim {
     let mut sim = Sim::new(n, seed, drift);
     (0..n).for_each(|i| sim.start(i, n));
-    let took = sim.until_agreed(20 * S);
+    let took = sim.until_agreed(20 * SECOND);
     assert!(took.is_some(), "seed {seed}: {n} that start at once do not agree");
     sim
 }
@@ -25,21 +25,21 @@
     let n = 3 + (seed % 7) as usize;
     let mut sim = started(n, seed, 0.1);
     let begin = sim.now;
-    while sim.now < begin + 12 * S {
+    while sim.now < begin + 12 * SECOND {
         let lot = sim.rng.rand_float();
         let (a, b) =
             (sim.rng.rand_range(0..n as u64) as usize, sim.rng.rand_range(0..n as u64) as usize);
         match (lot * 10.0) as u32 {
             0 => sim.kill(a),
             1 | 2 => {
-                let time = (sim.rng.rand_float() * 7.0 * S as f64) as i64;
-                sim.stop(a, time);
+                let time = (sim.rng.rand_float() * 7.0 * SECOND as f64) as i64;
+                sim.suspend(a, time);
             }
-            3 => sim.open[a][b] = false,
-            4 => (0..n).for_each(|i| sim.open[a][i] = false),
+            3 => sim.links[a][b] = false,
+            4 => (0..n).for_each(|i| sim.links[a][i] = false),
             5 => {
                 for (i, j) in (0..n * n).map(|ij| (ij / n, ij % n)) {
-                    sim.open[i][j] = (i <= a) == (j <= a);
+                    sim.links[i][j] = (i <= a) == (j <= a);
                 }
             }
             6 => sim.loss = sim.rng.rand_float() * 0.4,
@@ -50,13 +50,13 @@
             8 => sim.heal(),
             _ => {
                 for i in 0..n {
-                    if sim.places[i].process.is_none() {
+                    if sim.hosts[i].process.is_none() {
                         sim.start(i, n);
                     }
                 }
             }
         }
-        let gap = (sim.rng.rand_float() * 1.5 * S as f64) as i64;
+        let gap = (sim.rng.rand_float() * 1.5 * SECOND as f64) as i64;
         let until = sim.now + gap;
         sim.run(until);
     }
@@ -81,7 +81,7 @@
 
 #[test]
 fn views_agree_and_are_true_once_the_network_is_healed() {
-    on_all_cores(0..10_000, |seed| {
+    for_each_seed(0..10_000, |seed| {
         schedule(seed);
     });
 }
@@ -94,14 +94,14 @@
 /// 30% of all datagrams are lost for twenty seconds: no false death lasts.
 #[test]
 fn loss_everywhere_leaves_no_false_death_that_lasts() {
-    on_all_cores(0..60, |seed| {
+    for_each_seed(0..60, |seed| {
         let n = 12;
         let mut sim = started(n, seed, 0.0);
         sim.loss = 0.3;
-        let end = sim.now + 20 * S;
+        let end = sim.now + 20 * SECOND;
         let mut dead_since = vec![vec![None; n]; n];
         while sim.now < end {
-            let until = sim.now + 200 * MS;
+            let until = sim.now + 200 * MILLISECOND;
             sim.run(until);
             for (i, row) in dead_since.iter_mut().enumerate() {
                 let view = sim.fleet(i).view();
@@ -113,7 +113,7 @@
                             let from = *since.get_or_insert(sim.now);
                             let held = sim.now - from;
                             assert!(
-                                held < 6 * S,
+                                held < 6 * SECOND,
                                 "seed {seed}: {j} held dead by {i} for {held} us"
                             );
                         }
@@ -123,7 +123,7 @@
             }
         }
         sim.heal();
-        let took = sim.until_agreed(20 * S);
+        let took = sim.until_agreed(20 * SECOND);
         assert!(took.is_some(), "seed {seed}: no agreement after it");
     });
 }
@@ -132,25 +132,25 @@
 /// dead.
 #[test]
 fn a_resumed_member_declares_no_other_dead() {
-    on_all_cores(0..300, |seed| {
+    for_each_seed(0..300, |seed| {
         let n = 8;
         let mut sim = started(n, seed, 0.05);
-        sim.stop(2, 10 * S);
-        let until = sim.now + 10 * S - MS;
+        sim.suspend(2, 10 * SECOND);
+        let until = sim.now + 10 * SECOND - MILLISECOND;
         sim.run(until);
         let others = (0..n).filter(|i| *i != 2);
         for i in others.clone() {
             let died =
                 |c: &(i64, Change)| matches!(c.1, Change::Died { member, .. } if member == key(2));
-            assert!(sim.places[i].changes.iter().any(died), "seed {seed}: {i} did not miss it");
+            assert!(sim.hosts[i].changes.iter().any(died), "seed {seed}: {i} did not miss it");
         }
         let woken = sim.now;
-        let took = sim.until_agreed(40 * S);
+        let took = sim.until_agreed(40 * SECOND);
         assert!(took.is_some(), "seed {seed}: no agreement after it woke");
-        let until = sim.now + 10 * S;
+        let until = sim.now + 10 * SECOND;
         sim.run(until);
         let since =
-            |i: usize| sim.places[i].changes.iter().filter(move |c| c.0 >= woken).map(|c| c.1);
+            |i: usize| sim.hosts[i].changes.iter().filter(move |c| c.0 >= woken).map(|c| c.1);
         for i in 0..n {
             let threw_out =
                 since(i).find(|c| matches!(c, Change::Died { member, .. } if *member != key(2)));
@@ -169,11 +169,11 @@
 /// 60% are killed at once: the rest know it within the longest suspicion and a round of probes.
 #[test]
 fn a_majority_killed_at_once_is_found_dead_by_the_rest() {
-    on_all_cores(0..100, |seed| {
+    for_each_seed(0..100, |seed| {
         let n = 10;
         let mut sim = started(n, seed, 0.0);
         (0..6).for_each(|i| sim.kill(i));
-        let took = sim.until_agreed(30 * S);
+        let took = sim.until_agreed(30 * SECOND);
         assert!(took.is_some(), "seed {seed}: not agreed");
         for i in 6..n {
             let view = sim.fleet(i).view();
@@ -185,20 +185,20 @@
 /// A partition into halves: each half declares the other dead, and all views agree again after it.
 #[test]
 fn partitioned_halves_agree_again_after_the_partition() {
-    on_all_cores(0..60, |seed| {
+    for_each_seed(0..60, |seed| {
         let n = 8;
         let mut sim = started(n, seed, 0.02);
         for (i, j) in (0..n * n).map(|ij| (ij / n, ij % n)) {
-            sim.open[i][j] = i % 2 == j % 2;
+            sim.links[i][j] = i % 2 == j % 2;
         }
-        let until = sim.now + 20 * S;
+        let until = sim.now + 20 * SECOND;
         sim.run(until);
         for (_, fleet) in sim.fleets() {
             let standing = fleet.view().reachability;
             assert_eq!(standing, Reachability::Partial { reachable: 4, listed: 8 }, "seed {seed}");
         }
         sim.heal();
-        let took = sim.until_agreed(30 * S);
+        let took = sim.until_agreed(30 * SECOND);
         assert!(took.is_some(), "seed {seed}: not one again");
     });
 }
@@ -206,22 +206,22 @@
 /// A restart under the same name within a second is a new process incarnation.
 #[test]
 fn a_restart_within_a_second_is_a_new_process_incarnation() {
-    on_all_cores(0..100, |seed| {
+    for_each_seed(0..100, |seed| {
         let n = 6;
         let mut sim = started(n, seed, 0.0);
         let before = sim.now;
         sim.kill(1);
-        let until = sim.now + 700 * MS;
+        let until = sim.now + 700 * MILLISECOND;
         sim.run(until);
         sim.start(1, n);
-        let took = sim.until_agreed(10 * S);
+        let took = sim.until_agreed(10 * SECOND);
         assert!(took.is_some(), "seed {seed}: not agreed");
-        let process_incarnation = sim.places[1].life;
+        let process_incarnation = sim.hosts[1].process_incarnation;
         for i in (0..n).filter(|i| *i != 1) {
             let new = |c: &(i64, Change)| {
                 c.0 >= before && c.1 == Change::Joined { member: key(1), process_incarnation }
             };
-            assert!(sim.places[i].changes.iter().any(new), "seed {seed}: {i} did not see it");
+            assert!(sim.hosts[i].changes.iter().any(new), "seed {seed}: {i} did not see it");
         }
     });
 }
@@ -230,15 +230,15 @@
 /// and it takes a later one.
 #[test]
 fn a_process_incarnation_that_is_too_early_is_corrected() {
-    on_all_cores(0..60, |seed| {
+    for_each_seed(0..60, |seed| {
         let n = 5;
         let mut sim = started(n, seed, 0.0);
         sim.kill(3);
-        let until = sim.now + 500 * MS;
+        let until = sim.now + 500 * MILLISECOND;
         sim.run(until);
-        sim.places[3].life = 7;
+        sim.hosts[3].process_incarnation = 7;
         sim.start(3, n);
-        let took = sim.until_agreed(20 * S);
+        let took = sim.until_agreed(20 * SECOND);
         assert!(took.is_some(), "seed {seed}: not agreed");
         let view = sim.fleet(0).view();
         let peer = view.peers.iter().find(|p| p.key == key(3)).expect("on the list");
@@ -253,18 +253,18 @@
 /// A member that leaves on purpose counts as left at once, and is never suspected.
 #[test]
 fn a_member_that_leaves_is_never_suspected() {
-    on_all_cores(0..100, |seed| {
+    for_each_seed(0..100, |seed| {
         let n = 7;
         let mut sim = started(n, seed, 0.0);
         sim.leave(4);
-        let until = sim.now + 50 * MS;
+        let until = sim.now + 50 * MILLISECOND;
         sim.run(until);
         sim.kill(4);
-        let took = sim.until_agreed(10 * S).expect("agreed");
-        assert!(took < 5 * S, "seed {seed}: {took}");
+        let took = sim.until_agreed(10 * SECOND).expect("agreed");
+        assert!(took < 5 * SECOND, "seed {seed}: {took}");
         let suspected =
             |c: &(i64, Change)| matches!(c.1, Change::Suspected { member, .. } if member == key(4));
-        assert!(sim.places.iter().all(|place| !place.changes.iter().any(suspected)), "seed {seed}");
+        assert!(sim.hosts.iter().all(|place| !place.changes.iter().any(suspected)), "seed {seed}");
     });
 }
 
@@ -274,18 +274,18 @@
     let (few, many) = (56, 300);
     let mut sim = Sim::new(many, 5, 0.02);
     (0..few).for_each(|i| sim.start(i, many));
-    assert!(sim.until_agreed(30 * S).is_some(), "the first do not agree");
+    assert!(sim.until_agreed(30 * SECOND).is_some(), "the first do not agree");
     for i in few..many {
         sim.start(i, many);
-        let until = sim.now + 3 * S / (many - few) as i64;
+        let until = sim.now + 3 * SECOND / (many - few) as i64;
         sim.run(until);
     }
-    let took = sim.until_agreed(120 * S);
+    let took = sim.until_agreed(120 * SECOND);
     assert!(took.is_some(), "no agreement on 300");
     let (sent, bytes, from) = (sim.sent, sim.bytes, sim.now);
-    let until = sim.now + 10 * S;
+    let until = sim.now + 10 * SECOND;
     sim.run(until);
-    let seconds = (sim.now - from) as f64 / S as f64 * many as f64;
+    let seconds = (sim.now - from) as f64 / SECOND as f64 * many as f64;
     let (packets, bytes) =
         ((sim.sent - sent) as f64 / seconds, (sim.bytes - bytes) as f64 / seconds);
     assert!(
@@ -298,7 +298,7 @@
 /// refutation from the others soon.
 #[test]
 fn a_member_that_reaches_a_majority_is_not_held_dead_for_long() {
-    on_all_cores(0..200, |seed| {
+    for_each_seed(0..200, |seed| {
         let n = 9;
         let mut sim = started(n, seed, 0.02);
         let victim = (seed % n as u64) as usize;
@@ -307,16 +307,16 @@
             let lot = sim.rng.rand_range(0..others.len() as u64) as usize;
             let cut = others.swap_remove(lot);
             match sim.rng.rand_range(0..3) {
-                0 => sim.open[victim][cut] = false,
-                1 => sim.open[cut][victim] = false,
-                _ => (sim.open[victim][cut], sim.open[cut][victim]) = (false, false),
+                0 => sim.links[victim][cut] = false,
+                1 => sim.links[cut][victim] = false,
+                _ => (sim.links[victim][cut], sim.links[cut][victim]) = (false, false),
             }
         }
         sim.loss = 0.05;
         let mut since = vec![None; n];
-        let end = sim.now + 60 * S;
+        let end = sim.now + 60 * SECOND;
         while sim.now < end {
-            let until = sim.now + 100 * MS;
+            let until = sim.now + 100 * MILLISECOND;
             sim.run(until);
             for (i, fleet) in sim.fleets() {
                 let dead = |p: &sableloom_membership::Peer| {
@@ -334,4 +334,4 @@
 }
 
 /// The longest time for which a member that reaches a majority may be held dead.
-const HELD_DEAD: i64 = 5 * S;
+const HELD_DEAD: i64 = 5 * SECOND;
