--- a/crates/sableloom/src/config.rs
+++ b/crates/sableloom/src/config.rs
@@ -1,22 +1,56 @@
-//! What the balancer is told at its start, and the bounds that follow from its limits.
+//! The configuration of a balancer that the platform starts, and the limits that follow from it.
 
 use std::env;
+use std::io;
 use std::net::SocketAddr;
 
 use sableloom_discovery::EndpointList;
 use sableloom_http1::ClientLimits;
 use sableloom_types::settings::DeploymentSettings;
 use serde::Deserialize;
+use serde::de::DeserializeOwned;
+use thiserror::Error;
 
-/// Descriptors kept for all that is neither a client nor an upstream: standard streams, the
-/// listener, the event queue, discovery.
-pub const SOCKETS_OTHER: usize = 24;
-/// Fewest descriptors and least memory that the balancer can work in.
+/// Descriptors for all that is neither a client nor a server connection: standard streams, the listener, the event
+/// queue, discovery.
+pub const OTHER_SOCKETS: usize = 24;
+/// The fewest descriptors and the least memory that the balancer can work with.
 const MIN_SOCKETS: usize = 64;
 const MIN_MEMORY_MB: usize = 24;
+/// The environment variable that names the configuration, and those that replace fields of it.
+const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
+const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
+const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 
+/// Why there is no configuration.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    #[error("{CONFIG_VARIABLE} is not set")]
+    NotSet,
+    #[error("configuration {path}: {cause}")]
+    Read { path: String, cause: io::Error },
+    #[error("configuration {path}: field `{field}`: {cause}")]
+    Parse { path: String, field: String, cause: serde_json::Error },
+    #[error("configuration {path}: {cause}")]
+    Field { path: String, cause: FieldError },
+}
+
+/// What is wrong with a field that can be parsed.
+#[derive(Debug, Error)]
+pub enum FieldError {
+    #[error("field `{field}`: missing, and no {variable}")]
+    Missing { field: &'static str, variable: &'static str },
+    #[error("field `{field}`: no address: {value:?}")]
+    NoAddress { field: &'static str, value: String },
+    #[error("field `{field}`: {value} is under {min}")]
+    TooSmall { field: &'static str, value: usize, min: usize },
+    #[error("field `seed`: not up to 16 hex digits: {value:?}")]
+    Seed { value: String },
+}
+
+/// The file, with its keys.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     listen: Option<String>,
     discovery: Option<String>,
     #[serde(default)]
@@ -33,93 +67,134 @@
     sockets: usize,
 }
 
+/// The configuration of one balancer.
 pub struct Config {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
+    /// The endpoint list that is known at the start.
     pub known: Option<EndpointList>,
     pub settings: DeploymentSettings,
     pub clients: ClientLimits,
-    /// Most connections to upstreams.
-    pub upstreams: usize,
+    pub max_upstream_connections: usize,
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names; its siblings stand in where it is silent.
-    pub fn load() -> Result<Self, String> {
-        let path = env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG is not set".to_string())?;
-        let text = std::fs::read(&path).map_err(|e| format!("configuration {path}: {e}"))?;
-        Self::read(&text, &path)
+    /// Reads the file that `ROUTER_CONFIG` names; other variables stand in for the addresses that it lacks.
+    ///
+    /// # Errors
+    ///
+    /// The file and the field that is wrong.
+    pub fn load() -> Result<Self, ConfigError> {
+        let (path, text) = read_file()?;
+        Self::parse(&text, &path)
     }
 
-    /// Reads this text; `path` is what errors call it.
-    pub fn read(text: &[u8], path: &str) -> Result<Self, String> {
-        let mut reader = serde_json::Deserializer::from_slice(text);
-        let file: File = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| format!("configuration {path}: field `{}`: {}", e.path(), e.inner()))?;
-        Self::from_file(file).map_err(|e| format!("configuration {path}: {e}"))
+    /// Parses this text; errors call it `path`.
+    ///
+    /// # Errors
+    ///
+    /// The field that is wrong.
+    pub fn parse(text: &[u8], path: &str) -> Result<Self, ConfigError> {
+        let file: ConfigFile = parse_json(text, path)?;
+        Self::from_file(file).map_err(|cause| ConfigError::Field { path: path.into(), cause })
     }
 
-    /// Where discovery is, as the file says now: the one thing that a running balancer takes from
-    /// a new file. It is read as loosely as that needs, so that whatever else is new or wrong in
-    /// the file does not keep a balancer from the list.
-    pub fn reread_discovery() -> Result<SocketAddr, String> {
+    /// Reads the present address of discovery: the one field that a running balancer takes from a new file. Nothing else
+    /// is parsed, so that whatever else is new or wrong in the file does not keep a balancer from the list.
+    ///
+    /// # Errors
+    ///
+    /// The file, or what is wrong with the field.
+    pub fn reload_discovery() -> Result<SocketAddr, ConfigError> {
         #[derive(Deserialize)]
-        struct Moved {
+        struct DiscoveryAddress {
             discovery: SocketAddr,
         }
-        let path = env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG is not set".to_string())?;
-        let text = std::fs::read(&path).map_err(|e| format!("configuration {path}: {e}"))?;
-        let mut reader = serde_json::Deserializer::from_slice(&text);
-        let moved: Moved = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| format!("configuration {path}: field `{}`: {}", e.path(), e.inner()))?;
-        Ok(moved.discovery)
+        let (path, text) = read_file()?;
+        let file: DiscoveryAddress = parse_json(&text, &path)?;
+        Ok(file.discovery)
     }
 
-    fn from_file(file: File) -> Result<Self, String> {
-        let address = |field: &str, value: Option<String>, variable: &str| {
-            let value = value.or_else(|| env::var(variable).ok());
-            let value = value.ok_or(format!("field `{field}`: missing, and no {variable}"))?;
-            value.parse().map_err(|_| format!("field `{field}`: no address: {value:?}"))
-        };
+    fn from_file(file: ConfigFile) -> Result<Self, FieldError> {
         let Limits { memory_mb, sockets } = file.limits;
-        if sockets < MIN_SOCKETS {
-            return Err(format!("field `limits.sockets`: {sockets} is under {MIN_SOCKETS}"));
-        }
-        if memory_mb < MIN_MEMORY_MB {
-            return Err(format!("field `limits.memory_mb`: {memory_mb} is under {MIN_MEMORY_MB}"));
-        }
-        let seed = match file.seed.as_str() {
-            "" => 0,
-            hex => u64::from_str_radix(hex, 16)
-                .map_err(|_| format!("field `seed`: not up to 16 hex digits: {hex:?}"))?,
-        };
-        let (clients, upstreams) = split(memory_mb, sockets, SOCKETS_OTHER);
+        check_minimum("limits.sockets", sockets, MIN_SOCKETS)?;
+        check_minimum("limits.memory_mb", memory_mb, MIN_MEMORY_MB)?;
+        let seed = parse_seed(&file.seed)?;
+        let ConnectionLimits { clients, max_upstream_connections } =
+            ConnectionLimits::new(memory_mb, sockets, OTHER_SOCKETS);
         Ok(Self {
-            listen: address("listen", file.listen, "ROUTER_LISTEN")?,
-            discovery: address("discovery", file.discovery, "ROUTER_DISCOVERY")?,
+            listen: parse_address("listen", file.listen, LISTEN_VARIABLE)?,
+            discovery: parse_address("discovery", file.discovery, DISCOVERY_VARIABLE)?,
             seed,
             known: file.known,
             settings: file.settings,
             clients,
-            upstreams,
+            max_upstream_connections,
         })
     }
 }
 
-/// What clients may hold of these limits, and the most connections to servers. `other` descriptors
-/// are neither's.
-pub fn split(memory_mb: usize, sockets: usize, other: usize) -> (ClientLimits, usize) {
-    let sockets_left = sockets.saturating_sub(other);
-    // Two fifths for upstreams: each connection carries one request at a time, and a third of
-    // all descriptors may belong to clients that wait for one. Failure: with fewer, requests
-    // waited here for a descriptor, and the upstream was blamed that could not be reached.
-    let upstreams = sockets_left * 2 / 5;
-    let clients = ClientLimits {
-        max_connections: sockets_left - upstreams,
-        // The platform lets clients hold a third of all descriptors for requests.
-        max_client_connections: sockets / 3,
-        body_memory: (memory_mb << 20) / 8,
-    };
-    (clients, upstreams)
+/// The path and the text of the file that `ROUTER_CONFIG` names.
+fn read_file() -> Result<(String, Vec<u8>), ConfigError> {
+    let path = env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::NotSet)?;
+    match std::fs::read(&path) {
+        Ok(text) => Ok((path, text)),
+        Err(cause) => Err(ConfigError::Read { path, cause }),
+    }
+}
+
+fn parse_json<T: DeserializeOwned>(text: &[u8], path: &str) -> Result<T, ConfigError> {
+    let mut reader = serde_json::Deserializer::from_slice(text);
+    serde_path_to_error::deserialize(&mut reader).map_err(|error| ConfigError::Parse {
+        path: path.into(),
+        field: error.path().to_string(),
+        cause: error.into_inner(),
+    })
+}
+
+/// The address of a field, or else of the environment variable.
+fn parse_address(
+    field: &'static str,
+    value: Option<String>,
+    variable: &'static str,
+) -> Result<SocketAddr, FieldError> {
+    let value = value.or_else(|| env::var(variable).ok());
+    let value = value.ok_or(FieldError::Missing { field, variable })?;
+    value.parse().map_err(|_| FieldError::NoAddress { field, value })
+}
+
+fn check_minimum(field: &'static str, value: usize, min: usize) -> Result<(), FieldError> {
+    if value < min { Err(FieldError::TooSmall { field, value, min }) } else { Ok(()) }
+}
+
+fn parse_seed(hex: &str) -> Result<u64, FieldError> {
+    match hex {
+        "" => Ok(0),
+        hex => u64::from_str_radix(hex, 16).map_err(|_| FieldError::Seed { value: hex.into() }),
+    }
+}
+
+/// How descriptors and memory are divided.
+pub struct ConnectionLimits {
+    pub clients: ClientLimits,
+    pub max_upstream_connections: usize,
+}
+
+impl ConnectionLimits {
+    /// Divides these limits; `other` descriptors are neither for clients nor for servers.
+    pub fn new(memory_mb: usize, sockets: usize, other: usize) -> Self {
+        let available = sockets.saturating_sub(other);
+        // Two fifths for servers: each connection carries one request at a time, and a third of all descriptors may
+        // belong to clients that wait for one. Failure: with fewer, requests waited here for a descriptor, and the
+        // server that could not be connected to was taken for faulty.
+        let max_upstream_connections = available * 2 / 5;
+        let clients = ClientLimits {
+            max_connections: available - max_upstream_connections,
+            // The platform lets clients hold a third of all descriptors for requests.
+            max_client_connections: sockets / 3,
+            body_memory: (memory_mb << 20) / 8,
+        };
+        Self { clients, max_upstream_connections }
+    }
 }
--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -90,8 +90,9 @@
     let servers = nodes.iter().map(|(name, node)| (name.clone(), node.address)).collect();
     let discovery = agent(servers).map_err(|e| format!("a stand-in of discovery: {e}"))?;
     let text = configuration(options.listen, discovery);
-    let running = Running::start(Config::read(text.as_bytes(), "of the demo")?)
-        .map_err(|e| e.replace("field `listen`", "--listen"))?;
+    let running =
+        Running::start(Config::parse(text.as_bytes(), "of the demo").map_err(|e| e.to_string())?)
+            .map_err(|e| e.to_string().replace("field `listen`", "--listen"))?;
     let at = running.address;
     println!("balancer on {at}, before {} nodes of 2 cores each", nodes.len());
 
@@ -135,7 +136,7 @@
             _ = interrupt.recv() => {}
             _ = terminate.recv() => {}
         }
-        running.finish().await;
+        running.shut_down().await;
     }
     Ok(())
 }
--- a/crates/sableloom/src/main.rs
+++ b/crates/sableloom/src/main.rs
@@ -6,6 +6,8 @@
 mod demo;
 mod diagnostics;
 mod fleet;
+mod ingress;
+mod listener;
 mod platform;
 mod rehearse;
 mod route;
--- a/crates/sableloom/src/serve.rs
+++ b/crates/sableloom/src/serve.rs
@@ -27,14 +27,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::platform::{Ingress, SWEEP};
+use crate::config::ConnectionLimits;
+use crate::ingress::Ingress;
+use crate::platform::SWEEP_INTERVAL;
 use crate::site_file::load;
 use control::ControlPlane;
 use error::ServeError;
 use pools::PoolContext;
 use routing::{Router, Routing};
 use signals::{Signals, log_status_on, reload_on};
-use startup::{ConnectionLimits, bind, connection_limits, join_fleet, methods_of, start_pools};
+use startup::{bind, connection_limits, join_fleet, methods_of, start_pools};
 
 /// How long the end waits for mirrors to write their records: a candidate that hangs must not delay it.
 const MIRROR_END_TIMEOUT: Duration = Duration::from_millis(500);
@@ -58,14 +60,19 @@
     let path = options.config;
     let mut signals = Signals::new()?;
     let (site, table) = load(&path).map_err(ServeError::Problems)?;
-    let ConnectionLimits { clients, upstreams } = connection_limits(&path, &site)?;
+    let ConnectionLimits { clients, max_upstream_connections } = connection_limits(&path, &site)?;
     let mut listeners = Vec::new();
     if site.control.is_none() {
         listeners = bind(&path, &site)?;
     }
     let clock = Clock::with_offset_ms(options.wall_clock_ms);
-    let budget = ConnectionBudget::new(upstreams);
-    let context = Rc::new(PoolContext { path: path.clone(), clock, budget, upstreams });
+    let budget = ConnectionBudget::new(max_upstream_connections);
+    let context = Rc::new(PoolContext {
+        path: path.clone(),
+        clock,
+        budget,
+        upstreams: max_upstream_connections,
+    });
     let pools = start_pools(&context, &site).await?;
     let settings = Rc::new(site.client_settings());
     let dialect = Dialect::Open(methods_of(&site)?);
@@ -111,7 +118,7 @@
 /// Closes idle connections and ended pools from time to time, and tells the fleet which servers are in force.
 async fn sweep(frontend: Rc<Frontend>, router: Rc<Router>, fleet: Option<Rc<Fleet>>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         frontend.sweep();
         router.sweep();
         if let Some(fleet) = &fleet {
@@ -125,7 +132,7 @@
     let mirrors: Vec<_> =
         router.pools().iter().filter_map(|pool| Some(pool.mirror.take()?.stop())).collect();
     let abort = || router.pools().iter().for_each(|pool| pool.exchange.abort_open_requests());
-    ingress.finish(|| router.open_requests(), abort).await;
+    ingress.shut_down(|| router.open_requests(), abort).await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
--- a/crates/sableloom/src/serve/startup.rs
+++ b/crates/sableloom/src/serve/startup.rs
@@ -6,7 +6,6 @@
 use hyper::Method;
 use sableloom_exchange::Clock;
 use sableloom_fleet::{QUESTIONS_OUT, Running as Fleet};
-use sableloom_http1::ClientLimits;
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::{Fleet as FleetSettings, Site};
 use tokio::net::TcpListener;
@@ -15,9 +14,9 @@
 use super::mirrors::prepare_mirror;
 use super::pools::{PoolContext, RunningPool, ServerSource};
 use super::routing::{PoolUpdates, Router};
-use crate::config::{SOCKETS_OTHER, split};
+use crate::config::{ConnectionLimits, OTHER_SOCKETS};
 use crate::fleet;
-use crate::platform::listen;
+use crate::listener::listen;
 use crate::site_file::files;
 
 /// Descriptors that each pool may use to watch and read its files.
@@ -25,34 +24,27 @@
 /// Descriptors of a subscription: its connection, and the last good state in its file.
 const SOCKETS_OF_CONTROL: usize = 4;
 
-/// The bounds of connections that follow from the site's limits.
-pub(super) struct ConnectionLimits {
-    pub(super) clients: ClientLimits,
-    /// Most connections to servers.
-    pub(super) upstreams: usize,
-}
-
 /// Divides the site's descriptors and memory.
 pub(super) fn connection_limits(path: &Path, site: &Site) -> Result<ConnectionLimits, ServeError> {
     let fleet = if site.fleet.is_some() { 1 + QUESTIONS_OUT } else { 0 };
     let control = if site.control.is_some() { SOCKETS_OF_CONTROL } else { 0 };
-    let other = SOCKETS_OTHER
+    let other = OTHER_SOCKETS
         + site.listeners.len()
         + SOCKETS_PER_POOL * site.pools.len()
         + fleet
         + control;
-    let (mut clients, upstreams) = split(site.limits.memory_mb, site.limits.sockets, other);
+    let mut limits = ConnectionLimits::new(site.limits.memory_mb, site.limits.sockets, other);
     // The platform bounds the clients that wait for an answer; here nothing does.
-    clients.max_client_connections = clients.max_connections;
+    limits.clients.max_client_connections = limits.clients.max_connections;
     let pools = site.control.as_ref().map_or(site.pools.len(), |control| control.services.len());
-    if upstreams < pools {
+    if limits.max_upstream_connections < pools {
         return Err(ServeError::TooFewSockets {
             file: path.display().to_string(),
             sockets: site.limits.sockets,
             least: other + pools * 5 / 2,
         });
     }
-    Ok(ConnectionLimits { clients, upstreams })
+    Ok(limits)
 }
 
 /// Listens on all addresses of the site.
