--- a/crates/sableloom/tests/sockets/bad_input.rs
+++ b/crates/sableloom/tests/sockets/bad_input.rs
@@ -1,4 +1,4 @@
-//! Nonsense from any side: an answer or an end, nothing sent on, never a crash.
+//! Invalid input from any side: an answer or a close, nothing forwarded, never a crash.
 
 use std::io::Read;
 
@@ -6,8 +6,8 @@
 
 use sableloom_testkit::{Balancer, LONG, Peer, config, entry, ok, post, read, spawn};
 
-/// The program's exit code and all that it says, for a configuration that it can't run with.
-fn refused(config: &str) -> String {
+/// What the program logs for a configuration that it can't run with.
+fn log_of_invalid(config: &str) -> String {
     let (mut child, mut log) = spawn(config);
     let mut text = String::new();
     log.read_to_string(&mut text).expect("a log");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_named_by_its_field() {
+fn an_invalid_configuration_is_reported_with_its_field() {
     for (field, text) in [
         ("line 1", "{".to_string()),
         ("settings", changed(|c| c["settings"] = json!(null))),
@@ -36,21 +36,21 @@
         ("discovery", changed(|c| c["discovery"] = json!("x:y"))),
         ("seed", changed(|c| c["seed"] = json!("green"))),
     ] {
-        let said = refused(&text);
+        let said = log_of_invalid(&text);
         assert!(said.contains(field), "{field}: {said}");
     }
 }
 
 #[test]
-fn an_address_in_use_is_said() {
+fn an_address_in_use_is_reported() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address").to_string();
-    let said = refused(&changed(|c| c["listen"] = json!(at)));
+    let said = log_of_invalid(&changed(|c| c["listen"] = json!(at)));
     assert!(said.contains("listen") && said.contains(&at), "{said}");
 }
 
 #[test]
-fn keys_of_another_deployment_are_skipped() {
+fn keys_of_other_deployments_are_ignored() {
     let (upstream, _came) = Peer::serving();
     let mut config = config(&[upstream.address]);
     config["new"] = json!({"deep": 1});
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_bad_request_goes_nowhere() {
+fn an_invalid_request_is_not_forwarded() {
     let (upstream, came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let body = |headers: &str, body: &str| {
@@ -96,7 +96,7 @@
         assert!((400..500).contains(&answer.status()), "{what}: {}", answer.line);
         client.await_end();
     }
-    // A body that ends short: nothing to answer.
+    // A body that ends early: there is nothing to answer.
     let mut client = balancer.client();
     client.write(body("Content-Length: 9", "short"));
     client.finish();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_length_beside_a_transfer_coding_is_turned_away_in_any_order() {
+fn a_length_beside_a_transfer_coding_is_rejected_in_any_order() {
     let (upstream, came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let (length, coding) = ("Content-Length: {}", "Transfer-Encoding: chunked");
@@ -124,7 +124,7 @@
         ["CONTENT-LENGTH: {}", "transfer-encoding: chunked"],
         [coding, "content-length: 0"],
     ] {
-        // As the first on its connection, behind another, and ahead of its turn.
+        // As the first on its connection, behind another, and pipelined.
         let bad = smuggled("bad", &framing);
         for (ahead, answers) in
             [("", 0), (&*read("good", ""), 1), (&*post("pay", "good", "", "x"), 1)]
@@ -148,7 +148,7 @@
             }
         }
     }
-    // A chunked request alone is welcome, also behind one with a length.
+    // A chunked request alone is accepted, also behind one with a length.
     let mut client = balancer.client();
     client.write(post("pay", "good", "", "x"));
     assert_eq!(client.message().expect("an answer").status(), 200);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn the_id_of_another_open_request_is_turned_away() {
+fn the_id_of_another_open_request_is_rejected() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
     let (upstream, came) = Peer::upstream(move |_, message, conn| {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_list_with_odd_entries_is_used_without_them() {
+fn invalid_entries_of_a_list_are_ignored() {
     let (upstream, _came) = Peer::serving();
     let mut config = config(&[upstream.address]);
     let known = config["known"]["members"].as_array_mut().expect("members");
--- a/crates/sableloom/tests/sockets/bulk.rs
+++ b/crates/sableloom/tests/sockets/bulk.rs
@@ -1,25 +1,25 @@
-//! Long bodies and answers, slow ends, crowds: within the limits, whole or visibly broken.
+//! Large bodies and answers, slow requests, crowds: within the limits, complete or visibly broken.
 
 use std::time::Duration;
 
 use sableloom_testkit::{Balancer, Conn, LONG, Peer, config, eventually, ok, post, read};
 
-/// Past what the protocol has.
+/// More than the protocol allows.
 const LONG_BODY: usize = 3 << 30;
 
 #[test]
-fn an_answer_longer_than_the_protocol_has_fails_at_once_and_is_not_passed_on() {
+fn an_answer_over_the_size_limit_fails_at_once_and_is_not_passed_on() {
     let (upstream, came) = Peer::upstream(|number, _, conn| {
         let part = "a".repeat(70_000);
         match number {
-            // Announced, and sent on and on.
+            // With its length, and more and more bytes.
             0 => {
                 conn.write(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY}\r\n\r\n"));
                 for _ in 0..1000 {
                     conn.write(&part);
                 }
             }
-            // Not announced.
+            // Without a length.
             1 => {
                 conn.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 conn.write(format!("11170\r\n{part}\r\n"));
@@ -54,14 +54,14 @@
     }
     for client in &mut clients {
         let answer = client.message().expect("an answer");
-        // Refused if there is no room or no slot in time, but never cut.
+        // Rejected if there is no memory or no slot in time, but never cut off.
         assert!(answer.status() == 503 || answer.body == body.as_bytes(), "{}", answer.line);
     }
     assert!(balancer.peak_memory_mb() < 32, "{} MB", balancer.peak_memory_mb());
-    assert_eq!(balancer.ask(post("pay", "z", "", "x")).status(), 200, "the room is free again");
+    assert_eq!(balancer.ask(post("pay", "z", "", "x")).status(), 200, "the memory is free again");
 }
 
-/// One that says nothing, one that begins to, or one that has asked once.
+/// A client that is silent, one that sends a part of a request, or one that has sent one request.
 fn one_of_a_crowd(balancer: &Balancer, i: usize) -> Conn {
     let mut client = balancer.client();
     match i % 3 {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn silent_clients_and_those_that_asked_once_are_let_go() {
+fn silent_clients_and_idle_ones_are_closed_after_their_timeouts() {
     let (upstream, _came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let before = balancer.descriptors();
@@ -104,7 +104,7 @@
     assert_eq!(clients[2].message().expect("an answer").status(), 413);
     assert_eq!(clients[1].message().expect("an answer").status(), 408);
     clients[0].await_end();
-    // It is owed within 3 s; the rest is for a slow machine.
+    // It is due within 3 s; the rest is for a slow machine.
     assert!(start.elapsed() < Duration::from_millis(4500), "{:?}", start.elapsed());
 }
 
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_crowd_does_not_shut_the_door() {
+fn a_crowd_does_not_shut_out_other_clients() {
     let (upstream, _came) = Peer::serving();
     let mut config = config(&[upstream.address]);
     config["limits"]["sockets"] = 100.into();
@@ -130,7 +130,7 @@
         assert!(balancer.descriptors() <= 100);
     }
     assert_eq!(balancer.ask(post("pay", "z", "", "x")).status(), 200);
-    // The latest are still there.
+    // The last ones are still connected.
     let last = crowd.last_mut().expect("a client");
     last.write(read("again", ""));
     assert_eq!(last.message().expect("an answer").status(), 200);
--- a/crates/sableloom/tests/sockets/discovery.rs
+++ b/crates/sableloom/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! The list, the watch, and what is kept while they fail.
+//! The endpoint list, its polling, and what stays in force while polls fail.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +9,16 @@
     post, read,
 };
 
-fn asking(discovery: &Discovery, upstreams: &[&Peer], mode: &str) -> Value {
+fn polling_config(discovery: &Discovery, upstreams: &[&Peer], mode: &str) -> Value {
     let mut config = config(&upstreams.iter().map(|u| u.address).collect::<Vec<_>>());
     config["discovery"] = json!(discovery.address.to_string());
     config["settings"]["RegistryMode"] = json!(mode);
-    // The module asks again within a share of this.
+    // The policy polls again within a fraction of this.
     config["settings"]["Safety"]["AskEvery"] = json!(1000.0);
     config
 }
 
-/// Sends requests until the one upstream serves them all.
+/// Sends requests until this upstream serves them all.
 fn served_by(balancer: &Balancer, name: &str) {
     eventually("only one upstream is used", || {
         (0..10).all(|_| balancer.ask(read("1", "")).body == name.as_bytes())
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_drain_is_kept_and_its_connections_closed() {
+fn a_draining_server_gets_no_request_and_its_idle_connections_are_closed() {
     for mode in ["subscribe", "automatic"] {
         let discovery = Discovery::start();
         let (ended, end) = std::sync::mpsc::channel();
@@ -38,14 +38,14 @@
             let _ = ended.lock().expect("unpoisoned").send(());
         });
         let new = named("new");
-        let balancer = Balancer::start(asking(&discovery, &[&old], mode));
+        let balancer = Balancer::start(polling_config(&discovery, &[&old], mode));
         assert_eq!(balancer.ask(read("1", "")).body, b"old");
         let changes = [entry("s-0", old.address, "DRAINING"), entry("s-1", new.address, "SERVING")];
         let changes = list(2, false, &changes);
         let (call, say) = discovery.call();
         assert!(call.starts_with("GET /discovery/hosts?after=1&wait_ms="), "{call}");
-        // An agent's call is given up so soon that a loaded machine may be late for it, and told again. How soon a
-        // watch goes on is held against its bound in simulated time (crates/discovery/tests/watch.rs).
+        // A poll of an agent is abandoned so soon that a loaded machine may answer it too late, and gets another. How soon
+        // a poll continues the watch is checked in simulated time (crates/discovery/tests/polling).
         let _ = say.send(Told::Whole(changes.clone()));
         let (call, _say) = discovery.tell(&changes);
         assert!(call.starts_with("GET /discovery/hosts?after=2&wait_ms="), "{call}");
@@ -54,19 +54,20 @@
     }
 }
 
-/// A watch falls silent and a server begins to drain right after. What it misses counts as told 6 s after
-/// it fell silent, and a second of grace comes on top; the record of the server's first bytes is held
-/// against that. The program takes a fraction of it.
+/// A long poll goes silent and a server begins to drain right after. What the poll misses counts as notified 6 s after it
+/// went silent, and a second of grace comes on top; the record of the server's first bytes is checked against that. The
+/// program takes a fraction of it.
 #[test]
-fn nothing_goes_to_a_server_whose_drain_a_silent_watch_hides_once_that_counts_as_told() {
-    // An agent's call is given up so soon that a loaded machine would; its times are tested elsewhere.
+fn no_request_is_forwarded_to_a_server_whose_drain_a_silent_poll_hides_once_it_counts_as_notified()
+{
+    // Not with an agent, whose polls are abandoned too soon for a loaded machine; its timing is tested elsewhere.
     for _round in 0..2 {
         let mode = "subscribe";
         let discovery = Discovery::start();
         let (told, came) = std::sync::mpsc::channel();
         let told = std::sync::Mutex::new(told);
         let old = Peer::start(move |_, mut conn| {
-            // A peek waits for the first byte, and takes none.
+            // A peek waits for the first byte, and reads none.
             while conn.await_byte() {
                 let _ = told.lock().expect("unpoisoned").send(Instant::now());
                 if conn.message().is_none() {
@@ -76,7 +77,7 @@
             }
         });
         let new = named("new");
-        let balancer = Balancer::start(asking(&discovery, &[&old], mode));
+        let balancer = Balancer::start(polling_config(&discovery, &[&old], mode));
         let mut silent = Vec::new();
         loop {
             let (call, say) = discovery.call();
@@ -86,19 +87,19 @@
             }
             say.send(Told::Whole(list(1, false, &[]))).expect("a call");
         }
-        let fell_silent = Instant::now();
-        // The next call is told.
+        let went_silent = Instant::now();
+        // The next poll is answered.
         let changes = [entry("s-0", old.address, "DRAINING"), entry("s-1", new.address, "SERVING")];
-        let teller = std::thread::spawn(move || {
+        let answering = std::thread::spawn(move || {
             let (_, say) = discovery.call();
             say.send(Told::Whole(list(2, false, &changes))).expect("a call");
             discovery
         });
         served_by(&balancer, "new");
-        let _discovery = teller.join().expect("it was told");
+        let _discovery = answering.join().expect("the poll was answered");
         let first_bytes: Vec<_> = came.try_iter().collect();
-        assert!(!first_bytes.is_empty(), "the old one was in use");
-        let last = first_bytes.iter().map(|at| at.duration_since(fell_silent)).max();
+        assert!(!first_bytes.is_empty(), "the old server was in use");
+        let last = first_bytes.iter().map(|at| at.duration_since(went_silent)).max();
         assert!(
             last < Some(Duration::from_secs(7)),
             "a first byte came {last:?} after the silence"
@@ -107,13 +108,13 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_drain_was_told_carries_nothing() {
-    // An agent's call is given up so soon that a loaded machine would; its times are tested elsewhere.
+fn no_byte_is_sent_on_a_connection_that_comes_up_after_its_server_began_to_drain() {
+    // Not with an agent, whose polls are abandoned too soon for a loaded machine; its timing is tested elsewhere.
     for _round in 0..2 {
         let mode = "subscribe";
         let discovery = Discovery::start();
         let (old, new) = (HeldBack::start(), named("new"));
-        let mut config = asking(&discovery, &[], mode);
+        let mut config = polling_config(&discovery, &[], mode);
         config["known"] = list(1, true, &[entry("s-0", old.address, "SERVING")]);
         config["settings"]["PolicyLimits"]["ConnectTimeout"] = json!(25_000.0);
         for class in config["settings"]["Services"].as_array_mut().expect("classes") {
@@ -132,36 +133,36 @@
 }
 
 #[test]
-fn an_upstream_missing_from_a_whole_list_is_gone() {
+fn an_upstream_that_a_full_list_leaves_out_is_gone() {
     let discovery = Discovery::start();
     let (old, new) = (named("old"), named("new"));
-    let balancer = Balancer::start(asking(&discovery, &[&old], "subscribe"));
+    let balancer = Balancer::start(polling_config(&discovery, &[&old], "subscribe"));
     let whole = list(7, true, &[entry("s-1", new.address, "SERVING")]);
     discovery.call().1.send(Told::Whole(whole)).expect("a call");
     served_by(&balancer, "new");
 }
 
 #[test]
-fn a_failed_watch_is_taken_up_again() {
+fn polling_continues_after_failed_polls() {
     let discovery = Discovery::start();
     let (old, new) = (named("old"), named("new"));
-    let balancer = Balancer::start(asking(&discovery, &[&old], "subscribe"));
+    let balancer = Balancer::start(polling_config(&discovery, &[&old], "subscribe"));
     let gone = [entry("s-0", old.address, "DELETED"), entry("s-1", new.address, "SERVING")];
-    for nonsense in [Told::Down, Told::Whole(json!("nonsense")), Told::Cut(json!({}), 5)] {
+    for invalid in [Told::Down, Told::Whole(json!("nonsense")), Told::Cut(json!({}), 5)] {
         let (call, say) = discovery.call();
         assert!(call.contains("after=1&"), "{call}");
-        say.send(nonsense).expect("a call");
-        assert_eq!(balancer.ask(read("1", "")).body, b"old", "what was known is kept");
+        say.send(invalid).expect("a call");
+        assert_eq!(balancer.ask(read("1", "")).body, b"old", "the last list stays in force");
     }
     discovery.call().1.send(Told::Whole(list(2, false, &gone))).expect("a call");
     served_by(&balancer, "new");
 }
 
 #[test]
-fn what_is_wrong_with_discovery_is_said_once() {
+fn a_problem_of_discovery_is_logged_once() {
     let discovery = Discovery::start();
-    // An agent's call is given up so soon that a loaded machine would, which is another fault than the one told here.
-    let balancer = Balancer::start(asking(&discovery, &[&named("old")], "subscribe"));
+    // Not with an agent, whose polls are abandoned too soon for a loaded machine: that is another problem than this one.
+    let balancer = Balancer::start(polling_config(&discovery, &[&named("old")], "subscribe"));
     for _ in 0..20 {
         discovery.call().1.send(Told::Down).expect("a call");
     }
@@ -173,11 +174,11 @@
 }
 
 #[test]
-fn what_came_whole_of_a_cut_answer_is_used() {
+fn complete_entries_of_an_answer_that_was_cut_off_are_used() {
     for stall in [false, true] {
         let discovery = Discovery::start();
         let (old, new) = (named("old"), named("new"));
-        let balancer = Balancer::start(asking(&discovery, &[&old, &new], "subscribe"));
+        let balancer = Balancer::start(polling_config(&discovery, &[&old, &new], "subscribe"));
         let drained = entry("s-0", old.address, "DRAINING");
         let cut = list(2, true, &[drained, entry("s-1", new.address, "DELETED")]);
         let whole = ok(&cut.to_string()).len();
@@ -186,16 +187,16 @@
         say.send(said).expect("a call");
         served_by(&balancer, "new");
         let (call, _say) = discovery.call();
-        assert!(call.contains("after=1&"), "the version has not been reached: {call}");
+        assert!(call.contains("after=1&"), "the revision stays: {call}");
     }
 }
 
 #[test]
-fn upstreams_that_are_gone_are_forgotten_and_new_ones_at_their_address_used() {
+fn departed_upstreams_are_forgotten_and_new_ones_at_their_address_used() {
     let discovery = Discovery::start();
     let (at, came) = Peer::serving();
-    let balancer = Balancer::start(asking(&discovery, &[], "subscribe"));
-    // Replaced again and again: each new one is at the address of one that has gone.
+    let balancer = Balancer::start(polling_config(&discovery, &[], "subscribe"));
+    // Each new server is at the address of the one that has gone.
     let mut before = None;
     for i in 0..50 {
         let mut changes = vec![entry(&format!("s-{}", i + 1), at.address, "SERVING")];
@@ -205,9 +206,9 @@
         assert_eq!(balancer.ask(post("pay", &i.to_string(), "", "x")).status(), 200);
     }
     assert!(came.try_iter().map(|m| m.id().to_string()).eq((0..50).map(|i| i.to_string())));
-    // A whole list closes the connections to what it leaves out.
+    // A full list closes the connections to the servers that it leaves out.
     let _waits = discovery.tell(&list(99, true, &[]));
-    eventually("nothing is sent any more", || {
+    eventually("no request is forwarded any more", || {
         balancer.ask(read("z", "").replace("2500", "500")).status() == 503
     });
 }
--- a/crates/sableloom/tests/sockets/ends.rs
+++ b/crates/sableloom/tests/sockets/ends.rs
@@ -1,6 +1,6 @@
-//! The instant in which something ends: a client, a server, a place, a time, this process. Whatever is still
-//! owed then is answered, and nothing more is sent for what is over. Each test brings about the bad order by
-//! events, every time.
+//! The instant in which something ends: a client, a server, an address, a deduplication window, this process. What is open
+//! then is answered, and no byte is sent any more for what has ended. Each test brings about the critical order by events,
+//! every time.
 
 use std::net::TcpStream;
 use std::sync::Mutex;
@@ -14,8 +14,8 @@
     eventually, list, named, ok, post, read,
 };
 
-/// One server that answers when the test says so, with what the test says, and tells of each request.
-fn told_what_to_say() -> (Peer, Receiver<Message>, Sender<String>) {
+/// A server that answers when the test says so, with what the test says, and reports each request.
+fn scripted_upstream() -> (Peer, Receiver<Message>, Sender<String>) {
     let (say, said) = channel::<String>();
     let said = Mutex::new(said);
     let (peer, came) = Peer::upstream(move |_, _, conn| {
@@ -26,15 +26,15 @@
     (peer, came, say)
 }
 
-fn asks(discovery: &Discovery, upstreams: &[&Peer]) -> Value {
+fn polling_config(discovery: &Discovery, upstreams: &[&Peer]) -> Value {
     let mut config = config(&upstreams.iter().map(|u| u.address).collect::<Vec<_>>());
     config["discovery"] = json!(discovery.address.to_string());
     config["settings"]["RegistryMode"] = json!("subscribe");
     config
 }
 
-/// So much time that nothing is given up for the want of it.
-fn with_time(mut config: Value) -> Value {
+/// Such long deadlines that none passes during the test.
+fn with_long_deadlines(mut config: Value) -> Value {
     config["settings"]["PolicyLimits"]["ConnectTimeout"] = json!(25_000.0);
     for class in config["settings"]["Services"].as_array_mut().expect("classes") {
         (class["Aim"], class["Deadline"]) = (json!(25_000.0), json!(28_000.0));
@@ -42,20 +42,20 @@
     config
 }
 
-fn patient(request: String) -> String {
+fn with_long_wait(request: String) -> String {
     request.replace("2500", "28000")
 }
 
 // ---------------------------------------------------------------- clients
 
-/// Requests wait as no server is there yet. Their clients leave in every way, some with bytes behind their
-/// request, which hyper reads no further than. Then a server comes: it must hear of none of them.
+/// Requests are queued as there is no server yet. Their clients disconnect in every way, some with bytes behind their
+/// request, past which hyper does not read. Then a server comes: it must get none of them.
 #[test]
-fn nothing_is_sent_for_clients_that_left_while_their_requests_waited() {
+fn no_byte_is_sent_for_clients_that_disconnected_while_their_requests_were_queued() {
     let discovery = Discovery::start();
     let (upstream, came) = Peer::serving();
-    let balancer = Balancer::start(with_time(asks(&discovery, &[])));
-    let behind = ["", "G", "GET /read/x HTTP/1.1\r\n", &patient(read("second", ""))];
+    let balancer = Balancer::start(with_long_deadlines(polling_config(&discovery, &[])));
+    let behind = ["", "G", "GET /read/x HTTP/1.1\r\n", &with_long_wait(read("second", ""))];
     // Hundreds in a burst.
     for (i, behind) in behind.iter().cycle().take(80).enumerate() {
         for (j, post_it) in [false, true].into_iter().enumerate() {
@@ -63,8 +63,8 @@
                 let id = format!("left-{i}-{j}-{reset}");
                 let request = if post_it { post("pay", &id, "", "x") } else { read(&id, "") };
                 let mut client = balancer.client();
-                // In one piece, and in two with the answer to another request between them.
-                client.write(patient(request) + if reset { behind } else { "" });
+                // At once, and in two parts with the answer to another request between them.
+                client.write(with_long_wait(request) + if reset { behind } else { "" });
                 if !reset {
                     assert_eq!(balancer.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
                     client.write(behind);
@@ -74,7 +74,7 @@
         }
     }
     let mut stays = balancer.client();
-    stays.write(patient(read("stays", "")));
+    stays.write(with_long_wait(read("stays", "")));
     let member = entry("s-0", upstream.address, "SERVING");
     let _waits = discovery.tell(&list(2, true, &[member]));
     assert_eq!(stays.message().expect("an answer").status(), 200);
@@ -85,108 +85,108 @@
     assert_eq!(ids, ["stays", "last", "last", "last"]);
 }
 
-/// The further attempt of a request whose client left during the first.
+/// The retry of a request whose client disconnected during the first attempt.
 #[test]
-fn nothing_is_sent_again_for_a_client_that_has_left() {
-    let (upstream, came, say) = told_what_to_say();
-    let balancer = Balancer::start(with_time(config(&[upstream.address])));
+fn a_request_whose_client_has_disconnected_is_not_retried() {
+    let (upstream, came, say) = scripted_upstream();
+    let balancer = Balancer::start(with_long_deadlines(config(&[upstream.address])));
     let mut client = balancer.client();
-    client.write(patient(read("left", "")) + "GET /re");
+    client.write(with_long_wait(read("left", "")) + "GET /re");
     assert_eq!(came.recv_timeout(LONG).expect("its first attempt").id(), "left");
     client.leave(false);
-    let never_ran = answer("503 Full", "X-Never-Ran: 1\r\n", "");
-    say.send(never_ran).expect("a server");
-    // The place at the server is free again, for whom it is meant.
+    let not_executed = answer("503 Full", "X-Never-Ran: 1\r\n", "");
+    say.send(not_executed).expect("a server");
+    // The slot at the server is free again, for the other request.
     say.send(ok("other")).expect("a server");
-    assert_eq!(balancer.ask(patient(read("other", ""))).body, b"other");
+    assert_eq!(balancer.ask(with_long_wait(read("other", ""))).body, b"other");
     let ids: Vec<_> = came.try_iter().map(|m| m.id().to_string()).collect();
     assert_eq!(ids, ["other"]);
 }
 
 // ---------------------------------------------------------------- servers
 
-/// A connection that is out while its server moves comes back to where it was filed: it must not carry the
-/// next request to the old address.
+/// A connection that is in use while its server moves comes back under the server's id: it must not carry the next request
+/// to the old address.
 #[test]
-fn a_connection_that_was_out_while_its_server_moved_carries_nothing_more() {
+fn a_connection_that_was_in_use_while_its_server_moved_is_not_reused() {
     let discovery = Discovery::start();
-    let (old, at_old, say) = told_what_to_say();
+    let (old, requests_at_old, say) = scripted_upstream();
     let new = named("new");
-    let balancer = Balancer::start(with_time(asks(&discovery, &[&old])));
+    let balancer = Balancer::start(with_long_deadlines(polling_config(&discovery, &[&old])));
     let mut client = balancer.client();
-    client.write(patient(post("pay", "1", "", "x")));
-    at_old.recv_timeout(LONG).expect("it is out");
+    client.write(with_long_wait(post("pay", "1", "", "x")));
+    requests_at_old.recv_timeout(LONG).expect("it is in flight");
     let _waits = discovery.tell(&list(2, true, &[entry("s-0", new.address, "SERVING")]));
     say.send(ok("old")).expect("a server");
     assert_eq!(client.message().expect("an answer").body, b"old");
     for id in ["2", "3", "4"] {
-        assert_eq!(balancer.ask(patient(post("pay", id, "", "x"))).body, b"new");
+        assert_eq!(balancer.ask(with_long_wait(post("pay", id, "", "x"))).body, b"new");
     }
-    assert!(at_old.try_recv().is_err(), "nothing more came to the old address");
+    assert!(requests_at_old.try_recv().is_err(), "the old address got no further request");
 }
 
 #[test]
-fn a_connection_that_comes_up_at_an_address_that_its_server_has_left_carries_nothing() {
+fn no_byte_is_sent_on_a_connection_to_an_address_that_its_server_has_left() {
     for gone in [false, true] {
         let discovery = Discovery::start();
         let (old, new) = (HeldBack::start(), named("new"));
-        let mut config = with_time(asks(&discovery, &[]));
+        let mut config = with_long_deadlines(polling_config(&discovery, &[]));
         config["known"] = list(1, true, &[entry("s-0", old.address, "SERVING")]);
         let balancer = Balancer::start(config);
         let mut client = balancer.client();
-        client.write(patient(post("pay", "held", "", "x")));
+        client.write(with_long_wait(post("pay", "held", "", "x")));
         old.await_caller();
-        // Under the same id elsewhere, or forgotten and another in its place.
+        // The same id at another address, or another server in its place.
         let id = if gone { "s-1" } else { "s-0" };
         let _waits = discovery.tell(&list(2, true, &[entry(id, new.address, "SERVING")]));
-        assert_eq!(balancer.ask(patient(read("other", ""))).body, b"new");
+        assert_eq!(balancer.ask(with_long_wait(read("other", ""))).body, b"new");
         assert_eq!(String::from_utf8_lossy(&old.let_in()), "", "not a byte");
         assert_eq!(client.message().expect("an answer").body, b"new");
     }
 }
 
-// ---------------------------------------------------------------- times
+// ---------------------------------------------------------------- deduplication windows
 
-/// The first attempt of a keyed request may have run. The connection for the next comes up so late that its
-/// server would not know it for a repeat any more.
+/// The first attempt of a keyed request may have been executed. The connection for the next comes up so late that its
+/// server would not recognize it as a retry any more.
 #[test]
-fn a_repeat_does_not_leave_once_its_window_is_over() {
+fn a_retry_is_not_sent_once_its_deduplication_window_has_ended() {
     let discovery = Discovery::start();
-    let (first, at_first, say) = told_what_to_say();
+    let (first, requests_at_first, say) = scripted_upstream();
     let late = HeldBack::start();
-    let mut config = with_time(asks(&discovery, &[&first]));
+    let mut config = with_long_deadlines(polling_config(&discovery, &[&first]));
     let window = Duration::from_millis(2500);
     config["settings"]["Services"][1]["Window"] = json!(window.as_millis() as f64);
     let balancer = Balancer::start(config);
     let mut client = balancer.client();
-    client.write(patient(post("put", "keyed", "Idempotency-Key: k\r\n", "x")));
-    at_first.recv_timeout(LONG).expect("the first attempt");
-    let ran = Instant::now();
+    client.write(with_long_wait(post("put", "keyed", "Idempotency-Key: k\r\n", "x")));
+    requests_at_first.recv_timeout(LONG).expect("the first attempt");
+    let executed = Instant::now();
     let members = [entry("s-0", first.address, "SERVING"), entry("s-1", late.address, "SERVING")];
     let _waits = discovery.tell(&list(2, true, &members));
     say.send(answer("500 Oops", "", "")).expect("a server");
     late.await_caller();
-    eventually("the window is over", || ran.elapsed() > window);
+    eventually("the window has ended", || executed.elapsed() > window);
     assert_eq!(String::from_utf8_lossy(&late.let_in()), "", "not a byte");
     let status = client.message().expect("an answer").status();
-    assert!([502, 503].contains(&status), "given up: {status}");
-    assert!(at_first.try_recv().is_err(), "nor was it sent again elsewhere");
+    assert!([502, 503].contains(&status), "no answer of a server: {status}");
+    assert!(requests_at_first.try_recv().is_err(), "nor was it retried elsewhere");
 }
 
 // ---------------------------------------------------------------- this process
 
-/// Few places, all of them taken by requests that wait for one server, which says nothing.
-fn full(aim_ms: f64) -> (Balancer, Vec<Conn>, Receiver<Message>, Peer) {
+/// Few slots, all of them taken by requests that wait for one server, which is silent.
+fn full_balancer(objective_ms: f64) -> (Balancer, Vec<Conn>, Receiver<Message>, Peer) {
     let (upstream, came) = Peer::upstream(|_, _, conn| !conn.ends_within(LONG));
-    // As many entries as it takes for none to be refused.
+    // As many entries as it takes for no request to be rejected.
     let mut config = config(&[upstream.address; 30]);
     config["limits"]["sockets"] = 100.into();
     for class in config["settings"]["Services"].as_array_mut().expect("classes") {
-        (class["Aim"], class["Deadline"]) = (json!(aim_ms), json!(aim_ms));
+        (class["Aim"], class["Deadline"]) = (json!(objective_ms), json!(objective_ms));
     }
     let balancer = Balancer::start(config);
     let mut clients = Vec::new();
-    // Those past the places wait in the kernel, or in the one hand that accepts.
+    // Those past the slots wait in the kernel, or in the acceptor.
     for i in 0..46 {
         let mut client = balancer.client();
         client.write(read(&format!("busy-{i}"), "").replace("2500", "8000"));
@@ -198,10 +198,10 @@
     (balancer, clients, came, upstream)
 }
 
-/// What the system has accepted counts as accepted, whether or not this process has come to it.
+/// What the system has accepted counts as accepted, whether or not this process has accepted it yet.
 #[test]
-fn connections_that_wait_to_be_accepted_at_the_end_are_answered() {
-    let (mut balancer, _busy, _came, _upstream) = full(8000.0);
+fn connections_that_wait_to_be_accepted_at_shutdown_are_answered() {
+    let (mut balancer, _busy, _came, _upstream) = full_balancer(8000.0);
     let mut waiting: Vec<_> = (0..12).map(|_| balancer.client()).collect();
     for (i, client) in waiting.iter_mut().enumerate() {
         client.write(read(&format!("waits-{i}"), ""));
@@ -215,42 +215,44 @@
     assert_eq!(balancer.await_exit(), Some(0));
 }
 
-/// Half of a request is there when this process shuts its door; the rest comes when no new connection is
-/// taken any more. Its last byte is written to a connection that was accepted.
+/// Half of a request has come when this process stops accepting; the rest comes when no new connection is accepted any
+/// more. Its last byte is written to a connection that was accepted.
 #[test]
-fn a_request_that_is_half_there_at_the_end_is_answered() {
+fn a_request_that_was_half_read_at_shutdown_is_answered() {
     let (upstream, _came) = Peer::serving();
     let mut balancer = Balancer::before(&[&upstream]);
     let whole = post("pay", "half", "", "body");
     let cuts = [4, whole.len() - 6, whole.len() - 1];
     let mut halves: Vec<_> = cuts.iter().map(|_| balancer.client()).collect();
-    // One that rested before, as well.
-    let mut rested = balancer.client();
-    rested.write(read("before", ""));
-    assert_eq!(rested.message().expect("an answer").status(), 200);
-    let all = |halves: &mut Vec<Conn>, rested: &mut Conn, part: &dyn Fn(usize, &str) -> String| {
+    // And on a connection that was idle before.
+    let mut idle = balancer.client();
+    idle.write(read("before", ""));
+    assert_eq!(idle.message().expect("an answer").status(), 200);
+    let all = |halves: &mut Vec<Conn>, idle: &mut Conn, part: &dyn Fn(usize, &str) -> String| {
         for (i, (client, cut)) in halves.iter_mut().zip(cuts).enumerate() {
             client.write(part(cut, &whole.replace("half", &format!("hal{i}"))));
         }
-        rested.write(part(5, &read("after", "")));
+        idle.write(part(5, &read("after", "")));
     };
-    all(&mut halves, &mut rested, &|cut, text| text[..cut].to_string());
-    // The halves are read before the signal: what came later on another connection was answered.
+    all(&mut halves, &mut idle, &|cut, text| text[..cut].to_string());
+    // The halves are read before the signal: a later request on another connection was answered.
     assert_eq!(balancer.ask(read("other", "")).status(), 200);
     balancer.terminate();
-    eventually("no connection is taken any more", || TcpStream::connect(balancer.address).is_err());
-    all(&mut halves, &mut rested, &|cut, text| text[cut..].to_string());
-    for client in halves.iter_mut().chain([&mut rested]) {
+    eventually("no connection is accepted any more", || {
+        TcpStream::connect(balancer.address).is_err()
+    });
+    all(&mut halves, &mut idle, &|cut, text| text[cut..].to_string());
+    for client in halves.iter_mut().chain([&mut idle]) {
         let answer = client.message().expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     assert_eq!(balancer.await_exit(), Some(0));
 }
 
-/// A client may wait for longer than its class allows, and the class's deadline may be short: this process
-/// ends a little after that, and what is still open by then is answered first.
+/// A client may wait for longer than its class allows, and the deadline of the class may be short: this process ends a
+/// little after that, and the requests that are still open by then are answered first.
 #[test]
-fn what_is_still_open_at_the_very_end_is_answered() {
+fn requests_that_are_still_open_when_the_process_ends_are_answered() {
     for deadline in [150.0, 3000.0] {
         let (upstream, came) = Peer::upstream(|_, _, conn| !conn.ends_within(LONG));
         let mut config = config(&[upstream.address]);
@@ -263,7 +265,7 @@
         for (i, client) in clients.iter_mut().enumerate() {
             client.write(post("pay", &i.to_string(), "", "x").replace("2500", "60000"));
         }
-        came.recv_timeout(LONG).expect("at least one is out");
+        came.recv_timeout(LONG).expect("at least one is in flight");
         balancer.terminate();
         for client in &mut clients {
             let answer = client.message().expect("an answer");
@@ -273,24 +275,24 @@
     }
 }
 
-/// Parts of requests are there when this process gives up what is open, and their rests come right then, in its
-/// last 60 ms: there is no time left to send them on. Those of which no rest comes are answered as well, as their
-/// last byte may be on its way.
+/// Parts of requests have come when this process aborts its open requests, and their rests come right then, in its last
+/// 60 ms: there is no time left to forward them. Those whose rest does not come are answered as well, as their last byte
+/// may be on its way.
 #[test]
-fn a_request_that_is_read_in_the_last_moment_is_refused_and_not_sent_on() {
+fn a_request_that_is_read_in_the_last_moment_is_rejected_and_not_forwarded() {
     let (upstream, came) = Peer::upstream(|_, _, conn| !conn.ends_within(LONG));
     let mut config = config(&[upstream.address]);
     for class in config["settings"]["Services"].as_array_mut().expect("classes") {
         (class["Aim"], class["Deadline"]) = (json!(150.0), json!(150.0));
     }
     let mut balancer = Balancer::start(config);
-    let (safe, unsafe_) = (read("late-safe", ""), post("pay", "late-pay", "", "body"));
+    let (idempotent, non_idempotent) = (read("late-safe", ""), post("pay", "late-pay", "", "body"));
     let long = post("pay", "late-long", "", &"x".repeat(20_000));
     let parts = [
-        (&safe, 4),
-        (&safe, safe.len() - 1),
-        (&unsafe_, unsafe_.len() - 6),
-        (&unsafe_, unsafe_.len() - 1),
+        (&idempotent, 4),
+        (&idempotent, idempotent.len() - 1),
+        (&non_idempotent, non_idempotent.len() - 6),
+        (&non_idempotent, non_idempotent.len() - 1),
         (&long, long.len() - 9_000),
     ];
     let mut clients = Vec::new();
@@ -314,7 +316,11 @@
         client.await_end();
     }
     assert_eq!(balancer.await_exit(), Some(0));
-    assert_eq!(came.try_iter().map(|m| m.line).collect::<Vec<_>>(), [""; 0], "nothing is sent on");
+    assert_eq!(
+        came.try_iter().map(|m| m.line).collect::<Vec<_>>(),
+        [""; 0],
+        "nothing is forwarded"
+    );
 }
 
 /// Idle clients have filled all that they can while discovery is away. Once it is back, it is called.
@@ -322,7 +328,7 @@
 fn discovery_is_called_though_idle_clients_hold_every_descriptor_that_they_can() {
     let discovery = Discovery::start();
     let new = named("new");
-    let mut config = asks(&discovery, &[]);
+    let mut config = polling_config(&discovery, &[]);
     config["limits"]["sockets"] = 100.into();
     let balancer = Balancer::with_descriptors(config, 100);
     discovery.call().1.send(Told::Down).expect("a call");
@@ -345,7 +351,7 @@
 fn it_is_ready_while_discovery_is_silent_and_a_crowd_holds_every_place() {
     let discovery = Discovery::start();
     let old = named("old");
-    let mut config = asks(&discovery, &[&old]);
+    let mut config = polling_config(&discovery, &[&old]);
     config["limits"]["sockets"] = 100.into();
     let balancer = Balancer::with_descriptors(config, 100);
     let _crowd: Vec<_> = (0..300)
--- a/crates/sableloom/tests/sockets/main.rs
+++ b/crates/sableloom/tests/sockets/main.rs
@@ -3,12 +3,12 @@
 mod bad_input;
 mod bulk;
 mod discovery;
+mod duplicate_answers;
 mod ends;
 mod limits;
 mod outcomes;
 mod reload;
 mod requests;
-mod second_answers;
 mod server_files;
 mod shadow;
 mod shutdown;
--- a/crates/sableloom/tests/sockets/outcomes.rs
+++ b/crates/sableloom/tests/sockets/outcomes.rs
@@ -1,4 +1,4 @@
-//! The protocol's table: what comes back, and whether the request may have run.
+//! The protocol's table: what comes back, and whether the request may have been executed.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
     Balancer, Conn, LONG, Peer, answer, config, ok, only_own_times, post, read,
 };
 
-/// Time of a request that a fault ends, in milliseconds: none is given up for the want of it.
-const PATIENT_MS: u32 = 25_000;
-/// Time of a request that only the end of its time ends.
-const SHORT_MS: u32 = 1000;
-/// How often a case is played at most until the server has met the request before its time was over.
-const PLAYS: usize = 5;
+/// The deadline of a request that a fault ends, in milliseconds: it never passes.
+const LONG_DEADLINE_MS: u32 = 25_000;
+/// The deadline of a request that only its deadline ends.
+const SHORT_DEADLINE_MS: u32 = 1000;
+/// How often a case is run at most until the server has got the request before its deadline.
+const MAX_RUNS: usize = 5;
 
 type Fault = dyn Fn(Conn) + Send + Sync;
 
-/// An unsafe request of this time whose first attempt meets `fault`, then a safe one. Returns the status of the
-/// first, and the ids that the upstream was sent; nothing if the first was over before the upstream read it.
-fn play(time_ms: u32, fault: &Arc<Fault>) -> Option<(u16, Vec<String>)> {
+/// Sends a request that is not idempotent, whose first attempt meets `fault`, then an idempotent one. Returns the status of
+/// the first, and the ids that the upstream got; `None` if the deadline of the first passed before the upstream read it.
+fn run_case(time_ms: u32, fault: &Arc<Fault>) -> Option<(u16, Vec<String>)> {
     let (told, came) = std::sync::mpsc::channel();
     let told = std::sync::Mutex::new((told, false));
     let fault = fault.clone();
@@ -38,97 +38,102 @@
     let with_time = |request: String, ms: u32| request.replace("2500", &ms.to_string());
     let first = balancer.ask(with_time(post("pay", "pay", "", "x"), time_ms)).status();
     let met = came.try_recv().ok()?;
-    // What is sent after the final answer would come before this one.
-    assert_eq!(balancer.ask(with_time(read("read", ""), PATIENT_MS)).status(), 200);
+    // An attempt after the final answer would come before this one.
+    assert_eq!(balancer.ask(with_time(read("read", ""), LONG_DEADLINE_MS)).status(), 200);
     Some((first, std::iter::once(met).chain(came.try_iter()).collect()))
 }
 
-/// Plays it until the upstream met the request in its time, which a loaded machine may miss.
-fn unsafe_after(time_ms: u32, fault: impl Fn(Conn) + Send + Sync + 'static) -> (u16, Vec<String>) {
+/// Runs a case until the upstream got the request before its deadline, which a loaded machine may miss.
+fn non_idempotent_after(
+    time_ms: u32,
+    fault: impl Fn(Conn) + Send + Sync + 'static,
+) -> (u16, Vec<String>) {
     let fault: Arc<Fault> = Arc::new(fault);
-    let outcome = (0..PLAYS).find_map(|_| play(time_ms, &fault));
-    outcome.expect("the upstream meets the request before its time is over")
+    let outcome = (0..MAX_RUNS).find_map(|_| run_case(time_ms, &fault));
+    outcome.expect("the upstream gets the request before its deadline")
 }
 
-fn may_have_run_within(time_ms: u32, fault: impl Fn(Conn) + Send + Sync + 'static) {
-    let (status, sent) = unsafe_after(time_ms, fault);
-    assert_eq!(status, 502, "failed, with no promise");
-    assert_eq!(sent, ["pay", "read"], "never sent twice");
+fn may_have_been_executed_within(time_ms: u32, fault: impl Fn(Conn) + Send + Sync + 'static) {
+    let (status, sent) = non_idempotent_after(time_ms, fault);
+    assert_eq!(status, 502, "failed, and not rejected");
+    assert_eq!(sent, ["pay", "read"], "not retried");
 }
 
-fn may_have_run(fault: impl Fn(Conn) + Send + Sync + 'static) {
-    may_have_run_within(PATIENT_MS, fault);
+fn may_have_been_executed(fault: impl Fn(Conn) + Send + Sync + 'static) {
+    may_have_been_executed_within(LONG_DEADLINE_MS, fault);
 }
 
-fn never_ran(fault: impl Fn(Conn) + Send + Sync + 'static) {
-    let (status, sent) = unsafe_after(PATIENT_MS, fault);
+fn not_executed(fault: impl Fn(Conn) + Send + Sync + 'static) {
+    let (status, sent) = non_idempotent_after(LONG_DEADLINE_MS, fault);
     assert_eq!(status, 200);
-    assert_eq!(sent, ["pay", "pay", "read"], "sent again");
+    assert_eq!(sent, ["pay", "pay", "read"], "retried");
 }
 
 #[test]
-fn an_error_may_have_run() {
-    may_have_run(|mut conn| conn.write(answer("500 Oops", "", "no")));
+fn after_an_error_the_request_may_have_been_executed() {
+    may_have_been_executed(|mut conn| conn.write(answer("500 Oops", "", "no")));
 }
 
 #[test]
-fn a_503_with_no_mark_may_have_run() {
-    may_have_run(|mut conn| conn.write(answer("503 Busy", "Retry-After: 1\r\n", "")));
+fn after_a_503_without_a_mark_the_request_may_have_been_executed() {
+    may_have_been_executed(|mut conn| conn.write(answer("503 Busy", "Retry-After: 1\r\n", "")));
 }
 
 #[test]
 fn a_429_of_an_upstream_is_not_passed_on() {
-    may_have_run(|mut conn| conn.write(answer("429 Slow Down", "", "")));
+    may_have_been_executed(|mut conn| conn.write(answer("429 Slow Down", "", "")));
 }
 
 #[test]
-fn an_odd_answer_may_have_run() {
-    may_have_run(|mut conn| conn.write(answer("204 No Content", "", "")));
+fn after_an_unusual_answer_the_request_may_have_been_executed() {
+    may_have_been_executed(|mut conn| conn.write(answer("204 No Content", "", "")));
 }
 
 #[test]
-fn nonsense_may_have_run() {
-    may_have_run(|mut conn| conn.write("\0\x01nonsense\r\n\r\n"));
+fn after_an_invalid_answer_the_request_may_have_been_executed() {
+    may_have_been_executed(|mut conn| conn.write("\0\x01nonsense\r\n\r\n"));
 }
 
 #[test]
-fn a_reset_after_the_request_may_have_run() {
-    may_have_run(Conn::reset);
+fn after_a_reset_behind_the_request_it_may_have_been_executed() {
+    may_have_been_executed(Conn::reset);
 }
 
 #[test]
-fn a_close_after_the_request_may_have_run() {
-    may_have_run(drop);
+fn after_a_close_behind_the_request_it_may_have_been_executed() {
+    may_have_been_executed(drop);
 }
 
 #[test]
-fn an_answer_cut_inside_may_have_run() {
-    may_have_run(|mut conn| conn.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"));
+fn after_an_answer_that_was_cut_off_the_request_may_have_been_executed() {
+    may_have_been_executed(|mut conn| {
+        conn.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
+    });
 }
 
 #[test]
-fn an_answer_reset_inside_may_have_run() {
-    may_have_run(|mut conn| {
+fn after_a_reset_within_the_answer_the_request_may_have_been_executed() {
+    may_have_been_executed(|mut conn| {
         conn.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
         conn.reset();
     });
 }
 
-/// A reset is no end of an answer that has no length: it ends with the connection, but only by a close.
+/// A reset does not complete an answer without a length: only a close does.
 #[test]
-fn an_answer_with_no_length_that_is_reset_may_have_run() {
+fn after_a_reset_of_an_answer_without_a_length_the_request_may_have_been_executed() {
     for body in ["", "abc"] {
-        may_have_run(move |mut conn| {
+        may_have_been_executed(move |mut conn| {
             conn.write(format!("HTTP/1.1 200 OK\r\n\r\n{body}"));
             conn.reset();
         });
     }
 }
 
-/// Answers that never end: by what they say of their length, by their pieces, by neither, or in their head. They
-/// are given up by their size or by the request's time, and nothing of them is passed on.
+/// Answers that never end: by their length, by their chunks, by neither, or in their head. They are abandoned by their size
+/// or by the request's deadline, and no byte of them is passed on.
 #[test]
-fn an_answer_that_never_ends_may_have_run() {
+fn after_an_answer_that_never_ends_the_request_may_have_been_executed() {
     for head in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -136,41 +141,41 @@
         "HTTP/1.1 200 OK\r\n",
         "",
     ] {
-        may_have_run_within(SHORT_MS, move |mut conn| {
+        may_have_been_executed_within(SHORT_DEADLINE_MS, move |mut conn| {
             conn.write(head);
             let piece = if head.contains("chunked") { "3\r\nabc\r\n" } else { "X-Y: z\r\n" };
-            // As slowly as the other end reads, until it has had enough.
+            // As slowly as the balancer reads, until it closes.
             while conn.takes(piece.repeat(500)) {}
         });
     }
 }
 
 #[test]
-fn silence_may_have_run() {
-    may_have_run_within(SHORT_MS, |mut conn| conn.await_end());
+fn after_silence_the_request_may_have_been_executed() {
+    may_have_been_executed_within(SHORT_DEADLINE_MS, |mut conn| conn.await_end());
 }
 
 #[test]
-fn silence_inside_an_answer_may_have_run() {
-    may_have_run_within(SHORT_MS, |mut conn| {
+fn after_silence_within_the_answer_the_request_may_have_been_executed() {
+    may_have_been_executed_within(SHORT_DEADLINE_MS, |mut conn| {
         conn.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
         conn.await_end();
     });
 }
 
 #[test]
-fn turned_away_never_ran() {
-    never_ran(|mut conn| conn.write(answer("503 Full", "X-Never-Ran: 1\r\n", "full")));
+fn a_rejected_request_was_not_executed() {
+    not_executed(|mut conn| conn.write(answer("503 Full", "X-Never-Ran: 1\r\n", "full")));
 }
 
 #[test]
-fn over_already_never_ran() {
-    never_ran(|mut conn| conn.write(answer("504 Over", "x-never-ran: 1\r\n", "")));
+fn a_request_that_had_expired_at_the_server_was_not_executed() {
+    not_executed(|mut conn| conn.write(answer("504 Over", "x-never-ran: 1\r\n", "")));
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
-    // A port that nothing listens on until the first attempt has failed.
+fn after_a_refused_connection_the_request_was_not_executed() {
+    // A port on which nothing listens.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let dead = listener.local_addr().expect("an address");
     drop(listener);
@@ -185,7 +190,7 @@
 }
 
 #[test]
-fn a_rested_connection_reset_by_the_first_byte_never_ran() {
+fn after_a_reset_of_an_idle_connection_by_the_first_byte_the_request_was_not_executed() {
     let (told, came) = std::sync::mpsc::channel();
     let told = std::sync::Mutex::new(told);
     let upstream = Peer::start(move |number, mut conn| {
@@ -206,7 +211,7 @@
 }
 
 #[test]
-fn a_connection_closed_behind_its_answer_costs_nothing() {
+fn a_connection_that_is_closed_behind_its_answer_costs_no_attempt() {
     let (told, closed) = std::sync::mpsc::channel();
     let told = std::sync::Mutex::new(told);
     let upstream = Peer::start(move |_, mut conn| {
@@ -241,7 +246,7 @@
 #[test]
 fn one_connection_carries_one_request_at_a_time() {
     let (upstream, came) = Peer::upstream(|_, message, conn| {
-        assert!(!conn.ends_within(Duration::from_millis(1)), "nothing behind the request");
+        assert!(!conn.ends_within(Duration::from_millis(1)), "no bytes behind the request");
         conn.write(ok(message.id()));
         true
     });
@@ -257,7 +262,7 @@
 }
 
 #[test]
-fn an_upstream_that_turns_one_class_away_still_serves_the_others() {
+fn an_upstream_that_rejects_one_class_still_serves_the_others() {
     let (picky, at_picky) = Peer::upstream(|_, message, conn| {
         conn.write(match message.line.starts_with("GET") {
             true => ok("picky"),
@@ -267,15 +272,15 @@
     });
     let (other, _came) = Peer::serving();
     let balancer = Balancer::before(&[&picky, &other]);
-    // Until it has turned some of the class away in a row.
-    let mut turned_away = 0;
+    // Until it has rejected some of the class in a row.
+    let mut rejected = 0;
     for i in 0.. {
         assert_eq!(balancer.ask(post("pay", &format!("p{i}"), "", "x")).status(), 200);
-        turned_away += at_picky.try_iter().count();
-        if turned_away >= 2 {
+        rejected += at_picky.try_iter().count();
+        if rejected >= 2 {
             break;
         }
     }
     let served = (0..20).filter(|i| balancer.ask(read(&format!("r{i}"), "")).body == b"picky");
-    assert!(served.count() > 0, "its other class is not left out");
+    assert!(served.count() > 0, "it serves its other class");
 }
--- a/crates/sableloom/tests/sockets/requests.rs
+++ b/crates/sableloom/tests/sockets/requests.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn each_effect_is_served() {
+fn each_idempotency_is_served() {
     let (upstream, came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let mut client = balancer.client();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn all_forms_of_a_request_are_read() {
+fn all_forms_of_a_request_are_parsed() {
     let (upstream, came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let head = "POST /pay HTTP/1.1\r\nHOST: h\r\nx-TRACE-id: 9\r\nX-QOS: pay\r\n\
@@ -58,7 +58,7 @@
         "l".repeat(16_000)
     );
     let mut client = balancer.client();
-    // Cut at every byte.
+    // Split at every byte.
     for byte in chunked.as_bytes() {
         client.write([*byte]);
     }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_second_request_behind_the_first_is_answered_after_it() {
+fn a_pipelined_request_is_answered_after_the_first() {
     let (upstream, _came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let mut client = balancer.client();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn all_forms_of_an_answer_are_read() {
+fn all_forms_of_an_answer_are_parsed() {
     let (upstream, _came) = Peer::upstream(|number, _, conn| {
         let text = [
             "HTTP/1.1 200 OK\r\nCONTENT-length: 3\r\n\r\nabc",
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_refusal_says_that_coming_again_is_harmless() {
-    // Time too short for any answer: the module refuses at once.
+fn a_rejection_carries_retry_after() {
+    // The deadline is too short for any answer: the policy rejects at once.
     let (upstream, came) = Peer::serving();
     let balancer = Balancer::before(&[&upstream]);
     let mut client = balancer.client();
@@ -111,28 +111,28 @@
     let answer = client.message().expect("an answer");
     assert_eq!(answer.status(), 503);
     let when: f64 = answer.header("retry-after").and_then(|v| v.parse().ok()).expect("a time");
-    assert!(when > 0.0 && when <= 1.0, "it says when to come back: {when}");
+    assert!(when > 0.0 && when <= 1.0, "Retry-After: {when}");
     client.write(read("2", ""));
     assert_eq!(client.message().expect("an answer").status(), 200);
     assert_eq!(came.recv_timeout(LONG).expect("a request").id(), "2", "the first went nowhere");
 }
 
 #[test]
-fn a_held_request_is_answered_by_its_deadline() {
-    // Its class would hold it for longer than a test waits.
+fn a_queued_request_is_answered_by_its_deadline() {
+    // Its class would queue it for longer than a test waits.
     let balancer = Balancer::start(only_own_times(config(&[])));
     let answer = balancer.ask(post("pay", "1", "", "x").replace("2500", "400"));
-    assert_eq!(answer.status(), 503, "it never ran");
+    assert_eq!(answer.status(), 503, "it was not executed");
 }
 
 #[test]
-fn a_request_over_the_open_limit_is_turned_away() {
+fn a_request_over_the_limit_of_open_requests_is_rejected() {
     let mut config = config(&[]);
     config["settings"]["PolicyLimits"]["MaxOpen"] = 1.into();
     let balancer = Balancer::start(config);
     let mut first = balancer.client();
     first.write(read("1", ""));
-    // With no upstream the first is held; the second is over the limit, and is told at once.
+    // Without an upstream the first is queued; the second is over the limit, and is rejected at once.
     eventually("the second is turned away", || {
         let start = Instant::now();
         let answer = balancer.ask(read("2", ""));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_leaks_nothing() {
+fn a_client_that_disconnects_leaks_nothing() {
     let (upstream, came) = Peer::upstream(|_, message, conn| {
         if message.id().starts_with('s') {
             return !conn.ends_within(LONG); // says nothing
@@ -162,7 +162,7 @@
             let mut client = balancer.client();
             let whole = request.ends_with("\r\n\r\n");
             client.write(request);
-            // Sometimes it leaves while its request is under way, sometimes before or meanwhile.
+            // Sometimes it disconnects while its request is in flight, sometimes before or meanwhile.
             if whole && round % 5 == 0 {
                 let id = format!("s{round}");
                 assert!(came.iter().any(|m| m.id() == id));
@@ -172,9 +172,9 @@
             }
         }
     }
-    // One may be kept to the upstream, one is on its way to discovery.
+    // One connection may be idle to the upstream, one leads to discovery.
     eventually("descriptors return", || balancer.descriptors() <= before + 2);
-    // A slot that leaked would stay taken.
+    // A slot that leaked would stay in use.
     eventually("all slots are free", || {
         (0..10).all(|_| balancer.ask(read("9", "")).status() == 200)
     });
--- a/crates/sableloom/tests/sockets/shutdown.rs
+++ b/crates/sableloom/tests/sockets/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: nothing that was taken is lost, and the end is clean.
+//! SIGTERM: no accepted request is lost, and the process exits cleanly.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_was_taken_is_answered_and_idle_clients_are_let_go() {
+fn accepted_requests_are_answered_and_idle_connections_closed_at_sigterm() {
     let (upstream, came, go) = waiting();
     let mut balancer = Balancer::before(&[&upstream]);
     let mut idle = balancer.client();
@@ -34,7 +34,7 @@
     let mut unread = balancer.client();
     balancer.terminate();
     idle.await_end();
-    // Connections and requests go on coming for a while.
+    // Connections and requests still come for a while.
     let mut late = balancer.client();
     late.write("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     let up = late.message().expect("an answer");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn it_ends_in_time_whatever_is_under_way() {
+fn the_process_ends_in_time_whatever_is_open() {
     // One upstream never answers; a client never finishes its request.
     let upstream = Peer::start(|_, mut conn| {
         conn.message();
--- a/crates/sableloom/tests/sockets/sizes.rs
+++ b/crates/sableloom/tests/sockets/sizes.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn one_of_1024_balancers_before_1024_servers_starts_serves_and_is_told() {
+fn one_of_1024_balancers_before_1024_servers_starts_serves_and_applies_changes() {
     let peers: Vec<_> = ["a", "b", "c", "d", "e", "f", "g", "h"].map(named).into();
     let new = named("new");
     let discovery = Discovery::start();
@@ -35,8 +35,8 @@
         assert_eq!(answer.status(), 200);
         seen.insert(answer.body);
     }
-    assert!(seen.len() > 1, "not one server for all");
-    // All leave but one that is new, in one change.
+    assert!(seen.len() > 1, "more than one server");
+    // All leave but a new one, in one change.
     let mut changes: Vec<_> =
         (0..MANY).map(|i| entry(&format!("s-{i}"), peers[0].address, "DRAINING")).collect();
     changes.push(entry("new", new.address, "SERVING"));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_site_that_names_1024_members_and_1024_servers_is_checked_and_serves() {
+fn a_site_with_1024_members_and_1024_servers_is_checked_and_serves() {
     let peer = named("only");
     let ip = |i: usize| format!("127.31.{}.{}", i / 200, i % 200 + 1);
     let free = UdpSocket::bind((ip(MANY - 1), 0)).and_then(|s| s.local_addr());
@@ -55,7 +55,7 @@
     let members: String = (0..MANY)
         .map(|i| format!("[[member]]\nname = \"m{i}\"\naddress = \"{}:{port}\"\n", ip(i)))
         .collect();
-    // One that is there; the others get no requests.
+    // One that listens; the others get no requests.
     let listed: Vec<_> = (0..MANY)
         .map(|i| {
             let at = if i == 0 { Ok(peer.address) } else { format!("{}:9", ip(i)).parse() };
