--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -54,7 +54,7 @@
     }
 
     /// The member at this place of the list says something to this process.
-    fn hears(&mut self, now: Time, number: u8, name: &str, news: Vec<Update>) {
+    fn hears(&mut self, now: Time, number: u8, name: &str, updates: Vec<Update>) {
         let message = Message {
             fleet: key_of("points"),
             sender: key_of(name),
@@ -66,7 +66,7 @@
             list_length: 8,
             endpoints_digest: 0xcafe_f00d,
             body: Body::Nack { seq: 0 },
-            updates: news,
+            updates,
         };
         self.receives(now, address(number), &encode(&message).0);
     }
@@ -122,12 +122,12 @@
     let mut member = Member::start(&["a", "b", "c", "d", "e", "f"]);
     found.push(("alone", member.json(Time(SECOND / 10))));
     let now = Time(SECOND / 5);
-    let news = vec![
+    let updates = vec![
         update("c", MemberState::Suspect, 5),
         update("d", MemberState::Dead, 6),
         update("e", MemberState::Left, 7),
     ];
-    member.hears(now, 2, "b", news);
+    member.hears(now, 2, "b", updates);
     drops(&mut member, now);
     found.push(("part_waits", member.json(Time(SECOND / 2))));
     member.core.tick(Time(5 * SECOND), &mut Output::default());
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -116,7 +116,7 @@
     /// Until the first, and the last of those that live, knew it; of the kills.
     first: Vec<i64>,
     all: Vec<i64>,
-    /// Deaths of members that lived, as told by any of the others, a member and hour.
+    /// Deaths of members that lived, as declared by any of the others, a member and hour.
     false_deaths: f64,
     /// How long those were held, in all, a member and hour, in seconds.
     held: f64,
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -42,7 +42,7 @@
     pub(super) requester: Key,
     /// The sequence number of its request.
     pub(super) requester_seq: u32,
-    /// When the requester is told that there was no answer.
+    /// When the requester is sent a nack.
     pub(super) deadline: Time,
 }
 
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -70,7 +70,7 @@
             });
             self.update_reachability(output);
         } else {
-            // An earlier process of that name had a later incarnation: the sender is told, and takes a later one.
+            // An earlier process of that name had a later incarnation: the sender learns of it, and takes a later one.
             self.table.change(position, |peer| peer.nonce = nonce);
             self.tell_incarnation(sender, output);
         }
@@ -143,7 +143,7 @@
             return;
         }
         let seq = self.next_seq();
-        // The requester has to be told within its own probe interval.
+        // The requester needs the nack within its own probe interval.
         let deadline = now.plus(self.timing.probe_timeout);
         self.relays.push(Relay { target, seq, requester, requester_seq, deadline });
         self.send(target, Body::Ping { seq }, output);
--- a/crates/membership/src/page/tests.rs
+++ b/crates/membership/src/page/tests.rs
@@ -39,8 +39,10 @@
         for entry in read(&page, from).expect("its own") {
             entries += 1;
             if let Some(known) = own.iter_mut().find(|peer| peer.key == entry.member) {
-                let found =
-                    others.iter().find(|peer| peer.key == entry.member).expect("it is told");
+                let found = others
+                    .iter()
+                    .find(|peer| peer.key == entry.member)
+                    .expect("an entry of the table");
                 assert_eq!(
                     (entry.process_incarnation, entry.incarnation),
                     (found.process_incarnation, found.incarnation)
@@ -82,12 +84,15 @@
                 changed += 1;
             }
         }
-        let mut told = 0;
+        let mut transferred = 0;
         for _ in 0..6 {
-            told += pull(&mut own, &others, rng.rand_u64() as u32).1;
+            transferred += pull(&mut own, &others, rng.rand_u64() as u32).1;
         }
         assert_eq!(differ(&own, &others), 0, "seed {seed}");
-        assert!(told <= changed * 14 + 30, "seed {seed}: {told} entries for {changed}");
+        assert!(
+            transferred <= changed * 14 + 30,
+            "seed {seed}: {transferred} entries for {changed}"
+        );
     }
 }
 
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -63,7 +63,7 @@
     sim.heal();
     let took = sim.until_agreed(AGREED_WITHIN);
     let views = || {
-        let told = sim.fleets().map(|(i, f)| {
+        let views = sim.fleets().map(|(i, f)| {
             let health = |p: &sableloom_membership::Peer| match p.health {
                 Health::Unknown => '?',
                 Health::Alive => 'a',
@@ -74,7 +74,7 @@
             let row: String = f.view().peers.iter().map(health).collect();
             format!("{i}: {row} local health {}", f.local_health())
         });
-        told.collect::<Vec<_>>()
+        views.collect::<Vec<_>>()
     };
     took.unwrap_or_else(|| panic!("seed {seed}: {n} members do not agree: {:#?}", views()))
 }
@@ -144,13 +144,13 @@
                 |c: &(i64, Change)| matches!(c.1, Change::Died { member, .. } if member == key(2));
             assert!(sim.hosts[i].changes.iter().any(died), "seed {seed}: {i} did not miss it");
         }
-        let woken = sim.now;
+        let resumed_at = sim.now;
         let took = sim.until_agreed(40 * SECOND);
-        assert!(took.is_some(), "seed {seed}: no agreement after it woke");
+        assert!(took.is_some(), "seed {seed}: no agreement after it resumed");
         let until = sim.now + 10 * SECOND;
         sim.run(until);
         let since =
-            |i: usize| sim.hosts[i].changes.iter().filter(move |c| c.0 >= woken).map(|c| c.1);
+            |i: usize| sim.hosts[i].changes.iter().filter(move |c| c.0 >= resumed_at).map(|c| c.1);
         for i in 0..n {
             let threw_out =
                 since(i).find(|c| matches!(c, Change::Died { member, .. } if *member != key(2)));
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -143,11 +143,11 @@
     assert_eq!(next.dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
     // Yet the sender is told the nonce of the new process.
-    let told = sent(&mut out, 1).pop().expect("an answer");
+    let answer = sent(&mut out, 1).pop().expect("an answer");
     assert!(
-        told.receiver_nonce == ping.nonce
-            && told.nonce != ping.receiver_nonce
-            && told.process_incarnation == 10
+        answer.receiver_nonce == ping.nonce
+            && answer.nonce != ping.receiver_nonce
+            && answer.process_incarnation == 10
     );
 }
 
