--- a/crates/sableloom/src/serve/applier.rs
+++ b/crates/sableloom/src/serve/applier.rs
@@ -15,7 +15,7 @@
 use super::planner::UpdatePlanner;
 use super::pools::{PoolContext, RunningPool};
 use super::routing::Router;
-use super::service_plan::{PoolPlan, ServicePlan, StartedPool, drain_of};
+use super::service_plan::{PoolPlan, ServicePlan, StartedPool, TenantSetting, drain_of};
 use super::subscribed::{SubscribedPool, SubscribedServices};
 
 /// Puts transactions in force at a router.
@@ -109,8 +109,8 @@
             subscribed.tenants.remove(service.as_str(), name);
         }
         let now = self.context.clock.now();
-        for (name, limit) in plan.tenants {
-            subscribed.tenants.set(now, service.as_str(), &name, limit);
+        for TenantSetting { tenant, limit } in plan.tenants {
+            subscribed.tenants.set(now, service.as_str(), &tenant, limit);
         }
         subscribed.update(service, |pool| {
             pool.version = in_force.version;
--- a/crates/sableloom/src/serve/planner.rs
+++ b/crates/sableloom/src/serve/planner.rs
@@ -21,7 +21,13 @@
 use super::error::PoolError;
 use super::pools::{PoolContext, ServerSource};
 use super::routing::Router;
-use super::service_plan::{PoolPlan, ServicePlan, StartedPool, drain_of};
+use super::service_plan::{PoolPlan, ServicePlan, StartedPool, TenantSetting, drain_of};
+
+/// A value with the resource that it was read from, which a rejection names.
+struct FromResource<'a, T> {
+    value: T,
+    resource: &'a Resource,
+}
 
 /// A service's update while it is checked.
 pub(super) struct UpdatePlanner<'a> {
@@ -31,13 +37,13 @@
     update: &'a ServiceUpdate,
     /// The servers in force, if there are any.
     feed: Option<Rc<EndpointFeed>>,
-    settings: Option<(PoolSettings, &'a Resource)>,
+    settings: Option<FromResource<'a, PoolSettings>>,
     pool_removed: bool,
-    servers: Vec<(RosterServer, &'a Resource)>,
+    servers: Vec<FromResource<'a, RosterServer>>,
     servers_removed: HashSet<&'a str>,
     routes: Vec<IndexedRoute<Option<u16>>>,
     routes_removed: BTreeSet<Box<str>>,
-    tenants: Vec<(Arc<str>, Limit)>,
+    tenants: Vec<TenantSetting>,
     tenants_removed: BTreeSet<Arc<str>>,
     rejections: Vec<Rejection>,
 }
@@ -85,7 +91,7 @@
         }
         let pool = self.pool_plan()?;
         let removed = self.servers_removed.iter().map(|id| RosterChange::Remove((*id).into()));
-        let set = self.servers.into_iter().map(|(server, _)| RosterChange::Set(server));
+        let set = self.servers.into_iter().map(|server| RosterChange::Set(server.value));
         let ServiceUpdate { service, version, digest, .. } = self.update;
         Ok(ServicePlan {
             service: service.clone(),
@@ -101,17 +107,14 @@
     }
 
     fn reject(&mut self, resource: &Resource, field: &str, problem: String) {
-        self.rejections.push(Rejection {
-            resource: resource.name.clone(),
-            origin: resource.origin.clone(),
-            field: field.into(),
-            problem: problem.into(),
-        });
+        self.rejections.push(rejection(resource, field, problem));
     }
 
     fn set(&mut self, resource: &'a Resource) {
         match Body::decode(resource.name.kind, resource.body.as_slice()) {
-            Ok(Body::Pool(settings)) => self.settings = Some((settings, resource)),
+            Ok(Body::Pool(settings)) => {
+                self.settings = Some(FromResource { value: settings, resource });
+            }
             Ok(Body::Server(server)) => self.set_server(resource, &server),
             Ok(Body::Route(route)) => self.set_route(resource, &route),
             Ok(Body::Tenant(limit)) => self.set_tenant(resource, &limit),
@@ -153,7 +156,7 @@
             draining: server.state == ServerState::Draining,
             started_ms,
         };
-        self.servers.push((server, resource));
+        self.servers.push(FromResource { value: server, resource });
     }
 
     fn set_route(&mut self, resource: &'a Resource, route: &RouteRule) {
@@ -185,7 +188,10 @@
             return self.reject(resource, error.field, error.to_string());
         }
         match Limit::new(limit.requests_per_second, limit.burst) {
-            Ok(limit) => self.tenants.push((resource.name.key.clone(), limit)),
+            Ok(limit) => {
+                let tenant = resource.name.key.clone();
+                self.tenants.push(TenantSetting { tenant, limit });
+            }
             Err(error) => self.reject(resource, "", error.to_string()),
         }
     }
@@ -198,10 +204,10 @@
         let names = subscribed.routes.names(self.update.service.as_str());
         let gone = names.filter(|name| !set.contains(name)).map(Box::from);
         self.routes_removed.extend(gone);
-        let set: HashSet<&str> = self.tenants.iter().map(|(name, _)| &**name).collect();
+        let set: HashSet<&str> = self.tenants.iter().map(|set| &*set.tenant).collect();
         let names = subscribed.tenants.names(self.update.service.as_str());
         self.tenants_removed.extend(names.filter(|name| !set.contains(&***name)).cloned());
-        let set: HashSet<&str> = self.servers.iter().map(|(server, _)| &*server.id).collect();
+        let set: HashSet<&str> = self.servers.iter().map(|set| &*set.value.id).collect();
         let Some(feed) = &self.feed else { return Vec::new() };
         feed.with_roster(|roster| {
             let gone = roster.ids().filter(|id| !set.contains(id));
@@ -214,9 +220,9 @@
         let feed = self.feed.clone();
         let known = feed.as_ref().map_or(0, |feed| feed.len());
         let mut at: HashMap<SocketAddr, &str> = HashMap::new();
-        let set: HashSet<&str> = self.servers.iter().map(|(server, _)| &*server.id).collect();
-        let mut wrong = Vec::new();
-        for (server, resource) in &self.servers {
+        let set: HashSet<&str> = self.servers.iter().map(|set| &*set.value.id).collect();
+        let mut rejections = Vec::new();
+        for FromResource { value: server, resource } in &self.servers {
             let stays = |id: &str| {
                 id != &*server.id
                     && !self.update.snapshot
@@ -230,18 +236,16 @@
             });
             if let Some(other) = other {
                 let problem = format!("{} is the address of {other:?} as well", server.address);
-                wrong.push((*resource, "address", problem));
+                rejections.push(rejection(resource, "address", problem));
             }
         }
-        if let Some((_, last)) = self.servers.last()
+        if let Some(last) = self.servers.last()
             && known + self.servers.len() > 2 * MOST_SERVERS
         {
             let problem = format!("more than {MOST_SERVERS} servers, and as many that drain");
-            wrong.push((*last, "", problem));
-        }
-        for (resource, field, problem) in wrong {
-            self.reject(resource, field, problem);
+            rejections.push(rejection(last.resource, "", problem));
         }
+        self.rejections.extend(rejections);
     }
 
     /// Rejects servers, routes and tenants of a service without a pool.
@@ -265,7 +269,7 @@
         let router = self.router;
         let subscribed = router.subscribed.borrow();
         let pool = subscribed.pools.get(&self.update.service);
-        let Some((settings, resource)) = self.settings.take() else {
+        let Some(FromResource { value: settings, resource }) = self.settings.take() else {
             let gone = self.pool_removed || (self.update.snapshot && pool.is_some());
             return Ok(if gone { PoolPlan::Remove } else { PoolPlan::Keep });
         };
@@ -301,6 +305,15 @@
     }
 }
 
+fn rejection(resource: &Resource, field: &str, problem: String) -> Rejection {
+    Rejection {
+        resource: resource.name.clone(),
+        origin: resource.origin.clone(),
+        field: field.into(),
+        problem: problem.into(),
+    }
+}
+
 /// How many pairs of a host and a path a rule matches.
 fn pairs_of(rule: &Rule) -> usize {
     rule.hosts.len().max(1) * rule.paths.len().max(1)
--- a/crates/sableloom/src/serve/service_plan.rs
+++ b/crates/sableloom/src/serve/service_plan.rs
@@ -33,6 +33,12 @@
     pub(super) feed: Rc<EndpointFeed>,
 }
 
+/// A tenant's limit that is to be set.
+pub(super) struct TenantSetting {
+    pub(super) tenant: Arc<str>,
+    pub(super) limit: Limit,
+}
+
 /// A service's update that has been checked.
 pub(super) struct ServicePlan {
     pub(super) service: ServiceName,
@@ -42,7 +48,7 @@
     pub(super) servers: Vec<RosterChange>,
     pub(super) routes: Vec<IndexedRoute<Option<u16>>>,
     pub(super) routes_removed: Vec<Box<str>>,
-    pub(super) tenants: Vec<(Arc<str>, Limit)>,
+    pub(super) tenants: Vec<TenantSetting>,
     pub(super) tenants_removed: Vec<Arc<str>>,
 }
 
