--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -8,7 +8,7 @@
 use sableloom_exchange::{
     Clock, LocalFuture, Message, Reply, RequestContext, RequestRejection, Service, ShareExpiry,
 };
-use sableloom_fleet::{Running as Fleet, Told};
+use sableloom_fleet::{FleetObserver, RunningMember};
 use sableloom_routes::{RequestHead, RouteTable};
 use sableloom_site_config::{Site, Target};
 use sableloom_tenant_limits::LimitShare;
@@ -190,7 +190,7 @@
     }
 
     /// The status as JSON. Its keys are an interface: programs of operators read them.
-    pub(super) fn status(&self, fleet: Option<&Fleet>, control: Option<Value>) -> Value {
+    pub(super) fn status(&self, fleet: Option<&RunningMember>, control: Option<Value>) -> Value {
         let routing = self.routing.borrow().clone();
         let pool = |pool: &Rc<RunningPool>| {
             let list = pool.files()?.version();
@@ -202,7 +202,7 @@
         let mut status = json!({
             "configuration": routing.number, "hash": routing.site.hash, "open": self.open_requests(),
             "pools": routing.pools.iter().filter_map(pool).collect::<Vec<_>>(),
-            "fleet": fleet.map(Fleet::status),
+            "fleet": fleet.map(RunningMember::status),
         });
         if let Some(control) = control {
             status["control"] = control;
@@ -244,12 +244,12 @@
 /// Passes the fleet's capacity shares on to the pools, and its log lines to the log.
 pub(super) struct PoolUpdates(pub(super) Rc<Router>);
 
-impl Told for PoolUpdates {
+impl FleetObserver for PoolUpdates {
     fn share(&self, share: Share) {
         self.0.set_capacity_share(share);
     }
 
-    fn line(&self, line: &str) {
+    fn log(&self, line: &str) {
         eprintln!("sableloom: fleet: {line}");
     }
 }
--- a/crates/sableloom/src/serve/signals.rs
+++ b/crates/sableloom/src/serve/signals.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use sableloom_fleet::Running as Fleet;
+use sableloom_fleet::RunningMember;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use super::control::ControlPlane;
@@ -60,7 +60,7 @@
     mut hangup: Signal,
     context: Rc<PoolContext>,
     router: Rc<Router>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<RunningMember>>,
     control: Option<ControlPlane>,
 ) {
     while hangup.recv().await.is_some() {
@@ -74,7 +74,7 @@
         eprintln!("sableloom: SIGHUP; {summary}");
         let routing = router.routing.borrow().clone();
         if let (Some(running), Some(fleet)) = (&fleet, &routing.site.fleet) {
-            running.list(&fleet::others(fleet));
+            running.update_list(&fleet::others(fleet));
             // New pools don't know the capacity share yet.
             router.set_capacity_share(running.share());
         }
@@ -88,7 +88,7 @@
 pub(super) async fn log_status_on(
     mut status: Signal,
     router: Rc<Router>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<RunningMember>>,
     control: Option<ControlPlane>,
 ) {
     while status.recv().await.is_some() {
