--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -2,9 +2,7 @@
 //! that the policy returns. It makes no decision itself.
 
 use std::cell::{Cell, RefCell};
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
 use std::time::Duration;
 
 use sableloom_policy::Balancer;
@@ -29,6 +27,7 @@
 use crate::ports::{
     AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
+use crate::reply_future::ReplyFuture;
 
 /// The end of a share of the servers that was proven to belong to this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -421,7 +420,7 @@
         let RequestContext { class, tenant, key, deadline } = context;
         let request = Request { id, class, tenant, key, deadline };
         self.with_policy(|balancer, now, actions| balancer.request(now, request, actions));
-        Ok(Box::pin(ReplyFuture { exchange: self, id, receiver }))
+        Ok(Box::pin(ReplyFuture::new(receiver, move || self.client_disconnected(id))))
     }
 }
 
@@ -439,28 +438,6 @@
     }
 }
 
-/// The wait for a final answer. If it is dropped without one, for whatever reason, the policy is told that the client
-/// has disconnected.
-struct ReplyFuture {
-    exchange: Rc<Exchange>,
-    id: RequestId,
-    receiver: oneshot::Receiver<Reply>,
-}
-
-impl Future for ReplyFuture {
-    type Output = Reply;
-
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Reply> {
-        Pin::new(&mut self.receiver).poll(cx).map(|reply| reply.unwrap_or(Reply::Failed))
-    }
-}
-
-impl Drop for ReplyFuture {
-    fn drop(&mut self) {
-        self.exchange.client_disconnected(self.id);
-    }
-}
-
 /// The longest deadline of any class.
 pub fn longest_deadline(settings: &DeploymentSettings) -> Duration {
     let longest = settings.services.iter().map(|class| class.deadline).fold(0.0, f64::max);
--- a/crates/exchange/src/fate.rs
+++ b/crates/exchange/src/fate.rs
@@ -2,18 +2,6 @@
 //!
 //! A transport reports facts: how the attempt ended, whether the request was written completely, and whether the server
 //! stated that it did not execute it. It never judges them. In doubt, an attempt may have been executed.
-//!
-//! ```
-//! use sableloom_exchange::fate::{AttemptEnd, AttemptFacts, judge};
-//!
-//! let lost = AttemptFacts {
-//!     ended: AttemptEnd::ConnectionLost,
-//!     fully_written: false,
-//!     not_executed: false,
-//! };
-//! assert!(judge(lost).not_executed(), "a server executes nothing before the last byte");
-//! assert!(!judge(AttemptFacts { fully_written: true, ..lost }).not_executed());
-//! ```
 
 use sableloom_types::Outcome;
 
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -18,13 +18,25 @@
 //! | module | concern |
 //! | --- | --- |
 //! | `exchange` | the facade, which owns the policy |
-//! | `open_requests` | the open requests, their ids and final answers |
+//! | `open_requests`, `reply_future` | the open requests and their ids; the wait for a final answer |
 //! | `attempt`, `attempt_run` | an attempt and its run to one outcome |
 //! | `attempt_context` | what a transport is given, and the permission for each byte |
 //! | `fate` | whether an attempt may have been executed |
 //! | `address_book` | ids and addresses of the servers |
 //! | `idle` | when a pool without requests stops its timers |
 //! | `fields`, `message`, `ports` | requests and answers of no protocol, and the traits at which protocols meet |
+//!
+//! ```
+//! use sableloom_exchange::fate::{AttemptEnd, AttemptFacts, judge};
+//!
+//! let lost = AttemptFacts {
+//!     ended: AttemptEnd::ConnectionLost,
+//!     fully_written: false,
+//!     not_executed: false,
+//! };
+//! assert!(judge(lost).not_executed(), "a server executes nothing before the last byte");
+//! assert!(!judge(AttemptFacts { fully_written: true, ..lost }).not_executed());
+//! ```
 
 mod address_book;
 mod attempt;
@@ -38,6 +50,7 @@
 mod message;
 mod open_requests;
 mod ports;
+mod reply_future;
 mod task;
 
 pub use attempt_context::{AttemptConnection, AttemptContext, DispatchAddress};
