--- a/crates/sableloom/src/serve/startup.rs
+++ b/crates/sableloom/src/serve/startup.rs
@@ -5,7 +5,7 @@
 
 use hyper::Method;
 use sableloom_exchange::Clock;
-use sableloom_fleet::{QUESTIONS_OUT, Running as Fleet};
+use sableloom_fleet::{MAX_ABSENCE_QUERIES, RunningMember};
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::{Fleet as FleetSettings, Site};
 use tokio::net::TcpListener;
@@ -26,7 +26,7 @@
 
 /// Divides the site's descriptors and memory.
 pub(super) fn connection_limits(path: &Path, site: &Site) -> Result<ConnectionLimits, ServeError> {
-    let fleet = if site.fleet.is_some() { 1 + QUESTIONS_OUT } else { 0 };
+    let fleet = if site.fleet.is_some() { 1 + MAX_ABSENCE_QUERIES } else { 0 };
     let control = if site.control.is_some() { SOCKETS_OF_CONTROL } else { 0 };
     let other = OTHER_SOCKETS
         + site.listeners.len()
@@ -91,7 +91,7 @@
     let pools = started.collect::<Result<Vec<_>, PoolError>>()?;
     for shadow in &site.shadows {
         let ready = prepare_mirror(context, site, shadow).await.map_err(ServeError::Problems)?;
-        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.go(Vec::new())));
+        *pools[shadow.live_pool].mirror.borrow_mut() = Some(Rc::new(ready.start(Vec::new())));
     }
     Ok(pools)
 }
@@ -102,7 +102,7 @@
     settings: &FleetSettings,
     clock: Clock,
     router: &Rc<Router>,
-) -> Result<Rc<Fleet>, ServeError> {
+) -> Result<Rc<RunningMember>, ServeError> {
     let updates = Rc::new(PoolUpdates(router.clone()));
     let running =
         fleet::start(settings, clock, updates).await.map_err(|cause| ServeError::Fleet {
@@ -112,6 +112,6 @@
         })?;
     // Without this it would send until the first sweep that it has no list of servers, and two members that had sent
     // so were taken to agree.
-    running.serves(router.servers_digest());
+    running.set_endpoints_digest(router.servers_digest());
     Ok(running)
 }
--- a/crates/testkit/examples/trace_digest/distribution/operator.rs
+++ b/crates/testkit/examples/trace_digest/distribution/operator.rs
@@ -8,16 +8,16 @@
 };
 
 /// Services that changes touch.
-pub const SERVICES: usize = 7;
+pub(super) const SERVICES: usize = 7;
 /// Bodies that begin with this byte are rejected by balancers that validate.
 const BAD_BODY: u8 = 0xBB;
 
-pub fn service(index: usize) -> ServiceName {
+pub(super) fn service(index: usize) -> ServiceName {
     ServiceName::try_from(format!("service-{index}").as_str()).expect("a sound name")
 }
 
 /// Why a change is rejected by a balancer that validates.
-pub fn rejection_of(change: &Change) -> Option<Rejection> {
+pub(super) fn rejection_of(change: &Change) -> Option<Rejection> {
     let Change::Set(resource) = change else {
         return None;
     };
@@ -30,19 +30,19 @@
 }
 
 /// Writes changes; knows which resources there are.
-pub struct Operator {
+pub(super) struct Operator {
     pub log: Vec<LogEntry>,
     epoch: u32,
     present: BTreeSet<ResourceName>,
 }
 
 impl Operator {
-    pub fn new(epoch: u32) -> Self {
+    pub(super) fn new(epoch: u32) -> Self {
         Operator { log: Vec::new(), epoch, present: BTreeSet::new() }
     }
 
     /// Rewrites the log from a change on, in the next epoch.
-    pub fn fork(&mut self, keep: usize) {
+    pub(super) fn fork(&mut self, keep: usize) {
         let log = std::mem::take(&mut self.log);
         self.present.clear();
         for entry in log.into_iter().take(keep) {
@@ -52,7 +52,7 @@
     }
 
     /// Sets and removes some resources of one service or of several.
-    pub fn append_random(&mut self, rng: &mut Rand64) {
+    pub(super) fn append_random(&mut self, rng: &mut Rand64) {
         let number = self.log.len() as u64 + 1;
         let mut changes: BTreeMap<ResourceName, Change> = BTreeMap::new();
         let mut removed = BTreeSet::new();
@@ -87,7 +87,7 @@
     }
 
     /// Removes what the last change has set.
-    pub fn append_reversal(&mut self) {
+    pub(super) fn append_reversal(&mut self) {
         let number = self.log.len() as u64 + 1;
         let set = |change: &Change| match change {
             Change::Set(resource) => {
@@ -105,7 +105,7 @@
     }
 
     /// A change that a store at this position may not take.
-    pub fn wrong_entry(&self, position: Position, kind: usize) -> LogEntry {
+    pub(super) fn wrong_entry(&self, position: Position, kind: usize) -> LogEntry {
         let number = position.number + 1;
         let epoch = position.epoch.max(1);
         let server = |id: &str| ResourceName::server(service(0), id);
--- a/crates/testkit/examples/trace_digest/distribution/record.rs
+++ b/crates/testkit/examples/trace_digest/distribution/record.rs
@@ -10,7 +10,7 @@
 
 use crate::trace::Trace;
 
-pub fn publisher_output(trace: &mut Trace, output: &PublisherOutput) {
+pub(super) fn publisher_output(trace: &mut Trace, output: &PublisherOutput) {
     match output {
         PublisherOutput::Send { session, frame } => {
             trace.integer(1);
@@ -25,7 +25,7 @@
     }
 }
 
-pub fn subscriber_output(trace: &mut Trace, output: &SubscriberOutput) {
+pub(super) fn subscriber_output(trace: &mut Trace, output: &SubscriberOutput) {
     match output {
         SubscriberOutput::Connect { control } => {
             trace.integer(3);
@@ -51,12 +51,12 @@
     }
 }
 
-pub fn change(trace: &mut Trace, change: &Change) {
+pub(super) fn change(trace: &mut Trace, change: &Change) {
     let message = PublisherMessage::Changes { transaction: 0, changes: vec![change.clone()] };
     trace.bytes(&encode(&message));
 }
 
-pub fn append_error(error: &AppendError) -> i64 {
+pub(super) fn append_error(error: &AppendError) -> i64 {
     match error {
         AppendError::OutOfSequence { .. } => 1,
         AppendError::EpochRegression { .. } => 2,
@@ -72,7 +72,7 @@
 }
 
 /// The status of a publisher by page, its counters and its bounds.
-pub fn publisher(trace: &mut Trace, publisher: &Publisher, now: Time) {
+pub(super) fn publisher(trace: &mut Trace, publisher: &Publisher, now: Time) {
     let queries = [
         StatusQuery::Sessions { from: 0 },
         StatusQuery::Services { after: None },
@@ -105,7 +105,7 @@
     }
 }
 
-pub fn subscriber(trace: &mut Trace, subscriber: &Subscriber, now: Time) {
+pub(super) fn subscriber(trace: &mut Trace, subscriber: &Subscriber, now: Time) {
     let status = subscriber.status(now);
     connection(trace, &status.connection);
     position(trace, status.position);
--- a/crates/testkit/examples/trace_digest/policy.rs
+++ b/crates/testkit/examples/trace_digest/policy.rs
@@ -17,7 +17,7 @@
 const SERVERS: u32 = 24;
 
 /// Digest of all histories.
-pub fn digest() -> String {
+pub(crate) fn digest() -> String {
     let mut trace = Trace::default();
     for seed in 0..HISTORIES {
         History::new(seed).play(&mut trace);
