--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -7,7 +7,7 @@
 //! back what the operator wrote.
 //!
 //! Never: no I/O and no clock. Nothing is validated twice in two ways: settings become
-//! [`sableloom_site_config::PoolSettings`], servers a [`sableloom_server_list::Listing`] and routes a
+//! [`sableloom_site_config::PoolSettings`], servers a [`sableloom_server_list::ServerListing`] and routes a
 //! [`sableloom_routes::Rule`], read by the readers of those crates.
 //!
 //! Invariants: a change file that has not been written completely is not read ([`is_complete`]); a file names a resource at
--- a/crates/resources/src/listing.rs
+++ b/crates/resources/src/listing.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_server_list::{Listed, Listing, ServerFields};
+use sableloom_server_list::{ServerFields, ServerListing, ServerRecord};
 use sableloom_toml_diagnostics::Located;
 use sha2::{Digest, Sha256};
 
@@ -20,16 +20,16 @@
 }
 
 /// The listing of servers, in their order. Problems of the server at index `n` are reported of the field `server[n]`.
-pub fn listing(servers: &[ListedServer<'_>]) -> Listing {
+pub fn listing(servers: &[ListedServer<'_>]) -> ServerListing {
     let mut digest = Sha256::new();
     let listed = servers.iter().enumerate().map(|(number, server)| {
         digest.update(server.id.as_bytes());
         digest.update([0]);
         digest.update(postcard::to_allocvec(server.entry).unwrap_or_default());
-        Listed::new(fields(server), number, server.line as usize)
+        ServerRecord::new(fields(server), number, server.line as usize)
     });
     let servers = listed.collect();
-    Listing { version: None, takes_out: None, servers, digest: digest.finalize().into() }
+    ServerListing { version: None, takes_out: None, servers, digest: digest.finalize().into() }
 }
 
 fn fields(server: &ListedServer<'_>) -> ServerFields {
--- a/crates/resources/src/resolve.rs
+++ b/crates/resources/src/resolve.rs
@@ -8,7 +8,7 @@
 use sableloom_distribution::{
     Change, LogEntry, Origin, Resource, ResourceKind, ResourceName, ServiceName,
 };
-use sableloom_server_list::MOST_SERVERS;
+use sableloom_server_list::MAX_SERVERS;
 use sableloom_toml_diagnostics::{Problem, suggestion};
 
 use crate::body::Body;
@@ -185,8 +185,8 @@
             }
         }
         let servers = next.iter().filter(|name| name.kind == ResourceKind::Server).count();
-        if servers > MOST_SERVERS {
-            let message = format!("{servers} servers of a service are more than {MOST_SERVERS}");
+        if servers > MAX_SERVERS {
+            let message = format!("{servers} servers of a service are more than {MAX_SERVERS}");
             self.report(last, message, None);
         }
         if weights == 0.0 {
--- a/crates/resources/src/server_entry.rs
+++ b/crates/resources/src/server_entry.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sableloom_server_list::State;
+use sableloom_server_list::RecordState;
 use serde::{Deserialize, Serialize};
 
 /// The state that an operator gives a server. Encoded by position: the order of the variants must stay.
@@ -14,20 +14,20 @@
     Draining,
 }
 
-impl From<State> for ServerState {
-    fn from(state: State) -> Self {
+impl From<RecordState> for ServerState {
+    fn from(state: RecordState) -> Self {
         match state {
-            State::Serving => ServerState::Serving,
-            State::Draining => ServerState::Draining,
+            RecordState::Serving => ServerState::Serving,
+            RecordState::Draining => ServerState::Draining,
         }
     }
 }
 
-impl From<ServerState> for State {
+impl From<ServerState> for RecordState {
     fn from(state: ServerState) -> Self {
         match state {
-            ServerState::Serving => State::Serving,
-            ServerState::Draining => State::Draining,
+            ServerState::Serving => RecordState::Serving,
+            ServerState::Draining => RecordState::Draining,
         }
     }
 }
--- a/crates/sableloom/src/check.rs
+++ b/crates/sableloom/src/check.rs
@@ -27,7 +27,7 @@
     let (mut problems, mut servers) = (Vec::new(), 0);
     for pool in site.every_pool() {
         match read_lists(&options.file, &site, pool) {
-            Ok(lists) => servers += lists.held(),
+            Ok(lists) => servers += lists.server_count(),
             Err(wrong) => problems.extend(wrong),
         }
     }
--- a/crates/sableloom/src/route.rs
+++ b/crates/sableloom/src/route.rs
@@ -137,7 +137,7 @@
 fn print_pool(path: &Path, site: &Site, pool: &Pool) -> Result<(), RouteError> {
     println!("pool:    {}", pool.name);
     let lists = read_lists(path, site, pool).map_err(|wrong| problems_of(path, &wrong))?;
-    let entries = lists.entries();
+    let entries = lists.endpoints();
     let serving = entries.iter().filter(|e| e.status == EndpointStatus::Live).count();
     println!("servers: {} of {} serve; the decision module chooses among", serving, entries.len());
     let live = entries.iter().filter(|e| e.status == EndpointStatus::Live);
--- a/crates/sableloom/src/serve/endpoint_feed.rs
+++ b/crates/sableloom/src/serve/endpoint_feed.rs
@@ -4,7 +4,7 @@
 use std::rc::{Rc, Weak};
 
 use sableloom_exchange::{Clock, EndpointListener, EndpointSource};
-use sableloom_server_list::{Roster, RosterChange};
+use sableloom_server_list::{IncrementalList, ServerChange};
 use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
@@ -19,7 +19,7 @@
 /// The servers of one service. An exchange and the one that replaces it share it, so that a server which drains gets no
 /// new request from either.
 pub(super) struct EndpointFeed {
-    roster: RefCell<Roster>,
+    roster: RefCell<IncrementalList>,
     subscribers: RefCell<Vec<Subscriber>>,
     clock: Clock,
     /// A task waits for servers to have drained.
@@ -30,7 +30,7 @@
     /// A feed without servers. Servers that are removed drain for `drain`.
     pub(super) fn new(clock: Clock, drain: Span) -> Rc<Self> {
         Rc::new(Self {
-            roster: RefCell::new(Roster::new(drain)),
+            roster: RefCell::new(IncrementalList::new(drain)),
             subscribers: RefCell::default(),
             clock,
             drain_task_runs: Cell::new(false),
@@ -43,7 +43,7 @@
     }
 
     /// Reads the servers.
-    pub(super) fn with_roster<T>(&self, read: impl FnOnce(&Roster) -> T) -> T {
+    pub(super) fn with_roster<T>(&self, read: impl FnOnce(&IncrementalList) -> T) -> T {
         read(&self.roster.borrow())
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Puts changes in force: when this returns, no exchange sends a new request to a server that was removed or drains.
-    pub(super) fn apply(self: &Rc<Self>, changes: Vec<RosterChange>) {
+    pub(super) fn apply(self: &Rc<Self>, changes: Vec<ServerChange>) {
         let entries = self.roster.borrow_mut().apply(self.clock.now(), changes);
         self.publish(&entries);
         self.wait_for_drained();
@@ -73,21 +73,23 @@
         // After the borrow has ended: an exchange may subscribe again when it is notified.
         for (listener, full) in calls {
             match full {
-                true => listener.endpoints_updated(ListKind::Full, self.roster.borrow().entries()),
+                true => {
+                    listener.endpoints_updated(ListKind::Full, self.roster.borrow().endpoints())
+                }
                 false => listener.endpoints_updated(ListKind::Update, changed.to_vec()),
             }
         }
     }
 
     fn wait_for_drained(self: &Rc<Self>) {
-        if self.roster.borrow().next().is_none() || self.drain_task_runs.replace(true) {
+        if self.roster.borrow().next_forget().is_none() || self.drain_task_runs.replace(true) {
             return;
         }
         let feed = self.clone();
         spawn_local(async move {
-            while let Some(at) = feed.with_roster(Roster::next) {
+            while let Some(at) = feed.with_roster(IncrementalList::next_forget) {
                 sleep_until(feed.clock.instant_of(at)).await;
-                let gone = feed.roster.borrow_mut().tick(feed.clock.now());
+                let gone = feed.roster.borrow_mut().forget_drained(feed.clock.now());
                 feed.publish(&gone);
             }
             feed.drain_task_runs.set(false);
--- a/crates/sableloom/src/serve/planner.rs
+++ b/crates/sableloom/src/serve/planner.rs
@@ -11,7 +11,8 @@
 use sableloom_resources::{Body, RouteRule, ServerEntry, ServerState, TenantLimit};
 use sableloom_routes::{IndexedRoute, MAX_PAIRS_PER_ROUTE, RouteOrder, Rule};
 use sableloom_server_list::{
-    MAX_CLOCK_DIFFERENCE_MS, MOST_SERVERS, MOST_WEIGHT, Roster, RosterChange, RosterServer,
+    IncrementalList, MAX_CLOCK_DIFFERENCE_MS, MAX_SERVERS, MAX_WEIGHT, ServerChange,
+    ServerDescription,
 };
 use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
@@ -39,7 +40,7 @@
     feed: Option<Rc<EndpointFeed>>,
     settings: Option<FromResource<'a, PoolSettings>>,
     pool_removed: bool,
-    servers: Vec<FromResource<'a, RosterServer>>,
+    servers: Vec<FromResource<'a, ServerDescription>>,
     servers_removed: HashSet<&'a str>,
     routes: Vec<IndexedRoute<Option<u16>>>,
     routes_removed: BTreeSet<Box<str>>,
@@ -90,8 +91,8 @@
             return Err(self.rejections);
         }
         let pool = self.pool_plan()?;
-        let removed = self.servers_removed.iter().map(|id| RosterChange::Remove((*id).into()));
-        let set = self.servers.into_iter().map(|server| RosterChange::Set(server.value));
+        let removed = self.servers_removed.iter().map(|id| ServerChange::Remove((*id).into()));
+        let set = self.servers.into_iter().map(|server| ServerChange::Set(server.value));
         let ServiceUpdate { service, version, digest, .. } = self.update;
         Ok(ServicePlan {
             service: service.clone(),
@@ -138,8 +139,8 @@
             let help = suggestion(zone, zones.iter().map(String::as_str));
             self.reject(resource, "zone", format!("no zone {zone:?}; {help}"));
         }
-        if !(0.0..=MOST_WEIGHT).contains(&server.weight) {
-            let problem = format!("{} is not from 0 to {MOST_WEIGHT}", server.weight);
+        if !(0.0..=MAX_WEIGHT).contains(&server.weight) {
+            let problem = format!("{} is not from 0 to {MAX_WEIGHT}", server.weight);
             self.reject(resource, "weight", problem);
         }
         let started_ms = server.started_ms.map(|at| at as f64);
@@ -148,7 +149,7 @@
             let problem = "more than an hour ahead of this machine's clock".to_string();
             self.reject(resource, "started", problem);
         }
-        let server = RosterServer {
+        let server = ServerDescription {
             id: (*resource.name.key).into(),
             address: server.address,
             zone: zone.into(),
@@ -197,7 +198,7 @@
     }
 
     /// Plans to remove what is in force and not in the snapshot. Returns the removals of servers.
-    fn remove_stale(&mut self) -> Vec<RosterChange> {
+    fn remove_stale(&mut self) -> Vec<ServerChange> {
         let set: HashSet<&str> = self.routes.iter().map(|route| &*route.order.name).collect();
         let router = self.router;
         let subscribed = router.subscribed.borrow();
@@ -211,7 +212,7 @@
         let Some(feed) = &self.feed else { return Vec::new() };
         feed.with_roster(|roster| {
             let gone = roster.ids().filter(|id| !set.contains(id));
-            gone.map(|id| RosterChange::Remove(id.into())).collect()
+            gone.map(|id| ServerChange::Remove(id.into())).collect()
         })
     }
 
@@ -231,7 +232,8 @@
             };
             let same = at.insert(server.address, &server.id);
             let other = same.map(str::to_string).or_else(|| {
-                let id_at = |roster: &Roster| roster.id_at(server.address).map(str::to_string);
+                let id_at =
+                    |roster: &IncrementalList| roster.id_at(server.address).map(str::to_string);
                 feed.as_ref().and_then(|feed| feed.with_roster(id_at)).filter(|id| stays(id))
             });
             if let Some(other) = other {
@@ -240,9 +242,9 @@
             }
         }
         if let Some(last) = self.servers.last()
-            && known + self.servers.len() > 2 * MOST_SERVERS
+            && known + self.servers.len() > 2 * MAX_SERVERS
         {
-            let problem = format!("more than {MOST_SERVERS} servers, and as many that drain");
+            let problem = format!("more than {MAX_SERVERS} servers, and as many that drain");
             rejections.push(rejection(last.resource, "", problem));
         }
         self.rejections.extend(rejections);
--- a/crates/sableloom/src/serve/service_plan.rs
+++ b/crates/sableloom/src/serve/service_plan.rs
@@ -5,7 +5,7 @@
 
 use sableloom_distribution::ServiceName;
 use sableloom_routes::IndexedRoute;
-use sableloom_server_list::RosterChange;
+use sableloom_server_list::ServerChange;
 use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
 use sableloom_types::Span;
@@ -45,7 +45,7 @@
     pub(super) version: u64,
     pub(super) digest: u64,
     pub(super) pool: PoolPlan,
-    pub(super) servers: Vec<RosterChange>,
+    pub(super) servers: Vec<ServerChange>,
     pub(super) routes: Vec<IndexedRoute<Option<u16>>>,
     pub(super) routes_removed: Vec<Box<str>>,
     pub(super) tenants: Vec<TenantSetting>,
@@ -62,7 +62,7 @@
 
     /// What the plan does, for the log.
     pub(super) fn describe(&self) -> String {
-        let removed = self.servers.iter().filter(|c| matches!(c, RosterChange::Remove(_))).count();
+        let removed = self.servers.iter().filter(|c| matches!(c, ServerChange::Remove(_))).count();
         let pool = match &self.pool {
             PoolPlan::Keep => None,
             PoolPlan::Adjust(_) => Some("pool adjusted".to_string()),
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -48,7 +48,7 @@
         pool: pool.name.clone(),
         files: pool.files.clone(),
         zones: site.locality.zones.clone(),
-        out_at_most: pool.max_removed_share,
+        max_removed_share: pool.max_removed_share,
         drain: span(pool.drain_ms),
     };
     let paths = pool.files.iter().map(|file| folder.join(file)).collect();
@@ -71,7 +71,7 @@
         })
         .collect();
     let offer = lists.offer(Clock::new().now(), &readings);
-    match (offer.problems, offer.waits) {
+    match (offer.problems, offer.awaiting) {
         (problems, None) if problems.is_empty() => Ok(lists),
         (problems, Some(waits)) if problems.is_empty() => {
             Err(vec![Problem::of_file(&files.spec.files[0], waits)])
--- a/crates/server-files/src/cached_file/tests.rs
+++ b/crates/server-files/src/cached_file/tests.rs
@@ -9,7 +9,7 @@
         pool: "points".into(),
         files: vec!["a.toml".into()],
         zones: vec!["".into()],
-        out_at_most: 0.5,
+        max_removed_share: 0.5,
         drain: Span(0),
     }
 }
--- a/crates/server-files/src/source.rs
+++ b/crates/server-files/src/source.rs
@@ -106,7 +106,7 @@
     pub async fn prepare(&self, files: Files) -> Result<PreparedFiles, Vec<Problem>> {
         let reading = self.reading.clone().lock_owned().await;
         let mut lists = self.lists.borrow().clone();
-        lists.set(files.spec.clone());
+        lists.set_spec(files.spec.clone());
         let cached = self.cached.borrow().clone();
         let prepared = prepare(files, lists, cached, self.clock).await?;
         Ok(PreparedFiles { reading: Some(reading), ..prepared })
@@ -134,7 +134,7 @@
     pub fn version(&self) -> ListVersion {
         let lists = self.lists.borrow();
         let (revision, hash) = lists.version();
-        ListVersion { revision, hash: hash.to_string(), servers: lists.held() }
+        ListVersion { revision, hash: hash.to_string(), servers: lists.server_count() }
     }
 
     /// Logs the result of an offer, and passes an accepted list on to the listener.
@@ -152,7 +152,7 @@
     /// Logs why files are not applied, unless the same texts had the same problems before.
     fn log_problems(&self, pool: &str, offer: &OfferResult) {
         let mut lines: Vec<String> = offer.problems.iter().map(Problem::to_string).collect();
-        lines.extend(offer.waits.clone());
+        lines.extend(offer.awaiting.clone());
         let digests = self.cached.borrow().iter().map(|file| file.digest).collect();
         let problems = LoggedProblems { lines, digests };
         if *self.logged.borrow() != problems {
@@ -165,7 +165,7 @@
 
     fn publish(&self) {
         if let Some(listener) = self.listener.borrow().clone() {
-            let endpoints = self.lists.borrow().entries();
+            let endpoints = self.lists.borrow().endpoints();
             listener.endpoints_updated(ListKind::Full, endpoints);
         }
     }
@@ -179,7 +179,7 @@
         loop {
             self.wait().await;
             let now = self.clock.now();
-            if self.lists.borrow_mut().tick(now) {
+            if self.lists.borrow_mut().forget_drained(now) {
                 self.publish();
             }
             self.read_again(&watcher, &subscription).await;
@@ -189,7 +189,7 @@
     /// Waits until the files are to be read again, or a server has drained.
     async fn wait(&self) {
         let reread_interval = self.files.borrow().reread_interval;
-        let drained_at = self.lists.borrow().next().map(|at| self.clock.instant_of(at));
+        let drained_at = self.lists.borrow().next_forget().map(|at| self.clock.instant_of(at));
         let drained = async {
             match drained_at {
                 Some(at) => sleep_until(at).await,
@@ -256,7 +256,7 @@
     if !offer.problems.is_empty() {
         return Err(offer.problems);
     }
-    match offer.waits.clone().filter(|_| !lists.in_force()) {
+    match offer.awaiting.clone().filter(|_| !lists.in_force()) {
         Some(waits) => Err(vec![Problem::of_file(&files.spec.files[0], waits)]),
         None => Ok(PreparedFiles { files, lists, cached, offer, reading: None }),
     }
--- a/crates/server-files/tests/keys.rs
+++ b/crates/server-files/tests/keys.rs
@@ -52,7 +52,7 @@
         pool: "points".into(),
         files: vec!["points.toml".into()],
         zones: vec!["east".into(), "west".into()],
-        out_at_most: 1.0,
+        max_removed_share: 1.0,
         drain: Span(0),
     };
     let files = Files { spec, paths: vec![path], reread_interval: Duration::from_secs(3600) };
--- a/crates/server-files/tests/pools.rs
+++ b/crates/server-files/tests/pools.rs
@@ -42,7 +42,7 @@
         pool: name.clone(),
         files: vec![name],
         zones: vec!["".into()],
-        out_at_most: 1.0,
+        max_removed_share: 1.0,
         drain: Span(0),
     };
     // Without news nothing is read again while the test lasts.
--- /dev/null
+++ b/crates/server-list/src/combined_files.rs
@@ -0,0 +1,59 @@
+//! What can be wrong with the files of a pool together.
+
+use std::sync::Arc;
+
+use rustc_hash::FxHashMap;
+use sableloom_toml_diagnostics::Problem;
+use sableloom_types::Time;
+
+use crate::clock::{MAX_CLOCK_DIFFERENCE_MS, unix_ms};
+use crate::file::MAX_SERVERS;
+use crate::server_record::{ServerListing, ServerRecord};
+
+/// Checks listings, in the order of the files' names.
+pub(crate) fn check(
+    now: Time,
+    files: &[String],
+    new: &[Arc<ServerListing>],
+) -> Result<(), Vec<Problem>> {
+    let servers: Vec<(&String, &ServerRecord)> = files
+        .iter()
+        .zip(new)
+        .flat_map(|(file, listing)| listing.servers.iter().map(move |server| (file, server)))
+        .collect();
+    let mut problems = Vec::new();
+    check_servers(now, &servers, &mut problems);
+    let last = files.last().map_or("", String::as_str);
+    let count = servers.len();
+    if count > MAX_SERVERS {
+        let message = format!("{count} servers in all files are more than {MAX_SERVERS}");
+        problems.push(Problem::of_file(last, message));
+    }
+    if count > 0 && servers.iter().all(|(_, server)| server.weight == 0.0) {
+        let mut problem = Problem::of_file(last, "every server has weight 0");
+        problem.help = Some("to drain a server, write state = \"draining\"".into());
+        problems.push(problem);
+    }
+    if problems.is_empty() { Ok(()) } else { Err(problems) }
+}
+
+/// Finds ids and addresses that stand in two files, and starts in the future.
+fn check_servers(now: Time, servers: &[(&String, &ServerRecord)], problems: &mut Vec<Problem>) {
+    let (mut ids, mut addresses) = (FxHashMap::default(), FxHashMap::default());
+    for &(file, server) in servers {
+        // Within a file it was reported when that was read.
+        let mut report_duplicate = |field: &str, what: String, first: Option<&String>| {
+            if let Some(first) = first.filter(|first| *first != file) {
+                let message = format!("{what} is in {first} as well");
+                problems.push(server.problem(file, field, message));
+            }
+        };
+        report_duplicate("id", format!("{:?}", server.id), ids.insert(&server.id, file));
+        let address = server.address.to_string();
+        report_duplicate("address", address, addresses.insert(server.address, file));
+        if server.started_ms.is_some_and(|at| at > unix_ms(now) + MAX_CLOCK_DIFFERENCE_MS) {
+            let message = "more than an hour ahead of this machine's clock".to_string();
+            problems.push(server.problem(file, "started", message));
+        }
+    }
+}
--- a/crates/server-list/src/roster.rs
+++ b/crates/server-list/src/incremental_list.rs
@@ -1,8 +1,8 @@
 //! The servers of one pool, changed one by one.
 //!
-//! [`Lists`](crate::Lists) takes whole files; a [`Roster`] takes single changes, at a cost that goes with the
+//! [`Lists`](crate::Lists) takes whole files; a [`IncrementalList`] takes single changes, at a cost that goes with the
 //! change. Both know a server by its address first, then by its id, so that what is at one address has one
-//! entry towards the decision module, whatever it is called. A removed server drains before it is forgotten.
+//! endpoint towards the policy, whatever its id. A removed server drains before it is forgotten.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
-use crate::unix_ms;
+use crate::clock::unix_ms;
 
 /// A server of a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RosterServer {
+pub struct ServerDescription {
     /// Its id, unique in its pool.
     pub id: Box<str>,
     /// Where it is.
@@ -31,9 +31,9 @@
 
 /// A change to the servers of a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterChange {
+pub enum ServerChange {
     /// The server is there, as described.
-    Set(RosterServer),
+    Set(ServerDescription),
     /// The server with this id is no more: it drains.
     Remove(Box<str>),
 }
@@ -41,19 +41,19 @@
 /// A server that is known, or drains after it was removed.
 #[derive(Clone, Debug)]
 struct Known {
-    server: RosterServer,
+    server: ServerDescription,
     /// When it counts as started, in Unix milliseconds; 0 for long ago.
     up_since_ms: f64,
     /// Set once it is removed: when it is forgotten.
-    leaves: Option<Time>,
+    forget_at: Option<Time>,
 }
 
-/// A server's name towards the decision module: its first id, for as long as it is known.
+/// A server's name towards the policy: its first id, for as long as it is known.
 type Name = Box<str>;
 
 /// The servers of one pool.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct IncrementalList {
     known: FxHashMap<Name, Known>,
     by_id: FxHashMap<Box<str>, Name>,
     by_address: FxHashMap<SocketAddr, Name>,
@@ -63,7 +63,7 @@
     filled: bool,
 }
 
-impl Roster {
+impl IncrementalList {
     /// A pool without servers, whose removed servers drain for so long.
     pub fn new(drain: Span) -> Self {
         Self { drain, ..Self::default() }
@@ -87,20 +87,20 @@
     /// The id of the server at an address, if one is listed there.
     pub fn id_at(&self, address: SocketAddr) -> Option<&str> {
         let known = self.known.get(self.by_address.get(&address)?)?;
-        known.leaves.is_none().then_some(&*known.server.id)
+        known.forget_at.is_none().then_some(&*known.server.id)
     }
 
     /// The ids of the servers that are listed.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
-        self.known.values().filter(|known| known.leaves.is_none()).map(|known| &*known.server.id)
+        self.known.values().filter(|known| known.forget_at.is_none()).map(|known| &*known.server.id)
     }
 
     /// Takes changes over; gives the entries that are different now.
-    pub fn apply(&mut self, now: Time, changes: Vec<RosterChange>) -> Vec<ListedEndpoint> {
+    pub fn apply(&mut self, now: Time, changes: Vec<ServerChange>) -> Vec<ListedEndpoint> {
         let mut touched = FxHashSet::default();
         // Removals first: what follows may be at the address of a server that is removed.
         for change in &changes {
-            if let RosterChange::Remove(id) = change
+            if let ServerChange::Remove(id) = change
                 && let Some(name) = self.by_id.get(id).cloned()
             {
                 self.leave(now, &name);
@@ -108,7 +108,7 @@
             }
         }
         for change in changes {
-            if let RosterChange::Set(server) = change {
+            if let ServerChange::Set(server) = change {
                 self.set(now, server, &mut touched);
             }
         }
@@ -117,7 +117,7 @@
     }
 
     /// Forgets servers whose time to drain is over; gives their last entries.
-    pub fn tick(&mut self, now: Time) -> Vec<ListedEndpoint> {
+    pub fn forget_drained(&mut self, now: Time) -> Vec<ListedEndpoint> {
         let mut gone = Vec::new();
         while let Some((at, name)) = self.leaving.first().cloned()
             && at <= now
@@ -132,17 +132,17 @@
         gone
     }
 
-    /// When [`Roster::tick`] has something to do next.
-    pub fn next(&self) -> Option<Time> {
+    /// When [`IncrementalList::forget_drained`] has something to do next.
+    pub fn next_forget(&self) -> Option<Time> {
         self.leaving.first().map(|(at, _)| *at)
     }
 
     /// All entries.
-    pub fn entries(&self) -> Vec<ListedEndpoint> {
+    pub fn endpoints(&self) -> Vec<ListedEndpoint> {
         self.known.keys().filter_map(|name| self.entry(name)).collect()
     }
 
-    fn set(&mut self, now: Time, server: RosterServer, touched: &mut FxHashSet<Name>) {
+    fn set(&mut self, now: Time, server: ServerDescription, touched: &mut FxHashSet<Name>) {
         let at_address = self.by_address.get(&server.address).cloned();
         let of_id = self.by_id.get(&server.id).cloned();
         if let (Some(there), Some(named)) = (&at_address, &of_id)
@@ -160,20 +160,20 @@
         }
         self.by_id.insert(server.id.clone(), name.clone());
         self.by_address.insert(server.address, name.clone());
-        self.known.insert(name.clone(), Known { server, up_since_ms, leaves: None });
+        self.known.insert(name.clone(), Known { server, up_since_ms, forget_at: None });
         touched.insert(name);
     }
 
     /// When a server counts as started. What is there at first has long been there, for all that is known;
     /// another machine, by its address or by an id that came back as another, has just started.
-    fn up_since(&self, now: Time, before: Option<&Known>, server: &RosterServer) -> f64 {
+    fn up_since(&self, now: Time, before: Option<&Known>, server: &ServerDescription) -> f64 {
         let unstated = match before {
             None if !self.filled => 0.0,
             None => unix_ms(now),
             Some(before) => {
                 let renamed = before.server.id != server.id;
                 let moved = before.server.address != server.address;
-                let other = moved || (renamed && before.leaves.is_some());
+                let other = moved || (renamed && before.forget_at.is_some());
                 if other { unix_ms(now) } else { before.up_since_ms }
             }
         };
@@ -182,9 +182,9 @@
 
     fn leave(&mut self, now: Time, name: &Name) {
         let Some(known) = self.known.get_mut(name) else { return };
-        if known.leaves.is_none() {
+        if known.forget_at.is_none() {
             let at = now.plus(self.drain);
-            known.leaves = Some(at);
+            known.forget_at = Some(at);
             self.leaving.insert((at, name.clone()));
         }
     }
@@ -197,7 +197,7 @@
         if self.by_address.get(&known.server.address) == Some(name) {
             self.by_address.remove(&known.server.address);
         }
-        if let Some(at) = known.leaves {
+        if let Some(at) = known.forget_at {
             self.leaving.remove(&(at, name.clone()));
         }
     }
@@ -209,8 +209,8 @@
     }
 
     fn entry(&self, name: &Name) -> Option<ListedEndpoint> {
-        let Known { server, up_since_ms, leaves } = self.known.get(name)?;
-        let serves = leaves.is_none() && !server.draining && server.weight > 0.0;
+        let Known { server, up_since_ms, forget_at } = self.known.get(name)?;
+        let serves = forget_at.is_none() && !server.draining && server.weight > 0.0;
         Some(ListedEndpoint {
             id: name.clone(),
             address: server.address,
--- /dev/null
+++ b/crates/server-list/src/lists.rs
@@ -0,0 +1,198 @@
+//! The lists of one pool: which is in force.
+
+use std::sync::Arc;
+
+use sableloom_toml_diagnostics::Problem;
+use sableloom_types::{ListedEndpoint, Time};
+use sha2::{Digest, Sha256};
+
+use crate::merge::{Merge, Merged};
+use crate::offer::{Applied, OfferResult, Reading};
+use crate::server_record::ServerListing;
+use crate::spec::Spec;
+use crate::tracked_server::TrackedServer;
+use crate::{combined_files, removal_guard};
+
+/// Bytes of the hash that names a list.
+const HASH_BYTES: usize = 6;
+/// Most files that a message about versions names.
+const MAX_NAMED_VERSIONS: usize = 8;
+
+/// The lists of one pool.
+#[derive(Clone, Debug)]
+pub struct Lists {
+    spec: Spec,
+    /// What is in force of each file.
+    accepted: Vec<Option<Arc<ServerListing>>>,
+    tracked: Vec<TrackedServer>,
+    revision: u64,
+    hash: String,
+    /// Nothing was set since the list in force was judged.
+    validated: bool,
+}
+
+impl Lists {
+    /// A pool with no list in force.
+    pub fn new(spec: Spec) -> Self {
+        let accepted = vec![None; spec.files.len()];
+        Self {
+            spec,
+            accepted,
+            tracked: Vec::new(),
+            revision: 0,
+            hash: String::new(),
+            validated: false,
+        }
+    }
+
+    /// What is set.
+    pub fn spec(&self) -> &Spec {
+        &self.spec
+    }
+
+    /// Sets anew. What is in force of files that are still named stays so.
+    pub fn set_spec(&mut self, spec: Spec) {
+        let old = std::mem::take(&mut self.accepted);
+        let of = |file: &String| {
+            let at = self.spec.files.iter().position(|f| f == file)?;
+            old[at].clone()
+        };
+        self.accepted = spec.files.iter().map(of).collect();
+        self.spec = spec;
+        self.validated = false;
+    }
+
+    /// Whether a list is in force.
+    pub fn in_force(&self) -> bool {
+        self.revision > 0
+    }
+
+    /// The number and the hash of the list in force.
+    pub fn version(&self) -> (u64, &str) {
+        (self.revision, &self.hash)
+    }
+
+    /// Servers that are held, those included that drain.
+    pub fn server_count(&self) -> usize {
+        self.tracked.len()
+    }
+
+    /// The whole list as it is in force.
+    pub fn endpoints(&self) -> Vec<ListedEndpoint> {
+        self.tracked.iter().map(TrackedServer::endpoint).collect()
+    }
+
+    /// Offers what the pool's files say now, in their order. A file that can't be read stays as it was last; what the
+    /// files say together is accepted as a whole or rejected.
+    pub fn offer(&mut self, now: Time, readings: &[Reading]) -> OfferResult {
+        let mut offer = OfferResult::default();
+        let mut new = self.readable_or_good(readings, &mut offer.problems);
+        if let Some(awaiting) = self.versions_differ(&new) {
+            offer.awaiting = Some(awaiting);
+            self.keep_versioned(&mut new);
+        }
+        let Some(new) = new.into_iter().collect::<Option<Vec<_>>>() else { return offer };
+        let same = |(new, accepted): (&Arc<ServerListing>, &Option<Arc<ServerListing>>)| {
+            accepted.as_ref().is_some_and(|accepted| accepted.digest == new.digest)
+        };
+        if self.validated && new.iter().zip(&self.accepted).all(same) {
+            return offer;
+        }
+        match self.validate(now, &new) {
+            Err(problems) => offer.problems.extend(problems),
+            Ok(merged) => offer.applied = self.put_in_force(new, merged),
+        }
+        offer
+    }
+
+    /// The listings that were read, and for the others those in force; collects what is wrong with the files.
+    fn readable_or_good(
+        &self,
+        readings: &[Reading],
+        problems: &mut Vec<Problem>,
+    ) -> Vec<Option<Arc<ServerListing>>> {
+        let pairs = readings.iter().zip(&self.accepted);
+        let choose = |(reading, accepted): (&Reading, &Option<Arc<ServerListing>>)| match reading {
+            Ok(listing) => Some(listing.clone()),
+            Err(found) => {
+                problems.extend(found.iter().cloned());
+                accepted.clone()
+            }
+        };
+        pairs.map(choose).collect()
+    }
+
+    /// Leaves files that state a version, now or before, as they are in force.
+    fn keep_versioned(&self, new: &mut [Option<Arc<ServerListing>>]) {
+        let versioned =
+            |l: &Option<Arc<ServerListing>>| l.as_ref().is_some_and(|l| l.version.is_some());
+        for (new, accepted) in new.iter_mut().zip(&self.accepted) {
+            if versioned(new) || versioned(accepted) {
+                new.clone_from(accepted);
+            }
+        }
+    }
+
+    /// Takes over a list that was judged; `None` if it is the one in force.
+    fn put_in_force(&mut self, new: Vec<Arc<ServerListing>>, merged: Merged) -> Option<Applied> {
+        let mut hash = Sha256::new();
+        new.iter().for_each(|listing| hash.update(listing.digest));
+        let hash = hash.finalize();
+        let hash: String = hash[..HASH_BYTES].iter().map(|byte| format!("{byte:02x}")).collect();
+        let is_new = !self.in_force() || self.hash != hash;
+        self.tracked = merged.tracked;
+        self.validated = true;
+        self.hash.clone_from(&hash);
+        self.accepted = new.into_iter().map(Some).collect();
+        if !is_new {
+            return None;
+        }
+        self.revision += 1;
+        Some(Applied { revision: self.revision, hash, changes: merged.changes })
+    }
+
+    fn versions_differ(&self, new: &[Option<Arc<ServerListing>>]) -> Option<String> {
+        let versioned: Vec<(&String, &String)> = new
+            .iter()
+            .zip(&self.spec.files)
+            .filter_map(|(listing, file)| Some((file, listing.as_ref()?.version.as_ref()?)))
+            .collect();
+        let (_, first) = versioned.first()?;
+        if versioned.iter().all(|(_, version)| version == first) {
+            return None;
+        }
+        let versions: Vec<_> = versioned
+            .iter()
+            .take(MAX_NAMED_VERSIONS)
+            .map(|(f, v)| format!("{f} has `{v}`"))
+            .collect();
+        Some(format!("versions differ: {}", versions.join(", ")))
+    }
+
+    /// What the pool would know under these files, or why they can't be in force together.
+    fn validate(&self, now: Time, new: &[Arc<ServerListing>]) -> Result<Merged, Vec<Problem>> {
+        combined_files::check(now, &self.spec.files, new)?;
+        let servers = new.iter().flat_map(|listing| &listing.servers);
+        let merge = Merge {
+            now,
+            drain: self.spec.drain,
+            in_force: self.in_force(),
+            tracked: &self.tracked,
+        };
+        let merged = merge.with(servers);
+        removal_guard::check(&self.spec, &self.tracked, &merged.tracked, new, &self.accepted)?;
+        Ok(merged)
+    }
+
+    /// Forgets the servers whose time to drain is over. Whether there were any.
+    pub fn forget_drained(&mut self, now: Time) -> bool {
+        let before = self.tracked.len();
+        self.tracked.retain(|tracked| tracked.forget_at.is_none_or(|forget_at| now < forget_at));
+        self.tracked.len() < before
+    }
+
+    /// When [`Lists::forget_drained`] has something to do next.
+    pub fn next_forget(&self) -> Option<Time> {
+        self.tracked.iter().filter_map(|tracked| tracked.forget_at).min()
+    }
+}
--- a/crates/server-list/tests/lists.rs
+++ b/crates/server-list/tests/lists.rs
@@ -1,8 +1,8 @@
-//! Each thing that a list can say, and each that it can get wrong.
+//! Every form of a list, and every way in which one can be wrong.
 
 use std::sync::Arc;
 
-use sableloom_server_list::*;
+use sableloom_server_list::{Change, Lists, MAX_SERVERS, OfferResult, Reading, Spec, read};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
@@ -22,7 +22,7 @@
         pool: "points".into(),
         files: files.iter().map(|f| f.to_string()).collect(),
         zones: vec!["east".into(), "west".into()],
-        out_at_most: 0.5,
+        max_removed_share: 0.5,
         drain: Span(DRAIN),
     }
 }
@@ -58,14 +58,14 @@
     applied.changes.iter().map(Change::to_string).collect()
 }
 
-fn refused(lists: &mut Lists, texts: &[&str]) -> String {
-    let before = lists.entries();
+fn rejected(lists: &mut Lists, texts: &[&str]) -> String {
+    let before = lists.endpoints();
     let offer = offer(lists, at(1), texts);
     assert_eq!(offer.applied, None);
-    assert_eq!(lists.entries(), before, "the last good list stays in force");
-    let told: Vec<_> = offer.problems.iter().map(Problem::to_string).collect();
-    assert!(!told.is_empty(), "it is told why");
-    told.join("\n")
+    assert_eq!(lists.endpoints(), before, "the last good list stays in force");
+    let summary: Vec<_> = offer.problems.iter().map(Problem::to_string).collect();
+    assert!(!summary.is_empty(), "the reason is reported");
+    summary.join("\n")
 }
 
 fn one(first: &[&str]) -> Lists {
@@ -75,11 +75,11 @@
 }
 
 fn entry(lists: &Lists, name: &str) -> ListedEndpoint {
-    lists.entries().into_iter().find(|e| &*e.id == name).unwrap_or_else(|| panic!("no {name}"))
+    lists.endpoints().into_iter().find(|e| &*e.id == name).unwrap_or_else(|| panic!("no {name}"))
 }
 
 #[test]
-fn a_whole_list_comes_into_force_with_a_number_and_a_hash() {
+fn an_accepted_list_comes_into_force_with_a_revision_and_a_hash() {
     let mut lists = Lists::new(spec(&["a.toml"]));
     assert!(!lists.in_force());
     let text = file(
@@ -91,7 +91,7 @@
     let (revision, hash) = lists.version();
     assert_eq!((revision, hash.len()), (1, 12));
     let status: Vec<_> =
-        lists.entries().iter().map(|e| (e.status, e.size, e.up_since_ms)).collect();
+        lists.endpoints().iter().map(|e| (e.status, e.size, e.up_since_ms)).collect();
     let (live, draining) = (EndpointStatus::Live, EndpointStatus::Draining);
     // What is there at the start has long been there; a weight of 0 gets nothing.
     assert_eq!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_refused_whole() {
+fn a_list_with_any_problem_is_rejected_as_a_whole() {
     let mut lists = one(&["a 1", "b 2"]);
     for (text, says) in [
         (String::new(), "a.toml:1:1: it is empty"),
@@ -139,8 +139,8 @@
         ),
         (file("", &["a 1", "b 2"]).replace("id = \"b\"", "id = b"), "a.toml:"),
     ] {
-        let told = refused(&mut lists, &[&text]);
-        assert!(told.contains(says), "{says:?} is not told of\n{text}\nbut\n{told}");
+        let summary = rejected(&mut lists, &[&text]);
+        assert!(summary.contains(says), "{says:?} is not reported of\n{text}\nbut\n{summary}");
     }
     let unreadable = vec![Problem::of_file("a.toml", "Permission denied")];
     let offer = lists.offer(at(1), &[Err(unreadable.clone())]);
@@ -149,26 +149,26 @@
 }
 
 #[test]
-fn taking_out_more_than_the_share_must_be_meant() {
+fn removing_more_than_the_share_must_be_stated() {
     let mut lists = one(&["a 1", "b 2", "c 3", "d 4"]);
     // Half of them is the share.
-    let told = refused(&mut lists, &[&file("", &["a 1"])]);
-    assert!(told.contains("takes 3 of 4 serving servers out, over 50%"), "{told}");
-    assert!(told.contains("write takes_out = 3"), "{told}");
+    let summary = rejected(&mut lists, &[&file("", &["a 1"])]);
+    assert!(summary.contains("takes 3 of 4 serving servers out, over 50%"), "{summary}");
+    assert!(summary.contains("write takes_out = 3"), "{summary}");
     for top in ["takes_out = 2", "takes_out = 4"] {
-        refused(&mut lists, &[&file(top, &["a 1"])]);
+        rejected(&mut lists, &[&file(top, &["a 1"])]);
     }
     // Drained, without weight or left out: all the same.
     let out = ["a 1 weight = 0", "b 2 state = \"draining\"", "d 4"];
-    assert!(refused(&mut lists, &[&file("", &out)]).contains("takes 3 of 4"));
+    assert!(rejected(&mut lists, &[&file("", &out)]).contains("takes 3 of 4"));
     let changes = accepted(&mut lists, at(1), &[&file("takes_out = 3", &["a 1"])]);
     assert_eq!(changes, ["removed b", "removed c", "removed d"]);
     // The same words are no leave for the next change.
-    refused(&mut lists, &[&file("takes_out = 3", &[])]);
+    rejected(&mut lists, &[&file("takes_out = 3", &[])]);
     let changes = accepted(&mut lists, at(2), &[&file("takes_out = 1", &[])]);
     assert_eq!(changes, ["removed a"]);
     // Emptied, and filled again.
-    assert!(lists.entries().iter().all(|e| e.status == EndpointStatus::Draining));
+    assert!(lists.endpoints().iter().all(|e| e.status == EndpointStatus::Draining));
     let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "e 5"])]);
     assert_eq!(changes, ["returned a", "added e"]);
     let mut half = one(&["a 1", "b 2", "c 3", "d 4"]);
@@ -179,15 +179,15 @@
 }
 
 #[test]
-fn a_server_that_is_left_out_drains_first_and_is_forgotten_then() {
+fn a_server_that_is_left_out_drains_before_it_is_forgotten() {
     let mut lists = one(&["a 1", "b 2"]);
     accepted(&mut lists, at(10), &[&file("", &["a 1"])]);
     assert_eq!(entry(&lists, "b").status, EndpointStatus::Draining);
-    assert_eq!(lists.next(), Some(Time(at(10).0 + DRAIN)));
-    assert!(!lists.tick(Time(at(10).0 + DRAIN - 1)));
-    assert_eq!(lists.held(), 2);
-    assert!(lists.tick(Time(at(10).0 + DRAIN)));
-    assert_eq!((lists.held(), lists.next()), (1, None));
+    assert_eq!(lists.next_forget(), Some(Time(at(10).0 + DRAIN)));
+    assert!(!lists.forget_drained(Time(at(10).0 + DRAIN - 1)));
+    assert_eq!(lists.server_count(), 2);
+    assert!(lists.forget_drained(Time(at(10).0 + DRAIN)));
+    assert_eq!((lists.server_count(), lists.next_forget()), (1, None));
     // It counts as new from then on, and starts cold.
     assert_eq!(accepted(&mut lists, at(60), &[&file("", &["a 1", "b 2"])]), ["added b"]);
     assert_eq!(entry(&lists, "b").up_since_ms, ms(at(60)));
@@ -204,8 +204,8 @@
 }
 
 #[test]
-fn one_that_comes_back_is_cold_if_its_id_or_start_says_so() {
-    for (back, cold, told) in [
+fn a_server_that_returns_is_cold_if_its_id_or_start_differs() {
+    for (back, cold, summary) in [
         ("b 2", false, vec!["returned b"]),
         ("x 2", true, vec!["returned cold x", "renamed b to x"]),
         ("b 2 started = 2025-12-01T08:00:05Z", true, vec!["returned cold b"]),
@@ -214,21 +214,21 @@
         let mut lists = one(&["a 1", "b 2"]);
         accepted(&mut lists, at(1), &[&file("", &["a 1"])]);
         let changes = accepted(&mut lists, at(2), &[&file("", &["a 1", back])]);
-        assert_eq!(changes, told, "{back}");
-        // The decision module knows it as the same: what is out to it counts.
-        let held = entry(&lists, "b");
-        assert_eq!(held.status, EndpointStatus::Live);
-        assert_eq!(held.up_since_ms > 0.0, cold, "{back}");
-        assert_eq!(lists.held(), 2, "{back}: one entry, and its lanes once");
+        assert_eq!(changes, summary, "{back}");
+        // The policy knows it as the same: its requests in flight count.
+        let tracked = entry(&lists, "b");
+        assert_eq!(tracked.status, EndpointStatus::Live);
+        assert_eq!(tracked.up_since_ms > 0.0, cold, "{back}");
+        assert_eq!(lists.server_count(), 2, "{back}: one endpoint, and its limit once");
     }
 }
 
 #[test]
-fn a_new_id_alone_changes_nothing_else() {
+fn a_new_id_changes_nothing_else() {
     let mut lists = one(&["a 1", "b 2"]);
     let changes = accepted(&mut lists, at(1), &[&file("", &["a 1", "c 2"])]);
     assert_eq!(changes, ["renamed b to c"]);
-    assert_eq!((lists.held(), entry(&lists, "b").up_since_ms), (2, 0.0));
+    assert_eq!((lists.server_count(), entry(&lists, "b").up_since_ms), (2, 0.0));
     // Another is free to take the old id, and is not taken for the first.
     let changes = accepted(&mut lists, at(2), &[&file("", &["a 1", "c 2", "b 3"])]);
     assert_eq!(changes, ["added b"]);
@@ -236,11 +236,11 @@
     // Two that swap their ids stay what they are.
     let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "b 2", "c 3"])]);
     assert_eq!(changes, ["renamed c to b", "renamed b to c"]);
-    assert_eq!(lists.held(), 3);
+    assert_eq!(lists.server_count(), 3);
 }
 
 #[test]
-fn a_restart_and_a_move_are_told_and_start_cold() {
+fn a_restart_and_a_move_are_reported_and_start_cold() {
     let mut lists = one(&["a 1 started = 2025-12-01T07:00:00Z", "b 2"]);
     let before = entry(&lists, "a").up_since_ms;
     let changes =
@@ -264,11 +264,11 @@
     assert_eq!(changes, ["weight of a from 1 to 3", "zone of b", "drained b"]);
     let changes = accepted(&mut lists, at(2), &[&file("", &["a 1 weight = 3", "b 2"])]);
     assert_eq!(changes, ["zone of b", "resumed b"]);
-    assert!(lists.entries().iter().all(|e| e.up_since_ms == 0.0), "none starts anew");
+    assert!(lists.endpoints().iter().all(|e| e.up_since_ms == 0.0), "none starts anew");
 }
 
 #[test]
-fn files_stand_by_themselves_unless_they_say_a_version() {
+fn files_change_independently_unless_they_state_a_version() {
     let mut lists = Lists::new(spec(&["a.toml", "b.toml"]));
     let bad = "[[server]";
     // At first all must be good.
@@ -279,12 +279,15 @@
     let mixed = offer(&mut lists, at(1), &[&file("", &["a 1", "b 2", "d 4"]), bad]);
     assert_eq!(mixed.problems.len(), 1);
     assert_eq!(mixed.applied.expect("the good one").changes, [Change::Added("d".into())]);
-    assert_eq!(lists.held(), 4);
+    assert_eq!(lists.server_count(), 4);
     // What is wrong only together is refused together.
-    let told = refused(&mut lists, &[&file("", &["a 1", "b 2", "c 9"]), &file("", &["c 3"])]);
-    assert!(told.contains("b.toml") && told.contains("\"c\" is in a.toml as well"), "{told}");
-    let told = refused(&mut lists, &[&file("", &["a 1", "b 2", "x 3"]), &file("", &["c 3"])]);
-    assert!(told.contains("127.0.0.1:3 is in a.toml as well"), "{told}");
+    let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "c 9"]), &file("", &["c 3"])]);
+    assert!(
+        summary.contains("b.toml") && summary.contains("\"c\" is in a.toml as well"),
+        "{summary}"
+    );
+    let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "x 3"]), &file("", &["c 3"])]);
+    assert!(summary.contains("127.0.0.1:3 is in a.toml as well"), "{summary}");
     // One that moves from file to file goes with both.
     let moved = [&file("", &["a 1", "b 2", "c 3"])[..], &file("", &["d 4"])];
     assert_eq!(accepted(&mut lists, at(2), &moved), Vec::<String>::new());
@@ -299,43 +302,43 @@
     // One of them is ahead: awaited, and nothing of it is in force.
     let ahead = offer(&mut lists, at(1), &[&v(2, &["a 1", "a2 3"]), &v(1, &["b 2"]), &free]);
     assert_eq!((ahead.applied, ahead.problems), (None, vec![]));
-    let waits = ahead.waits.expect("told");
-    assert_eq!(waits, "versions differ: a.toml has `2`, b.toml has `1`");
+    let awaiting = ahead.awaiting.expect("a message");
+    assert_eq!(awaiting, "versions differ: a.toml has `2`, b.toml has `1`");
     // A file that says none goes its own way meanwhile.
     let more = file("", &["f 9", "g 10"]);
     let other = offer(&mut lists, at(2), &[&v(2, &["a 1", "a2 3"]), &v(1, &["b 2"]), &more]);
     assert_eq!(other.applied.expect("the free one").changes, [Change::Added("g".into())]);
     // The other is broken: still awaited.
     let broken = offer(&mut lists, at(3), &[&v(2, &["a 1", "a2 3"]), "version = \"2", &more]);
-    assert!(broken.applied.is_none() && broken.waits.is_some() && broken.problems.len() == 1);
+    assert!(broken.applied.is_none() && broken.awaiting.is_some() && broken.problems.len() == 1);
     let changes =
         accepted(&mut lists, at(4), &[&v(2, &["a 1", "a2 3"]), &v(2, &["b 2", "b2 4"]), &more]);
     assert_eq!(changes, ["added a2", "added b2"]);
 }
 
 #[test]
-fn other_files_may_be_named_and_what_is_in_force_of_the_old_ones_stays() {
+fn lists_of_files_that_are_still_named_stay_in_force_when_others_are_named() {
     let mut lists = Lists::new(spec(&["a.toml", "b.toml"]));
     accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
-    lists.set(spec(&["a.toml"]));
+    lists.set_spec(spec(&["a.toml"]));
     let a = file("", &["a 1", "b 2"]);
     assert_eq!(accepted(&mut lists, at(1), &[&a]), ["removed c"]);
-    lists.set(spec(&["a.toml", "d.toml"]));
+    lists.set_spec(spec(&["a.toml", "d.toml"]));
     // The old one is broken now, and still as it was; the new one must be good.
     let offered = offer(&mut lists, at(2), &["[", &file("", &["d 4"])]);
     assert_eq!(offered.applied.expect("the new file").changes, [Change::Added("d".into())]);
-    assert_eq!(lists.entries().iter().filter(|e| e.status == EndpointStatus::Live).count(), 3);
+    assert_eq!(lists.endpoints().iter().filter(|e| e.status == EndpointStatus::Live).count(), 3);
     // Set again, and nothing is new.
     let number = lists.version().0;
-    lists.set(spec(&["a.toml", "d.toml"]));
+    lists.set_spec(spec(&["a.toml", "d.toml"]));
     assert_eq!(offer(&mut lists, at(3), &[&a, &file("", &["d 4"])]), OfferResult::default());
     assert_eq!(lists.version().0, number);
 }
 
 #[test]
-fn more_servers_than_a_pool_may_have_are_refused() {
+fn more_servers_than_a_pool_may_have_are_rejected() {
     let mut lists = Lists::new(spec(&["a.toml", "b.toml"]));
-    let servers: Vec<String> = (0..MOST_SERVERS).map(|i| format!("s{i} {}", 10_000 + i)).collect();
+    let servers: Vec<String> = (0..MAX_SERVERS).map(|i| format!("s{i} {}", 10_000 + i)).collect();
     let servers: Vec<&str> = servers.iter().map(String::as_str).collect();
     let first = offer(&mut lists, at(0), &[&file("", &servers), &file("", &["x 1"])]);
     assert!(first.applied.is_none());
--- a/crates/server-list/tests/property.rs
+++ b/crates/server-list/tests/property.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use sableloom_server_list::*;
+use sableloom_server_list::{Change, Lists, Reading, ServerListing, Spec, read};
 use sableloom_types::{EndpointStatus, Span, Time};
 
 const SEEDS: u64 = 1500;
@@ -58,26 +58,26 @@
 /// What a pool is by the rules, said as plainly as possible.
 #[derive(Clone, Default)]
 struct Model {
-    good: Vec<Option<File>>,
+    accepted: Vec<Option<File>>,
     servers: Vec<One>,
 }
 
 impl Model {
-    /// The list in force after these files; whether it is a new one. `held` are the ports of what
+    /// The list in force after these files; whether it is a new one. `tracked` are the ports of what
     /// is in force or drains: what is there is known by its address.
-    fn offer(&mut self, files: &[Option<File>], held: &BTreeSet<u64>) -> bool {
+    fn offer(&mut self, files: &[Option<File>], tracked: &BTreeSet<u64>) -> bool {
         let mut new: Vec<Option<File>> =
-            files.iter().zip(&self.good).map(|(f, g)| f.clone().or(g.clone())).collect();
+            files.iter().zip(&self.accepted).map(|(f, g)| f.clone().or(g.clone())).collect();
         let versions: BTreeSet<_> = new.iter().flatten().filter_map(|f| f.version).collect();
         if versions.len() > 1 {
-            for (new, good) in new.iter_mut().zip(&self.good) {
-                let stamped = |f: &Option<File>| f.as_ref().is_some_and(|f| f.version.is_some());
-                if stamped(new) || stamped(good) {
-                    new.clone_from(good);
+            for (new, accepted) in new.iter_mut().zip(&self.accepted) {
+                let versioned = |f: &Option<File>| f.as_ref().is_some_and(|f| f.version.is_some());
+                if versioned(new) || versioned(accepted) {
+                    new.clone_from(accepted);
                 }
             }
         }
-        if new.iter().any(Option::is_none) || new == self.good {
+        if new.iter().any(Option::is_none) || new == self.accepted {
             return false;
         }
         let servers: Vec<One> = new.iter().flatten().flat_map(|f| f.servers.clone()).collect();
@@ -90,7 +90,7 @@
         let ports: BTreeSet<_> = servers.iter().map(|s| s.port).collect();
         let goes_on = |old: &&One| {
             let at = servers.iter().find(|s| s.port == old.port);
-            let by_id = || servers.iter().find(|s| s.id == old.id && !held.contains(&s.port));
+            let by_id = || servers.iter().find(|s| s.id == old.id && !tracked.contains(&s.port));
             let by_id = || if ports.contains(&old.port) { None } else { by_id() };
             !at.or_else(by_id).is_some_and(|s| serves(&s))
         };
@@ -98,14 +98,14 @@
         let out = self.servers.iter().filter(serves).filter(goes_on).count();
         let meant: usize = new
             .iter()
-            .zip(&self.good)
-            .filter(|(new, good)| new != good)
+            .zip(&self.accepted)
+            .filter(|(new, accepted)| new != accepted)
             .filter_map(|(new, _)| new.as_ref()?.takes_out)
             .sum();
         if out as f64 > OUT_AT_MOST * before as f64 && out != meant {
             return false;
         }
-        self.good = new;
+        self.accepted = new;
         self.servers = servers;
         true
     }
@@ -116,7 +116,7 @@
         pool: "p".into(),
         files: (0..files).map(|i| format!("{i}.toml")).collect(),
         zones: vec![],
-        out_at_most: OUT_AT_MOST,
+        max_removed_share: OUT_AT_MOST,
         drain: Span(DRAIN),
     }
 }
@@ -160,19 +160,19 @@
     let count = rng.rand_range(1..4) as usize;
     let spec = spec(count);
     let mut lists = Lists::new(spec.clone());
-    let mut model = Model { good: vec![None; count], ..Model::default() };
+    let mut model = Model { accepted: vec![None; count], ..Model::default() };
     let mut last = vec![File::default(); count];
     let mut now = Time(1_764_576_000_000_000);
     let mut seen = Seen::default();
     for step in 0..30 {
         now.0 += rng.rand_range(0..2_000_000) as i64;
-        lists.tick(now);
+        lists.forget_drained(now);
         let mut readings: Vec<Reading> = Vec::new();
         let mut files = Vec::new();
         for (i, last) in last.iter_mut().enumerate() {
             // From what is in force as often as from what was written last.
             if rng.rand_range(0..2) == 0 {
-                *last = model.good[i].clone().unwrap_or_default();
+                *last = model.accepted[i].clone().unwrap_or_default();
             }
             if rng.rand_range(0..3) > 0 {
                 *last = draw(&mut rng, last);
@@ -188,21 +188,21 @@
             assert_eq!(readings[i].is_ok(), sound, "SEED={seed} step {step}:\n{text}");
             files.push(sound.then(|| last.clone()));
         }
-        let before = lists.entries();
+        let before = lists.endpoints();
         let revision = lists.version().0;
         let offer = lists.offer(now, &readings);
-        let held = before.iter().map(|e| u64::from(e.address.port())).collect();
-        let expected = model.offer(&files, &held);
-        let place = format!("SEED={seed} step {step}: {offer:?}\n{files:#?}");
-        assert_eq!(offer.applied.is_some(), expected, "{place}");
-        let entries = lists.entries();
+        let tracked = before.iter().map(|e| u64::from(e.address.port())).collect();
+        let expected = model.offer(&files, &tracked);
+        let location = format!("SEED={seed} step {step}: {offer:?}\n{files:#?}");
+        assert_eq!(offer.applied.is_some(), expected, "{location}");
+        let entries = lists.endpoints();
         if let Some(applied) = &offer.applied {
-            assert_eq!(applied.revision, revision + 1, "{place}");
+            assert_eq!(applied.revision, revision + 1, "{location}");
             seen.applied += 1;
             let back = |c: &&Change| matches!(c, Change::Returned { .. });
             seen.returned += applied.changes.iter().filter(back).count();
         } else {
-            assert_eq!(entries, before, "what is refused changes nothing: {place}");
+            assert_eq!(entries, before, "what is refused changes nothing: {location}");
             seen.refused += 1;
         }
         // In force is what the model has, no more and no less.
@@ -217,23 +217,23 @@
             .filter(|s| s.weight > 0 && !s.draining)
             .map(|s| (SocketAddr::from(([127, 0, 0, 1], s.port as u16)), s.weight as f64))
             .collect();
-        assert_eq!(live, modelled, "{place}");
-        // One entry for each address and one name for each entry: no lanes twice.
+        assert_eq!(live, modelled, "{location}");
+        // One entry for each address and one name for each entry: no limit counted twice.
         let addresses: BTreeSet<_> = entries.iter().map(|e| e.address).collect();
         let names: BTreeSet<_> = entries.iter().map(|e| &e.id).collect();
-        assert_eq!((addresses.len(), names.len()), (entries.len(), entries.len()), "{place}");
+        assert_eq!((addresses.len(), names.len()), (entries.len(), entries.len()), "{location}");
         // A name keeps its address unless that moved, and none is forgotten before its time.
         let gone = before.iter().any(|e| !names.contains(&e.id));
-        assert!(!gone, "forgotten without a tick: {place}");
+        assert!(!gone, "forgotten without a tick: {location}");
         // What is held and named by no list drains, and for no longer than it may.
-        let next = lists.next().map_or(now.0, |next| next.0);
-        assert!(next <= now.0 + DRAIN, "{place}");
+        let next = lists.next_forget().map_or(now.0, |next| next.0);
+        assert!(next <= now.0 + DRAIN, "{location}");
     }
     seen
 }
 
 #[test]
-fn lists_agree_with_the_naive_model() {
+fn lists_agree_with_a_naive_model() {
     if let Some(seed) = std::env::var("SEED").ok().and_then(|s| s.parse().ok()) {
         check(seed);
         return;
@@ -246,13 +246,13 @@
         all.returned += seen.returned;
     }
     // The histories do go everywhere.
-    let told =
+    let summary =
         format!("{} applied, {} refused, {} returned", all.applied, all.refused, all.returned);
-    assert!(all.applied > 5000 && all.refused > 5000 && all.returned > 300, "{told}");
+    assert!(all.applied > 5000 && all.refused > 5000 && all.returned > 300, "{summary}");
 }
 
 #[test]
-fn a_file_cut_at_any_byte_is_refused_or_says_the_same() {
+fn a_file_cut_at_any_byte_is_rejected_or_reads_the_same() {
     let spec = spec(1);
     let text = "# Points nodes, \u{fc}ber alles\nversion = \"1\"\npool = \"p\"\ntakes_out = 12\n\n\
         [[server]]\nid = \"a\"\naddress = \"127.0.0.1:9001\"\nweight = 10.25\n\n\
@@ -265,7 +265,11 @@
     for cut in 0..text.len() {
         match read("0.toml", &text.as_bytes()[..cut], &spec) {
             Ok(listing) => {
-                assert_eq!(Listing { digest: whole.digest, ..listing }, whole, "cut at {cut}");
+                assert_eq!(
+                    ServerListing { digest: whole.digest, ..listing },
+                    whole,
+                    "cut at {cut}"
+                );
                 same += 1;
             }
             Err(problems) => {
