--- a/crates/harness/src/launcher.rs
+++ b/crates/harness/src/launcher.rs
@@ -2,6 +2,7 @@
 //! executes the program. Needs no privileges and no code between fork and exec.
 
 use std::ffi::OsString;
+use std::io;
 use std::os::unix::process::CommandExt;
 use std::process::Command;
 
@@ -20,29 +21,61 @@
     pub command: Vec<OsString>,
 }
 
-fn limit(resource: Resource, most: Option<u64>) -> Result<(), String> {
-    let Some(most) = most else { return Ok(()) };
-    let limits = Rlimit { current: Some(most), maximum: Some(most) };
-    rustix::process::setrlimit(resource, limits).map_err(|e| format!("limit {resource:?}: {e}"))
+/// Why a program is not started.
+#[derive(Debug, thiserror::Error)]
+pub enum LaunchError {
+    /// The program can't be tied to its parent.
+    #[error("prctl: {0}")]
+    ParentDeathSignal(rustix::io::Errno),
+    /// The parent has ended already.
+    #[error("the harness has ended")]
+    ParentEnded,
+    /// A resource limit can't be set.
+    #[error("limit {resource:?}: {cause}")]
+    Limit {
+        /// The resource.
+        resource: Resource,
+        /// The system's reason.
+        cause: rustix::io::Errno,
+    },
+    /// There is no program.
+    #[error("no program is named")]
+    NoProgram,
+    /// The program can't be executed.
+    #[error("{program}: {cause}")]
+    Execute {
+        /// The program.
+        program: String,
+        /// The system's reason.
+        cause: io::Error,
+    },
 }
 
-/// Replaces this process by the program; returns an error message if that fails.
-pub fn launch(options: &LaunchOptions) -> String {
-    let prepared = || {
-        set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| format!("prctl: {e}"))?;
-        // A parent that had already ended sends no signal.
-        if getppid().map(Pid::as_raw_pid) != i32::try_from(options.parent).ok() {
-            return Err("the harness has ended".to_string());
-        }
-        limit(Resource::Nofile, options.descriptors)?;
-        limit(Resource::As, options.memory_mb.map(|mb| mb * 1024 * 1024))
-    };
-    if let Err(e) = prepared() {
-        return e;
+fn limit(resource: Resource, max: Option<u64>) -> Result<(), LaunchError> {
+    let Some(max) = max else { return Ok(()) };
+    let limits = Rlimit { current: Some(max), maximum: Some(max) };
+    rustix::process::setrlimit(resource, limits)
+        .map_err(|cause| LaunchError::Limit { resource, cause })
+}
+
+fn prepare(options: &LaunchOptions) -> Result<(), LaunchError> {
+    set_parent_process_death_signal(Some(Signal::KILL)).map_err(LaunchError::ParentDeathSignal)?;
+    // A parent that had already ended sends no signal.
+    if getppid().map(Pid::as_raw_pid) != i32::try_from(options.parent).ok() {
+        return Err(LaunchError::ParentEnded);
+    }
+    limit(Resource::Nofile, options.descriptors)?;
+    limit(Resource::As, options.memory_mb.map(|mb| mb * 1024 * 1024))
+}
+
+/// Replaces this process by the program; returns only if that fails.
+pub fn launch(options: &LaunchOptions) -> LaunchError {
+    if let Err(error) = prepare(options) {
+        return error;
     }
     let Some((program, arguments)) = options.command.split_first() else {
-        return "no program is named".to_string();
+        return LaunchError::NoProgram;
     };
-    let error = Command::new(program).args(arguments).exec();
-    format!("{}: {error}", program.to_string_lossy())
+    let cause = Command::new(program).args(arguments).exec();
+    LaunchError::Execute { program: program.to_string_lossy().into_owned(), cause }
 }
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -8,6 +8,7 @@
 mod clients;
 mod datagrams;
 mod endpoints;
+mod error;
 mod html;
 mod launcher;
 mod listener_gate;
@@ -18,8 +19,9 @@
 mod table;
 
 pub use datagrams::{DatagramNetwork, Pair};
+pub use error::PlayError;
 pub use html::{beside, page};
-pub use launcher::{LaunchOptions, launch};
+pub use launcher::{LaunchError, LaunchOptions, launch};
 pub use net::Link;
 pub use play::{FleetRow, Options, Report, play};
 pub use table::{compared, table};
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -9,11 +9,12 @@
 mod samples;
 
 use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
+use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime};
 
 use oorandom::Rand64;
@@ -27,13 +28,14 @@
 use socket2::Socket;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-use crate::clients;
+use crate::clients::{self, LoadGenerator, WorkerResult};
 use crate::endpoints::Endpoints;
+use crate::error::PlayError;
 use crate::net::Link;
 use crate::process::{Process, ProcessMessage};
 use crate::site::Folder;
 use peers::PeerNetwork;
-use prepare::descriptors;
+use prepare::ensure_descriptors;
 
 /// Time between the last process that listens and the first arrival.
 const SETTLE: Duration = Duration::from_millis(200);
@@ -198,89 +200,118 @@
     ending: bool,
 }
 
-fn io(what: &str) -> impl Fn(std::io::Error) -> String + '_ {
-    move |e| format!("{what}: {e}")
-}
-
 /// Plays a script. To be called on a `LocalSet` whose thread outlives the play, because the system kills the
 /// processes when that thread ends.
-pub async fn play(script: &Script, options: &Options) -> Result<Report, String> {
+///
+/// # Errors
+///
+/// Why the script can't be played on this machine. An expectation that is not met is no error but a verdict.
+pub async fn play(script: &Script, options: &Options) -> Result<Report, PlayError> {
     let timeline = timeline(script, options.seed);
-    let all = Arc::new(arrivals(script, options.seed));
-    let named: HashSet<&String> = script
-        .processes
-        .iter()
-        .filter_map(|p| p.binary.as_ref())
-        .chain(timeline.steps.iter().filter_map(|step| match &step.action {
-            StepAction::Start(_, binary) => binary.as_ref(),
-            _ => None,
-        }))
-        .collect();
-    let mut lacking: Vec<_> =
-        named.iter().filter(|name| !options.binaries.contains_key(**name)).collect();
-    lacking.sort();
-    if let Some(name) = lacking.first() {
-        return Err(format!("the script names the program {name:?}: say --binary {name}=PATH"));
-    }
-    descriptors(script)?;
+    let arrivals = Arc::new(arrivals(script, options.seed));
+    check_binaries(script, &timeline, options)?;
+    ensure_descriptors(script)?;
     let out = &options.out;
-    std::fs::create_dir_all(out).map_err(io(&out.display().to_string()))?;
-    std::fs::write(out.join("timeline.txt"), timeline.to_string()).map_err(io("timeline.txt"))?;
-    let (told, mut events) = unbounded_channel();
-    let mut play = Play::prepare(script, &timeline, options, told)?;
+    std::fs::create_dir_all(out).map_err(PlayError::io(out.display().to_string()))?;
+    std::fs::write(out.join("timeline.txt"), timeline.to_string())
+        .map_err(PlayError::io("timeline.txt"))?;
+    let (sender, mut events) = unbounded_channel();
+    let mut play = Play::prepare(script, &timeline, options, sender)?;
     if script.fleet.members {
         let peer_network = PeerNetwork::start(script.fleet.balancers, options.seed).await;
-        play.peer_network = Some(peer_network.map_err(io("the net between balancers"))?);
+        play.peer_network = Some(peer_network.map_err(PlayError::io("the net between balancers"))?);
     }
     play.start_all(&mut events).await?;
     // All balancers listen: the clock starts.
-    let mut generator = play.generator(all.clone());
+    let mut generator = play.generator(arrivals.clone());
     play.start = Instant::now() + SETTLE;
     generator.start = play.start;
-    let threads = options.threads.max(1);
-    let running = (0..threads)
-        .map(|rest| clients::start(generator.clone(), rest, threads))
-        .collect::<Result<Vec<_>, _>>()
-        .map_err(io("a thread of clients"))?;
+    let clients = start_clients(&generator, options)?;
     play.sampled = play.start;
-    let over = || running.iter().all(std::thread::JoinHandle::is_finished);
+    let over = || clients.iter().all(JoinHandle::is_finished);
     play.run(&mut events, &generator.progress, over).await;
     let mut machine = Machine::default();
-    let mut late: Option<hdrhistogram::Histogram<u64>> = None;
-    for thread in running {
-        let seen = thread.join().map_err(|_| "a thread of clients has panicked".to_string())?;
-        play.facts.tries.extend(seen.tries);
-        machine.unsent += seen.unsent;
-        machine.generator += seen.processor.as_secs_f64() / (script.length as f64 / 1e6);
-        match &mut late {
-            Some(late) => drop(late.add(seen.late)),
-            None => late = Some(seen.late),
-        }
-    }
-    machine.late = late.map_or(0, |late| late.value_at_quantile(0.99) as i64);
+    play.join_clients(clients, &mut machine)?;
     play.finish(&mut events).await;
     machine.starved = play.starved;
     let lateness = play.nodes.iter().map(|node| node.lateness());
     machine.nodes_late =
         lateness.filter(|l| l.wakes > 100).map(|l: Lateness| l.share()).fold(0.0, f64::max);
-    play.gather(&all);
-    let account = account(script, &timeline, options.seed, &play.facts);
-    let verdict = match judge(script, &account, &machine) {
-        // A step that was never carried out makes the run void.
-        _ if !play.pending.is_empty() => {
-            let left = play.pending.iter().map(|(step, ..)| format!("not done: {}", step.action));
-            Verdict::Void(left.collect())
+    play.gather(&arrivals);
+    Ok(play.report(machine))
+}
+
+/// Checks that there is a path for each program that the script names.
+fn check_binaries(
+    script: &Script,
+    timeline: &Timeline,
+    options: &Options,
+) -> Result<(), PlayError> {
+    let started = timeline.steps.iter().filter_map(|step| match &step.action {
+        StepAction::Start(_, binary) => binary.as_ref(),
+        _ => None,
+    });
+    let named = script.processes.iter().filter_map(|p| p.binary.as_ref()).chain(started);
+    let missing = named.filter(|name| !options.binaries.contains_key(*name)).min();
+    match missing {
+        Some(name) => Err(PlayError::MissingBinary { name: name.clone() }),
+        None => Ok(()),
+    }
+}
+
+/// Starts the threads of the load generator.
+fn start_clients(
+    generator: &LoadGenerator,
+    options: &Options,
+) -> Result<Vec<JoinHandle<WorkerResult>>, PlayError> {
+    let threads = options.threads.max(1);
+    (0..threads)
+        .map(|rest| clients::start(generator.clone(), rest, threads))
+        .collect::<Result<_, _>>()
+        .map_err(PlayError::io("a thread of clients"))
+}
+
+impl Play<'_> {
+    /// Collects what the clients saw.
+    fn join_clients(
+        &mut self,
+        clients: Vec<JoinHandle<WorkerResult>>,
+        machine: &mut Machine,
+    ) -> Result<(), PlayError> {
+        let mut late: Option<hdrhistogram::Histogram<u64>> = None;
+        for thread in clients {
+            let seen = thread.join().map_err(|_| PlayError::ClientsPanicked)?;
+            self.facts.tries.extend(seen.tries);
+            machine.unsent += seen.unsent;
+            machine.generator += seen.processor.as_secs_f64() / (self.script.length as f64 / 1e6);
+            match &mut late {
+                Some(late) => drop(late.add(seen.late)),
+                None => late = Some(seen.late),
+            }
         }
-        verdict => verdict,
-    };
-    let binaries = std::iter::once(("".to_string(), options.program.display().to_string()))
-        .chain(options.binaries.iter().map(|(n, p)| (n.clone(), p.display().to_string())));
-    let mut binaries: Vec<_> = binaries.collect();
-    binaries.sort();
-    let notes = std::mem::take(&mut play.notes);
-    let statuses = std::mem::take(&mut play.statuses);
-    let fleet = std::mem::take(&mut play.fleet);
-    Ok(Report { account, verdict, machine, notes, statuses, fleet, binaries })
+        machine.late = late.map_or(0, |late| late.value_at_quantile(0.99) as i64);
+        Ok(())
+    }
+
+    /// Judges the run.
+    fn report(self, machine: Machine) -> Report {
+        let account = account(self.script, self.timeline, self.options.seed, &self.facts);
+        let verdict = match judge(self.script, &account, &machine) {
+            // A step that was never carried out makes the run void.
+            _ if !self.pending.is_empty() => {
+                let left = self.pending.iter();
+                Verdict::Void(left.map(|(step, ..)| format!("not done: {}", step.action)).collect())
+            }
+            verdict => verdict,
+        };
+        let own = std::iter::once(("".to_string(), self.options.program.display().to_string()));
+        let named = self.options.binaries.iter();
+        let named = named.map(|(name, path)| (name.clone(), path.display().to_string()));
+        let mut binaries: Vec<_> = own.chain(named).collect();
+        binaries.sort();
+        let Play { notes, statuses, fleet, .. } = self;
+        Report { account, verdict, machine, notes, statuses, fleet, binaries }
+    }
 }
 
 impl Play<'_> {
--- a/crates/harness/src/play/faults.rs
+++ b/crates/harness/src/play/faults.rs
@@ -15,11 +15,63 @@
 const READS_WITHIN: Duration = Duration::from_secs(30);
 
 impl Play<'_> {
+    /// Carries out a step.
     pub(super) async fn apply(&mut self, action: &StepAction) {
+        match action {
+            StepAction::Start(b, binary) => self.start_step(*b, binary.as_ref()).await,
+            StepAction::Kill(_)
+            | StepAction::PowerLoss(..)
+            | StepAction::Term(_)
+            | StepAction::Freeze(_)
+            | StepAction::Thaw(_)
+            | StepAction::HangUp(_)
+            | StepAction::Twin(_)
+            | StepAction::WallClock(..) => self.apply_to_process(action),
+            StepAction::Site(..)
+            | StepAction::Stale(..)
+            | StepAction::HalfList(..)
+            | StepAction::ListLate(..)
+            | StepAction::Clock(..) => self.apply_to_files(action),
+            StepAction::NodeStop(_)
+            | StepAction::NodeStart(_)
+            | StepAction::NodePause(..)
+            | StepAction::NodeFault(..)
+            | StepAction::NodeShare(..)
+            | StepAction::NodeDrain(..)
+            | StepAction::NodeListed(..) => self.apply_to_node(action),
+            StepAction::Link { balancer, node, there, back } => {
+                self.links[*balancer][*node].set(*there, *back);
+            }
+            StepAction::Peers { from, to, quality } => {
+                if let Some(peer_network) = &self.peer_network {
+                    peer_network.net.set(Pair { from: *from, to: *to }, *quality);
+                }
+            }
+            StepAction::Load(_) => {}
+        }
+        self.look_at_nodes();
+    }
+
+    async fn start_step(&mut self, b: usize, binary: Option<&String>) {
+        let balancer = &mut self.balancers[b];
+        if let Some(binary) = binary {
+            balancer.binary = Some(binary.clone());
+        }
+        match balancer.state {
+            ProcessState::Down => self.start_again(b).await,
+            ProcessState::Killed | ProcessState::Terminating => balancer.start_again = true,
+            ProcessState::Up | ProcessState::Starting => {
+                self.notes.push(format!("b{} runs already", b + 1));
+            }
+        }
+    }
+
+    /// Steps on the process of a balancer.
+    fn apply_to_process(&mut self, action: &StepAction) {
         match action {
             StepAction::Kill(b) => self.kill(*b, None),
             StepAction::PowerLoss(all, retained) => {
-                all.iter().for_each(|b| self.kill(*b, Some(*retained)))
+                all.iter().for_each(|b| self.kill(*b, Some(*retained)));
             }
             StepAction::Term(b) => {
                 if self.balancers[*b].process.is_some() {
@@ -28,19 +80,6 @@
                     self.signal(*b, Signal::TERM);
                 }
             }
-            StepAction::Start(b, binary) => {
-                let balancer = &mut self.balancers[*b];
-                if binary.is_some() {
-                    balancer.binary.clone_from(binary);
-                }
-                match balancer.state {
-                    ProcessState::Down => self.start_again(*b).await,
-                    ProcessState::Killed | ProcessState::Terminating => balancer.start_again = true,
-                    ProcessState::Up | ProcessState::Starting => {
-                        self.notes.push(format!("b{} runs already", b + 1));
-                    }
-                }
-            }
             StepAction::Freeze(b) => {
                 let balancer = &mut self.balancers[*b];
                 if balancer.process.is_some() && !balancer.frozen {
@@ -52,6 +91,18 @@
             }
             StepAction::Thaw(b) => self.thaw(*b),
             StepAction::HangUp(b) => self.hang_up(*b),
+            StepAction::Twin(b) => match self.spawn(*b) {
+                Ok(twin) => drop(self.twins.insert(twin.number, (*b, twin))),
+                Err(e) => self.notes.push(format!("the twin of b{} can't start: {e}", b + 1)),
+            },
+            StepAction::WallClock(b, by) => self.balancers[*b].wall_clock_offset = *by,
+            _ => {}
+        }
+    }
+
+    /// Steps on the site and the list of a balancer.
+    fn apply_to_files(&mut self, action: &StepAction) {
+        match action {
             StepAction::Site(b, bad) => {
                 if *bad {
                     self.balancers[*b].site_refused = false;
@@ -65,10 +116,6 @@
                 }
                 self.hang_up(*b);
             }
-            StepAction::Twin(b) => match self.spawn(*b) {
-                Ok(twin) => drop(self.twins.insert(twin.number, (*b, twin))),
-                Err(e) => self.notes.push(format!("the twin of b{} can't start: {e}", b + 1)),
-            },
             StepAction::Stale(b, stale) => {
                 self.balancers[*b].list_held_back = *stale;
                 if !stale {
@@ -87,7 +134,13 @@
                 self.balancers[*b].clock_offset = *by;
                 self.list_now(*b);
             }
-            StepAction::WallClock(b, by) => self.balancers[*b].wall_clock_offset = *by,
+            _ => {}
+        }
+    }
+
+    /// Steps on a node and its entry in the lists.
+    fn apply_to_node(&mut self, action: &StepAction) {
+        match action {
             StepAction::NodeStop(n) => self.nodes[*n].stop(),
             StepAction::NodeStart(n) => {
                 self.nodes[*n].restart();
@@ -107,17 +160,8 @@
                 self.registry[*n].listed = *listed;
                 self.publish();
             }
-            StepAction::Link { balancer, node, there, back } => {
-                self.links[*balancer][*node].set(*there, *back);
-            }
-            StepAction::Peers { from, to, quality } => {
-                if let Some(peer_network) = &self.peer_network {
-                    peer_network.net.set(Pair { from: *from, to: *to }, *quality);
-                }
-            }
-            StepAction::Load(_) => {}
+            _ => {}
         }
-        self.look_at_nodes();
     }
 
     /// Updates the links to nodes that have started or ended.
--- a/crates/harness/src/play/processes.rs
+++ b/crates/harness/src/play/processes.rs
@@ -7,6 +7,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::{Balancer, Play, ProcessState};
+use crate::error::PlayError;
 use crate::process::{Process, ProcessEvent, ProcessMessage, ProcessSpec};
 
 /// How long a process may take to listen.
@@ -15,15 +16,15 @@
 const LINES: usize = 4;
 
 impl Play<'_> {
-    pub(super) fn spawn(&mut self, b: usize) -> Result<Process, String> {
+    pub(super) fn spawn(&mut self, b: usize) -> Result<Process, PlayError> {
         self.numbers += 1;
         let balancer = &self.balancers[b];
-        let name = format!("b{}", b + 1);
         let program = match &balancer.binary {
             Some(binary) => &self.options.binaries[binary],
             None => &self.options.program,
         };
         let mut spec = ProcessSpec {
+            name: format!("b{}", b + 1),
             launcher: self.options.launcher.clone(),
             program: program.clone(),
             arguments: Vec::new(),
@@ -52,18 +53,22 @@
                 spec.memory_mb = special.memory_mb.or(spec.memory_mb);
             }
         }
-        Process::start(&spec, self.numbers, self.events.clone()).map_err(|e| format!("{name}: {e}"))
+        Process::start(&spec, self.numbers, self.events.clone())
     }
 
     /// Writes the files of a balancer and starts its process.
-    pub(super) async fn start_one(&mut self, b: usize) -> Result<(), String> {
-        let named = |e| format!("b{}: its files: {e}", b + 1);
+    pub(super) async fn start_one(&mut self, b: usize) -> Result<(), PlayError> {
+        let named = || PlayError::io(format!("b{}: its files", b + 1));
         let folder = self.balancers[b].folder.clone();
-        folder.sync().map_err(named)?;
-        self.write_site(b).map_err(named)?;
-        self.write_list(b).map_err(named)?;
+        folder.sync().map_err(named())?;
+        self.write_site(b).map_err(named())?;
+        self.write_list(b).map_err(named())?;
         if let Some(peer_network) = &self.peer_network {
-            peer_network.net.reopen(b).await.map_err(|e| format!("b{}: the net: {e}", b + 1))?;
+            peer_network
+                .net
+                .reopen(b)
+                .await
+                .map_err(PlayError::io(format!("b{}: the net", b + 1)))?;
         }
         let process = self.spawn(b)?;
         let balancer = &mut self.balancers[b];
@@ -90,7 +95,7 @@
     pub(super) async fn start_all(
         &mut self,
         events: &mut UnboundedReceiver<ProcessMessage>,
-    ) -> Result<(), String> {
+    ) -> Result<(), PlayError> {
         for b in 0..self.balancers.len() {
             self.start_one(b).await?;
         }
@@ -99,14 +104,15 @@
             let received = tokio::time::timeout_at(until, events.recv()).await;
             let Ok(Some(message)) = received else {
                 let log = self.log_of(b);
-                return Err(format!("b{} does not listen after {STARTS_WITHIN:?}{log}", b + 1));
+                let balancer = format!("b{}", b + 1);
+                return Err(PlayError::NotListening { balancer, within: STARTS_WITHIN, log });
             };
             let owner = self.owner_of(message.process);
             let ended = matches!(message.event, ProcessEvent::Exited);
             self.hear(message).await;
             if let (true, Some(b)) = (ended, owner) {
                 let how = self.facts.crashes.pop().map(|c| c.2).unwrap_or_default();
-                return Err(format!("b{} can't start: {how}", b + 1));
+                return Err(PlayError::EndedAtStart { balancer: format!("b{}", b + 1), how });
             }
         }
         Ok(())
--- a/crates/harness/src/play/run.rs
+++ b/crates/harness/src/play/run.rs
@@ -48,19 +48,7 @@
             };
             tokio::select! {
                 biased;
-                () = next => {
-                    if let Some(step) = steps.pop_front() {
-                        match step.when {
-                            None => self.apply(&step.action).await,
-                            Some(_) => {
-                                let ends = |s: &Step| s.ends && s.pair == step.pair;
-                                let at = steps.iter().position(ends);
-                                let end = at.and_then(|at| steps.remove(at));
-                                self.pending.push((step, Instant::now(), end));
-                            }
-                        }
-                    }
-                }
+                () = next => self.next_step(&mut steps).await,
                 told = events.recv() => {
                     if let Some(message) = told {
                         self.hear(message).await;
@@ -74,12 +62,7 @@
                     if now >= next_sample {
                         self.sample();
                         next_sample = now + SAMPLE;
-                        if let Some(bar) = &bar {
-                            bar.set_position((self.now().max(0) / MS) as u64);
-                            let [sent, served] = [&progress.sent, &progress.served]
-                                .map(|n| n.load(Ordering::Relaxed));
-                            bar.set_message(format!("{sent} tries, {served} served"));
-                        }
+                        self.show_progress(bar.as_ref(), progress);
                     }
                 }
             }
@@ -89,6 +72,27 @@
         }
     }
 
+    /// Carries out the step that is due, or lets it wait for its condition together with the step that ends it.
+    async fn next_step(&mut self, steps: &mut VecDeque<Step>) {
+        let Some(step) = steps.pop_front() else { return };
+        match step.when {
+            None => self.apply(&step.action).await,
+            Some(_) => {
+                let ends = |s: &Step| s.ends && s.pair == step.pair;
+                let index = steps.iter().position(ends);
+                let end = index.and_then(|index| steps.remove(index));
+                self.pending.push((step, Instant::now(), end));
+            }
+        }
+    }
+
+    fn show_progress(&self, bar: Option<&ProgressBar>, progress: &Progress) {
+        let Some(bar) = bar else { return };
+        bar.set_position((self.now().max(0) / MS) as u64);
+        let [sent, served] = [&progress.sent, &progress.served].map(|n| n.load(Ordering::Relaxed));
+        bar.set_message(format!("{sent} tries, {served} served"));
+    }
+
     /// Whether the members agree, if the script expects that, or can no longer do so in time.
     pub(super) fn agrees(&self) -> bool {
         let Some(within) = self.script.expect.agree_within else { return true };
--- a/crates/harness/src/play/samples.rs
+++ b/crates/harness/src/play/samples.rs
@@ -16,8 +16,20 @@
 const JUDGED_AFTER: Duration = Duration::from_secs(1);
 
 impl Play<'_> {
+    /// Samples nodes, the fleet and the processes.
     pub(super) fn sample(&mut self) {
         let now = Instant::now();
+        self.sample_nodes(now);
+        if self.peer_network.is_some() {
+            self.sample_fleet(now);
+        }
+        // Asks each balancer to log its status. An older program may not handle the signal, and would end.
+        let asks = self.peer_network.is_some() || self.samples.is_multiple_of(ASK_EVERY);
+        self.samples += 1;
+        self.sample_processes(now, asks);
+    }
+
+    fn sample_nodes(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.sampled).as_micros() as f64;
         self.sampled = now;
         let at = self.micros(now);
@@ -36,32 +48,34 @@
             self.sent[n] = sent;
             self.facts.nodes[n].push(row);
         }
-        if self.peer_network.is_some() {
-            let acts = |b: &&(usize, &Balancer)| b.1.state == ProcessState::Up && !b.1.frozen;
-            let acting: Vec<_> = self.balancers.iter().enumerate().collect();
-            let acting: Vec<_> = acting.iter().filter(acts).collect();
-            let digest = |b: usize| self.statuses[b].as_ref()?.pointer("/fleet/digest");
-            let views: HashSet<_> =
-                acting.iter().filter_map(|(b, _)| digest(*b)?.as_str()).collect();
-            let parts = acting.iter().map(|(_, balancer)| balancer.capacity_share).sum();
-            let row = FleetRow { at, running: acting.len(), parts, views: views.len() };
-            let running = acting.len() as u64;
-            let agrees = |b: usize| {
-                let number = |path| self.statuses[b].as_ref()?.pointer(path)?.as_u64();
-                number("/fleet/hears") == Some(running)
-                    && number("/fleet/part/balancers") == Some(running)
-            };
-            let agreed = views.len() == 1 && acting.iter().all(|(b, _)| agrees(*b));
-            self.agreed = if agreed { self.agreed.or(Some(now)) } else { None };
-            self.fleet.push(row);
-        }
-        // Asks each balancer to log its status. An older program may not handle the signal, and would end.
-        let ask = self.peer_network.is_some() || self.samples.is_multiple_of(ASK_EVERY);
-        self.samples += 1;
+    }
+
+    /// Adds a row on the fleet, and notes since when its members have agreed.
+    fn sample_fleet(&mut self, now: Instant) {
+        let acts = |b: &(usize, &Balancer)| b.1.state == ProcessState::Up && !b.1.frozen;
+        let acting: Vec<_> = self.balancers.iter().enumerate().filter(acts).collect();
+        let digest = |b: usize| self.statuses[b].as_ref()?.pointer("/fleet/digest");
+        let views: HashSet<_> = acting.iter().filter_map(|(b, _)| digest(*b)?.as_str()).collect();
+        let parts = acting.iter().map(|(_, balancer)| balancer.capacity_share).sum();
+        let at = self.micros(now);
+        let row = FleetRow { at, running: acting.len(), parts, views: views.len() };
+        let running = acting.len() as u64;
+        let agrees = |b: usize| {
+            let number = |path| self.statuses[b].as_ref()?.pointer(path)?.as_u64();
+            number("/fleet/hears") == Some(running)
+                && number("/fleet/part/balancers") == Some(running)
+        };
+        let agreed = views.len() == 1 && acting.iter().all(|(b, _)| agrees(*b));
+        self.agreed = if agreed { self.agreed.or(Some(now)) } else { None };
+        self.fleet.push(row);
+    }
+
+    /// Measures how long the balancers waited for a core; asks them for their status if `asks` is set.
+    fn sample_processes(&mut self, now: Instant, asks: bool) {
         for balancer in &mut self.balancers {
             let own = balancer.binary.is_none() && balancer.agent.is_none() && self.options.own();
             if let Some(process) = &balancer.process
-                && ask
+                && asks
                 && own
                 && balancer.state == ProcessState::Up
             {
--- a/crates/harness/src/process.rs
+++ b/crates/harness/src/process.rs
@@ -4,12 +4,14 @@
 use std::fs::File;
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
-use std::process::{Child as SystemProcess, Command, ExitStatus, Stdio};
+use std::process::{Child as SystemProcess, ChildStderr, Command, ExitStatus, Stdio};
 use std::thread;
 
 use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
 use tokio::sync::mpsc::UnboundedSender;
 
+use crate::error::PlayError;
+
 /// An event of a process.
 #[derive(Debug)]
 pub enum ProcessEvent {
@@ -31,6 +33,8 @@
 /// How to start a process.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
+    /// Its name in messages.
+    pub name: String,
     /// The program whose `under` command sets the limits.
     pub launcher: PathBuf,
     /// The program to run.
@@ -60,13 +64,40 @@
     File::options().create(true).append(true).open(path)
 }
 
+/// Passes on the log of a process until it ends, and then that it has ended.
+fn follow(
+    pid: Pid,
+    stderr: Option<ChildStderr>,
+    mut log: File,
+    number: u64,
+    events: &UnboundedSender<ProcessMessage>,
+) {
+    let mut lines = stderr.map(BufReader::new);
+    let mut line = Vec::new();
+    // Bytes, because a program may write invalid UTF-8.
+    while let Some(lines) = &mut lines {
+        line.clear();
+        match lines.read_until(b'\n', &mut line) {
+            Ok(0) | Err(_) => break,
+            Ok(_) => {}
+        }
+        let _ = log.write_all(&line);
+        let text = String::from_utf8_lossy(&line).trim_end().to_string();
+        let event = ProcessEvent::LogLine(text);
+        let _ = events.send(ProcessMessage { process: number, event });
+    }
+    // It is not reaped here, so that its process id is not reused while it may still be signalled.
+    let _ = waitid(WaitId::Pid(pid), WaitIdOptions::EXITED | WaitIdOptions::NOWAIT);
+    let _ = events.send(ProcessMessage { process: number, event: ProcessEvent::Exited });
+}
+
 impl Process {
     /// Starts it. The calling thread has to outlive it: the system kills the child when that thread ends.
     pub fn start(
         spec: &ProcessSpec,
         number: u64,
         events: UnboundedSender<ProcessMessage>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, PlayError> {
         let mut command = Command::new(&spec.launcher);
         command.arg("under").args(["--parent", &std::process::id().to_string()]);
         if let Some(n) = spec.descriptors {
@@ -78,30 +109,12 @@
         command.arg("--").arg(&spec.program).args(&spec.arguments);
         command.env_remove("ROUTER_CONFIG").envs(spec.variables.iter().cloned());
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let named = |e: std::io::Error| format!("{}: {e}", spec.program.display());
-        let mut log = open_log(&spec.log).map_err(|e| format!("{}: {e}", spec.log.display()))?;
-        let mut process = command.spawn().map_err(named)?;
+        let named = |path: &Path| format!("{}: {}", spec.name, path.display());
+        let log = open_log(&spec.log).map_err(PlayError::io(named(&spec.log)))?;
+        let mut process = command.spawn().map_err(PlayError::io(named(&spec.program)))?;
         let pid = pid_of(&process);
         let stderr = process.stderr.take();
-        thread::spawn(move || {
-            let mut lines = stderr.map(BufReader::new);
-            let mut line = Vec::new();
-            // Bytes, because a program may write invalid UTF-8.
-            while let Some(lines) = &mut lines {
-                line.clear();
-                match lines.read_until(b'\n', &mut line) {
-                    Ok(0) | Err(_) => break,
-                    Ok(_) => {}
-                }
-                let _ = log.write_all(&line);
-                let text = String::from_utf8_lossy(&line).trim_end().to_string();
-                let _ = events
-                    .send(ProcessMessage { process: number, event: ProcessEvent::LogLine(text) });
-            }
-            // It is not reaped here, so that its process id is not reused while it may still be signalled.
-            let _ = waitid(WaitId::Pid(pid), WaitIdOptions::EXITED | WaitIdOptions::NOWAIT);
-            let _ = events.send(ProcessMessage { process: number, event: ProcessEvent::Exited });
-        });
+        thread::spawn(move || follow(pid, stderr, log, number, &events));
         Ok(Self { process, number, reaped: None })
     }
 
--- a/crates/harness/src/table.rs
+++ b/crates/harness/src/table.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 
 use comfy_table::{Table, presets};
-use sableloom_rehearsal::{Row, Verdict};
+use sableloom_rehearsal::{Account, Machine, Row, Verdict};
 
 use crate::play::{FleetRow, Report};
 
@@ -68,6 +68,41 @@
 /// The table by phase, the rules, the machine and the verdict.
 pub fn table(report: &Report) -> String {
     let account = &report.account;
+    let phases = phase_table(account);
+    let mut text = format!("{}, seed {}\n{phases}\n", account.script, account.seed);
+    let seconds: Vec<String> = account.seconds.iter().map(second).collect();
+    let _ = writeln!(text, "served by second: {}", seconds.join(" "));
+    let classes = account.classes.iter().enumerate().map(|(i, name)| {
+        let count = account.phases.last().map(|row| row.classes[i]).unwrap_or_default();
+        format!("{name} {:.3}", count.served_share())
+    });
+    let _ = writeln!(text, "served by class: {}", classes.collect::<Vec<_>>().join(", "));
+    text += &rules(account);
+    let _ = writeln!(
+        text,
+        "cold nodes were sent {:.2} times their capacity at most, {} fell; tries {:.2}, attempts {:.2} \
+         a request{}",
+        account.cold_peak,
+        account.falls,
+        account.tries,
+        account.attempts,
+        recovery(account)
+    );
+    if !report.fleet.is_empty() {
+        let _ = writeln!(text, "{}", fleet(report));
+    }
+    for crash in &account.crashes {
+        let _ = writeln!(text, "ended unasked: {crash}");
+    }
+    for note in &report.notes {
+        let _ = writeln!(text, "note: {note}");
+    }
+    text += &machine(&report.machine);
+    text += &verdict(&report.verdict);
+    text
+}
+
+fn phase_table(account: &Account) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     table.set_header([
@@ -87,65 +122,57 @@
     for row in &account.phases {
         table.add_row(cells(row));
     }
-    let mut text = format!("{}, seed {}\n{table}\n", account.script, account.seed);
-    let seconds: Vec<String> = account.seconds.iter().map(second).collect();
-    let _ = writeln!(text, "served by second: {}", seconds.join(" "));
-    let classes = account.classes.iter().enumerate().map(|(i, name)| {
-        let count = account.phases.last().map(|row| row.classes[i]).unwrap_or_default();
-        format!("{name} {:.3}", count.served_share())
-    });
-    let _ = writeln!(text, "served by class: {}", classes.collect::<Vec<_>>().join(", "));
+    table
+}
+
+/// How often each rule was broken, with the first cases.
+fn rules(account: &Account) -> String {
     let b = &account.breaches;
-    let _ = writeln!(
-        text,
+    let mut text = format!(
         "rules: lost {}, doubled {}, refused though run {}, sent on after the answer {}, sent to a \
-         draining node {}, answers of no node {}",
+         draining node {}, answers of no node {}\n",
         b.lost, b.doubled, b.refused_ran, b.after_end, b.drained, b.invented
     );
     for case in &b.cases {
         let _ = writeln!(text, "  {case}");
     }
-    let back = match (account.before, account.back_after) {
+    text
+}
+
+/// When the service was back after the last event.
+fn recovery(account: &Account) -> String {
+    match (account.before, account.back_after) {
         (None, _) => String::new(),
         (Some(before), Some(after)) => {
             let after = after as f64 / 1e6;
             format!(", back {after:.1} s after the last event ({before:.3} before the first)")
         }
         (Some(before), None) => format!(", never back ({before:.3} before the first event)"),
-    };
-    let _ = writeln!(
-        text,
-        "cold nodes were sent {:.2} times their capacity at most, {} fell; tries {:.2}, attempts {:.2} \
-         a request{back}",
-        account.cold_peak, account.falls, account.tries, account.attempts
-    );
-    if !report.fleet.is_empty() {
-        let _ = writeln!(text, "{}", fleet(report));
-    }
-    for crash in &account.crashes {
-        let _ = writeln!(text, "ended unasked: {crash}");
-    }
-    for note in &report.notes {
-        let _ = writeln!(text, "note: {note}");
     }
-    let m = &report.machine;
-    let _ = writeln!(
-        text,
+}
+
+fn machine(machine: &Machine) -> String {
+    format!(
         "machine: 1 request in 100 left {:.1} ms late, a balancer waited {:.3} of its time for a core, \
-         {:.3} of a node's wakes were late, the clients took {:.2} of a core",
-        m.late as f64 / 1000.0,
-        m.starved,
-        m.nodes_late,
-        m.generator
-    );
-    let (word, why) = match &report.verdict {
+         {:.3} of a node's wakes were late, the clients took {:.2} of a core\n",
+        machine.late as f64 / 1000.0,
+        machine.starved,
+        machine.nodes_late,
+        machine.generator
+    )
+}
+
+fn verdict(verdict: &Verdict) -> String {
+    let (word, reasons) = match verdict {
         Verdict::Met => ("all that was expected holds", &[][..]),
-        Verdict::Unmet(why) => ("NOT as expected", why.as_slice()),
-        Verdict::Void(why) => ("VOID: this machine could not carry the run", why.as_slice()),
+        Verdict::Unmet(reasons) => ("NOT as expected", reasons.as_slice()),
+        Verdict::Void(reasons) => {
+            ("VOID: this machine could not carry the run", reasons.as_slice())
+        }
     };
-    let _ = writeln!(text, "verdict: {word}");
-    for why in why {
-        let _ = writeln!(text, "  {why}");
+    let mut text = format!("verdict: {word}\n");
+    for reason in reasons {
+        let _ = writeln!(text, "  {reason}");
     }
     text
 }
--- a/crates/rehearsal/src/account.rs
+++ b/crates/rehearsal/src/account.rs
@@ -415,83 +415,13 @@
 pub fn account(script: &Script, timeline: &Timeline, seed: u64, facts: &Facts) -> Account {
     let read: HashSet<&str> = facts.arrived.iter().map(|a| a.id.as_str()).collect();
     let ends: Vec<End> = facts.tries.iter().map(|one| end_of(script, facts, &read, one)).collect();
-    // The last try decides how an arrival ended, except that served and lost ones stay so.
-    let mut last: Vec<Option<usize>> = vec![None; facts.arrivals.len()];
-    for (i, one) in facts.tries.iter().enumerate() {
-        let firm = |end: End| matches!(end, End::Served | End::Lost);
-        let place = &mut last[one.arrival];
-        if place.is_none_or(|before| !firm(ends[before])) {
-            *place = Some(i);
-        }
-    }
-    let blank = |name: String, from, to| Row {
-        name,
-        from,
-        to,
-        classes: vec![Count::default(); script.classes.len()],
-        times: None,
-    };
-    let count = |row: &mut Row, arrivals: &mut dyn Iterator<Item = usize>| {
-        let mut times = Histogram::<u64>::new(3).ok();
-        for arrival in arrivals {
-            let (moment, class, _) = facts.arrivals[arrival];
-            // No try at all: there was no balancer to ask.
-            let end = last[arrival].map_or(End::Unreached, |i| ends[i]);
-            row.classes[class].add(end);
-            let one = last[arrival].map(|i| &facts.tries[i]);
-            if let (End::Served | End::Late, Some(one), Some(times)) = (end, one, &mut times) {
-                // The histogram resizes itself: no value is out of its bounds.
-                let _ = times.record((one.ended - moment).max(1) as u64);
-            }
-        }
-        let times = times.filter(|t| !t.is_empty());
-        row.times =
-            times.map(|t| (t.value_at_quantile(0.5) as i64, t.value_at_quantile(0.99) as i64));
-    };
-    // Arrivals are sorted by time.
-    let before_moment = |at: i64| facts.arrivals.partition_point(|a| a.0 < at);
-    let span = |name: String, from: i64, to: i64| {
-        let mut row = blank(name, from, to);
-        count(&mut row, &mut (before_moment(from)..before_moment(to)));
-        row
-    };
+    let rows = Rows { script, facts, deciding: deciding_tries(facts, &ends), ends: &ends };
     let seconds = (script.length + S - 1) / S;
-    let by_second = (0..seconds).map(|s| span(format!("{s}"), s * S, (s + 1) * S)).collect();
+    let by_second = (0..seconds).map(|s| rows.span(format!("{s}"), s * S, (s + 1) * S)).collect();
     let mut phases: Vec<Row> =
-        script.phases.iter().map(|p| span(p.name.clone(), p.from, p.to)).collect();
-    phases.push(span("whole".to_string(), 0, i64::MAX));
-    let mut of_balancer = vec![Vec::new(); script.fleet.balancers];
-    for (arrival, last) in last.iter().enumerate() {
-        if let Some(i) = *last {
-            of_balancer[facts.tries[i].balancer].push(arrival);
-        }
-    }
-    let balancers = of_balancer.into_iter().enumerate().map(|(b, arrivals)| {
-        let mut row = blank(format!("b{}", b + 1), 0, script.length);
-        count(&mut row, &mut arrivals.into_iter());
-        row
-    });
-    let balancers = balancers.collect();
-    let (mut before, mut back_after) = (None, None);
-    if let Some((first, end)) = timeline.faults() {
-        let share = |from: i64, to: i64| span(String::new(), from, to).all().served_share();
-        // The first second is left out: connections are being opened.
-        let from = if first >= 2 * S { S } else { 0 };
-        before = (first > from).then(|| share(from, first));
-        if let Some(before) = before {
-            let mut good = 0;
-            let mut at = end;
-            while at + WINDOW <= script.length {
-                let back = share(at, at + WINDOW) >= script.expect.back_to * before;
-                good = if back { good + 1 } else { 0 };
-                if good == WINDOWS {
-                    back_after = Some(at + WINDOW - end - WINDOWS as i64 * WINDOW);
-                    break;
-                }
-                at += WINDOW;
-            }
-        }
-    }
+        script.phases.iter().map(|p| rows.span(p.name.clone(), p.from, p.to)).collect();
+    phases.push(rows.span("whole".to_string(), 0, i64::MAX));
+    let (before, back_after) = recovery(script, timeline, &rows);
     let asked = facts.arrivals.len().max(1) as f64;
     Account {
         script: script.name.clone(),
@@ -499,7 +429,7 @@
         classes: script.classes.iter().map(|c| c.name.clone()).collect(),
         seconds: by_second,
         phases,
-        balancers,
+        balancers: rows.by_balancer(),
         nodes: facts.nodes.clone(),
         cold_peak: facts.peaks.iter().copied().fold(0.0, f64::max),
         falls: facts.falls.iter().map(|n| u64::from(*n)).sum(),
@@ -518,6 +448,100 @@
     }
 }
 
+/// The try that decides how each arrival ended: the last one, except that a served or lost one stays.
+fn deciding_tries(facts: &Facts, ends: &[End]) -> Vec<Option<usize>> {
+    let mut deciding: Vec<Option<usize>> = vec![None; facts.arrivals.len()];
+    for (i, one) in facts.tries.iter().enumerate() {
+        let is_final = |end: End| matches!(end, End::Served | End::Lost);
+        let decides = &mut deciding[one.arrival];
+        if decides.is_none_or(|before| !is_final(ends[before])) {
+            *decides = Some(i);
+        }
+    }
+    deciding
+}
+
+/// Counts arrivals into rows.
+struct Rows<'a> {
+    script: &'a Script,
+    facts: &'a Facts,
+    ends: &'a [End],
+    /// The try that decides how each arrival ended.
+    deciding: Vec<Option<usize>>,
+}
+
+impl Rows<'_> {
+    /// The arrivals from one time to another.
+    fn span(&self, name: String, from: i64, to: i64) -> Row {
+        // Arrivals are sorted by time.
+        let before = |at: i64| self.facts.arrivals.partition_point(|arrival| arrival.0 < at);
+        self.row(name, (from, to), before(from)..before(to))
+    }
+
+    /// The arrivals that each balancer answered last.
+    fn by_balancer(&self) -> Vec<Row> {
+        let mut arrivals = vec![Vec::new(); self.script.fleet.balancers];
+        for (arrival, deciding) in self.deciding.iter().enumerate() {
+            if let Some(i) = *deciding {
+                arrivals[self.facts.tries[i].balancer].push(arrival);
+            }
+        }
+        let span = (0, self.script.length);
+        let balancers = arrivals.into_iter().enumerate();
+        balancers.map(|(b, arrivals)| self.row(format!("b{}", b + 1), span, arrivals)).collect()
+    }
+
+    fn row(
+        &self,
+        name: String,
+        (from, to): (i64, i64),
+        arrivals: impl IntoIterator<Item = usize>,
+    ) -> Row {
+        let mut classes = vec![Count::default(); self.script.classes.len()];
+        let mut times = Histogram::<u64>::new(3).ok();
+        for arrival in arrivals {
+            let (moment, class, _) = self.facts.arrivals[arrival];
+            let deciding = self.deciding[arrival];
+            // Without a try there was no balancer to connect to.
+            let end = deciding.map_or(End::Unreached, |i| self.ends[i]);
+            classes[class].add(end);
+            let one = deciding.map(|i| &self.facts.tries[i]);
+            if let (End::Served | End::Late, Some(one), Some(times)) = (end, one, &mut times) {
+                // The histogram resizes itself: no value is out of its bounds.
+                let _ = times.record((one.ended - moment).max(1) as u64);
+            }
+        }
+        let quantiles = |times: Histogram<u64>| {
+            [0.5, 0.99].map(|quantile| times.value_at_quantile(quantile) as i64).into()
+        };
+        let times = times.filter(|times| !times.is_empty()).map(quantiles);
+        Row { name, from, to, classes, times }
+    }
+}
+
+/// The share of served requests before the first fault, and how long after the last one it was back.
+fn recovery(script: &Script, timeline: &Timeline, rows: &Rows<'_>) -> (Option<f64>, Option<i64>) {
+    let Some((first, last)) = timeline.faults() else { return (None, None) };
+    let share = |from: i64, to: i64| rows.span(String::new(), from, to).all().served_share();
+    // The first second is left out: connections are being opened.
+    let from = if first >= 2 * S { S } else { 0 };
+    if first <= from {
+        return (None, None);
+    }
+    let before = share(from, first);
+    let mut good = 0;
+    let mut at = last;
+    while at + WINDOW <= script.length {
+        let back = share(at, at + WINDOW) >= script.expect.back_to * before;
+        good = if back { good + 1 } else { 0 };
+        if good == WINDOWS {
+            return (Some(before), Some(at + WINDOW - last - WINDOWS as i64 * WINDOW));
+        }
+        at += WINDOW;
+    }
+    (Some(before), None)
+}
+
 /// Microseconds as milliseconds, for messages.
 pub(crate) fn ms(us: i64) -> f64 {
     us as f64 / MS as f64
--- a/crates/rehearsal/src/judge.rs
+++ b/crates/rehearsal/src/judge.rs
@@ -45,77 +45,101 @@
 
 /// Judges a run.
 pub fn judge(script: &Script, account: &Account, machine: &Machine) -> Verdict {
-    let limits = &script.machine;
-    let mut void = Vec::new();
-    let mut over = |is: bool, what: String| {
-        if is {
-            void.push(what);
-        }
-    };
-    let (late, most) = (ms(machine.late), ms(limits.late));
-    over(late > most, format!("one request in a hundred left {late:.1} ms late; {most} at most"));
-    let (starved, most) = (machine.starved, limits.starved);
-    over(
-        starved > most,
-        format!("a balancer waited {starved:.2} of its time for a core; {most} at most"),
-    );
-    let (late, most) = (machine.nodes_late, limits.nodes_late);
-    over(late > most, format!("{late:.3} of a node's wakes were late; {most} at most"));
-    over(machine.unsent > 0, format!("{} requests could not be sent", machine.unsent));
+    let void = overloads(script, machine);
     if !void.is_empty() {
         return Verdict::Void(void);
     }
-    let mut unmet = Vec::new();
-    let expect = &script.expect;
-    let b = &account.breaches;
-    for (what, n, most) in [
-        ("lost", b.lost, expect.lost),
-        ("doubled", b.doubled, expect.doubled),
-        ("refused_ran", b.refused_ran, expect.refused_ran),
-        ("after_end", b.after_end, expect.after_end),
-        ("drained", b.drained, expect.drained),
-        ("invented", b.invented, expect.invented),
+    let mut unmet = breaches(script, account);
+    unmet.extend(shares(script, account));
+    unmet.extend(recovery(script, account));
+    unmet.extend(agreement(script, account));
+    unmet.extend(cold_peak(script, account));
+    if unmet.is_empty() { Verdict::Met } else { Verdict::Unmet(unmet) }
+}
+
+/// The limits within which the machine did not keep up.
+fn overloads(script: &Script, machine: &Machine) -> Vec<String> {
+    let limits = &script.machine;
+    let mut overloads = Vec::new();
+    let mut add_if = |exceeded: bool, what: String| overloads.extend(exceeded.then_some(what));
+    let (late, max) = (ms(machine.late), ms(limits.late));
+    add_if(late > max, format!("one request in a hundred left {late:.1} ms late; {max} at most"));
+    let (starved, max) = (machine.starved, limits.starved);
+    add_if(
+        starved > max,
+        format!("a balancer waited {starved:.2} of its time for a core; {max} at most"),
+    );
+    let (late, max) = (machine.nodes_late, limits.nodes_late);
+    add_if(late > max, format!("{late:.3} of a node's wakes were late; {max} at most"));
+    add_if(machine.unsent > 0, format!("{} requests could not be sent", machine.unsent));
+    overloads
+}
+
+/// Rules that were broken more often than expected.
+fn breaches(script: &Script, account: &Account) -> Vec<String> {
+    let (expect, breaches) = (&script.expect, &account.breaches);
+    [
+        ("lost", breaches.lost, expect.lost),
+        ("doubled", breaches.doubled, expect.doubled),
+        ("refused_ran", breaches.refused_ran, expect.refused_ran),
+        ("after_end", breaches.after_end, expect.after_end),
+        ("drained", breaches.drained, expect.drained),
+        ("invented", breaches.invented, expect.invented),
         ("falls", account.falls, expect.falls),
         ("crashes", account.crashes.len() as u64, expect.crashes),
-    ] {
-        if n > most {
-            unmet.push(format!("{what}: {n}, expected {most} at most"));
-        }
-    }
-    let least = |name: &str, got: f64, least: Option<f64>| {
-        let least = least.filter(|least| got < *least)?;
-        Some(format!("{name}: served {got:.3}, expected {least} at least"))
+    ]
+    .into_iter()
+    .filter(|(_, count, max)| count > max)
+    .map(|(what, count, max)| format!("{what}: {count}, expected {max} at most"))
+    .collect()
+}
+
+/// Shares of served and refused requests, in the whole run and by phase.
+fn shares(script: &Script, account: &Account) -> Vec<String> {
+    let too_few = |name: &str, served: f64, min: Option<f64>| {
+        let min = min.filter(|min| served < *min)?;
+        Some(format!("{name}: served {served:.3}, expected {min} at least"))
     };
-    unmet.extend(least("whole", account.whole().served_share(), expect.served_least));
+    let mut unmet = Vec::new();
+    unmet.extend(too_few("whole", account.whole().served_share(), script.expect.served_least));
     for (phase, row) in script.phases.iter().zip(&account.phases) {
         let all = row.all();
-        unmet.extend(least(&phase.name, all.served_share(), phase.served_least));
+        unmet.extend(too_few(&phase.name, all.served_share(), phase.served_least));
         let refused = all.refused_share();
-        if let Some(most) = phase.refused_most.filter(|most| refused > *most) {
-            unmet.push(format!("{}: refused {refused:.3}, expected {most} at most", phase.name));
+        if let Some(max) = phase.refused_most.filter(|max| refused > *max) {
+            unmet.push(format!("{}: refused {refused:.3}, expected {max} at most", phase.name));
         }
     }
-    if let Some(within) = expect.back_within {
-        match account.back_after {
-            Some(after) if after <= within => {}
-            after => {
-                let found = after.map_or("never".into(), |us| format!("after {} s", seconds(us)));
-                let within = seconds(within);
-                unmet.push(format!("back: {found}, expected within {within} s of the last fault"));
-            }
-        }
-    }
-    if let Some(within) = expect.agree_within
-        && account.agreed_after.is_none_or(|after| after > within)
-    {
-        let found = account.agreed_after;
-        let found = found.map_or("never".into(), |us| format!("after {} s", seconds(us)));
-        let within = seconds(within);
-        unmet.push(format!("agreed: {found}, expected within {within} s of the last event"));
+    unmet
+}
+
+/// Whether the service recovered in time.
+fn recovery(script: &Script, account: &Account) -> Option<String> {
+    let within = script.expect.back_within?;
+    if account.back_after.is_some_and(|after| after <= within) {
+        return None;
     }
-    if let Some(most) = expect.cold_peak_most.filter(|most| account.cold_peak > *most) {
-        let peak = account.cold_peak;
-        unmet.push(format!("a cold node was sent {peak:.2} times its capacity; {most} at most"));
+    let (found, within) = (after_or_never(account.back_after), seconds(within));
+    Some(format!("back: {found}, expected within {within} s of the last fault"))
+}
+
+/// Whether the balancers agreed on the membership in time.
+fn agreement(script: &Script, account: &Account) -> Option<String> {
+    let within = script.expect.agree_within?;
+    if account.agreed_after.is_some_and(|after| after <= within) {
+        return None;
     }
-    if unmet.is_empty() { Verdict::Met } else { Verdict::Unmet(unmet) }
+    let (found, within) = (after_or_never(account.agreed_after), seconds(within));
+    Some(format!("agreed: {found}, expected within {within} s of the last event"))
+}
+
+fn after_or_never(after: Option<i64>) -> String {
+    after.map_or("never".into(), |us| format!("after {} s", seconds(us)))
+}
+
+/// Whether a node that warmed up got too many requests.
+fn cold_peak(script: &Script, account: &Account) -> Option<String> {
+    let peak = account.cold_peak;
+    let max = script.expect.cold_peak_most.filter(|max| peak > *max)?;
+    Some(format!("a cold node was sent {peak:.2} times its capacity; {max} at most"))
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -20,5 +20,9 @@
 pub use judge::{Machine, Verdict, judge};
 pub use link::{Deliveries, LinkDirection, LinkQuality, LinkState};
 pub use read::read;
-pub use script::*;
+pub use script::{
+    Class, Clients, Condition, Event, EventAction, Expect, Fleet, Group, Idempotency, Lists, Load,
+    MAX_PROCESSES, MAX_REQUESTS, MS, MachineLimits, Nodes, Phase, Pick, Process, RetainedState,
+    Role, S, Script,
+};
 pub use timeline::{Step, StepAction, Timeline, timeline};
--- a/crates/rehearsal/src/read.rs
+++ b/crates/rehearsal/src/read.rs
@@ -10,7 +10,7 @@
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 
 use crate::arrivals::max_requests;
-use crate::script::*;
+use crate::script::{MAX_REQUESTS, S, Script};
 use events::events;
 use expect::{expect, machine, phases};
 use fields::us;
--- a/crates/rehearsal/src/read/events.rs
+++ b/crates/rehearsal/src/read/events.rs
@@ -6,7 +6,7 @@
 use super::fields::{HOUR_MS, need_time, share, span, time, us};
 use super::names::Declarations;
 use crate::link::{LinkQuality, LinkState};
-use crate::script::*;
+use crate::script::{Condition, Event, EventAction, MS, RetainedState, Role};
 use crate::timeline::target_role;
 
 const ACTION_NAMES: [&str; 25] = [
@@ -43,7 +43,18 @@
         table.report_missing("do", "what is done, as \"kill\"");
     }
     let word = table.choice("do", &words)?.value;
-    let for_time = |table: &Table<'_>| need_time(table, "for_ms");
+    if word.starts_with("node-") {
+        return node_action(word, table, declared);
+    }
+    match word {
+        "link" | "peers" => link_action(word, table, declared),
+        "load" | "storm" | "shift" => load_action(word, table, declared),
+        "list-stale" | "list-bad" | "list-late" => list_action(word, table),
+        _ => balancer_action(word, table),
+    }
+}
+
+fn balancer_action(word: &str, table: &Table<'_>) -> Option<EventAction> {
     Some(match word {
         "kill" => EventAction::Kill { back: span(table, "back") },
         "term" => {
@@ -62,18 +73,10 @@
             EventAction::PowerLoss { retained, back: span(table, "back") }
         }
         "start" => EventAction::Start,
-        "freeze" => EventAction::Freeze { time: for_time(table)? },
+        "freeze" => EventAction::Freeze { time: need_time(table, "for_ms")? },
         "hang-up" => EventAction::HangUp,
-        "bad-site" => EventAction::BadSite { time: for_time(table)? },
+        "bad-site" => EventAction::BadSite { time: need_time(table, "for_ms")? },
         "twin" => EventAction::Twin,
-        "list-stale" => EventAction::ListStale { time: for_time(table)? },
-        "list-bad" => EventAction::ListBad { time: for_time(table)? },
-        "list-late" => {
-            if !table.has("late") {
-                table.report_missing("late", "a table with `least_ms` and `most_ms`");
-            }
-            EventAction::ListLate { late: span(table, "late")? }
-        }
         "clock" => {
             let by = table.required_number("by_ms", -HOUR_MS..=HOUR_MS, " ms")?;
             EventAction::Clock { by: us(by.value) }
@@ -82,22 +85,32 @@
             let by = table.required_number("by_ms", -24.0 * HOUR_MS..=24.0 * HOUR_MS, " ms")?;
             EventAction::WallClock { by: us(by.value) }
         }
+        // The other names belong to the other readers.
+        _ => return None,
+    })
+}
+
+fn list_action(word: &str, table: &Table<'_>) -> Option<EventAction> {
+    Some(match word {
+        "list-stale" => EventAction::ListStale { time: need_time(table, "for_ms")? },
+        "list-bad" => EventAction::ListBad { time: need_time(table, "for_ms")? },
+        _ => {
+            if !table.has("late") {
+                table.report_missing("late", "a table with `least_ms` and `most_ms`");
+            }
+            EventAction::ListLate { late: span(table, "late")? }
+        }
+    })
+}
+
+fn node_action(word: &str, table: &Table<'_>, declared: &mut Declarations) -> Option<EventAction> {
+    Some(match word {
         "node-kill" => EventAction::NodeKill { back: span(table, "back") },
         "node-start" => EventAction::NodeStart,
-        "node-pause" => EventAction::NodePause { time: for_time(table)? },
+        "node-pause" => EventAction::NodePause { time: need_time(table, "for_ms")? },
         "node-fault" => {
             let class = declared.class(table);
-            let slower = table.number("slower", 0.01..=1000.0, " times").map(|n| n.value);
-            let [failing, spoilt, cut] =
-                ["failing", "spoilt", "cut"].map(|name| share(table, name).unwrap_or(0.0));
-            if failing + spoilt + cut > 1.0 {
-                table.report(&table.location(), "the shares add up to more than 1", None);
-            }
-            let fault = Fault { slower: slower.unwrap_or(1.0), failing, spoilt, cut };
-            if fault == Fault::default() {
-                let message = "nothing is wrong with it; expected one of `slower`, `failing`, `spoilt`, `cut`";
-                table.report(&table.location(), message, None);
-            }
+            let fault = node_fault(table);
             EventAction::NodeFault { class, fault, time: time(table, "for_ms") }
         }
         "node-neighbours" => {
@@ -106,25 +119,45 @@
         }
         "node-drain" => EventAction::NodeDrain { time: time(table, "for_ms") },
         "node-remove" => EventAction::NodeRemove { time: time(table, "for_ms") },
-        "link" => {
-            let (to, there, back, time) = link(table, declared, Role::Node)?;
-            EventAction::Link { to, there, back, time }
-        }
-        "peers" => {
-            if !declared.members {
-                let help = "say `members = true` in [fleet]";
-                table.report(
-                    &table.location(),
-                    "balancers don't talk in this script",
-                    Some(help.into()),
-                );
-            }
-            let (to, there, back, time) = link(table, declared, Role::Balancer)?;
-            EventAction::Peers { to, there, back, time }
-        }
+        // `choice` returns only names from the list.
+        _ => return None,
+    })
+}
+
+fn node_fault(table: &Table<'_>) -> Fault {
+    let slower = table.number("slower", 0.01..=1000.0, " times").map(|n| n.value);
+    let [failing, spoilt, cut] =
+        ["failing", "spoilt", "cut"].map(|name| share(table, name).unwrap_or(0.0));
+    if failing + spoilt + cut > 1.0 {
+        table.report(&table.location(), "the shares add up to more than 1", None);
+    }
+    let fault = Fault { slower: slower.unwrap_or(1.0), failing, spoilt, cut };
+    if fault == Fault::default() {
+        let message =
+            "nothing is wrong with it; expected one of `slower`, `failing`, `spoilt`, `cut`";
+        table.report(&table.location(), message, None);
+    }
+    fault
+}
+
+fn link_action(word: &str, table: &Table<'_>, declared: &mut Declarations) -> Option<EventAction> {
+    if word == "link" {
+        let Linked { to, there, back, time } = link(table, declared, Role::Node)?;
+        return Some(EventAction::Link { to, there, back, time });
+    }
+    if !declared.members {
+        let help = "say `members = true` in [fleet]".to_string();
+        table.report(&table.location(), "balancers don't talk in this script", Some(help));
+    }
+    let Linked { to, there, back, time } = link(table, declared, Role::Balancer)?;
+    Some(EventAction::Peers { to, there, back, time })
+}
+
+fn load_action(word: &str, table: &Table<'_>, declared: &mut Declarations) -> Option<EventAction> {
+    Some(match word {
         "load" => {
-            let most = 0.0..=100_000.0;
-            let rate = table.required_number("per_second", most, " requests a second")?;
+            let bounds = 0.0..=100_000.0;
+            let rate = table.required_number("per_second", bounds, " requests a second")?;
             EventAction::Load { per_second: rate.value, over: time(table, "over_ms").unwrap_or(0) }
         }
         "storm" => {
@@ -133,19 +166,26 @@
             let over = time(table, "over_ms").unwrap_or(100 * MS);
             EventAction::Storm { count: count.value as usize, over, class }
         }
-        "shift" => {
+        _ => {
             let zone = table.required_string("zone", "a zone's name")?;
             let zone = declared.zone(table, &zone)?;
             let times = table.required_number("factor", 0.0..=1000.0, " times")?;
             EventAction::Shift { zone, times: times.value }
         }
-        // `choice` returns only names from the list.
-        _ => return None,
     })
 }
 
-/// The group at the other end, the quality of each direction, and the duration.
-type Linked = (usize, Option<LinkQuality>, Option<LinkQuality>, Option<i64>);
+/// A change of links.
+struct Linked {
+    /// The group at the other end.
+    to: usize,
+    /// Direction to the other end, if it changes.
+    there: Option<LinkQuality>,
+    /// Direction from the other end, if it changes.
+    back: Option<LinkQuality>,
+    /// Its duration.
+    time: Option<i64>,
+}
 
 fn link(table: &Table<'_>, declared: &mut Declarations, role: Role) -> Option<Linked> {
     let to = declared.target(table, "to", role);
@@ -174,7 +214,7 @@
     }
     let time = time(table, "for_ms");
     let of = |meant: bool| meant.then_some(quality);
-    Some((to?, of(directions.0), of(directions.1), time))
+    Some(Linked { to: to?, there: of(directions.0), back: of(directions.1), time })
 }
 
 pub(super) fn events(root: &Table<'_>, declared: &mut Declarations, length: i64) -> Vec<Event> {
--- a/crates/rehearsal/src/read/fleet.rs
+++ b/crates/rehearsal/src/read/fleet.rs
@@ -1,15 +1,19 @@
 //! Reads the balancers, nodes, request classes and groups of a script, and the overrides of some processes.
 
 use sableloom_emulator::{KINDS, NodeCapacity, NodeProfile, kind};
-use sableloom_toml_diagnostics::Table;
+use sableloom_toml_diagnostics::{Located, Table};
 use sableloom_types::Span;
 
 use super::fields::{HOUR_MS, share, span, time, us};
 use super::names::Declarations;
-use crate::script::*;
+use crate::script::{Class, Fleet, Idempotency, Lists, MAX_PROCESSES, Nodes, Pick, Process, Role};
 
 /// Cores of a node whose capacity is given as requests a second.
 const CORES: f64 = 3.0;
+/// Slots for each core of such a node.
+const SLOTS_PER_CORE: f64 = 12.0;
+/// Queue limit for each core of such a node.
+const QUEUED_PER_CORE: f64 = 15.0;
 
 pub(super) fn fleet(root: &Table<'_>) -> Option<Fleet> {
     if !root.has("fleet") {
@@ -63,6 +67,39 @@
     if let Some(n) = found.as_ref().filter(|n| n.value.fract() != 0.0) {
         table.report(n, "expected a whole number", None);
     }
+    let capacities = capacities(&table, mean_work);
+    let overrides = ProfileOverrides::read(&table);
+    let cold = table.boolean("cold");
+    let late = span(&table, "list_late");
+    table.finish();
+    let count = found?.value as usize;
+    let plain = NodeProfile::of(capacities.of(0));
+    Some(Nodes {
+        count,
+        profiles: (0..count).map(|i| overrides.apply(capacities.of(i), &plain)).collect(),
+        cold: cold.is_some_and(|c| c.value),
+        list_late: late.unwrap_or((0, 0)),
+    })
+}
+
+/// How much the nodes of a script can serve.
+enum Capacities {
+    /// All the same.
+    Equal(NodeCapacity),
+    /// Each the median of its kind.
+    ByKind,
+}
+
+impl Capacities {
+    fn of(&self, node: usize) -> NodeCapacity {
+        match self {
+            Capacities::Equal(capacity) => *capacity,
+            Capacities::ByKind => KINDS[kind(node)].capacity(0.5),
+        }
+    }
+}
+
+fn capacities(table: &Table<'_>, mean_work: f64) -> Capacities {
     let per_second = table.number("per_second", 0.1..=1e6, " requests a second");
     let kinds = table.boolean("kinds");
     if let (Some(kinds), Some(_)) = (&kinds, &per_second)
@@ -75,63 +112,78 @@
     if !kinds && per_second.is_none() && !table.has("per_second") {
         table.report_missing("per_second", "what a node can serve in a second, or `kinds = true`");
     }
-    let of = |i: usize| match &per_second {
-        Some(rate) if !kinds => {
-            let speed = rate.value * mean_work / 1e6 / CORES;
-            NodeCapacity {
-                cores: CORES,
-                speed,
-                slots: (CORES * 12.0) as usize,
-                queue_limit: (CORES * 15.0) as usize,
-            }
+    match &per_second {
+        Some(rate) if !kinds => Capacities::Equal(NodeCapacity {
+            cores: CORES,
+            speed: rate.value * mean_work / 1e6 / CORES,
+            slots: (CORES * SLOTS_PER_CORE) as usize,
+            queue_limit: (CORES * QUEUED_PER_CORE) as usize,
+        }),
+        _ => Capacities::ByKind,
+    }
+}
+
+/// What a script sets of the profile of its nodes.
+struct ProfileOverrides {
+    slots: Option<usize>,
+    queue_limit: Option<usize>,
+    connections: Option<usize>,
+    handshake_ms: Option<f64>,
+    slow_start_initial_share: Option<f64>,
+    slow_start: Option<i64>,
+    overload_factor: Option<f64>,
+    overload_window: Option<i64>,
+    cached_keys: Option<usize>,
+    cached_key_time: Option<i64>,
+    cached_key_saving: Option<f64>,
+    drops_abandoned: Option<bool>,
+}
+
+impl ProfileOverrides {
+    fn read(table: &Table<'_>) -> Self {
+        let count = |name: &'static str, min: usize, max: usize| {
+            table.integer(name, min..=max, "").map(|count| count.value)
+        };
+        let number = |name: &'static str, min: f64, max: f64, unit: &str| {
+            table.number(name, min..=max, unit).map(|number| number.value)
+        };
+        Self {
+            slots: count("slots", 1, 100_000),
+            queue_limit: count("room", 0, 1_000_000),
+            connections: count("connections", 1, 1_000_000),
+            handshake_ms: number("handshake_ms", 0.0, 1000.0, " ms"),
+            slow_start_initial_share: number("cold_from", 0.001, 1.0, ""),
+            slow_start: time(table, "warm_ms"),
+            overload_factor: number("falls_at", 1.0, 1e6, " times its capacity"),
+            overload_window: time(table, "falls_after_ms"),
+            cached_keys: count("keys", 0, 10_000_000),
+            cached_key_time: time(table, "key_ms"),
+            cached_key_saving: share(table, "key_saving"),
+            drops_abandoned: table.boolean("abandons").map(|abandons| abandons.value),
         }
-        // The median of its kind.
-        _ => KINDS[kind(i)].capacity(0.5),
-    };
-    let slots = table.integer("slots", 1..=100_000, "");
-    let room = table.integer("room", 0..=1_000_000, "");
-    let plain = NodeProfile::of(of(0));
-    let connections = table.integer("connections", 1..=1_000_000, "");
-    let handshake = table.number("handshake_ms", 0.0..=1000.0, " ms");
-    let cold_from = table.number("cold_from", 0.001..=1.0, "");
-    let warm = time(&table, "warm_ms");
-    let multiple = table.number("falls_at", 1.0..=1e6, " times its capacity");
-    let window = time(&table, "falls_after_ms");
-    let keys = table.integer("keys", 0..=10_000_000, "");
-    let key_time = time(&table, "key_ms");
-    let key_saving = share(&table, "key_saving");
-    let abandons = table.boolean("abandons");
-    let cold = table.boolean("cold");
-    let late = span(&table, "list_late");
-    table.finish();
-    let count = found?.value as usize;
-    let profile = |i: usize| {
-        let mut capacity = of(i);
-        capacity.slots = slots.as_ref().map_or(capacity.slots, |n| n.value);
-        capacity.queue_limit = room.as_ref().map_or(capacity.queue_limit, |n| n.value);
+    }
+
+    /// The profile of a node with this capacity; `plain` has what the script does not set.
+    fn apply(&self, mut capacity: NodeCapacity, plain: &NodeProfile) -> NodeProfile {
+        capacity.slots = self.slots.unwrap_or(capacity.slots);
+        capacity.queue_limit = self.queue_limit.unwrap_or(capacity.queue_limit);
         NodeProfile {
             capacity,
-            connections: connections.as_ref().map_or(plain.connections, |n| n.value),
-            handshake: handshake.as_ref().map_or(plain.handshake, |n| n.value * 1e3),
-            slow_start_initial_share: cold_from
-                .as_ref()
-                .map_or(plain.slow_start_initial_share, |n| n.value),
-            slow_start: warm.map_or(plain.slow_start, Span),
-            overload_factor: multiple.as_ref().map_or(plain.overload_factor, |n| n.value),
-            overload_window: window.map_or(plain.overload_window, Span),
-            cached_keys: keys.as_ref().map_or(plain.cached_keys, |n| n.value),
-            cached_key_time: key_time.map_or(plain.cached_key_time, Span),
-            cached_key_saving: key_saving.unwrap_or(plain.cached_key_saving),
-            drops_abandoned: abandons.as_ref().is_none_or(|a| a.value),
+            connections: self.connections.unwrap_or(plain.connections),
+            handshake: self.handshake_ms.map_or(plain.handshake, |ms| ms * 1e3),
+            slow_start_initial_share: self
+                .slow_start_initial_share
+                .unwrap_or(plain.slow_start_initial_share),
+            slow_start: self.slow_start.map_or(plain.slow_start, Span),
+            overload_factor: self.overload_factor.unwrap_or(plain.overload_factor),
+            overload_window: self.overload_window.map_or(plain.overload_window, Span),
+            cached_keys: self.cached_keys.unwrap_or(plain.cached_keys),
+            cached_key_time: self.cached_key_time.map_or(plain.cached_key_time, Span),
+            cached_key_saving: self.cached_key_saving.unwrap_or(plain.cached_key_saving),
+            drops_abandoned: self.drops_abandoned.unwrap_or(true),
             mean_work: plain.mean_work,
         }
-    };
-    Some(Nodes {
-        count,
-        profiles: (0..count).map(profile).collect(),
-        cold: cold.is_some_and(|c| c.value),
-        list_late: late.unwrap_or((0, 0)),
-    })
+    }
 }
 
 pub(super) fn classes(root: &Table<'_>) -> Vec<Class> {
@@ -217,8 +269,8 @@
         } else if declared.member(&name.value).is_some() {
             table.report(&name, format!("{:?} is the name of one of them", name.value), None);
         }
-        let all = declared.count(role);
         let drawn = drawn.is_some_and(|d| d.value);
+        let all = declared.count(role);
         let pick = if let Some(part) = part {
             Pick::Count { count: (all as f64 * part).round() as usize, drawn }
         } else if let Some(number) = number {
@@ -230,28 +282,34 @@
             let Some(zone) = declared.zone(table, &zone) else { continue };
             Pick::Zone(zone)
         } else {
-            let mut chosen = Vec::new();
-            for member in &members {
-                match declared.member(&member.value).filter(|m| m.0 == role) {
-                    Some((_, m)) if !chosen.contains(&m) => chosen.push(m),
-                    Some(_) => table.report(member, "it is named twice", None),
-                    None => {
-                        let letter = role.letter();
-                        let help = format!("they are {letter}1 to {letter}{all}");
-                        table.report(
-                            member,
-                            format!("no {:?} among them", member.value),
-                            Some(help),
-                        );
-                    }
-                }
-            }
-            Pick::Members(chosen)
+            Pick::Members(named_members(table, &members, role, declared))
         };
         declared.group(&name.value, role, pick);
     }
 }
 
+/// The members that a group names, each once.
+fn named_members(
+    table: &Table<'_>,
+    names: &[Located<String>],
+    role: Role,
+    declared: &Declarations,
+) -> Vec<usize> {
+    let mut members = Vec::new();
+    for name in names {
+        match declared.member(&name.value).filter(|member| member.0 == role) {
+            Some((_, member)) if !members.contains(&member) => members.push(member),
+            Some(_) => table.report(name, "it is named twice", None),
+            None => {
+                let (letter, all) = (role.letter(), declared.count(role));
+                let help = format!("they are {letter}1 to {letter}{all}");
+                table.report(name, format!("no {:?} among them", name.value), Some(help));
+            }
+        }
+    }
+    members
+}
+
 pub(super) fn processes(root: &Table<'_>, declared: &mut Declarations) -> Vec<Process> {
     let mut all = Vec::new();
     for table in &root.tables("process") {
--- a/crates/rehearsal/src/timeline.rs
+++ b/crates/rehearsal/src/timeline.rs
@@ -233,136 +233,220 @@
     let mut rng = Rand64::new(u128::from(seed) ^ 0x0071_e11e);
     let groups: Vec<Vec<usize>> =
         script.groups.iter().map(|group| members(script, group, &mut rng)).collect();
-    let mut steps = Vec::new();
+    let mut expansion = Expansion { script, groups: &groups, rng: &mut rng, steps: Vec::new() };
     for event in &script.events {
         for at in event.moments() {
-            expand(script, event, at, &groups, &mut rng, &mut steps);
+            expansion.event(event, at);
         }
     }
+    let mut steps = expansion.steps;
     // A stable sort: steps of the same time keep the order of the script.
     steps.sort_by_key(|step: &Step| step.at);
     Timeline { steps, groups }
 }
 
-fn expand(
-    script: &Script,
-    event: &Event,
-    at: i64,
-    groups: &[Vec<usize>],
-    rng: &mut Rand64,
-    steps: &mut Vec<Step>,
-) {
-    let mut step = |at, act, ends| {
-        let when = if ends { event.until } else { event.when };
-        // The step that ends a fault directly follows the one that begins it; sorting comes later.
-        let pair = if ends { steps.len() - 1 } else { steps.len() };
-        steps.push(Step { at, when, action: act, ends, pair: Some(pair) });
-    };
-    let members = groups.get(event.group).map(Vec::as_slice).unwrap_or_default();
-    match &event.action {
-        EventAction::PowerLoss { retained, back } => {
-            step(at, StepAction::PowerLoss(members.to_vec(), *retained), false);
-            for (&b, back) in members.iter().zip(back.iter().cycle()) {
-                step(at + between(rng, *back), StepAction::Start(b, None), true);
+/// Expands the events of a script into steps.
+struct Expansion<'a> {
+    script: &'a Script,
+    groups: &'a [Vec<usize>],
+    rng: &'a mut Rand64,
+    steps: Vec<Step>,
+}
+
+impl Expansion<'_> {
+    /// Adds the steps of one occurrence of an event.
+    fn event(&mut self, event: &Event, at: i64) {
+        let groups = self.groups;
+        let members = groups.get(event.group).map(Vec::as_slice).unwrap_or_default();
+        match &event.action {
+            EventAction::PowerLoss { retained, back } => {
+                self.power_loss(event, at, members, *retained, *back);
+                return;
+            }
+            EventAction::Load { .. } | EventAction::Storm { .. } | EventAction::Shift { .. } => {
+                let change = StepAction::Load(self.load_change(&event.action));
+                self.begin(event, at, change);
+                return;
             }
-            // One power loss and several starts: no pairs, and no condition.
-            let several = steps.len().saturating_sub(members.len() + 1);
-            steps[several..].iter_mut().for_each(|step| (step.when, step.pair) = (None, None));
-            return;
+            _ => {}
         }
-        EventAction::Load { per_second, over } => {
-            let seconds = *over as f64 / 1e6;
-            let what = format!("load {per_second} a second over {seconds} s");
-            return step(at, StepAction::Load(what), false);
+        for (i, &member) in members.iter().enumerate() {
+            let at = at + event.spread * i as i64 / members.len().max(1) as i64;
+            self.member(event, at, member);
+        }
+    }
+
+    /// Adds a step that begins a fault, or has no end.
+    fn begin(&mut self, event: &Event, at: i64, action: StepAction) {
+        let pair = Some(self.steps.len());
+        self.steps.push(Step { at, when: event.when, action, ends: false, pair });
+    }
+
+    /// Adds the step that ends the fault of the step before; sorting comes later.
+    fn end(&mut self, event: &Event, at: i64, action: StepAction) {
+        let pair = Some(self.steps.len() - 1);
+        self.steps.push(Step { at, when: event.until, action, ends: true, pair });
+    }
+
+    /// Adds the step that begins a fault, and the one that ends it if it ends.
+    fn pair(
+        &mut self,
+        event: &Event,
+        at: i64,
+        begin: StepAction,
+        end: StepAction,
+        time: Option<i64>,
+    ) {
+        self.begin(event, at, begin);
+        if let Some(time) = time {
+            self.end(event, at + time, end);
         }
-        EventAction::Storm { count, over, .. } => {
-            let what = format!("storm {count} over {} s", *over as f64 / 1e6);
-            return step(at, StepAction::Load(what), false);
+    }
+
+    /// One power loss and several starts: no pairs, and no condition.
+    fn power_loss(
+        &mut self,
+        event: &Event,
+        at: i64,
+        members: &[usize],
+        retained: RetainedState,
+        back: Option<(i64, i64)>,
+    ) {
+        self.begin(event, at, StepAction::PowerLoss(members.to_vec(), retained));
+        if let Some(back) = back {
+            for &member in members {
+                let at = at + between(self.rng, back);
+                self.end(event, at, StepAction::Start(member, None));
+            }
         }
-        EventAction::Shift { zone, times } => {
-            let what = format!("shift {} to {times} times", script.fleet.zones[*zone]);
-            return step(at, StepAction::Load(what), false);
+        // Without restarts the range reaches into the steps of earlier events.
+        let first = self.steps.len().saturating_sub(members.len() + 1);
+        for step in &mut self.steps[first..] {
+            (step.when, step.pair) = (None, None);
         }
-        _ => {}
     }
-    for (i, &m) in members.iter().enumerate() {
-        let at = at + event.spread * i as i64 / members.len().max(1) as i64;
-        let mut pair = |begin: StepAction, end: StepAction, time: &Option<i64>| {
-            step(at, begin, false);
-            if let Some(time) = time {
-                step(at + time, end, true);
+
+    /// What a report says of a change of the load.
+    fn load_change(&self, action: &EventAction) -> String {
+        let seconds = |us: &i64| *us as f64 / 1e6;
+        match action {
+            EventAction::Load { per_second, over } => {
+                format!("load {per_second} a second over {} s", seconds(over))
+            }
+            EventAction::Storm { count, over, .. } => {
+                format!("storm {count} over {} s", seconds(over))
+            }
+            EventAction::Shift { zone, times } => {
+                format!("shift {} to {times} times", self.script.fleet.zones[*zone])
             }
-        };
+            _ => String::new(),
+        }
+    }
+
+    /// Adds the steps of an event for one member of its group.
+    fn member(&mut self, event: &Event, at: i64, member: usize) {
+        match target_role(&event.action) {
+            Some(Role::Balancer) => self.balancer(event, at, member),
+            Some(Role::Node) => self.node(event, at, member),
+            None => {}
+        }
+    }
+
+    fn balancer(&mut self, event: &Event, at: i64, b: usize) {
+        use StepAction::{Freeze, HalfList, Site, Stale, Thaw};
         match &event.action {
             EventAction::Kill { back } => {
-                let back = back.map(|back| between(rng, back));
-                pair(StepAction::Kill(m), StepAction::Start(m, None), &back);
+                let back = self.draw(*back);
+                self.pair(event, at, StepAction::Kill(b), StepAction::Start(b, None), back);
             }
             EventAction::Term { back, binary } => {
-                let back = back.map(|back| between(rng, back));
-                pair(StepAction::Term(m), StepAction::Start(m, binary.clone()), &back);
+                let back = self.draw(*back);
+                let start = StepAction::Start(b, binary.clone());
+                self.pair(event, at, StepAction::Term(b), start, back);
             }
-            EventAction::Start => step(at, StepAction::Start(m, None), false),
+            EventAction::Start => self.begin(event, at, StepAction::Start(b, None)),
             EventAction::Freeze { time } => {
-                pair(StepAction::Freeze(m), StepAction::Thaw(m), &Some(*time))
+                self.pair(event, at, Freeze(b), Thaw(b), Some(*time));
             }
-            EventAction::HangUp => step(at, StepAction::HangUp(m), false),
+            EventAction::HangUp => self.begin(event, at, StepAction::HangUp(b)),
             EventAction::BadSite { time } => {
-                pair(StepAction::Site(m, true), StepAction::Site(m, false), &Some(*time))
+                self.pair(event, at, Site(b, true), Site(b, false), Some(*time));
             }
-            EventAction::Twin => step(at, StepAction::Twin(m), false),
+            EventAction::Twin => self.begin(event, at, StepAction::Twin(b)),
             EventAction::ListStale { time } => {
-                pair(StepAction::Stale(m, true), StepAction::Stale(m, false), &Some(*time));
+                self.pair(event, at, Stale(b, true), Stale(b, false), Some(*time));
             }
             EventAction::ListBad { time } => {
-                pair(StepAction::HalfList(m, true), StepAction::HalfList(m, false), &Some(*time));
+                self.pair(event, at, HalfList(b, true), HalfList(b, false), Some(*time));
+            }
+            EventAction::ListLate { late } => {
+                self.begin(event, at, StepAction::ListLate(b, *late));
             }
-            EventAction::ListLate { late } => step(at, StepAction::ListLate(m, *late), false),
-            EventAction::Clock { by } => step(at, StepAction::Clock(m, *by), false),
-            EventAction::WallClock { by } => step(at, StepAction::WallClock(m, *by), false),
+            EventAction::Clock { by } => self.begin(event, at, StepAction::Clock(b, *by)),
+            EventAction::WallClock { by } => self.begin(event, at, StepAction::WallClock(b, *by)),
+            EventAction::Link { .. } => self.links(event, at, b),
+            EventAction::Peers { .. } => self.peers(event, at, b),
+            _ => {}
+        }
+    }
+
+    fn node(&mut self, event: &Event, at: i64, n: usize) {
+        use StepAction::{NodeDrain, NodeFault, NodeListed, NodeShare};
+        match &event.action {
             EventAction::NodeKill { back } => {
-                let back = back.map(|back| between(rng, back));
-                pair(StepAction::NodeStop(m), StepAction::NodeStart(m), &back);
+                let back = self.draw(*back);
+                self.pair(event, at, StepAction::NodeStop(n), StepAction::NodeStart(n), back);
+            }
+            EventAction::NodeStart => self.begin(event, at, StepAction::NodeStart(n)),
+            EventAction::NodePause { time } => {
+                self.begin(event, at, StepAction::NodePause(n, *time));
             }
-            EventAction::NodeStart => step(at, StepAction::NodeStart(m), false),
-            EventAction::NodePause { time } => step(at, StepAction::NodePause(m, *time), false),
             EventAction::NodeFault { class, fault, time } => {
-                let well = StepAction::NodeFault(m, *class, Fault::default());
-                pair(StepAction::NodeFault(m, *class, *fault), well, time);
+                let healthy = NodeFault(n, *class, Fault::default());
+                self.pair(event, at, NodeFault(n, *class, *fault), healthy, *time);
             }
             EventAction::NodeNeighbours { share, time } => {
-                pair(StepAction::NodeShare(m, *share), StepAction::NodeShare(m, 1.0), time);
+                self.pair(event, at, NodeShare(n, *share), NodeShare(n, 1.0), *time);
             }
             EventAction::NodeDrain { time } => {
-                pair(StepAction::NodeDrain(m, true), StepAction::NodeDrain(m, false), time);
+                self.pair(event, at, NodeDrain(n, true), NodeDrain(n, false), *time);
             }
             EventAction::NodeRemove { time } => {
-                pair(StepAction::NodeListed(m, false), StepAction::NodeListed(m, true), time);
+                self.pair(event, at, NodeListed(n, false), NodeListed(n, true), *time);
             }
-            EventAction::Link { to, there, back, time } => {
-                for &node in &groups[*to] {
-                    let link = |there, back| StepAction::Link { balancer: m, node, there, back };
-                    let open = |q: &Option<LinkQuality>| q.map(|_| LinkQuality::default());
-                    pair(link(*there, *back), link(open(there), open(back)), time);
-                }
-            }
-            EventAction::Peers { to, there, back, time } => {
-                let others = groups[*to].iter().filter(|other| **other != m);
-                for &other in others {
-                    let ways = [(m, other, there), (other, m, back)];
-                    let ways = ways.into_iter().filter_map(|(from, to, q)| Some((from, to, (*q)?)));
-                    for (from, to, quality) in ways {
-                        let link = |quality| StepAction::Peers { from, to, quality };
-                        pair(link(quality), link(LinkQuality::default()), time);
-                    }
-                }
+            _ => {}
+        }
+    }
+
+    /// Adds the steps of links between a balancer and nodes.
+    fn links(&mut self, event: &Event, at: i64, balancer: usize) {
+        let EventAction::Link { to, there, back, time } = &event.action else { return };
+        let groups = self.groups;
+        for &node in &groups[*to] {
+            let link = |there, back| StepAction::Link { balancer, node, there, back };
+            let open = |q: &Option<LinkQuality>| q.map(|_| LinkQuality::default());
+            let (fault, healthy) = (link(*there, *back), link(open(there), open(back)));
+            self.pair(event, at, fault, healthy, *time);
+        }
+    }
+
+    /// Adds the steps of links between a balancer and others.
+    fn peers(&mut self, event: &Event, at: i64, balancer: usize) {
+        let EventAction::Peers { to, there, back, time } = &event.action else { return };
+        let groups = self.groups;
+        for &other in groups[*to].iter().filter(|other| **other != balancer) {
+            for (from, to, quality) in [(balancer, other, there), (other, balancer, back)] {
+                let Some(quality) = *quality else { continue };
+                let link = |quality| StepAction::Peers { from, to, quality };
+                self.pair(event, at, link(quality), link(LinkQuality::default()), *time);
             }
-            EventAction::PowerLoss { .. }
-            | EventAction::Load { .. }
-            | EventAction::Storm { .. }
-            | EventAction::Shift { .. } => {}
         }
     }
+
+    /// Draws a time, if there is one.
+    fn draw(&mut self, span: Option<(i64, i64)>) -> Option<i64> {
+        span.map(|span| between(self.rng, span))
+    }
 }
 
 /// The role of the members that an action applies to; `None` for changes of the load.
--- a/crates/rehearsal/tests/script.rs
+++ b/crates/rehearsal/tests/script.rs
@@ -92,11 +92,19 @@
     assert_eq!(t.steps.iter().filter(|step| step.at == 3100 * MS).count(), 2, "{t}");
 }
 
+/// Each text that is added to a good script, and the one problem that it makes.
+fn check_problems(cases: impl IntoIterator<Item = (String, &'static str)>) {
+    for (more, expected) in cases {
+        let told = wrong(&more);
+        assert_eq!(told, [expected], "{more}");
+    }
+}
+
 /// Each fault of a script, with the line, the field, and what may help.
 #[test]
-fn what_is_wrong_is_told_with_line_and_field() {
+fn a_problem_of_an_event_names_its_line_and_field() {
     let event = |more: &str| format!("[[event]]\nat_ms = 2000\n{more}\n");
-    for (more, expected) in [
+    check_problems([
         (
             "speed = 1\n".to_string(),
             "1: load.speed: unknown field; known are: per_second, keys, uneven",
@@ -153,6 +161,13 @@
             "[[event]]\nat_ms = 21000\ndo = \"kill\"\nwho = \"b1\"\n".to_string(),
             "2: event[0].at_ms: no request arrives after 20 s",
         ),
+    ]);
+}
+
+/// As above, for groups, phases and clients.
+#[test]
+fn a_problem_of_another_section_names_its_line_and_field() {
+    check_problems([
         (
             "[[group]]\nname = \"g\"\nof = \"nodes\"\nshare = 0.5\ncount = 2\n".to_string(),
             "1: group[0]: expected exactly one of `share`, `count`, `zone` and `members`",
@@ -181,10 +196,7 @@
             "[clients]\nafter = { least_ms = 9, most_ms = 3 }\n".to_string(),
             "2: clients.after: `least_ms` is over `most_ms`",
         ),
-    ] {
-        let told = wrong(&more);
-        assert_eq!(told, [expected], "{more}");
-    }
+    ]);
 }
 
 /// An expectation that nothing in the script can meet or miss is a slip of the hand.
--- a/crates/sableloom/src/rehearse.rs
+++ b/crates/sableloom/src/rehearse.rs
@@ -64,7 +64,8 @@
 /// Becomes the program.
 pub fn under(options: UnderOptions) -> Result<(), String> {
     let UnderOptions { parent, descriptors, memory_mb, command } = options;
-    Err(sableloom_harness::launch(&LaunchOptions { parent, descriptors, memory_mb, command }))
+    let options = LaunchOptions { parent, descriptors, memory_mb, command };
+    Err(sableloom_harness::launch(&options).to_string())
 }
 
 /// For a rehearsal that can't be played.
@@ -142,7 +143,8 @@
             progress: std::io::stderr().is_terminal(),
         },
     )
-    .await?;
+    .await
+    .map_err(|e| e.to_string())?;
     let write = |name: &str, text: String| {
         let path = out.join(name);
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
--- a/crates/sableloom/tests/fleet/faults.rs
+++ b/crates/sableloom/tests/fleet/faults.rs
@@ -519,7 +519,7 @@
     let more = "[[process]]\nwho = \"b2\"\nmemory_mb = 2\n";
     let failed = rehearse_with(3, 2, 20, 1, more, |_| {}, "");
     let error = failed.err().expect("it can't be played");
-    assert!(error.contains("b2 can't start"), "{error}");
+    assert!(error.to_string().contains("b2 can't start"), "{error}");
 }
 
 /// The time of day that a balancer reads at its start is off, either way: servers seem to have started in the
--- a/crates/sableloom/tests/fleet/harness.rs
+++ b/crates/sableloom/tests/fleet/harness.rs
@@ -62,7 +62,7 @@
             "",
         );
         let error = failed.err().expect("it can't be played");
-        assert!(says.iter().all(|part| error.contains(part)), "{error}");
+        assert!(says.iter().all(|part| error.to_string().contains(part)), "{error}");
     }
     // Other tests of this process have children of their own: only balancers of ours are meant, which
     // their folders tell, and those are gone once the play has returned.
@@ -74,7 +74,7 @@
     assert_eq!(left.collect::<Vec<_>>(), Vec::<u32>::new());
     let unnamed =
         rehearse_with(2, 2, 10, 1, "[[process]]\nwho = \"b1\"\nbinary = \"old\"\n", |_| {}, "");
-    assert!(unnamed.err().is_some_and(|e| e.contains("--binary old=PATH")));
+    assert!(unnamed.err().is_some_and(|e| e.to_string().contains("--binary old=PATH")));
 }
 
 /// A process that ends by itself in the midst is told with its last words, and the verdict is not met.
--- a/crates/sableloom/tests/fleet/main.rs
+++ b/crates/sableloom/tests/fleet/main.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use sableloom_harness::{Options, Report, play};
+use sableloom_harness::{Options, PlayError, Report, play};
 use sableloom_rehearsal::{Breaches, Count, Script, Verdict, read};
 use sableloom_testkit::program;
 use tokio::task::LocalSet;
@@ -132,11 +132,11 @@
     more: &str,
     options: impl FnOnce(&mut Options),
     fleet: &str,
-) -> Result<Run, String> {
+) -> Result<Run, PlayError> {
     play_once(&script_of(balancers, nodes, per_second, seconds, more, fleet), options)
 }
 
-fn play_once(script: &Script, options: impl FnOnce(&mut Options)) -> Result<Run, String> {
+fn play_once(script: &Script, options: impl FnOnce(&mut Options)) -> Result<Run, PlayError> {
     let out = Out::new();
     let mut with = Options {
         program: program(),
