--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -26,6 +26,8 @@
 use crate::config::Config;
 use crate::platform::Running;
 
+/// Number of stand-in nodes.
+const NODES: u64 = 3;
 /// An answer after this time is late.
 const AIM: Duration = Duration::from_millis(150);
 /// A client waits so long.
@@ -59,52 +61,67 @@
         .ok_or("not a loopback address: the demo stays on this machine".into())
 }
 
-/// Runs it.
+/// Runs the demo.
 pub async fn run(options: Options) -> Result<(), String> {
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
-    let nodes: Vec<(String, Node)> = (1u64..=3)
-        .map(|n| {
-            let name = format!("node-{n}");
-            let class = |name: &str, work_ms: f64, effect| Class {
-                name: name.to_string(),
-                work: work_ms * 1e3,
-                spread: 1.0,
-                wait: Duration::ZERO,
-                effect,
-            };
-            let capacity = NodeCapacity { cores: 2.0, speed: 1.0, slots: 2, queue_limit: 16 };
-            let node = Node::start(NodeOptions {
-                name: name.clone(),
-                profile: NodeProfile {
-                    handshake: 0.0,
-                    cached_keys: 0,
-                    ..NodeProfile::of(capacity)
-                },
-                classes: vec![class("balance", 8.0, false), class("redeem", 15.0, true)],
-                seed: n,
-            });
-            node.map(|node| (name, node)).map_err(|e| format!("a stand-in node: {e}"))
-        })
-        .collect::<Result<_, _>>()?;
+    let nodes = (1..=NODES).map(start_node).collect::<Result<Vec<_>, _>>()?;
     let servers = nodes.iter().map(|(name, node)| (name.clone(), node.address)).collect();
     let discovery = agent(servers).map_err(|e| format!("a stand-in of discovery: {e}"))?;
     let text = configuration(options.listen, discovery);
     let running = Running::start(Config::read(text.as_bytes(), "of the demo")?)
         .map_err(|e| e.replace("field `listen`", "--listen"))?;
-    let at = running.address;
-    println!("balancer on {at}, before {} nodes of 2 cores each", nodes.len());
+    let address = running.address;
+    println!("balancer on {address}, before {} nodes of 2 cores each", nodes.len());
+    let tally = send_requests(address, options.requests).await?;
+    print!("{}", tally.table());
+    print_executions(&nodes);
+    if options.stay {
+        println!(
+            "\nThe balancer stays up until SIGINT or SIGTERM. Ask it, each time with a new id:"
+        );
+        for line in curl(address) {
+            println!("  {line}");
+        }
+        tokio::select! {
+            _ = interrupt.recv() => {}
+            _ = terminate.recv() => {}
+        }
+        running.finish().await;
+    }
+    Ok(())
+}
 
-    let (told, outcomes) = channel();
-    let (done, finished) = oneshot::channel();
-    let requests = options.requests;
+/// Starts a stand-in node; its number is its seed.
+fn start_node(number: u64) -> Result<(String, Node), String> {
+    let name = format!("node-{number}");
+    let class = |name: &str, work_ms: f64, effect| Class {
+        name: name.to_string(),
+        work: work_ms * 1e3,
+        spread: 1.0,
+        wait: Duration::ZERO,
+        effect,
+    };
+    let capacity = NodeCapacity { cores: 2.0, speed: 1.0, slots: 2, queue_limit: 16 };
+    let node = Node::start(NodeOptions {
+        name: name.clone(),
+        profile: NodeProfile { handshake: 0.0, cached_keys: 0, ..NodeProfile::of(capacity) },
+        classes: vec![class("balance", 8.0, false), class("redeem", 15.0, true)],
+        seed: number,
+    });
+    node.map(|node| (name, node)).map_err(|e| format!("a stand-in node: {e}"))
+}
+
+/// Sends the requests, and prints the progress each second.
+async fn send_requests(address: SocketAddr, requests: u32) -> Result<Tally, String> {
+    let (sender, outcomes) = channel();
+    let (done, mut finished) = oneshot::channel();
     // Clients have a thread of their own: their work must not delay the balancer's.
     thread::spawn(move || {
-        let end = clients(at, requests, &told);
+        let end = clients(address, requests, &sender);
         let _ = done.send(end);
     });
     let mut tally = Tally::default();
-    let mut finished = finished;
     let end = loop {
         let second = timeout(Duration::from_secs(1), &mut finished).await;
         outcomes.try_iter().for_each(|outcome| tally.add(outcome));
@@ -115,29 +132,19 @@
     };
     end?;
     outcomes.try_iter().for_each(|outcome| tally.add(outcome));
-    print!("{}", tally.table());
-    let mut runs: BTreeMap<String, u32> = BTreeMap::new();
+    Ok(tally)
+}
+
+/// Prints how often the nodes executed each request that is not idempotent.
+fn print_executions(nodes: &[(String, Node)]) {
+    let mut executions: BTreeMap<String, u32> = BTreeMap::new();
     for (id, times) in nodes.iter().flat_map(|(_, node)| node.executions()) {
-        *runs.entry(id).or_default() += times;
+        *executions.entry(id).or_default() += times;
     }
     let rejected: u64 = nodes.iter().map(|(_, node)| node.rejected()).sum();
-    let twice = runs.values().filter(|times| **times > 1).count();
-    println!("redeems that ran {}, more than once {twice}", runs.len());
+    let twice = executions.values().filter(|times| **times > 1).count();
+    println!("redeems that ran {}, more than once {twice}", executions.len());
     println!("attempts that nodes turned away unseen {rejected}");
-    if options.stay {
-        println!(
-            "\nThe balancer stays up until SIGINT or SIGTERM. Ask it, each time with a new id:"
-        );
-        for line in curl(at) {
-            println!("  {line}");
-        }
-        tokio::select! {
-            _ = interrupt.recv() => {}
-            _ = terminate.recv() => {}
-        }
-        running.finish().await;
-    }
-    Ok(())
 }
 
 fn configuration(listen: SocketAddr, discovery: SocketAddr) -> String {
--- a/crates/testkit/examples/reload.rs
+++ b/crates/testkit/examples/reload.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 use sableloom_testkit::{Balancer, Peer, Site, named, read, servers};
@@ -38,6 +38,12 @@
     let list = |n: usize| servers("", [(["a", "b"][n], peers[n].address, "")]);
     site.write("points.toml", &list(0));
     let balancer = Arc::new(Balancer::serving(&site));
+    measure_renames(&site, &balancer, list);
+    measure_large_lists(&site, &balancer);
+}
+
+/// How long it takes from a rename of a list to the first request under it.
+fn measure_renames(site: &Site, balancer: &Balancer, list: impl Fn(usize) -> String) {
     let mut client = balancer.client();
     let mut ask = |id: String| {
         client.write(read(&id, ""));
@@ -60,7 +66,10 @@
     println!(
         "from a rename to the first request under the new list, {ROUNDS} times: median {median:.1?}, most {most:.1?}"
     );
+}
 
+/// How long large lists take to come into force, and what requests notice of it.
+fn measure_large_lists(site: &Site, balancer: &Arc<Balancer>) {
     let (everywhere, _came) = Peer::everywhere();
     let address = |n: usize| -> SocketAddr {
         (std::net::Ipv4Addr::from(0x7f01_0000 + n as u32), everywhere.address.port()).into()
@@ -74,25 +83,7 @@
     balancer.says(&["in force", "more"]);
     println!("resident: {idle} kB with 1 server, {} kB with {COUNT}", balancer.resident_kb());
     let stop = Arc::new(AtomicBool::new(false));
-    let (asks, ends) = (balancer.clone(), stop.clone());
-    let load = thread::spawn(move || {
-        let (mut client, mut took) = (asks.client(), Vec::new());
-        for n in 0.. {
-            if ends.load(Ordering::SeqCst) {
-                break;
-            }
-            let start = Instant::now();
-            client.write(read(&format!("load-{n}"), ""));
-            let answer = client.message().expect("an answer");
-            assert_eq!(answer.status(), 200);
-            if answer.header("connection").is_some() {
-                client = asks.client();
-            }
-            took.push(start.elapsed());
-        }
-        took.sort();
-        took
-    });
+    let load = start_load(balancer.clone(), stop.clone());
     let mut times = Vec::new();
     for round in 0..20 {
         // A weight in one place, or all of them others.
@@ -120,3 +111,25 @@
         balancer.peak_memory_mb()
     );
 }
+
+/// Sends one request after the other until it is stopped; returns the sorted times.
+fn start_load(balancer: Arc<Balancer>, stop: Arc<AtomicBool>) -> JoinHandle<Vec<Duration>> {
+    thread::spawn(move || {
+        let (mut client, mut took) = (balancer.client(), Vec::new());
+        for n in 0.. {
+            if stop.load(Ordering::SeqCst) {
+                break;
+            }
+            let start = Instant::now();
+            client.write(read(&format!("load-{n}"), ""));
+            let answer = client.message().expect("an answer");
+            assert_eq!(answer.status(), 200);
+            if answer.header("connection").is_some() {
+                client = balancer.client();
+            }
+            took.push(start.elapsed());
+        }
+        took.sort();
+        took
+    })
+}
--- a/crates/testkit/examples/shadow.rs
+++ b/crates/testkit/examples/shadow.rs
@@ -124,8 +124,8 @@
     took
 }
 
-fn main() {
-    // The load is not on the balancer's core.
+/// Keeps the load off the balancer's core.
+fn leave_first_core() {
     let own = std::process::id().to_string();
     let rest = thread::available_parallelism().map_or(1, |n| n.get() - 1);
     let bound =
@@ -134,6 +134,46 @@
         rest > 0 && bound.is_ok_and(|o| o.status.success()),
         "taskset and two cores are needed"
     );
+}
+
+/// Runs the cases of a group in turn.
+fn run_rounds(group: &mut [Case]) {
+    for round in 0..ROUNDS {
+        // Each is the first as often as any other.
+        let first = round % group.len();
+        let (before, after) = group.split_at_mut(first);
+        after.iter_mut().chain(before).for_each(|case| case.round(round));
+    }
+}
+
+/// Prints a line for each case, with its times as multiples of the first one's.
+fn print_group(group: &mut [Case]) {
+    let mut first: Option<(f64, f64)> = None;
+    for case in group {
+        case.took.sort();
+        let n = case.took.len();
+        let ms = |t: Duration| t.as_secs_f64() * 1e3;
+        let at = |share: f64| ms(case.took[((n - 1) as f64 * share) as usize]);
+        let (p50, p99) = (at(0.5), at(0.99));
+        let base = *first.get_or_insert((p50, p99));
+        let text = case.site.as_ref().map(|site| site.path("shadow-next.json"));
+        let text = text.and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
+        let record: Value = serde_json::from_slice(&text).unwrap_or_default();
+        println!(
+            "{:<28}{p50:>9.3}{p99:>9.3}{:>9.2}{:>8.2}{:>8.2}{:>12.1}{:>9}{:>9}",
+            case.name,
+            at(1.0),
+            p50 / base.0,
+            p99 / base.1,
+            case.busy.as_secs_f64() * 1e6 / n as f64,
+            record["copied"].as_u64().unwrap_or(0),
+            case.balancer.resident_kb()
+        );
+    }
+}
+
+fn main() {
+    leave_first_core();
     let small = r#"{"points":7,"tier":"gold"}"#.to_string();
     let (live, large) = (answering(small.clone()), answering(body(MEMBERS, 7)));
     let (well, differs) = (answering(small), answering(body(MEMBERS, 8)));
@@ -164,33 +204,7 @@
         "", "p50 ms", "p99 ms", "most", "p50 x", "p99 x", "cpu us/req", "copies", "RSS kB"
     );
     for group in &mut groups {
-        for round in 0..ROUNDS {
-            // Each is the first as often as any other.
-            let first = round % group.len();
-            let (before, after) = group.split_at_mut(first);
-            after.iter_mut().chain(before).for_each(|case| case.round(round));
-        }
-        let mut first: Option<(f64, f64)> = None;
-        for case in group {
-            case.took.sort();
-            let n = case.took.len();
-            let ms = |t: Duration| t.as_secs_f64() * 1e3;
-            let at = |share: f64| ms(case.took[((n - 1) as f64 * share) as usize]);
-            let (p50, p99) = (at(0.5), at(0.99));
-            let base = *first.get_or_insert((p50, p99));
-            let text = case.site.as_ref().map(|site| site.path("shadow-next.json"));
-            let text = text.and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
-            let record: Value = serde_json::from_slice(&text).unwrap_or_default();
-            println!(
-                "{:<28}{p50:>9.3}{p99:>9.3}{:>9.2}{:>8.2}{:>8.2}{:>12.1}{:>9}{:>9}",
-                case.name,
-                at(1.0),
-                p50 / base.0,
-                p99 / base.1,
-                case.busy.as_secs_f64() * 1e6 / n as f64,
-                record["copied"].as_u64().unwrap_or(0),
-                case.balancer.resident_kb()
-            );
-        }
+        run_rounds(group);
+        print_group(group);
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,11 @@
 //! The other ends of a balancer's sockets, scripted: servers, clients and discovery; and the
 //! program itself as a process between them. Loopback only. It shares no code with the program.
 
+#![allow(
+    clippy::missing_panics_doc,
+    reason = "a test library: each helper panics when what it waits for fails, which is how a test fails"
+)]
+
 mod balancer;
 mod connection;
 pub mod control;
