--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -29,7 +29,7 @@
 const STATUS_EVERY: usize = 50;
 
 /// Digest of all histories.
-pub fn digest() -> String {
+pub(crate) fn digest() -> String {
     let mut trace = Trace::default();
     for seed in 0..HISTORIES {
         History::new(seed).play(&mut trace);
@@ -218,7 +218,7 @@
                 let balancer = &mut self.balancers[index];
                 let rejects = balancer.validates && !rejections.is_empty();
                 let result = if rejects { Err(rejections) } else { Ok(()) };
-                balancer.applying.push_back((answers_at, transaction.transfer, result));
+                balancer.applying.push_back((answers_at, transaction.id, result));
             }
             SubscriberOutput::Save => {
                 let balancer = &mut self.balancers[index];
