--- a/crates/sableloom/src/rehearse.rs
+++ b/crates/sableloom/src/rehearse.rs
@@ -7,10 +7,11 @@
 use std::process::ExitCode;
 
 use sableloom_harness::{
-    LaunchOptions, Options as Play, Report, beside, compared, page, play, table,
+    LaunchError, LaunchOptions, Options as Play, PlayError, Report, beside, compared, page, play,
+    table,
 };
 use sableloom_rehearsal::{Lists, Script, timeline};
-use sableloom_server_files::read_file;
+use sableloom_server_files::{FileError, read_file};
 use sableloom_toml_diagnostics::Problem;
 
 /// What to rehearse.
@@ -62,10 +63,38 @@
 }
 
 /// Becomes the program.
-pub fn under(options: UnderOptions) -> Result<(), String> {
+pub fn under(options: UnderOptions) -> Result<(), LaunchError> {
     let UnderOptions { parent, descriptors, memory_mb, command } = options;
     let options = LaunchOptions { parent, descriptors, memory_mb, command };
-    Err(sableloom_harness::launch(&options).to_string())
+    Err(sableloom_harness::launch(&options))
+}
+
+/// Why a rehearsal has no verdict.
+#[derive(Debug, thiserror::Error)]
+enum RehearseError {
+    #[error("{file}: {cause}")]
+    UnreadableScript { file: String, cause: FileError },
+    /// All problems of the script, a line each.
+    #[error("{0}")]
+    Script(String),
+    #[error("--binary {0:?}: expected NAME=PATH, as old=/opt/sableloom-0.1")]
+    Binary(String),
+    #[error("--binary {0}: it is given twice")]
+    BinaryTwice(String),
+    #[error("--members: balancers can't talk in the platform's mode")]
+    MembersOnPlatform,
+    #[error("{file}: {cause}")]
+    File { file: String, cause: std::io::Error },
+    #[error("{file}: no report of a rehearsal: {cause}")]
+    NoReport { file: String, cause: serde_json::Error },
+    #[error("this program's own path: {0}")]
+    OwnPath(std::io::Error),
+    #[error(transparent)]
+    Play(#[from] PlayError),
+    #[error("the report: {0}")]
+    Encode(serde_json::Error),
+    #[error("the report's drawings: {0}")]
+    Drawings(Box<dyn std::error::Error>),
 }
 
 /// For a rehearsal that can't be played.
@@ -82,43 +111,48 @@
     }
 }
 
-fn load(path: &Path) -> Result<Script, String> {
+fn load(path: &Path) -> Result<Script, RehearseError> {
     let name = path.display().to_string();
-    let bytes = read_file(path).map_err(|e| format!("{name}: {e}"))?;
+    let bytes = match read_file(path) {
+        Ok(bytes) => bytes,
+        Err(cause) => return Err(RehearseError::UnreadableScript { file: name, cause }),
+    };
     sableloom_rehearsal::read(&name, &bytes).map_err(|wrong| {
         let lines: Vec<String> = wrong.iter().map(Problem::to_string).collect();
-        lines.join("\n")
+        RehearseError::Script(lines.join("\n"))
     })
 }
 
-fn binaries(given: &[String]) -> Result<HashMap<String, PathBuf>, String> {
+fn binaries(given: &[String]) -> Result<HashMap<String, PathBuf>, RehearseError> {
     let mut binaries = HashMap::new();
     for text in given {
         let Some((name, path)) =
             text.split_once('=').filter(|(n, p)| !n.is_empty() && !p.is_empty())
         else {
-            return Err(format!(
-                "--binary {text:?}: expected NAME=PATH, as old=/opt/sableloom-0.1"
-            ));
+            return Err(RehearseError::Binary(text.clone()));
         };
         if binaries.insert(name.to_string(), PathBuf::from(path)).is_some() {
-            return Err(format!("--binary {name}: it is given twice"));
+            return Err(RehearseError::BinaryTwice(name.to_string()));
         }
     }
     Ok(binaries)
 }
 
-fn report_in(folder: &Path) -> Result<Report, String> {
+fn report_in(folder: &Path) -> Result<Report, RehearseError> {
     let path = folder.join("report.json");
-    let named = |e: String| format!("{}: {e}", path.display());
-    let text = std::fs::read(&path).map_err(|e| named(e.to_string()))?;
-    serde_json::from_slice(&text).map_err(|e| named(format!("no report of a rehearsal: {e}")))
+    let text = std::fs::read(&path).map_err(|cause| file_error(&path, cause))?;
+    serde_json::from_slice(&text)
+        .map_err(|cause| RehearseError::NoReport { file: path.display().to_string(), cause })
+}
+
+fn file_error(path: &Path, cause: std::io::Error) -> RehearseError {
+    RehearseError::File { file: path.display().to_string(), cause }
 }
 
-async fn rehearse(options: Options) -> Result<u8, String> {
+async fn rehearse(options: Options) -> Result<u8, RehearseError> {
     let mut script = load(&options.script)?;
     if options.members && script.fleet.lists == Lists::Discovery {
-        return Err("--members: balancers can't talk in the platform's mode".to_string());
+        return Err(RehearseError::MembersOnPlatform);
     }
     script.fleet.members |= options.members;
     if options.timeline {
@@ -127,7 +161,7 @@
     }
     // Before minutes are spent on the run.
     let before = options.beside.as_deref().map(report_in).transpose()?;
-    let launcher = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
+    let launcher = std::env::current_exe().map_err(RehearseError::OwnPath)?;
     let out = options.out.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("sableloom-rehearsal-{}", std::process::id()))
     });
@@ -143,17 +177,16 @@
             progress: std::io::stderr().is_terminal(),
         },
     )
-    .await
-    .map_err(|e| e.to_string())?;
+    .await?;
     let write = |name: &str, text: String| {
         let path = out.join(name);
-        std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::write(&path, text).map_err(|cause| file_error(&path, cause))
     };
-    write("report.json", serde_json::to_string(&report).map_err(|e| format!("the report: {e}"))?)?;
-    write("report.html", page(&report).map_err(|e| format!("the report's drawings: {e}"))?)?;
+    write("report.json", serde_json::to_string(&report).map_err(RehearseError::Encode)?)?;
+    write("report.html", page(&report).map_err(RehearseError::Drawings)?)?;
     print!("{}", table(&report));
     if let Some(before) = &before {
-        let both = beside(&report, before).map_err(|e| format!("the report's drawings: {e}"))?;
+        let both = beside(&report, before).map_err(RehearseError::Drawings)?;
         write("beside.html", both)?;
         print!("{}", compared(&report, before));
     }
--- a/crates/sableloom/src/shadow.rs
+++ b/crates/sableloom/src/shadow.rs
@@ -7,9 +7,10 @@
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table};
 use plotters::prelude::*;
-use sableloom_server_files::read_file;
+use sableloom_server_files::{FileError, read_file};
 use sableloom_shadow::{
-    Estimate, Finding, FindingKind, Judgement, JudgementLimits, LatencySummary, Record, judge,
+    Estimate, Finding, FindingKind, Judgement, JudgementLimits, LatencySummary, Record,
+    RecordError, judge,
 };
 
 /// Something speaks against the candidate.
@@ -71,8 +72,52 @@
     share.ok_or_else(|| "expected a share from 0 to 1".to_string())
 }
 
+/// Why there is no report.
+#[derive(Debug, thiserror::Error)]
+pub enum ReportError {
+    /// There is no file of a record.
+    #[error("no record")]
+    NoRecord,
+    /// A file can't be read.
+    #[error("{file}: {cause}")]
+    Unreadable {
+        /// The file.
+        file: String,
+        /// Why.
+        cause: FileError,
+    },
+    /// A file is no record.
+    #[error("{file}:{line}:{column}: field `{field}`: {cause}")]
+    Malformed {
+        /// The file.
+        file: String,
+        /// The line, from 1.
+        line: usize,
+        /// The column, from 1.
+        column: usize,
+        /// The path of the field.
+        field: String,
+        /// What is wrong with it.
+        cause: serde_json::Error,
+    },
+    /// A record can't be used, or not together with the others.
+    #[error("{file}: {cause}")]
+    Unusable {
+        /// The file.
+        file: String,
+        /// Why.
+        cause: RecordError,
+    },
+    /// The record can't be written as JSON.
+    #[error("the record: {0}")]
+    Encode(serde_json::Error),
+    /// A chart can't be drawn.
+    #[error("the chart: {0}")]
+    Chart(String),
+}
+
 /// Carries it out.
-pub fn run(options: Options) -> Result<ExitCode, String> {
+pub fn run(options: Options) -> Result<ExitCode, ReportError> {
     let Command::Report(report) = options.command;
     let record = read(&report.files)?;
     let limits = JudgementLimits {
@@ -84,9 +129,7 @@
     let judgement = judge(&record, &limits);
     let text = match report.format {
         Form::Text => text(&record, &judgement),
-        Form::Json => {
-            serde_json::to_string_pretty(&record).map_err(|e| format!("the record: {e}"))? + "\n"
-        }
+        Form::Json => serde_json::to_string_pretty(&record).map_err(ReportError::Encode)? + "\n",
         Form::Html => html(&record, &judgement)?,
     };
     // Nothing to print to is no other verdict.
@@ -98,26 +141,38 @@
     })
 }
 
-fn read(files: &[PathBuf]) -> Result<Record, String> {
-    let one = |file: &Path| -> Result<Record, String> {
-        let wrong = |e: String| format!("{}: {e}", file.display());
-        let bytes = read_file(file).map_err(|e| wrong(e.to_string()))?;
-        let mut reader = serde_json::Deserializer::from_slice(&bytes);
-        let record: Record = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
-            let (line, column) = (e.inner().line(), e.inner().column());
-            let place = format!("{}:{line}:{column}", file.display());
-            format!("{place}: field `{}`: {}", e.path(), e.inner())
-        })?;
-        record.check_format().map_err(|e| wrong(e.to_string()))?;
-        Ok(record)
-    };
-    let mut all = files.iter().map(|file| Ok((file, one(file)?)));
-    let (_, mut sum) = all.next().unwrap_or_else(|| Err("no record".to_string()))?;
-    for next in all {
-        let (file, record) = next?;
-        sum.merge(&record).map_err(|e| format!("{}: {e}", file.display()))?;
+/// Reads the records of a shadow at several balancers, and adds them up.
+fn read(files: &[PathBuf]) -> Result<Record, ReportError> {
+    let mut sum: Option<Record> = None;
+    for file in files {
+        let record = read_record(file)?;
+        match &mut sum {
+            Some(sum) => sum.merge(&record).map_err(|cause| unusable(file, cause))?,
+            None => sum = Some(record),
+        }
     }
-    Ok(sum)
+    sum.ok_or(ReportError::NoRecord)
+}
+
+fn read_record(path: &Path) -> Result<Record, ReportError> {
+    let file = path.display().to_string();
+    let bytes = match read_file(path) {
+        Ok(bytes) => bytes,
+        Err(cause) => return Err(ReportError::Unreadable { file, cause }),
+    };
+    let mut reader = serde_json::Deserializer::from_slice(&bytes);
+    let record: Record = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+        let field = error.path().to_string();
+        let cause = error.into_inner();
+        let (line, column) = (cause.line(), cause.column());
+        ReportError::Malformed { file, line, column, field, cause }
+    })?;
+    record.check_format().map_err(|cause| unusable(path, cause))?;
+    Ok(record)
+}
+
+fn unusable(path: &Path, cause: RecordError) -> ReportError {
+    ReportError::Unusable { file: path.display().to_string(), cause }
 }
 
 fn table(heads: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> Table {
@@ -288,8 +343,8 @@
 }
 
 /// How many of the pairs were answered within which time.
-fn chart(sides: &[(&str, &LatencySummary, RGBColor)], aim_ms: f64) -> Result<String, String> {
-    let wrong = |e: &dyn std::fmt::Display| format!("the chart: {e}");
+fn chart(sides: &[(&str, &LatencySummary, RGBColor)], aim_ms: f64) -> Result<String, ReportError> {
+    let wrong = |e: &dyn std::fmt::Display| ReportError::Chart(e.to_string());
     let points = |spread: &LatencySummary| -> Vec<(f64, f64)> {
         let share = |n| n as f64 / SHARES as f64;
         (0..=SHARES).map(|n| (spread.quantile_ms(share(n)).max(0.01), 100.0 * share(n))).collect()
@@ -347,7 +402,7 @@
     td{font-variant-numeric:tabular-nums}.against{color:#a40000;font-weight:600}svg{max-width:100%}";
 
 /// A page that needs nothing but itself.
-fn html(record: &Record, judgement: &Judgement) -> Result<String, String> {
+fn html(record: &Record, judgement: &Judgement) -> Result<String, ReportError> {
     let [what, counts] = head(record);
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title>\
