--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -69,8 +69,9 @@
     let servers = nodes.iter().map(|(name, node)| (name.clone(), node.address)).collect();
     let discovery = agent(servers).map_err(|e| format!("a stand-in of discovery: {e}"))?;
     let text = configuration(options.listen, discovery);
-    let running = Running::start(Config::read(text.as_bytes(), "of the demo")?)
-        .map_err(|e| e.replace("field `listen`", "--listen"))?;
+    let config = Config::parse(text.as_bytes(), "of the demo").map_err(|e| e.to_string())?;
+    let running =
+        Running::start(config).map_err(|e| e.to_string().replace("field `listen`", "--listen"))?;
     let address = running.address;
     println!("balancer on {address}, before {} nodes of 2 cores each", nodes.len());
     let tally = send_requests(address, options.requests).await?;
@@ -87,7 +88,7 @@
             _ = interrupt.recv() => {}
             _ = terminate.recv() => {}
         }
-        running.finish().await;
+        running.shut_down().await;
     }
     Ok(())
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -6,6 +6,7 @@
     reason = "a test library: each helper panics when what it waits for fails, which is how a test fails"
 )]
 
+mod address;
 mod balancer;
 mod connection;
 pub mod control;
@@ -18,6 +19,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+pub use address::ReservedAddress;
 pub use balancer::{Balancer, program, spawn};
 pub use connection::{Conn, Message, answer, ok, post, read};
 pub use discovery::{Discovery, Told, entry, list};
