--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -41,7 +41,7 @@
 
 /// What the demo is to do.
 #[derive(clap::Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// Requests to send, of both classes
     #[arg(long, default_value_t = 3000, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     requests: u32,
@@ -62,7 +62,7 @@
 }
 
 /// Runs the demo.
-pub async fn run(options: Options) -> Result<(), String> {
+pub(crate) async fn run(options: Options) -> Result<(), String> {
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let nodes = (1..=NODES).map(start_node).collect::<Result<Vec<_>, _>>()?;
--- a/crates/sableloom/src/rehearse.rs
+++ b/crates/sableloom/src/rehearse.rs
@@ -16,7 +16,7 @@
 
 /// What to rehearse.
 #[derive(clap::Args)]
-pub struct Options {
+pub(crate) struct Options {
     /// The script, in TOML
     script: PathBuf,
     /// What all that is left to chance is drawn from
@@ -47,7 +47,7 @@
 
 /// How to run a program under the harness.
 #[derive(clap::Args)]
-pub struct UnderOptions {
+pub(crate) struct UnderOptions {
     /// The harness's process
     #[arg(long)]
     parent: u32,
@@ -63,7 +63,7 @@
 }
 
 /// Becomes the program.
-pub fn under(options: UnderOptions) -> Result<(), LaunchError> {
+pub(crate) fn under(options: UnderOptions) -> Result<(), LaunchError> {
     let UnderOptions { parent, descriptors, memory_mb, command } = options;
     let options = LaunchOptions { parent, descriptors, memory_mb, command };
     Err(sableloom_harness::launch(&options))
@@ -101,7 +101,7 @@
 const UNPLAYED: u8 = 2;
 
 /// Runs it.
-pub async fn run(options: Options) -> ExitCode {
+pub(crate) async fn run(options: Options) -> ExitCode {
     match rehearse(options).await {
         Ok(code) => ExitCode::from(code),
         Err(message) => {
--- a/crates/sableloom/src/shadow.rs
+++ b/crates/sableloom/src/shadow.rs
@@ -22,7 +22,7 @@
 
 /// What to do with records.
 #[derive(clap::Args)]
-pub struct Options {
+pub(crate) struct Options {
     #[command(subcommand)]
     command: Command,
 }
@@ -74,7 +74,7 @@
 
 /// Why there is no report.
 #[derive(Debug, thiserror::Error)]
-pub enum ReportError {
+pub(crate) enum ReportError {
     /// There is no file of a record.
     #[error("no record")]
     NoRecord,
@@ -117,7 +117,7 @@
 }
 
 /// Carries it out.
-pub fn run(options: Options) -> Result<ExitCode, ReportError> {
+pub(crate) fn run(options: Options) -> Result<ExitCode, ReportError> {
     let Command::Report(report) = options.command;
     let record = read(&report.files)?;
     let limits = JudgementLimits {
--- a/crates/sableloom/tests/sockets/server_files/load.rs
+++ b/crates/sableloom/tests/sockets/server_files/load.rs
@@ -34,6 +34,20 @@
     })
 }
 
+/// A list that is cut or makes no sense, or none. Each broken text is another, so that each refusal is told.
+fn broken(text: &str, version: u32, rng: &mut Rand64) -> Option<String> {
+    match rng.rand_range(0..5) {
+        0 => {
+            let end = rng.rand_range(1..text.len() as u64 - 14) as usize;
+            Some(format!("{}# {version}", &text[..end]))
+        }
+        1 => Some(format!("# {version}\n{}", text.replace("id = ", "name = "))),
+        2 => Some(format!("# {version}\n{}", text.replace("servers = ", "servers = 1"))),
+        3 => Some(format!("{version} is no list")),
+        _ => None,
+    }
+}
+
 #[test]
 fn fifty_versions_broken_cut_and_good_lose_nothing_under_load() {
     const SEED: u128 = 7;
@@ -59,17 +73,7 @@
             }
         };
         let text = all(&new);
-        // Each broken text is another, so that each refusal is told.
-        let broken = match rng.rand_range(0..5) {
-            0 => Some(format!(
-                "{}# {version}",
-                &text[..rng.rand_range(1..text.len() as u64 - 14) as usize]
-            )),
-            1 => Some(format!("# {version}\n{}", text.replace("id = ", "name = "))),
-            2 => Some(format!("# {version}\n{}", text.replace("servers = ", "servers = 1"))),
-            3 => Some(format!("{version} is no list")),
-            _ => None,
-        };
+        let broken = broken(&text, version, &mut rng);
         if let Some(broken) = broken {
             site.replace("points.toml", &broken);
             balancer.says(&["not changed", "points.toml"]);
--- a/crates/sableloom/tests/sockets/shadow/isolation.rs
+++ b/crates/sableloom/tests/sockets/shadow/isolation.rs
@@ -74,12 +74,11 @@
     }
 }
 
-/// Each way in which a candidate can behave. Copies may take ten minutes, as an answer is worth all for
-/// so long: a live request, or an end of the program, that waited for one would not come within the
-/// test's time.
-#[test]
-fn a_candidate_can_do_nothing_to_the_live_traffic() {
-    type Script = fn(usize, Conn);
+/// How a candidate behaves on a connection, which has this number.
+type Script = fn(usize, Conn);
+
+/// Each way in which a candidate can misbehave, with its name, and whether copies stay open there.
+fn misbehaviours() -> [(&'static str, Script, bool); 8] {
     let hangs: Script = |_, mut conn| while conn.message().is_some() {};
     let unread: Script = |_, conn| {
         thread::park();
@@ -114,7 +113,7 @@
         }
     };
     // Of those that answer nothing copies stay out; of the others they end, and all are failures.
-    let cases: [(&str, Script, bool); 8] = [
+    [
         ("hangs", hangs, true),
         ("does not read", unread, true),
         ("trickles", trickles, true),
@@ -123,8 +122,15 @@
         ("garbage", garbage, false),
         ("endless", endless, false),
         ("errs", errs, false),
-    ];
-    for (name, script, stays) in cases {
+    ]
+}
+
+/// Each way in which a candidate can behave. Copies may take ten minutes, as an answer is worth all for
+/// so long: a live request, or an end of the program, that waited for one would not come within the
+/// test's time.
+#[test]
+fn a_candidate_can_do_nothing_to_the_live_traffic() {
+    for (name, script, stays) in misbehaviours() {
         let (live, _came) = answering(r#"{"points":7}"#);
         let taken = Arc::new(AtomicUsize::new(0));
         let count = taken.clone();
