--- a/crates/rehearsal/src/read.rs
+++ b/crates/rehearsal/src/read.rs
@@ -10,7 +10,7 @@
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 
 use crate::arrivals::max_requests;
-use crate::script::*;
+use crate::script::{MAX_REQUESTS, S, Script};
 use events::events;
 use expect::{expect, machine, phases};
 use fields::us;
@@ -19,6 +19,10 @@
 use names::Declarations;
 
 /// Reads the text of a script; problems name it `file`.
+///
+/// # Errors
+///
+/// All problems of the script.
 pub fn read(file: &str, text: &[u8]) -> Result<Script, Vec<Problem>> {
     toml_diagnostics::read(file, text, script)
 }
