--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -29,7 +29,7 @@
 
 /// What an entry of a list changed.
 pub(crate) struct RecordedEndpoint {
-    /// The server as the policy is told of it.
+    /// The server as the policy sees it.
     pub(crate) endpoint: Endpoint,
     pub(crate) address_changed: bool,
 }
--- a/crates/exchange/src/attempt_run.rs
+++ b/crates/exchange/src/attempt_run.rs
@@ -1,4 +1,4 @@
-//! The run of one attempt, from its first step to the one outcome that the policy is told.
+//! The run of one attempt, from its first step to the one outcome that the policy gets.
 
 use std::future::pending;
 use std::rc::Rc;
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// What the policy is told of a request.
+/// What the policy sees of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
     /// Its class, by index.
--- a/crates/fleet-sim/src/lib.rs
+++ b/crates/fleet-sim/src/lib.rs
@@ -1,4 +1,4 @@
-//! Simulates hundreds of balancers with the real decision module in front of model servers.
+//! Simulates hundreds of balancers with the real policy in front of model servers.
 //!
 //! A policy that works well for one balancer may do harm when hundreds follow it at once. This crate plays the
 //! hard cases of a large fleet from a seed: each balancer is a [`sableloom_policy::Balancer`] of its own
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -1,4 +1,4 @@
-//! A simulation in discrete events: clients, balancers with the real decision module, the network, model servers,
+//! A simulation in discrete events: clients, balancers with the real policy, the network, model servers,
 //! their list, and a script of faults. Everything is drawn from one seed.
 
 mod attempts;
@@ -33,7 +33,7 @@
 /// The load-balancing policy of a play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chooser {
-    /// The decision module, one instance for each balancer.
+    /// The policy, one instance for each balancer.
     Sableloom,
     /// A random server of the list; nothing is refused.
     Random,
--- a/crates/fleet-sim/src/world/balancers.rs
+++ b/crates/fleet-sim/src/world/balancers.rs
@@ -1,4 +1,4 @@
-//! The balancers: each has a decision module of its own and receives changes of the list with a delay. Its
+//! The balancers: each has a policy of its own and receives changes of the list with a delay. Its
 //! actions are checked against the rules and carried out.
 
 use std::rc::Rc;
--- a/crates/fleet/src/absence_query.rs
+++ b/crates/fleet/src/absence_query.rs
@@ -57,7 +57,7 @@
 pub(crate) async fn is_proved_absent(from: IpAddr, to: SocketAddr, sent: impl FnOnce()) -> bool {
     let query = async {
         let socket = UdpSocket::bind(SocketAddr::new(from, 0)).await?;
-        // Only a connected socket is told of the answer.
+        // Only a connected socket receives the answer.
         socket.connect(to).await?;
         socket.send(&ABSENCE_QUERY).await?;
         sent();
--- a/crates/harness/src/play/run.rs
+++ b/crates/harness/src/play/run.rs
@@ -49,8 +49,8 @@
             tokio::select! {
                 biased;
                 () = next => self.next_step(&mut steps).await,
-                told = events.recv() => {
-                    if let Some(message) = told {
+                event = events.recv() => {
+                    if let Some(message) = event {
                         self.hear(message).await;
                     }
                 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -8,7 +8,7 @@
 const OBJECTIVE_FRACTION_FOR_SERVICE: f64 = 0.7;
 /// Share of the tolerable wait that the class of the least weight for its work may use.
 const MIN_PRIORITY_SHARE: f64 = 0.2;
-/// A rejected client is told to come back no sooner than after this share of the mean service time.
+/// A rejected client is advised to come back no sooner than after this share of the mean service time.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
 /// A request with less than this share of the usual timeout left is a retry that its client's deadline cuts short:
 /// the rest is for the way to the balancer.
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -6,7 +6,7 @@
 use crate::service_time_estimate::ServiceTimeEstimate;
 use crate::token_bucket::TokenBucket;
 
-/// Highest machine kind that is told apart; guards against a table that grows with a wrong index.
+/// Highest machine kind that is distinguished; guards against a table that grows with a wrong index.
 const MAX_KIND: u32 = 255;
 
 /// A server of the endpoint list, with what was observed of it.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Drives one balancer, and checks every action against the safety rules.
-#![allow(dead_code)] // each test file uses its own part
+#![allow(dead_code, reason = "each test file uses what it needs of it")]
 
 use std::collections::BTreeMap;
 
--- a/crates/sableloom/src/demo.rs
+++ b/crates/sableloom/src/demo.rs
@@ -36,7 +36,7 @@
 const RATE: f64 = 400.0;
 /// One request in so many is a redeem.
 const REDEEM_ONE_IN: u64 = 5;
-/// Descriptors that the balancer is told it may hold.
+/// Descriptors that the balancer may hold.
 const SOCKETS: usize = 512;
 
 /// What the demo is to do.
@@ -199,7 +199,7 @@
 }
 
 /// Sends the requests as they fall due, whatever has come back by then, and waits for the last.
-fn clients(at: SocketAddr, requests: u32, told: &Sender<Outcome>) -> Result<(), String> {
+fn clients(at: SocketAddr, requests: u32, sender: &Sender<Outcome>) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let tasks = LocalSet::new();
@@ -213,7 +213,7 @@
             sleep_until(due).await;
             let redeem = rng.rand_range(0..REDEEM_ONE_IN) == 0;
             let class = if redeem { "redeem" } else { "balance" };
-            let (kept, told) = (kept.clone(), told.clone());
+            let (kept, sender) = (kept.clone(), sender.clone());
             under_way.push(spawn_local(async move {
                 let start = Instant::now();
                 let answer = timeout(DEADLINE, ask(at, &kept, class, n)).await.ok().flatten();
@@ -222,7 +222,7 @@
                     Some((StatusCode::SERVICE_UNAVAILABLE, _)) => (End::Refused, None),
                     _ => (End::Failed, None),
                 };
-                let _ = told.send(Outcome { class, end, took: start.elapsed(), node });
+                let _ = sender.send(Outcome { class, end, took: start.elapsed(), node });
             }));
         }
         for task in under_way {
--- a/crates/scale-test/src/processes.rs
+++ b/crates/scale-test/src/processes.rs
@@ -21,7 +21,7 @@
     Io(io::Error),
     /// It gave no answer in [`ANSWERS_WITHIN`], or has ended.
     Silent,
-    /// It could not do what it was told.
+    /// It could not carry out its order.
     Failed(String),
 }
 
--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -95,7 +95,7 @@
         let renamed = was.id != server.id;
         let moved = was.address != server.address;
         let back = old.forget_at.is_some();
-        // A start that was stated before and is left out now is no news.
+        // A start that was stated before and is left out now changes nothing.
         let restarted = server.started_ms.is_some_and(|s| s != old.up_since_ms);
         // Another machine for all that is known: whatever came back under another id, and whatever
         // is at another address.
--- a/crates/site-config/src/class.rs
+++ b/crates/site-config/src/class.rs
@@ -35,7 +35,7 @@
 }
 
 impl Class {
-    /// The class as the decision module knows it.
+    /// The class as the policy knows it.
     pub(crate) fn settings(&self) -> ClassSettings {
         ClassSettings {
             name: self.name.clone(),
--- a/crates/site-config/src/pool_settings.rs
+++ b/crates/site-config/src/pool_settings.rs
@@ -7,7 +7,7 @@
 use crate::fields::{DAY_MS, HOUR_MS};
 use crate::protocol::{Protocol, read_protocol};
 
-/// Values of load reports that the decision module knows.
+/// Values of load reports that the policy knows.
 const LOAD_REPORT_VALUES: [&str; 4] = ["inflight", "queue", "util", "latency_ms"];
 /// Largest value of `max_open`.
 const MAX_OPEN_REQUESTS: usize = 1_000_000;
--- a/crates/site-config/src/restart.rs
+++ b/crates/site-config/src/restart.rs
@@ -12,7 +12,7 @@
 /// The parts of a new configuration that a running balancer cannot take over.
 ///
 /// Routes, pools that are added or removed, and what concerns a pool's files can change while it runs. The settings
-/// of the decision module of a pool cannot: a new decision module would not know the requests that are in flight at
+/// of the policy of a pool cannot: a new policy would not know the requests that are in flight at
 /// each server, and would forward as many on top.
 pub fn changes_requiring_restart(file: &str, old: &Site, new: &Site) -> Vec<Problem> {
     let mut changes = Changes { file, problems: Vec::new() };
--- a/crates/site-config/src/shadow/read.rs
+++ b/crates/site-config/src/shadow/read.rs
@@ -167,7 +167,7 @@
 
 /// The timeout of copies; one that is too short is reported.
 ///
-/// The decision module rejects a request that can't be served in the time that is left, which it estimates by the
+/// The policy rejects a request that can't be served in the time that is left, which it estimates by the
 /// latency objective and T_QoS until it has measured servers. Failure: with less time than a latency objective, it
 /// rejected every copy, and the candidate never got one.
 fn timeout_ms(
--- a/crates/site-config/src/site.rs
+++ b/crates/site-config/src/site.rs
@@ -1,4 +1,4 @@
-//! A site as a whole, and what it tells the decision module.
+//! A site as a whole, and the settings that it gives the policy.
 
 use std::net::SocketAddr;
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The settings of the decision module of a pool.
+    /// The settings of the policy of a pool.
     pub fn deployment_settings(&self, pool: &Pool) -> DeploymentSettings {
         let upstream = &pool.upstream;
         let reports = &upstream.load_reports;
--- a/crates/testkit/src/balancer.rs
+++ b/crates/testkit/src/balancer.rs
@@ -77,10 +77,10 @@
     }
 
     fn listening((child, log): (Child, BufReader<ChildStderr>)) -> Self {
-        let (told, lines) = channel();
+        let (sender, lines) = channel();
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                if told.send(line).is_err() {
+                if sender.send(line).is_err() {
                     return;
                 }
             }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -15,7 +15,7 @@
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Each call's request line, and where to say what it is told.
+    /// Each call's request line, and where to send its answer.
     pub calls: Receiver<(String, Sender<Told>)>,
 }
 
@@ -34,12 +34,12 @@
 impl Discovery {
     /// Listens on a free port.
     pub fn start() -> Self {
-        let (told, calls) = channel();
-        let told = Mutex::new(told);
+        let (sender, calls) = channel();
+        let sender = Mutex::new(sender);
         let peer = Peer::start(move |_, mut conn| {
             while let Some(call) = conn.message() {
                 let (say, said) = channel();
-                let _ = told.lock().expect("unpoisoned").send((call.line, say));
+                let _ = sender.lock().expect("unpoisoned").send((call.line, say));
                 // A test that has ended says nothing more.
                 let Ok(said) = said.recv() else { return };
                 let whole = |list: &Value| ok(&list.to_string());
@@ -58,12 +58,12 @@
         Self { address: peer.address, calls }
     }
 
-    /// The next call's request line, and where to say what it is told.
+    /// The next call's request line, and where to send its answer.
     pub fn call(&self) -> (String, Sender<Told>) {
         self.calls.recv_timeout(LONG).expect("a call of discovery")
     }
 
-    /// Tells this to each call until one knows its version, which is returned with where to say what it is told: then
+    /// Tells this to each call until one knows its version, which is returned with where to send its answer: then
     /// it is in force. A call that nobody answered in its time has been given up by then.
     pub fn tell(&self, list: &Value) -> (String, Sender<Told>) {
         let version = format!("after={}&", list["revision"]);
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -40,13 +40,13 @@
     pub fn upstream(
         reply: impl Fn(usize, &Message, &mut Conn) -> bool + Send + Sync + 'static,
     ) -> (Self, Receiver<Message>) {
-        let (told, came) = channel();
+        let (sender, came) = channel();
         let count = AtomicU64::new(0);
-        let told = Mutex::new(told);
+        let sender = Mutex::new(sender);
         let peer = Self::start(move |_, mut conn| {
             while let Some(message) = conn.message() {
                 let number = count.fetch_add(1, Ordering::SeqCst) as usize;
-                let _ = told.lock().expect("unpoisoned").send(message.clone());
+                let _ = sender.lock().expect("unpoisoned").send(message.clone());
                 if !reply(number, &message, &mut conn) {
                     return;
                 }
@@ -65,15 +65,15 @@
         socket.listen(1024).expect("a listener");
         let listener = TcpListener::from(socket);
         let port = listener.local_addr().expect("an address").port();
-        let (told, came) = channel();
+        let (sender, came) = channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let stream = stream.expect("a connection");
                 let at = stream.local_addr().expect("an address");
-                let (mut conn, told) = (Conn::new(stream), told.clone());
+                let (mut conn, sender) = (Conn::new(stream), sender.clone());
                 thread::spawn(move || {
                     while conn.message().is_some() {
-                        let _ = told.send(at);
+                        let _ = sender.send(at);
                         conn.write(ok(&at.to_string()));
                     }
                 });
--- a/crates/toml-diagnostics/src/lib.rs
+++ b/crates/toml-diagnostics/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads operators' TOML files and finds everything that is wrong with them in one pass.
 //!
-//! An operator who is told of one mistake at a time needs a run for each. serde's derived readers stop at the first
+//! An operator who learns of one mistake at a time needs a run for each. serde's derived readers stop at the first
 //! error, so they are not used: [`read`] hands out a [`Table`] whose getters never fail. A getter reports what is wrong
 //! with its field as a [`Problem`] (file, line, column, field, what was expected, and a suggestion where a name looks
 //! misspelt) and the caller goes on with the next field.
--- a/crates/traffic-mirror/src/options.rs
+++ b/crates/traffic-mirror/src/options.rs
@@ -19,7 +19,7 @@
 pub struct MirroredPool {
     /// Its name.
     pub name: String,
-    /// Settings of its decision module.
+    /// Settings of its policy.
     pub settings: DeploymentSettings,
     /// Its servers.
     pub files: Files,
--- a/crates/traffic-mirror/src/worker/copy_pool.rs
+++ b/crates/traffic-mirror/src/worker/copy_pool.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Whether any attempt was made for a copy. The decision module rejects an idempotent request that it abandons, whether
+/// Whether any attempt was made for a copy. The policy rejects an idempotent request that it abandons, whether
 /// or not an attempt was made, because it may be repeated; only the transport knows.
 #[derive(Clone, Default)]
 pub(super) struct AttemptMade(Rc<Cell<bool>>);
--- a/crates/traffic-mirror/src/worker/copy_sender.rs
+++ b/crates/traffic-mirror/src/worker/copy_sender.rs
@@ -22,7 +22,7 @@
 const ID_HEADER: &str = "x-trace-id";
 /// Suffix of the ids of copies.
 const COPY_ID_SUFFIX: &[u8] = b"-shadow";
-/// Time after the timeout of a copy at which it is abandoned if the decision module has not ended it.
+/// Time after the timeout of a copy at which it is abandoned if the policy has not ended it.
 const ABANDON_DELAY: Duration = Duration::from_secs(1);
 
 /// A copy that has ended, with its outcomes.
@@ -40,7 +40,7 @@
     Served(Answer),
     /// Not sent: its id is still in use, or too many are in flight. Shows nothing about the pool.
     NotSent,
-    /// The decision module found no server for it.
+    /// The policy found no server for it.
     NoServer,
     Failed,
 }
