--- a/crates/sableloom/tests/architecture.rs
+++ b/crates/sableloom/tests/architecture.rs
@@ -158,3 +158,30 @@
         }
     }
 }
+
+#[test]
+fn one_place_judges_an_attempt_one_answers_and_one_permits_the_first_byte() {
+    let places = [
+        ("fate::judge(", "crates/exchange/src/exchange.rs"),
+        ("reply_sender.take()", "crates/exchange/src/open_requests.rs"),
+        ("fn may_send_first_byte(", "crates/exchange/src/attempt_context.rs"),
+    ];
+    let mut found = [const { Vec::new() }; 3];
+    for file in files_below(&root().join("crates")) {
+        let is_source = file.iter().any(|part| part == "src");
+        if !is_source || file.extension().is_none_or(|end| end != "rs") {
+            continue;
+        }
+        let text = read(&file);
+        for line in text.lines().filter(|line| !line.trim_start().starts_with("//")) {
+            for (found, (call, _)) in found.iter_mut().zip(&places) {
+                if line.contains(call) {
+                    found.push(file.strip_prefix(root()).expect("below the root").to_path_buf());
+                }
+            }
+        }
+    }
+    for (found, (call, place)) in found.iter().zip(&places) {
+        assert_eq!(found[..], [PathBuf::from(place)], "{call}");
+    }
+}
