--- a/crates/sableloom/tests/fleet/direct.rs
+++ b/crates/sableloom/tests/fleet/direct.rs
@@ -8,13 +8,20 @@
 use sableloom_membership::{Body, MAX_PAGE, Message, encode, key_of};
 use sableloom_testkit::{Balancer, Peer, Site, eventually, named, ok, program, read, servers};
 
-/// A free UDP port of a loopback address that nobody else uses, so that it stays free.
+/// A UDP port of a loopback address that nobody else uses, so that it stays free once the socket is closed.
 fn free() -> SocketAddr {
+    own_socket().local_addr().expect("an address")
+}
+
+/// A socket on a loopback address that nobody else uses. A test that needs the socket itself keeps it: a port that is
+/// closed and bound again may be in use for a moment, as a process that another test starts holds a copy of the socket
+/// from its fork to its exec.
+fn own_socket() -> UdpSocket {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     // 127.32.0.0/11; the harness's are in 127.64.0.0/10.
     let number = std::process::id().wrapping_mul(64) + COUNT.fetch_add(1, Ordering::SeqCst) % 64;
     let ip = Ipv4Addr::from(0x7f20_0000 + (number % 0x1f_ffff) + 1);
-    UdpSocket::bind((ip, 0)).and_then(|s| s.local_addr()).expect("a free port")
+    UdpSocket::bind((ip, 0)).expect("a free port")
 }
 
 const CLASS: &str = "[[listener]]\naddress = \"127.0.0.1:0\"\n[[class]]\nname = \"read\"\n\
@@ -118,11 +125,12 @@
 #[test]
 fn the_longest_list_counts_and_compare_shows_the_difference() {
     let peer = named("s");
-    let (a, b, gone, operator) = (free(), free(), free(), free());
+    let (a, b, operator) = (free(), free(), free());
+    // A socket holds the third's address and never answers: the member may be partitioned.
+    let silent = own_socket();
+    let gone = silent.local_addr().expect("an address");
     let short = site("a", operator, &[("a", a), ("b", b)], &peer);
     let long = site("b", operator, &[("a", a), ("b", b), ("x", gone)], &peer);
-    // A socket holds the third's address and never answers: the member may be partitioned.
-    let _silent = UdpSocket::bind(gone).expect("free");
     let running = [Balancer::serving(&short), Balancer::serving(&long)];
     running.iter().for_each(|balancer| drop(balancer.says(&["part: 1 of 3"])));
     let compared =
@@ -175,11 +183,11 @@
         conn.write(ok("x"));
         true
     });
-    let (a, b, operator) = (free(), free(), free());
-    let own = site("a", operator, &[("a", a), ("b", b)], &peer);
+    let (a, operator) = (free(), free());
     // The test is member b, and a foreign sender as well.
-    let (member, stranger) =
-        (UdpSocket::bind(b).expect("free"), UdpSocket::bind(free()).expect("free"));
+    let (member, stranger) = (own_socket(), own_socket());
+    let b = member.local_addr().expect("an address");
+    let own = site("a", operator, &[("a", a), ("b", b)], &peer);
     let balancer = Balancer::serving(&own);
     balancer.says(&["part: 1 of 2"]);
     let message = |fleet: &str, from: &str, echo: u32| Message {
