--- a/crates/distribution/examples/tenants.rs
+++ b/crates/distribution/examples/tenants.rs
@@ -66,7 +66,7 @@
     let name = SubscriberName::try_from("balancer").expect("a name");
     let wanted = (0..scope).map(service).collect();
     let options = SubscriberOptions::new(name, 1, wanted, 1);
-    Subscriber::new(SubscriberOptions { restored: Some(state), ..options })
+    Subscriber::new(SubscriberOptions { saved_state: Some(state), ..options })
 }
 
 fn main() {
--- a/crates/distribution/src/codec.rs
+++ b/crates/distribution/src/codec.rs
@@ -30,7 +30,7 @@
     Empty,
     /// A frame has another version of the protocol.
     #[error("protocol version {0}, expected {PROTOCOL_VERSION}")]
-    Version(u8),
+    UnsupportedVersion(u8),
     /// A frame does not decode to a message, or has bytes after the message.
     #[error("a frame that is no message")]
     Malformed,
@@ -110,7 +110,7 @@
     }
 
     /// The bytes that are buffered.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() - self.start
     }
 
@@ -135,7 +135,7 @@
         // The version is checked before the frame is complete: a frame of another protocol may never be.
         match rest.first() {
             Some(&PROTOCOL_VERSION) => {}
-            Some(version) => return Err(CodecError::Version(*version)),
+            Some(version) => return Err(CodecError::UnsupportedVersion(*version)),
             None => return Ok(None),
         }
         let Some(frame) = rest.get(..length) else {
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -51,7 +51,7 @@
 //! subscriber.start(Time(0), &mut outputs);
 //! let due = subscriber.due().expect("a first connection");
 //! subscriber.tick(due, &mut outputs);
-//! assert_eq!(outputs, [SubscriberOutput::Connect { control: 0 }]);
+//! assert_eq!(outputs, [SubscriberOutput::Connect { control_machine: 0 }]);
 //!
 //! // The caller connects, and carries the messages to the other side.
 //! publisher.connected(due, SessionId(1));
--- a/crates/distribution/src/name.rs
+++ b/crates/distribution/src/name.rs
@@ -26,7 +26,7 @@
     TooLong(usize),
     /// The text has a character other than `a-z`, `0-9`, `.`, `_` and `-`.
     #[error("a name is made of a-z, 0-9, '.', '_' and '-', not {0:?}")]
-    Character(char),
+    InvalidCharacter(char),
 }
 
 fn check_name(text: &str) -> Result<(), NameError> {
@@ -39,7 +39,7 @@
     let allowed =
         |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, '.' | '_' | '-');
     match text.chars().find(|c| !allowed(*c)) {
-        Some(c) => Err(NameError::Character(c)),
+        Some(c) => Err(NameError::InvalidCharacter(c)),
         None => Ok(()),
     }
 }
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -103,7 +103,7 @@
         error: CodecError,
         out: &mut Vec<PublisherOutput>,
     ) {
-        if let CodecError::Version(_) = error {
+        if let CodecError::UnsupportedVersion(_) = error {
             let refusal = Refusal::Version { expected: PROTOCOL_VERSION };
             self.reply(now, session, &PublisherMessage::Refused(refusal), out);
         }
--- a/crates/distribution/src/subscriber/disconnect_reason.rs
+++ b/crates/distribution/src/subscriber/disconnect_reason.rs
@@ -30,5 +30,5 @@
     Violation(#[from] PublisherViolation),
     /// A transaction exceeds [`crate::SubscriberOptions::max_transaction_bytes`].
     #[error("a transaction is too large")]
-    TooLarge,
+    TransactionTooLarge,
 }
--- a/crates/distribution/src/subscriber/event.rs
+++ b/crates/distribution/src/subscriber/event.rs
@@ -11,14 +11,14 @@
     /// A session has begun.
     Connected {
         /// The control machine.
-        control: usize,
+        control_machine: usize,
         /// Its position.
         position: Position,
     },
     /// A connection has ended.
     Disconnected {
         /// The control machine.
-        control: usize,
+        control_machine: usize,
         /// Why it has ended.
         reason: DisconnectReason,
     },
@@ -33,7 +33,7 @@
     /// Two control machines have read different changes under one number.
     Diverged {
         /// The control machine that is not followed.
-        control: usize,
+        control_machine: usize,
         /// The furthest position that was seen.
         seen: Position,
         /// The position of the control machine.
--- a/crates/distribution/src/subscriber/link.rs
+++ b/crates/distribution/src/subscriber/link.rs
@@ -13,21 +13,27 @@
     /// Waiting before the next connection.
     Waiting { until: Time },
     /// The caller is connecting.
-    Connecting { control: usize, since: Time },
+    Connecting { control_machine: usize, since: Time },
     /// Connected, not welcomed yet.
-    Greeting { control: usize, since: Time, hello_sent: bool },
+    Greeting { control_machine: usize, since: Time, hello_sent: bool },
     /// In a session.
-    Open { control: usize, last_heard: Time, next_ping: Time, sequence: u32, is_current: bool },
+    Open {
+        control_machine: usize,
+        last_heard: Time,
+        next_ping: Time,
+        sequence: u32,
+        is_current: bool,
+    },
 }
 
 impl Link {
     /// The control machine of the connection, if there is one.
-    pub(super) fn control(&self) -> Option<usize> {
+    pub(super) fn control_machine(&self) -> Option<usize> {
         match *self {
             Link::Idle | Link::Waiting { .. } => None,
-            Link::Connecting { control, .. }
-            | Link::Greeting { control, .. }
-            | Link::Open { control, .. } => Some(control),
+            Link::Connecting { control_machine, .. }
+            | Link::Greeting { control_machine, .. }
+            | Link::Open { control_machine, .. } => Some(control_machine),
         }
     }
 
@@ -89,10 +95,16 @@
         match *self {
             Link::Idle => ConnectionState::Idle,
             Link::Waiting { until } => ConnectionState::Waiting { until },
-            Link::Connecting { control, .. } => ConnectionState::Connecting { control },
-            Link::Greeting { control, .. } => ConnectionState::Greeting { control },
-            Link::Open { control, is_current: false, .. } => ConnectionState::Syncing { control },
-            Link::Open { control, is_current: true, .. } => ConnectionState::Current { control },
+            Link::Connecting { control_machine, .. } => {
+                ConnectionState::Connecting { control_machine }
+            }
+            Link::Greeting { control_machine, .. } => ConnectionState::Greeting { control_machine },
+            Link::Open { control_machine, is_current: false, .. } => {
+                ConnectionState::Syncing { control_machine }
+            }
+            Link::Open { control_machine, is_current: true, .. } => {
+                ConnectionState::Current { control_machine }
+            }
         }
     }
 }
--- a/crates/distribution/src/subscriber/machine_selector.rs
+++ b/crates/distribution/src/subscriber/machine_selector.rs
@@ -66,8 +66,8 @@
     }
 
     /// Avoids a control machine for a while.
-    pub(super) fn avoid(&mut self, control: usize, now: Time) {
-        if let Some(until) = self.avoided_until.get_mut(control) {
+    pub(super) fn avoid(&mut self, control_machine: usize, now: Time) {
+        if let Some(until) = self.avoided_until.get_mut(control_machine) {
             *until = Some(now.plus(AVOID));
         }
     }
@@ -75,10 +75,12 @@
     /// A machine that is neither avoided nor the last one; if there is none, any but the last one.
     pub(super) fn pick(&mut self, now: Time) -> Option<usize> {
         let machines = self.avoided_until.len();
-        let is_other = |control: &usize| self.last != Some(*control) || machines == 1;
+        let is_other =
+            |control_machine: &usize| self.last != Some(*control_machine) || machines == 1;
         let others: Vec<usize> = (0..machines).filter(is_other).collect();
-        let is_usable =
-            |control: &usize| self.avoided_until[*control].is_none_or(|until| until <= now);
+        let is_usable = |control_machine: &usize| {
+            self.avoided_until[*control_machine].is_none_or(|until| until <= now)
+        };
         let mut candidates: Vec<usize> = others.iter().copied().filter(is_usable).collect();
         if candidates.is_empty() {
             candidates = others;
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -72,14 +72,14 @@
     /// A subscriber with its saved state, if any. It connects to nothing before [`Self::start`].
     pub fn new(options: SubscriberOptions) -> Self {
         let mut applied = AppliedState::new(options.scope);
-        let saved = options.restored.unwrap_or_default();
+        let saved = options.saved_state.unwrap_or_default();
         let position = saved.position;
         let damaged = applied.restore(saved.services);
         Subscriber {
             name: options.name,
             timing: options.timing,
             max_transaction_bytes: options.max_transaction_bytes,
-            selector: MachineSelector::new(options.control_machines, options.seed),
+            selector: MachineSelector::new(options.control_machine_count, options.seed),
             link: Link::Idle,
             applied,
             position,
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Starts: the first connection is made after a random delay within [`SubscriberTiming::first_delay`].
+    /// Starts: the first connection is made after a random delay within [`SubscriberTiming::first_delay_max`].
     pub fn start(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         for service in std::mem::take(&mut self.damaged) {
             out.push(SubscriberOutput::Event(SubscriberEvent::SavedStateDamaged { service }));
         }
-        let until = now.plus(self.selector.random_delay(self.timing.first_delay));
+        let until = now.plus(self.selector.random_delay(self.timing.first_delay_max));
         self.link = Link::Waiting { until };
         self.next_scrub = Some(now.plus(self.timing.scrub_interval));
     }
 
     /// The connection that [`SubscriberOutput::Connect`] asked for has been made.
     pub fn connected(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
-        if let Link::Connecting { control, .. } = self.link {
-            self.link = Link::Greeting { control, since: now, hello_sent: false };
+        if let Link::Connecting { control_machine, .. } = self.link {
+            self.link = Link::Greeting { control_machine, since: now, hello_sent: false };
             self.send_hello_if_ready(out);
         }
     }
@@ -120,7 +120,7 @@
         reason: DisconnectReason,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        if self.link.control().is_some() {
+        if self.link.control_machine().is_some() {
             self.connection_ended(now, reason, out);
         }
     }
@@ -132,19 +132,19 @@
         message: PublisherMessage,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        let Some(control) = self.link.control() else {
+        let Some(control_machine) = self.link.control_machine() else {
             return;
         };
         self.last_contact = Some(now);
         self.link.heard(now);
-        if let Err(reason) = self.handle(now, control, message, out) {
+        if let Err(reason) = self.handle(now, control_machine, message, out) {
             self.close(now, reason, out);
         }
     }
 
     /// A malformed frame has come: the connection is closed and counted.
     pub fn malformed(&mut self, now: Time, error: CodecError, out: &mut Vec<SubscriberOutput>) {
-        if self.link.control().is_some() {
+        if self.link.control_machine().is_some() {
             self.close(now, PublisherViolation::Malformed(error).into(), out);
         }
     }
@@ -198,7 +198,7 @@
         SubscriberStatus {
             connection: self.link.state(),
             position: self.position,
-            current: self.bookmark,
+            bookmark: self.bookmark,
             last_contact_age: self.last_contact.map(|at| now.since(at)),
             services: self.applied.service_count(),
             services_applied: self.applied.versions().filter(|applied| applied.version > 0).count(),
@@ -240,13 +240,17 @@
     fn handle(
         &mut self,
         now: Time,
-        control: usize,
+        control_machine: usize,
         message: PublisherMessage,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         match message {
-            PublisherMessage::Welcome { position } => self.welcomed(now, control, position, out),
-            PublisherMessage::Refused(refusal) => Err(self.refused(now, control, refusal, out)),
+            PublisherMessage::Welcome { position } => {
+                self.welcomed(now, control_machine, position, out)
+            }
+            PublisherMessage::Refused(refusal) => {
+                Err(self.refused(now, control_machine, refusal, out))
+            }
             PublisherMessage::Begin { transaction, generation, services } => {
                 self.begin_transaction(transaction, generation, services)
             }
@@ -254,11 +258,11 @@
                 self.add_changes(transaction, changes)
             }
             PublisherMessage::Commit { transaction, position, services } => {
-                self.advance_position(now, control, position, out)?;
+                self.advance_position(now, control_machine, position, out)?;
                 self.commit_transaction(transaction, position, services, out)
             }
             PublisherMessage::Current { position, generation, digest } => {
-                self.advance_position(now, control, position, out)?;
+                self.advance_position(now, control_machine, position, out)?;
                 self.check_bookmark(position, generation, digest, out)
             }
             PublisherMessage::Pong { .. } => Ok(()),
--- a/crates/distribution/src/subscriber/options.rs
+++ b/crates/distribution/src/subscriber/options.rs
@@ -11,13 +11,13 @@
     /// The subscriber's name.
     pub name: SubscriberName,
     /// The number of control machines, which are numbered from 0.
-    pub control_machines: usize,
+    pub control_machine_count: usize,
     /// The services that it subscribes to.
     pub scope: Vec<ServiceName>,
     /// The seed of its random choices: of control machines and of delays. It must differ between balancers.
     pub seed: u64,
     /// The state that was saved before, if any. A service that is not in scope or whose digest is wrong is dropped.
-    pub restored: Option<SavedState>,
+    pub saved_state: Option<SavedState>,
     /// Delays, intervals and timeouts.
     pub timing: SubscriberTiming,
     /// The most bytes of one transaction that are buffered, by estimate. Default 5 MiB, above the publisher's 4 MiB.
@@ -28,16 +28,16 @@
     /// The defaults, with no saved state.
     pub fn new(
         name: SubscriberName,
-        control_machines: usize,
+        control_machine_count: usize,
         scope: Vec<ServiceName>,
         seed: u64,
     ) -> Self {
         SubscriberOptions {
             name,
-            control_machines,
+            control_machine_count,
             scope,
             seed,
-            restored: None,
+            saved_state: None,
             timing: SubscriberTiming::default(),
             max_transaction_bytes: 5 << 20,
         }
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubscriberTiming {
     /// The limit of the random delay before the first connection. Default 0.2 s.
-    pub first_delay: Span,
+    pub first_delay_max: Span,
     /// The limit of the random delay before a reconnection, after a first failure. Default 1 s.
     pub backoff_base: Span,
     /// The limit doubles with each consecutive failure up to this. Default 4 s: with a resume that stays below the 6 s
@@ -65,7 +65,7 @@
 impl Default for SubscriberTiming {
     fn default() -> Self {
         SubscriberTiming {
-            first_delay: Span(200_000),
+            first_delay_max: Span(200_000),
             backoff_base: Span(1_000_000),
             backoff_max: Span(4_000_000),
             ping_interval: Span(1_000_000),
--- a/crates/distribution/src/subscriber/output.rs
+++ b/crates/distribution/src/subscriber/output.rs
@@ -41,7 +41,7 @@
     /// [`crate::Subscriber::disconnected`].
     Connect {
         /// The number of the control machine.
-        control: usize,
+        control_machine: usize,
     },
     /// Send a message on the connection.
     Send(SubscriberMessage),
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -177,7 +177,7 @@
         if incoming > self.max_transaction_bytes
             || self.buffered_bytes() > 2 * self.max_transaction_bytes
         {
-            return Err(DisconnectReason::TooLarge);
+            return Err(DisconnectReason::TransactionTooLarge);
         }
         Ok(())
     }
--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -91,19 +91,24 @@
     pub(super) fn welcomed(
         &mut self,
         now: Time,
-        control: usize,
+        control_machine: usize,
         position: Position,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         let Link::Greeting { hello_sent: true, .. } = self.link else {
             return Err(PublisherViolation::UnexpectedWelcome.into());
         };
-        self.advance_position(now, control, position, out)?;
+        self.advance_position(now, control_machine, position, out)?;
         self.counters.sessions += 1;
         let next_ping = now.plus(self.selector.random_delay(self.timing.ping_interval));
-        self.link =
-            Link::Open { control, last_heard: now, next_ping, sequence: 0, is_current: false };
-        out.push(SubscriberOutput::Event(SubscriberEvent::Connected { control, position }));
+        self.link = Link::Open {
+            control_machine,
+            last_heard: now,
+            next_ping,
+            sequence: 0,
+            is_current: false,
+        };
+        out.push(SubscriberOutput::Event(SubscriberEvent::Connected { control_machine, position }));
         Ok(())
     }
 
@@ -111,15 +116,15 @@
     pub(super) fn advance_position(
         &mut self,
         now: Time,
-        control: usize,
+        control_machine: usize,
         position: Position,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         if position.is_before(self.position) {
-            return Err(self.machine_is_behind(now, control, position));
+            return Err(self.machine_is_behind(now, control_machine, position));
         }
         if position.diverges_from(self.position) {
-            return Err(self.machine_has_diverged(now, control, position, out));
+            return Err(self.machine_has_diverged(now, control_machine, position, out));
         }
         self.position = position;
         Ok(())
@@ -129,17 +134,17 @@
     pub(super) fn refused(
         &mut self,
         now: Time,
-        control: usize,
+        control_machine: usize,
         refusal: Refusal,
         out: &mut Vec<SubscriberOutput>,
     ) -> DisconnectReason {
         match refusal {
-            Refusal::Behind { position } => self.machine_is_behind(now, control, position),
+            Refusal::Behind { position } => self.machine_is_behind(now, control_machine, position),
             Refusal::Diverged { position } => {
-                self.machine_has_diverged(now, control, position, out)
+                self.machine_has_diverged(now, control_machine, position, out)
             }
             Refusal::Full | Refusal::ScopeTooLarge { .. } | Refusal::Version { .. } => {
-                self.selector.avoid(control, now);
+                self.selector.avoid(control_machine, now);
                 DisconnectReason::Refused(refusal)
             }
         }
@@ -167,8 +172,8 @@
         reason: DisconnectReason,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        if let Some(control) = self.link.control() {
-            let event = SubscriberEvent::Disconnected { control, reason };
+        if let Some(control_machine) = self.link.control_machine() {
+            let event = SubscriberEvent::Disconnected { control_machine, reason };
             out.push(SubscriberOutput::Event(event));
         }
         self.incoming = None;
@@ -179,13 +184,13 @@
     }
 
     fn connect(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
-        let Some(control) = self.selector.pick(now) else {
+        let Some(control_machine) = self.selector.pick(now) else {
             self.link = Link::Idle;
             return;
         };
         self.counters.connects += 1;
-        self.link = Link::Connecting { control, since: now };
-        out.push(SubscriberOutput::Connect { control });
+        self.link = Link::Connecting { control_machine, since: now };
+        out.push(SubscriberOutput::Connect { control_machine });
     }
 
     /// The versions of services that a scope message reports: those applied, and those rejected.
@@ -206,10 +211,10 @@
     fn machine_is_behind(
         &mut self,
         now: Time,
-        control: usize,
+        control_machine: usize,
         position: Position,
     ) -> DisconnectReason {
-        self.selector.avoid(control, now);
+        self.selector.avoid(control_machine, now);
         self.counters.behind += 1;
         DisconnectReason::Behind(position)
     }
@@ -217,13 +222,13 @@
     fn machine_has_diverged(
         &mut self,
         now: Time,
-        control: usize,
+        control_machine: usize,
         other: Position,
         out: &mut Vec<SubscriberOutput>,
     ) -> DisconnectReason {
-        self.selector.avoid(control, now);
+        self.selector.avoid(control_machine, now);
         self.counters.diverged += 1;
-        let event = SubscriberEvent::Diverged { control, seen: self.position, other };
+        let event = SubscriberEvent::Diverged { control_machine, seen: self.position, other };
         out.push(SubscriberOutput::Event(event));
         DisconnectReason::Diverged(other)
     }
--- a/crates/distribution/src/subscriber/status.rs
+++ b/crates/distribution/src/subscriber/status.rs
@@ -19,22 +19,22 @@
     /// The caller is connecting.
     Connecting {
         /// The control machine.
-        control: usize,
+        control_machine: usize,
     },
     /// Connected, and the control machine has not welcomed the subscriber yet.
     Greeting {
         /// The control machine.
-        control: usize,
+        control_machine: usize,
     },
     /// In a session without a bookmark that matches the applied state.
     Syncing {
         /// The control machine.
-        control: usize,
+        control_machine: usize,
     },
     /// In a session, and a bookmark has matched the applied state.
     Current {
         /// The control machine.
-        control: usize,
+        control_machine: usize,
     },
 }
 
@@ -46,7 +46,7 @@
     /// The furthest position that any control machine has shown.
     pub position: Position,
     /// The position of the last bookmark that matched: every change of the scope up to it has been applied or rejected.
-    pub current: Position,
+    pub bookmark: Position,
     /// The time since the last message of a control machine; none if there was none.
     pub last_contact_age: Option<Span>,
     /// Services in the scope.
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -138,7 +138,10 @@
         if first != Ok(None) {
             assert_eq!(reader.next_message::<SubscriberMessage>(), first);
         }
-        assert_eq!(reader.buffered(), if first.is_err() { 0 } else { reader.buffered() });
+        assert_eq!(
+            reader.buffered_bytes(),
+            if first.is_err() { 0 } else { reader.buffered_bytes() }
+        );
         first
     };
     assert_eq!(end(&[0, 0, 0, 0]), Err(CodecError::Empty));
@@ -149,7 +152,7 @@
         let version = end(&[0, 0, 0, 9, other]);
         assert_eq!(
             version,
-            Err(CodecError::Version(other)),
+            Err(CodecError::UnsupportedVersion(other)),
             "it is reported before the frame is complete"
         );
     }
@@ -182,7 +185,7 @@
     let frame = encode(&SubscriberMessage::Ping { sequence: 1 });
     for _ in 0..MAX_BUFFERED_BYTES {
         reader.push(&frame);
-        assert!(reader.buffered() <= MAX_BUFFERED_BYTES);
+        assert!(reader.buffered_bytes() <= MAX_BUFFERED_BYTES);
     }
     assert_eq!(reader.next_message::<SubscriberMessage>(), Err(CodecError::Overflow));
 }
@@ -234,6 +237,6 @@
             }
         }
         prop_assert_eq!(read, messages);
-        prop_assert_eq!(reader.buffered(), 0);
+        prop_assert_eq!(reader.buffered_bytes(), 0);
     }
 }
--- a/crates/distribution/tests/frames/main.rs
+++ b/crates/distribution/tests/frames/main.rs
@@ -27,7 +27,7 @@
         let mut reader = FrameReader::new();
         reader.push(&frame);
         assert_eq!(reader.next_message(), Ok(Some(message.clone())), "{name} is decoded");
-        assert_eq!(reader.buffered(), 0, "{name} is decoded to its end");
+        assert_eq!(reader.buffered_bytes(), 0, "{name} is decoded to its end");
         assert_eq!(encode(&message), frame, "{name} is encoded");
     }
     assert!(recorded.is_empty(), "recorded and not compared: {:?}", recorded.keys());
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -26,7 +26,7 @@
         balancer.applying.clear();
         let scope = balancer.scope.iter().cloned().collect();
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
-        options.restored = balancer.saved.clone();
+        options.saved_state = balancer.saved.clone();
         options.max_transaction_bytes = 10_000;
         options.timing =
             SubscriberTiming { backoff_max: Span(3 * SECOND), ..SubscriberTiming::default() };
@@ -90,13 +90,13 @@
 
     pub(crate) fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
         match output {
-            SubscriberOutput::Connect { control } => {
+            SubscriberOutput::Connect { control_machine } => {
                 let id = self.next_connection;
                 self.next_connection += 1;
                 self.balancers[index].connection = Some(id);
                 let connection = Connection {
                     subscriber: index,
-                    control,
+                    control: control_machine,
                     accepted_by: None,
                     to_control: Default::default(),
                     to_subscriber: Default::default(),
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -28,7 +28,7 @@
     match error {
         CodecError::TooLong(_) => "too long",
         CodecError::Empty => "empty",
-        CodecError::Version(_) => "version",
+        CodecError::UnsupportedVersion(_) => "version",
         CodecError::Malformed => "no message",
         CodecError::Overflow => "overflow",
     }
@@ -47,7 +47,7 @@
         }
         DisconnectReason::Violation(PublisherViolation::Malformed(_)) => "garbage",
         DisconnectReason::Violation(violation) => return format!("subscriber: {violation}"),
-        DisconnectReason::TooLarge => "too large",
+        DisconnectReason::TransactionTooLarge => "too large",
     };
     format!("subscriber: {name}")
 }
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -260,7 +260,7 @@
             .map(|subscriber| subscriber.status(Time(self.now)));
         status.is_some_and(|status| {
             matches!(status.connection, ConnectionState::Current { .. })
-                && status.current.number == self.histories[self.head_log].number()
+                && status.bookmark.number == self.histories[self.head_log].number()
         })
     }
 
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -49,8 +49,8 @@
     fn next_connect(&mut self) -> usize {
         loop {
             for output in std::mem::take(&mut self.out) {
-                if let SubscriberOutput::Connect { control } = output {
-                    return control;
+                if let SubscriberOutput::Connect { control_machine } = output {
+                    return control_machine;
                 }
             }
             let Some(Time(due)) = self.subscriber.due() else {
@@ -304,7 +304,7 @@
         balancer.receive(PublisherMessage::Changes { transaction: 9, changes: vec![change] });
         assert!(balancer.subscriber.buffered_bytes() <= 2_200);
     }
-    assert_eq!(balancer.closed(), Some(DisconnectReason::TooLarge));
+    assert_eq!(balancer.closed(), Some(DisconnectReason::TransactionTooLarge));
 }
 
 #[test]
@@ -350,7 +350,7 @@
     let other = Position { chain: 1, ..at(5) };
     balancer.receive(PublisherMessage::Welcome { position: other });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
-    let named = SubscriberEvent::Diverged { control: diverged, seen: at(5), other };
+    let named = SubscriberEvent::Diverged { control_machine: diverged, seen: at(5), other };
     assert!(balancer.events().contains(&named));
     // A refusal by the control machine has the same effect.
     balancer.next_connect();
@@ -515,7 +515,10 @@
     let mut saved = balancer.subscriber.saved_state();
     assert_eq!(saved.position, at(4));
     let restored = |saved: &SavedState, scope: &[&str]| {
-        Balancer::new(SubscriberOptions { restored: Some(saved.clone()), ..options(1, scope, 2) })
+        Balancer::new(SubscriberOptions {
+            saved_state: Some(saved.clone()),
+            ..options(1, scope, 2)
+        })
     };
     let again = restored(&saved, &["points", "partners"]);
     assert!(again.subscriber.service_versions().eq(balancer.subscriber.service_versions()));
--- a/crates/distribution/tests/version.rs
+++ b/crates/distribution/tests/version.rs
@@ -11,7 +11,8 @@
     let store = Store::new(StoreLimits::default());
     let mut publisher = Publisher::new(store, PublisherOptions::default());
     for (number, other) in [(1, 1), (2, PROTOCOL_VERSION + 1)] {
-        let (session, error, mut out) = (SessionId(number), CodecError::Version(other), Vec::new());
+        let (session, error, mut out) =
+            (SessionId(number), CodecError::UnsupportedVersion(other), Vec::new());
         publisher.connected(Time(0), session);
         publisher.malformed(Time(0), session, error, &mut out);
         let [PublisherOutput::Send { frame, .. }, closed] = &out[..] else {
--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -81,8 +81,8 @@
             "machine": status.machine.map(|machine| machine.to_string()),
             "connection": connection_word(&subscriber.connection),
             "seen": subscriber.position.to_string(),
-            "in_force": subscriber.current.to_string(),
-            "number": subscriber.current.number,
+            "in_force": subscriber.bookmark.to_string(),
+            "number": subscriber.bookmark.number,
             "age_ms": subscriber.last_contact_age.map(|age| age.0 / 1000),
             "from": status.origin.map(|origin| match origin {
                 StateOrigin::File => "file",
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -71,7 +71,7 @@
         let seed = u64::from(std::process::id());
         let mut options = SubscriberOptions::new(name, machines.len(), scope, seed);
         options.timing = SubscriberTiming {
-            first_delay: Span(1_000),
+            first_delay_max: Span(1_000),
             backoff_base: Span(20_000),
             backoff_max: Span(100_000),
             ..SubscriberTiming::default()
@@ -157,7 +157,9 @@
 
     fn apply_output(&mut self, output: SubscriberOutput) {
         match output {
-            SubscriberOutput::Connect { control } => self.connect(self.machines[control]),
+            SubscriberOutput::Connect { control_machine } => {
+                self.connect(self.machines[control_machine])
+            }
             SubscriberOutput::Send(message) => {
                 // A broken connection is found by the next read.
                 if let Some(stream) = &mut self.stream {
@@ -238,16 +240,16 @@
 
 fn print_event(event: &SubscriberEvent) {
     let line = match event {
-        SubscriberEvent::Connected { control, position } => {
-            format!("connected {control} {position}")
+        SubscriberEvent::Connected { control_machine, position } => {
+            format!("connected {control_machine} {position}")
         }
-        SubscriberEvent::Disconnected { control, reason } => {
-            format!("disconnected {control} {reason}")
+        SubscriberEvent::Disconnected { control_machine, reason } => {
+            format!("disconnected {control_machine} {reason}")
         }
         // Every bookmark has this event; the messages are printed instead.
         SubscriberEvent::Current { .. } => return,
-        SubscriberEvent::Diverged { control, seen, other } => {
-            format!("diverged {control} {seen} {other}")
+        SubscriberEvent::Diverged { control_machine, seen, other } => {
+            format!("diverged {control_machine} {seen} {other}")
         }
         other => format!("{other:?}"),
     };
--- a/crates/scale-test/src/subscribers.rs
+++ b/crates/scale-test/src/subscribers.rs
@@ -186,7 +186,7 @@
             let counters = status.counters;
             let is_current = matches!(status.connection, ConnectionState::Current { .. });
             report.current += usize::from(is_current);
-            report.lowest = report.lowest.min(status.current.number);
+            report.lowest = report.lowest.min(status.bookmark.number);
             report.received_bytes += traffic.received_bytes;
             report.sent_bytes += traffic.sent_bytes;
             report.connects += counters.connects;
--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -9,24 +9,25 @@
 
 /// The line of an event; `machines` are the control machines by their number.
 pub(crate) fn describe(event: &SubscriberEvent, machines: &[SocketAddr]) -> String {
-    let machine = |control: &usize| match machines.get(*control) {
+    let machine = |control_machine: &usize| match machines.get(*control_machine) {
         Some(address) => address.to_string(),
-        None => format!("number {control}"),
+        None => format!("number {control_machine}"),
     };
     match event {
-        SubscriberEvent::Connected { control, position } => {
-            format!("connected to {}, which is at {position}", machine(control))
+        SubscriberEvent::Connected { control_machine, position } => {
+            format!("connected to {}, which is at {position}", machine(control_machine))
         }
-        SubscriberEvent::Disconnected { control, reason } => {
-            format!("no connection to {}: {reason}", machine(control))
+        SubscriberEvent::Disconnected { control_machine, reason } => {
+            format!("no connection to {}: {reason}", machine(control_machine))
         }
         SubscriberEvent::Unreachable => {
-            "no control machine can be reached; serving on with what is in force".to_string()
+            "no control_machine machine can be reached; serving on with what is in force"
+                .to_string()
         }
         SubscriberEvent::Current { position } => format!("all is in force up to {position}"),
-        SubscriberEvent::Diverged { control, seen, other } => format!(
+        SubscriberEvent::Diverged { control_machine, seen, other } => format!(
             "{} has read other changes: it is at {other}, and {seen} has been seen; it is not followed",
-            machine(control)
+            machine(control_machine)
         ),
         SubscriberEvent::Rejected { services, rejections } => format!(
             "rejected, nothing of it in force: {}: {}",
--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -129,10 +129,10 @@
         let subscriber = self.subscriber.borrow().status(self.now());
         let control = match subscriber.connection {
             ConnectionState::Idle | ConnectionState::Waiting { .. } => None,
-            ConnectionState::Connecting { control }
-            | ConnectionState::Greeting { control }
-            | ConnectionState::Syncing { control }
-            | ConnectionState::Current { control } => Some(control),
+            ConnectionState::Connecting { control_machine }
+            | ConnectionState::Greeting { control_machine }
+            | ConnectionState::Syncing { control_machine }
+            | ConnectionState::Current { control_machine } => Some(control_machine),
         };
         SubscriptionStatus {
             machine: control.and_then(|control| self.machines.get(control).copied()),
--- a/crates/subscription/src/subscription.rs
+++ b/crates/subscription/src/subscription.rs
@@ -22,10 +22,10 @@
 impl Subscription {
     /// Puts the last good state in force, if there is one, and starts to subscribe; it must be called on a `LocalSet`.
     pub fn start(options: SubscriptionOptions, applier: Rc<dyn Applier>) -> Rc<Self> {
-        let restored = restore(&options, &*applier);
-        let origin = restored.as_ref().map(|_| StateOrigin::File);
+        let saved_state = restore(&options, &*applier);
+        let origin = saved_state.as_ref().map(|_| StateOrigin::File);
         let subscriber = Subscriber::new(SubscriberOptions {
-            restored,
+            saved_state,
             timing: options.timing,
             ..SubscriberOptions::new(
                 options.name.clone(),
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -110,8 +110,8 @@
         let mut queue = VecDeque::from(outputs);
         while let Some(output) = queue.pop_front() {
             match output {
-                SubscriberOutput::Connect { control } => {
-                    if let Some(machine) = self.shared.machines.get(control) {
+                SubscriberOutput::Connect { control_machine } => {
+                    if let Some(machine) = self.shared.machines.get(control_machine) {
                         self.link = Link::connect(*machine);
                     }
                 }
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -77,7 +77,7 @@
 /// Reconnects at once, and closes a silent connection after 2 s.
 fn timing() -> SubscriberTiming {
     SubscriberTiming {
-        first_delay: Span(0),
+        first_delay_max: Span(0),
         backoff_base: Span(1000),
         backoff_max: Span(1000),
         silence_timeout: Span(2_000_000),
--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -157,7 +157,7 @@
         balancer.applying.clear();
         let scope = balancer.scope.iter().cloned().collect();
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
-        options.restored = Some(balancer.saved.clone());
+        options.saved_state = Some(balancer.saved.clone());
         options.max_transaction_bytes = 9_000;
         options.timing =
             SubscriberTiming { backoff_max: Span(2 * SECOND), ..SubscriberTiming::default() };
@@ -185,11 +185,11 @@
 
     fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
         match output {
-            SubscriberOutput::Connect { control } => {
+            SubscriberOutput::Connect { control_machine } => {
                 let id = self.next_link;
                 self.next_link += 1;
                 let delay = self.below(80) as i64 * MILLISECOND;
-                self.links.insert(id, Link::new(index, control, self.now + delay));
+                self.links.insert(id, Link::new(index, control_machine, self.now + delay));
                 self.balancers[index].link = Some(id);
             }
             SubscriberOutput::Send(message) => {
--- a/crates/testkit/examples/trace_digest/distribution/record.rs
+++ b/crates/testkit/examples/trace_digest/distribution/record.rs
@@ -27,9 +27,9 @@
 
 pub(super) fn subscriber_output(trace: &mut Trace, output: &SubscriberOutput) {
     match output {
-        SubscriberOutput::Connect { control } => {
+        SubscriberOutput::Connect { control_machine } => {
             trace.integer(3);
-            trace.integer(*control as i64);
+            trace.integer(*control_machine as i64);
         }
         SubscriberOutput::Send(message) => {
             trace.integer(4);
@@ -109,7 +109,7 @@
     let status = subscriber.status(now);
     connection(trace, &status.connection);
     position(trace, status.position);
-    position(trace, status.current);
+    position(trace, status.bookmark);
     trace.integer(status.last_contact_age.map_or(-1, |age| age.0));
     for count in [
         status.services,
@@ -169,14 +169,14 @@
 
 fn event(trace: &mut Trace, event: &SubscriberEvent) {
     match event {
-        SubscriberEvent::Connected { control, position: at } => {
+        SubscriberEvent::Connected { control_machine, position: at } => {
             trace.integer(1);
-            trace.integer(*control as i64);
+            trace.integer(*control_machine as i64);
             position(trace, *at);
         }
-        SubscriberEvent::Disconnected { control, reason } => {
+        SubscriberEvent::Disconnected { control_machine, reason } => {
             trace.integer(2);
-            trace.integer(*control as i64);
+            trace.integer(*control_machine as i64);
             disconnect_reason(trace, reason);
         }
         SubscriberEvent::Unreachable => trace.integer(3),
@@ -184,9 +184,9 @@
             trace.integer(4);
             position(trace, *at);
         }
-        SubscriberEvent::Diverged { control, seen, other } => {
+        SubscriberEvent::Diverged { control_machine, seen, other } => {
             trace.integer(5);
-            trace.integer(*control as i64);
+            trace.integer(*control_machine as i64);
             position(trace, *seen);
             position(trace, *other);
         }
@@ -244,7 +244,7 @@
     match error {
         CodecError::TooLong(_) => 1,
         CodecError::Empty => 2,
-        CodecError::Version(_) => 3,
+        CodecError::UnsupportedVersion(_) => 3,
         CodecError::Malformed => 4,
         CodecError::Overflow => 5,
     }
@@ -269,7 +269,7 @@
             position(trace, *at);
         }
         DisconnectReason::Violation(_) => trace.integer(7),
-        DisconnectReason::TooLarge => trace.integer(8),
+        DisconnectReason::TransactionTooLarge => trace.integer(8),
     }
 }
 
@@ -277,10 +277,10 @@
     let (number, value) = match connection {
         ConnectionState::Idle => (1, 0),
         ConnectionState::Waiting { until } => (2, until.0),
-        ConnectionState::Connecting { control } => (3, *control as i64),
-        ConnectionState::Greeting { control } => (4, *control as i64),
-        ConnectionState::Syncing { control } => (5, *control as i64),
-        ConnectionState::Current { control } => (6, *control as i64),
+        ConnectionState::Connecting { control_machine } => (3, *control_machine as i64),
+        ConnectionState::Greeting { control_machine } => (4, *control_machine as i64),
+        ConnectionState::Syncing { control_machine } => (5, *control_machine as i64),
+        ConnectionState::Current { control_machine } => (6, *control_machine as i64),
     };
     trace.integer(number);
     trace.integer(value);
