--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -15,17 +15,17 @@
 use sableloom_types::Time;
 use serde_json::{Value, json};
 
-const SERVERS: usize = 48;
-const ROUTES: usize = 84;
-const SERVER_BYTES: usize = 40;
-const ROUTE_BYTES: usize = 90;
-const POOL_BYTES: usize = 120;
+const SERVERS_PER_SERVICE: usize = 48;
+const ROUTES_PER_SERVICE: usize = 84;
+const SERVER_BODY_BYTES: usize = 40;
+const ROUTE_BODY_BYTES: usize = 90;
+const POOL_BODY_BYTES: usize = 120;
 /// Services in the scope of a balancer.
-const SCOPE: usize = 50;
+const SERVICES_PER_SCOPE: usize = 50;
 /// Subscribers of one of 57 control machines, twice as many, and the whole fleet.
-const FAN_OUT: [usize; 3] = [133, 267, 7_600];
+const SUBSCRIBER_COUNTS: [usize; 3] = [133, 267, 7_600];
 
-fn processor_us() -> f64 {
+fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
@@ -41,7 +41,7 @@
 
 fn server(of: usize, index: usize, version: u64) -> Change {
     let name = ResourceName::server(service(of), &format!("server-{index}"));
-    Change::Set(resource(name, version, SERVER_BYTES))
+    Change::Set(resource(name, version, SERVER_BODY_BYTES))
 }
 
 fn entry(number: u64, changes: Vec<Change>) -> LogEntry {
@@ -50,19 +50,20 @@
 
 fn whole_service(of: usize, version: u64, servers: usize, routes: usize) -> Vec<Change> {
     let mut changes =
-        vec![Change::Set(resource(ResourceName::pool(service(of)), version, POOL_BYTES))];
+        vec![Change::Set(resource(ResourceName::pool(service(of)), version, POOL_BODY_BYTES))];
     changes.extend((0..servers).map(|index| server(of, index, version)));
     let route = |index| ResourceName::route(service(of), &format!("route-{index}"));
-    changes
-        .extend((0..routes).map(|index| Change::Set(resource(route(index), version, ROUTE_BYTES))));
+    changes.extend(
+        (0..routes).map(|index| Change::Set(resource(route(index), version, ROUTE_BODY_BYTES))),
+    );
     changes
 }
 
 fn store(services: usize) -> Store {
-    store_of(services, SERVERS, ROUTES)
+    store_with(services, SERVERS_PER_SERVICE, ROUTES_PER_SERVICE)
 }
 
-fn store_of(services: usize, servers: usize, routes: usize) -> Store {
+fn store_with(services: usize, servers: usize, routes: usize) -> Store {
     let mut store = Store::new(StoreLimits::default());
     for index in 0..services {
         let number = index as u64 + 1;
@@ -74,15 +75,15 @@
 }
 
 /// A subscriber with its connection.
-struct End {
+struct SubscriberEnd {
     subscriber: Subscriber,
     reader: FrameReader,
 }
 
 /// One control machine and its subscribers, connected without delay; time passes only where the publisher waits.
-struct Net {
+struct Network {
     publisher: Publisher,
-    ends: Vec<End>,
+    subscribers: Vec<SubscriberEnd>,
     now: i64,
     next_ping: i64,
     publisher_us: f64,
@@ -91,13 +92,13 @@
     bytes_up: u64,
 }
 
-impl Net {
-    fn new(store: Store, options: PublisherOptions) -> Net {
+impl Network {
+    fn new(store: Store, options: PublisherOptions) -> Network {
         let publisher = Publisher::new(store, options);
-        let (ends, now, next_ping) = (Vec::new(), 0, 1_000_000);
-        Net {
+        let (subscribers, now, next_ping) = (Vec::new(), 0, 1_000_000);
+        Network {
             publisher,
-            ends,
+            subscribers,
             now,
             next_ping,
             publisher_us: 0.0,
@@ -107,40 +108,40 @@
         }
     }
 
-    fn add(&mut self, scope: Vec<ServiceName>) {
-        let index = self.ends.len();
+    fn add_subscriber(&mut self, scope: Vec<ServiceName>) {
+        let index = self.subscribers.len();
         let name = SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a name");
         let subscriber = Subscriber::new(SubscriberOptions::new(name, 1, scope, index as u64));
-        self.ends.push(End { subscriber, reader: FrameReader::new() });
+        self.subscribers.push(SubscriberEnd { subscriber, reader: FrameReader::new() });
     }
 
     /// Starts or reconnects all subscribers at once, and runs until nothing is left to do.
     fn connect_all(&mut self, first_session: u64) {
         let mut queue = Vec::new();
-        for index in 0..self.ends.len() {
+        for index in 0..self.subscribers.len() {
             let session = SessionId(first_session + index as u64);
             self.publisher.connected(Time(self.now), session);
-            let end = &mut self.ends[index];
+            let subscriber_end = &mut self.subscribers[index];
             let mut out = Vec::new();
-            end.reader = FrameReader::new();
-            let started = processor_us();
-            end.subscriber.start(Time(self.now), &mut out);
-            end.subscriber.tick(Time(self.now + 1_000_000), &mut out);
-            end.subscriber.connected(Time(self.now + 1_000_000), &mut out);
-            self.subscriber_us += processor_us() - started;
-            self.deliver_up(session, out, &mut queue);
+            subscriber_end.reader = FrameReader::new();
+            let started = thread_cpu_us();
+            subscriber_end.subscriber.start(Time(self.now), &mut out);
+            subscriber_end.subscriber.tick(Time(self.now + 1_000_000), &mut out);
+            subscriber_end.subscriber.connected(Time(self.now + 1_000_000), &mut out);
+            self.subscriber_us += thread_cpu_us() - started;
+            self.deliver_to_publisher(session, out, &mut queue);
         }
         self.run(first_session, queue);
     }
 
-    fn change(&mut self, first_session: u64, changes: Vec<Change>) {
+    fn append_change(&mut self, first_session: u64, changes: Vec<Change>) {
         let number = self.publisher.store().position().number + 1;
         let mut queue = Vec::new();
-        let started = processor_us();
+        let started = thread_cpu_us();
         self.publisher
             .append(Time(self.now), entry(number, changes), &mut queue)
             .expect("a change");
-        self.publisher_us += processor_us() - started;
+        self.publisher_us += thread_cpu_us() - started;
         self.run(first_session, queue);
     }
 
@@ -152,7 +153,7 @@
                     let PublisherOutput::Send { session, frame } = output else {
                         panic!("{output:?}");
                     };
-                    self.deliver(first_session, session, &frame, &mut next);
+                    self.deliver_to_subscriber(first_session, session, &frame, &mut next);
                 }
                 queue = next;
             }
@@ -161,9 +162,9 @@
                 return;
             };
             self.now = self.now.max(due.0) + 1_000;
-            let started = processor_us();
+            let started = thread_cpu_us();
             self.publisher.tick(Time(self.now), &mut queue);
-            self.publisher_us += processor_us() - started;
+            self.publisher_us += thread_cpu_us() - started;
             if self.now >= self.next_ping {
                 self.next_ping = self.now + 1_000_000;
                 self.ping_all(first_session, &mut queue);
@@ -172,13 +173,13 @@
     }
 
     fn ping_all(&mut self, first_session: u64, queue: &mut Vec<PublisherOutput>) {
-        for index in 0..self.ends.len() {
+        for index in 0..self.subscribers.len() {
             let ping = SubscriberOutput::Send(SubscriberMessage::Ping { sequence: 1 });
-            self.deliver_up(SessionId(first_session + index as u64), vec![ping], queue);
+            self.deliver_to_publisher(SessionId(first_session + index as u64), vec![ping], queue);
         }
     }
 
-    fn deliver(
+    fn deliver_to_subscriber(
         &mut self,
         first_session: u64,
         session: SessionId,
@@ -186,25 +187,25 @@
         next: &mut Vec<PublisherOutput>,
     ) {
         self.bytes_down += frame.len() as u64;
-        let end = &mut self.ends[(session.0 - first_session) as usize];
+        let subscriber_end = &mut self.subscribers[(session.0 - first_session) as usize];
         let mut out = Vec::new();
-        let started = processor_us();
-        end.reader.push(frame);
-        while let Some(message) = end.reader.next_message().expect("a message") {
-            end.subscriber.message(Time(self.now), message, &mut out);
+        let started = thread_cpu_us();
+        subscriber_end.reader.push(frame);
+        while let Some(message) = subscriber_end.reader.next_message().expect("a message") {
+            subscriber_end.subscriber.message(Time(self.now), message, &mut out);
         }
         let applied: Vec<u64> = out.iter().filter_map(transaction_id).collect();
         for transaction_id in applied {
-            end.subscriber.apply_finished(transaction_id, Ok(()), &mut out);
+            subscriber_end.subscriber.apply_finished(transaction_id, Ok(()), &mut out);
         }
-        let ended = processor_us();
+        let ended = thread_cpu_us();
         self.subscriber_us += ended - started;
         self.publisher.written(Time(self.now), session, frame.len(), next);
-        self.publisher_us += processor_us() - ended;
-        self.deliver_up(session, out, next);
+        self.publisher_us += thread_cpu_us() - ended;
+        self.deliver_to_publisher(session, out, next);
     }
 
-    fn deliver_up(
+    fn deliver_to_publisher(
         &mut self,
         session: SessionId,
         out: Vec<SubscriberOutput>,
@@ -213,23 +214,27 @@
         for output in out {
             if let SubscriberOutput::Send(message) = output {
                 self.bytes_up += encode(&message).len() as u64;
-                let started = processor_us();
+                let started = thread_cpu_us();
                 self.publisher.message(Time(self.now), session, message, next);
-                self.publisher_us += processor_us() - started;
+                self.publisher_us += thread_cpu_us() - started;
             }
         }
     }
 
-    fn reset(&mut self) {
+    fn reset_measurements(&mut self) {
         (self.publisher_us, self.subscriber_us, self.bytes_down, self.bytes_up) = (0.0, 0.0, 0, 0);
     }
 
     fn lose_all(&mut self, first_session: u64) {
-        for index in 0..self.ends.len() {
+        for index in 0..self.subscribers.len() {
             let session = SessionId(first_session + index as u64);
             self.publisher.disconnected(Time(self.now), session, &mut Vec::new());
             let reason = sableloom_distribution::DisconnectReason::Lost("reset".into());
-            self.ends[index].subscriber.disconnected(Time(self.now), reason, &mut Vec::new());
+            self.subscribers[index].subscriber.disconnected(
+                Time(self.now),
+                reason,
+                &mut Vec::new(),
+            );
         }
     }
 }
@@ -242,7 +247,7 @@
 }
 
 /// Enough bandwidth that nothing waits for it.
-fn unlimited() -> PublisherOptions {
+fn unlimited_bandwidth() -> PublisherOptions {
     PublisherOptions {
         bytes_per_second: 1 << 40,
         burst_bytes: 1 << 40,
@@ -254,82 +259,83 @@
     (0..services).map(|index| service((from + index) % of)).collect()
 }
 
-fn print(line: Value) {
+fn print_line(line: Value) {
     println!("{line}");
 }
 
 /// One changed server: bytes and processor time by the number of subscribers of its service.
-fn change_by_subscribers() {
+fn change_cost_by_subscribers() {
     for subscribers in [1, 10, 133, 267, 1_000, 7_600] {
-        let mut net = Net::new(store(1), unlimited());
+        let mut network = Network::new(store(1), unlimited_bandwidth());
         for _ in 0..subscribers {
-            net.add(scope(0, 1, 1));
+            network.add_subscriber(scope(0, 1, 1));
         }
-        net.connect_all(1);
-        net.reset();
+        network.connect_all(1);
+        network.reset_measurements();
         let changes = (40_000 / subscribers).clamp(5, 400);
         for change in 0..changes {
-            let number = net.publisher.store().position().number + 1;
-            net.change(1, vec![server(0, change % SERVERS, number)]);
+            let number = network.publisher.store().position().number + 1;
+            network.append_change(1, vec![server(0, change % SERVERS_PER_SERVICE, number)]);
         }
         let per = |value: f64| value / changes as f64;
-        print(json!({
+        print_line(json!({
             "what": "one changed server by subscribers in scope", "subscribers": subscribers, "changes": changes,
-            "publisher_us_per_change": per(net.publisher_us),
-            "publisher_us_per_subscriber": per(net.publisher_us) / subscribers as f64,
-            "subscriber_us_per_change": per(net.subscriber_us) / subscribers as f64,
-            "bytes_down_per_subscriber": per(net.bytes_down as f64) / subscribers as f64,
-            "bytes_up_per_subscriber": per(net.bytes_up as f64) / subscribers as f64,
+            "publisher_us_per_change": per(network.publisher_us),
+            "publisher_us_per_subscriber": per(network.publisher_us) / subscribers as f64,
+            "subscriber_us_per_change": per(network.subscriber_us) / subscribers as f64,
+            "bytes_down_per_subscriber": per(network.bytes_down as f64) / subscribers as f64,
+            "bytes_up_per_subscriber": per(network.bytes_up as f64) / subscribers as f64,
         }));
     }
 }
 
 /// One changed server with ten subscribers, by the size of the store and of their scope.
-fn change_by_store() {
+fn change_cost_by_store_size() {
     for services in [25, 250, 2_500] {
-        let mut net = Net::new(store(services), unlimited());
+        let mut network = Network::new(store(services), unlimited_bandwidth());
         for _ in 0..10 {
-            net.add(scope(0, 25, services));
+            network.add_subscriber(scope(0, 25, services));
         }
-        net.connect_all(1);
-        net.reset();
+        network.connect_all(1);
+        network.reset_measurements();
         let changes = 2_000;
         for change in 0..changes {
-            let number = net.publisher.store().position().number + 1;
-            net.change(1, vec![server(change % 25, change % SERVERS, number)]);
+            let number = network.publisher.store().position().number + 1;
+            network
+                .append_change(1, vec![server(change % 25, change % SERVERS_PER_SERVICE, number)]);
         }
-        print(json!({
+        print_line(json!({
             "what": "one changed server by services in the store", "services": services,
-            "resources": net.publisher.store().resource_count(), "subscribers": 10,
-            "publisher_us_per_change": net.publisher_us / changes as f64,
-            "subscriber_us_per_change": net.subscriber_us / changes as f64 / 10.0,
-            "bytes_down_per_subscriber": net.bytes_down as f64 / changes as f64 / 10.0,
+            "resources": network.publisher.store().resource_count(), "subscribers": 10,
+            "publisher_us_per_change": network.publisher_us / changes as f64,
+            "subscriber_us_per_change": network.subscriber_us / changes as f64 / 10.0,
+            "bytes_down_per_subscriber": network.bytes_down as f64 / changes as f64 / 10.0,
         }));
     }
 }
 
 /// Memory of a store, a session and a subscriber; bytes and processor time of a snapshot.
-fn memory_and_snapshots() {
+fn memory_and_snapshot_cost() {
     for services in [25, 250, 2_500] {
-        let mut kept = None;
-        let memory = allocation_counter::measure(|| kept = Some(store(services)));
-        print(json!({
-            "what": "memory of a store", "services": services, "resources": kept.map(|store| store.resource_count()),
+        let mut created_store = None;
+        let memory = allocation_counter::measure(|| created_store = Some(store(services)));
+        print_line(json!({
+            "what": "memory of a store", "services": services, "resources": created_store.map(|store| store.resource_count()),
             "bytes": memory.bytes_current,
         }));
     }
     for services in [1, 10, 50, 250, 2_500] {
-        let mut net = Net::new(store(services), unlimited());
-        net.add(scope(0, services, services));
-        let both = allocation_counter::measure(|| net.connect_all(1));
+        let mut network = Network::new(store(services), unlimited_bandwidth());
+        network.add_subscriber(scope(0, services, services));
+        let both = allocation_counter::measure(|| network.connect_all(1));
         let (down, subscriber_us, publisher_us) =
-            (net.bytes_down, net.subscriber_us, net.publisher_us);
+            (network.bytes_down, network.subscriber_us, network.publisher_us);
         let mut session = 0;
         let freed = allocation_counter::measure(|| {
-            net.publisher.disconnected(Time(net.now), SessionId(1), &mut Vec::new());
+            network.publisher.disconnected(Time(network.now), SessionId(1), &mut Vec::new());
         });
         session -= freed.bytes_current;
-        print(json!({
+        print_line(json!({
             "what": "memory and snapshot by scope", "services": services,
             "session_bytes": session, "subscriber_bytes": both.bytes_current - session,
             "subscriber_bytes_peak": both.bytes_max, "snapshot_bytes_down": down,
@@ -339,52 +345,59 @@
 }
 
 /// All subscribers of a machine at once: without any state, with the latest state, and ten changes behind.
-fn resume() {
-    let all = 2_500;
-    for subscribers in FAN_OUT {
+fn simultaneous_resumes() {
+    let services = 2_500;
+    for subscribers in SUBSCRIBER_COUNTS {
         // The states of the whole fleet would not fit into this process: the services are small here, and the cost of
         // a resume follows their number.
-        let (servers, routes) = if subscribers > 1_000 { (4, 1) } else { (SERVERS, ROUTES) };
-        let mut net = Net::new(store_of(all, servers, routes), PublisherOptions::default());
+        let (servers, routes) =
+            if subscribers > 1_000 { (4, 1) } else { (SERVERS_PER_SERVICE, ROUTES_PER_SERVICE) };
+        let mut network =
+            Network::new(store_with(services, servers, routes), PublisherOptions::default());
         for index in 0..subscribers {
-            net.add(scope(index * SCOPE, SCOPE, all));
+            network.add_subscriber(scope(index * SERVICES_PER_SCOPE, SERVICES_PER_SCOPE, services));
         }
         let mut rows = BTreeMap::new();
-        net.connect_all(1);
-        rows.insert("from nothing", take(&mut net, 0));
-        net.lose_all(1);
-        let before = net.now;
-        net.connect_all(10_001);
-        rows.insert("with all", take(&mut net, before));
-        net.lose_all(10_001);
+        network.connect_all(1);
+        rows.insert("from nothing", take_measurements(&mut network, 0));
+        network.lose_all(1);
+        let before = network.now;
+        network.connect_all(10_001);
+        rows.insert("with all", take_measurements(&mut network, before));
+        network.lose_all(10_001);
         for change in 0..500 {
-            let number = net.publisher.store().position().number + 1;
-            net.change(10_001, vec![server(change * 5 % all, change % servers, number)]);
+            let number = network.publisher.store().position().number + 1;
+            network.append_change(
+                10_001,
+                vec![server(change * 5 % services, change % servers, number)],
+            );
         }
-        net.reset();
-        let before = net.now;
-        net.connect_all(20_001);
-        rows.insert("ten changes behind each", take(&mut net, before));
+        network.reset_measurements();
+        let before = network.now;
+        network.connect_all(20_001);
+        rows.insert("ten changes behind each", take_measurements(&mut network, before));
         for (how, row) in rows {
-            print(json!({ "what": "resume at once", "subscribers": subscribers, "scope": SCOPE,
-                "resources_a_service": 1 + servers + routes, "how": how, "all": row }));
+            print_line(
+                json!({ "what": "resume at once", "subscribers": subscribers, "scope": SERVICES_PER_SCOPE,
+                "resources_a_service": 1 + servers + routes, "how": how, "all": row }),
+            );
         }
     }
 }
 
-fn take(net: &mut Net, since: i64) -> Value {
+fn take_measurements(network: &mut Network, since: i64) -> Value {
     let row = json!({
-        "publisher_us": net.publisher_us, "subscriber_us_each": net.subscriber_us / net.ends.len() as f64,
-        "bytes_down": net.bytes_down, "bytes_up": net.bytes_up,
-        "model_seconds": (net.now - since) as f64 / 1e6,
+        "publisher_us": network.publisher_us, "subscriber_us_each": network.subscriber_us / network.subscribers.len() as f64,
+        "bytes_down": network.bytes_down, "bytes_up": network.bytes_up,
+        "model_seconds": (network.now - since) as f64 / 1e6,
     });
-    net.reset();
+    network.reset_measurements();
     row
 }
 
 fn main() {
-    change_by_subscribers();
-    change_by_store();
-    memory_and_snapshots();
-    resume();
+    change_cost_by_subscribers();
+    change_cost_by_store_size();
+    memory_and_snapshot_cost();
+    simultaneous_resumes();
 }
--- a/crates/distribution/examples/tenants.rs
+++ b/crates/distribution/examples/tenants.rs
@@ -14,9 +14,9 @@
 
 /// Services of the fleet, and tenants of each.
 const SERVICES: usize = 2_500;
-const TENANTS: usize = 324;
+const TENANTS_PER_SERVICE: usize = 324;
 /// Services in the scope of a balancer.
-const SCOPES: [usize; 2] = [5, 25];
+const SCOPE_SIZES: [usize; 2] = [5, 25];
 /// Bytes of a limit's body: version, a float of 8 bytes, a burst of two.
 const BODY_BYTES: usize = 11;
 
@@ -32,7 +32,7 @@
         origin: Origin { file: file.clone(), line: 5 * index as u32 },
         body: vec![1; BODY_BYTES].into(),
     };
-    (0..TENANTS).map(tenant).collect()
+    (0..TENANTS_PER_SERVICE).map(tenant).collect()
 }
 
 fn store(services: usize) -> Store {
@@ -64,21 +64,21 @@
     let position = Position { epoch: 1, number: 1, chain: 1 };
     let state = SavedState { position, services: (0..scope).map(saved).collect() };
     let name = SubscriberName::try_from("balancer").expect("a name");
-    let wanted = (0..scope).map(service).collect();
-    let options = SubscriberOptions::new(name, 1, wanted, 1);
+    let services = (0..scope).map(service).collect();
+    let options = SubscriberOptions::new(name, 1, services, 1);
     Subscriber::new(SubscriberOptions { saved_state: Some(state), ..options })
 }
 
 fn main() {
-    let mut restored = None;
-    let measured = allocation_counter::measure(|| restored = Some(store(SERVICES)));
-    let tenants = restored.as_ref().map_or(0, Store::tenant_count);
+    let mut created = None;
+    let measured = allocation_counter::measure(|| created = Some(store(SERVICES)));
+    let tenants = created.as_ref().map_or(0, Store::tenant_count);
     println!(
         "{}",
         json!({"what": "store", "tenants": tenants, "bytes": measured.bytes_current,
                "each": measured.bytes_current / tenants as i64})
     );
-    for scope in SCOPES {
+    for scope in SCOPE_SIZES {
         let mut restored = None;
         let measured = allocation_counter::measure(|| restored = Some(subscriber(scope)));
         let applied = restored
--- a/crates/distribution/src/codec.rs
+++ b/crates/distribution/src/codec.rs
@@ -67,8 +67,8 @@
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    start: usize,
-    failed: Option<CodecError>,
+    read_bytes: usize,
+    error: Option<CodecError>,
 }
 
 impl FrameReader {
@@ -79,11 +79,11 @@
 
     /// Buffers bytes. The caller reads all messages by [`Self::next_message`] before it pushes more.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.failed.is_some() {
+        if self.error.is_some() {
             return;
         }
-        self.buffer.drain(..self.start);
-        self.start = 0;
+        self.buffer.drain(..self.read_bytes);
+        self.read_bytes = 0;
         if self.buffer.len() + bytes.len() > MAX_BUFFERED_BYTES {
             self.fail(CodecError::Overflow);
             return;
@@ -97,7 +97,7 @@
     ///
     /// If the stream is no sequence of frames of this protocol version, or too many bytes were pushed.
     pub fn next_message<M: Message>(&mut self) -> Result<Option<M>, CodecError> {
-        if let Some(error) = self.failed {
+        if let Some(error) = self.error {
             return Err(error);
         }
         match self.read() {
@@ -111,17 +111,17 @@
 
     /// The bytes that are buffered.
     pub fn buffered_bytes(&self) -> usize {
-        self.buffer.len() - self.start
+        self.buffer.len() - self.read_bytes
     }
 
     fn fail(&mut self, error: CodecError) {
-        self.failed = Some(error);
+        self.error = Some(error);
         self.buffer = Vec::new();
-        self.start = 0;
+        self.read_bytes = 0;
     }
 
     fn read<M: Message>(&mut self) -> Result<Option<M>, CodecError> {
-        let unread = &self.buffer[self.start..];
+        let unread = &self.buffer[self.read_bytes..];
         let Some((prefix, rest)) = unread.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
@@ -142,7 +142,7 @@
             return Ok(None);
         };
         let message = decode(&frame[VERSION_BYTES..])?;
-        self.start += LENGTH_BYTES + length;
+        self.read_bytes += LENGTH_BYTES + length;
         Ok(Some(message))
     }
 }
--- a/crates/distribution/src/digest.rs
+++ b/crates/distribution/src/digest.rs
@@ -13,7 +13,7 @@
 
 /// The finalizer of MurmurHash3: every bit of the input changes about half of the bits of the output, so that
 /// sums of hashes do not cancel out.
-fn finish(mut hash: u64) -> u64 {
+fn finalize(mut hash: u64) -> u64 {
     hash ^= hash >> 33;
     hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash ^= hash >> 33;
@@ -23,7 +23,7 @@
 
 /// A 64-bit hash of bytes, the same in every build: FNV-1a and a finalizer.
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
-    finish(fnv1a(FNV_OFFSET, bytes))
+    finalize(fnv1a(FNV_OFFSET, bytes))
 }
 
 /// The term of a resource in its service's digest: a hash of kind, key, version and body.
@@ -39,7 +39,7 @@
     hash = fnv1a(hash, resource.name.key.as_bytes());
     hash = fnv1a(hash, &resource.version.to_le_bytes());
     hash = fnv1a(hash, resource.body.as_slice());
-    finish(hash)
+    finalize(hash)
 }
 
 /// The term of a service in the digest over a subscriber's whole scope.
@@ -47,7 +47,7 @@
     let mut hash = fnv1a(FNV_OFFSET, service.as_str().as_bytes());
     hash = fnv1a(hash, &version.to_le_bytes());
     hash = fnv1a(hash, &digest.to_le_bytes());
-    finish(hash)
+    finalize(hash)
 }
 
 /// The running hash over a log with one more change file.
@@ -56,5 +56,5 @@
     next = fnv1a(next, &epoch.to_le_bytes());
     next = fnv1a(next, &number.to_le_bytes());
     next = fnv1a(next, &hash.to_le_bytes());
-    finish(next)
+    finalize(next)
 }
--- a/crates/distribution/src/name.rs
+++ b/crates/distribution/src/name.rs
@@ -13,7 +13,7 @@
 pub const MAX_KEY_BYTES: usize = 256;
 
 /// The most bytes that the kind and the two lengths of a [`ResourceName`] take in a message.
-const ENCODING_OVERHEAD: usize = 5;
+const ENCODING_OVERHEAD_BYTES: usize = 5;
 
 /// Why a text is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -158,7 +158,7 @@
 
     /// An upper estimate of the bytes that the name takes in a message.
     pub fn encoded_size(&self) -> usize {
-        self.service.as_str().len() + self.key.len() + ENCODING_OVERHEAD
+        self.service.as_str().len() + self.key.len() + ENCODING_OVERHEAD_BYTES
     }
 }
 
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -14,7 +14,7 @@
 /// Bytes that are counted for the length of a name in a message.
 const LENGTH_BYTES: usize = 1;
 /// The most bytes of a resource's version, line and lengths in a message.
-const RESOURCE_OVERHEAD: usize = 24;
+const RESOURCE_OVERHEAD_BYTES: usize = 24;
 
 /// Where an operator wrote a resource: file and line.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -42,7 +42,10 @@
 impl Resource {
     /// An upper estimate of the bytes that it takes in a message.
     pub fn encoded_size(&self) -> usize {
-        self.name.encoded_size() + self.body.len() + self.origin.file.len() + RESOURCE_OVERHEAD
+        self.name.encoded_size()
+            + self.body.len()
+            + self.origin.file.len()
+            + RESOURCE_OVERHEAD_BYTES
     }
 }
 
--- a/crates/distribution/src/service_state.rs
+++ b/crates/distribution/src/service_state.rs
@@ -77,8 +77,8 @@
             .map(move |resource| Change::Remove { name: resource.name.clone(), version })
     }
 
-    fn subtract(&mut self, gone: Option<Resource>) {
-        if let Some(resource) = gone {
+    fn subtract(&mut self, previous: Option<Resource>) {
+        if let Some(resource) = previous {
             self.digest = self.digest.wrapping_sub(resource_digest(&resource));
             self.bytes -= resource.encoded_size();
             self.tenants -= usize::from(resource.name.kind == ResourceKind::Tenant);
--- a/crates/distribution/src/subscriber/applied_state.rs
+++ b/crates/distribution/src/subscriber/applied_state.rs
@@ -127,7 +127,7 @@
     }
 
     /// Notes that a scope message adds a service; returns the version that has been applied.
-    pub(super) fn add_to_scope_message(
+    pub(super) fn record_scope_generation(
         &mut self,
         service: &ServiceName,
         generation: u32,
@@ -138,7 +138,7 @@
     }
 
     /// Removes the services that are not in a scope; returns their names.
-    pub(super) fn remove_all_but(&mut self, scope: &BTreeSet<ServiceName>) -> Vec<ServiceName> {
+    pub(super) fn retain_scope(&mut self, scope: &BTreeSet<ServiceName>) -> Vec<ServiceName> {
         let removed: Vec<ServiceName> =
             self.services.keys().filter(|name| !scope.contains(*name)).cloned().collect();
         for service in &removed {
@@ -192,7 +192,7 @@
     }
 
     /// Notes that the changes of a service were rejected, unless it is not expected any more.
-    pub(super) fn note_rejected(&mut self, transfer: &ServiceTransfer) {
+    pub(super) fn record_rejection(&mut self, transfer: &ServiceTransfer) {
         if !self.expects(transfer) {
             return;
         }
--- a/crates/distribution/src/subscriber/link.rs
+++ b/crates/distribution/src/subscriber/connection.rs
@@ -7,7 +7,7 @@
 
 /// The connection and what has happened on it.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Link {
+pub(super) enum Connection {
     /// Not started.
     Idle,
     /// Waiting before the next connection.
@@ -19,69 +19,71 @@
     /// In a session.
     Open {
         control_machine: usize,
-        last_heard: Time,
+        last_received: Time,
         next_ping: Time,
         sequence: u32,
         is_current: bool,
     },
 }
 
-impl Link {
+impl Connection {
     /// The control machine of the connection, if there is one.
     pub(super) fn control_machine(&self) -> Option<usize> {
         match *self {
-            Link::Idle | Link::Waiting { .. } => None,
-            Link::Connecting { control_machine, .. }
-            | Link::Greeting { control_machine, .. }
-            | Link::Open { control_machine, .. } => Some(control_machine),
+            Connection::Idle | Connection::Waiting { .. } => None,
+            Connection::Connecting { control_machine, .. }
+            | Connection::Greeting { control_machine, .. }
+            | Connection::Open { control_machine, .. } => Some(control_machine),
         }
     }
 
     /// Whether hello and scope have been sent.
     pub(super) fn scope_sent(&self) -> bool {
-        matches!(self, Link::Greeting { hello_sent: true, .. } | Link::Open { .. })
+        matches!(self, Connection::Greeting { hello_sent: true, .. } | Connection::Open { .. })
     }
 
     /// A message has come.
-    pub(super) fn heard(&mut self, now: Time) {
-        if let Link::Open { last_heard, .. } = self {
-            *last_heard = now;
+    pub(super) fn record_message(&mut self, now: Time) {
+        if let Connection::Open { last_received, .. } = self {
+            *last_received = now;
         }
     }
 
     /// A bookmark has matched the applied state; whether it is the first of the session.
-    pub(super) fn becomes_current(&mut self) -> bool {
+    pub(super) fn mark_current(&mut self) -> bool {
         match self {
-            Link::Open { is_current, .. } => !std::mem::replace(is_current, true),
+            Connection::Open { is_current, .. } => !std::mem::replace(is_current, true),
             _ => false,
         }
     }
 
     /// When the connection times out because no message came.
-    pub(super) fn silent_at(&self, timing: &SubscriberTiming) -> Option<Time> {
+    pub(super) fn silence_deadline(&self, timing: &SubscriberTiming) -> Option<Time> {
         match *self {
-            Link::Idle | Link::Waiting { .. } => None,
-            Link::Connecting { since, .. } | Link::Greeting { since, .. } => {
+            Connection::Idle | Connection::Waiting { .. } => None,
+            Connection::Connecting { since, .. } | Connection::Greeting { since, .. } => {
                 Some(since.plus(timing.silence_timeout))
             }
-            Link::Open { last_heard, .. } => Some(last_heard.plus(timing.silence_timeout)),
+            Connection::Open { last_received, .. } => {
+                Some(last_received.plus(timing.silence_timeout))
+            }
         }
     }
 
     /// When something is to be done.
     pub(super) fn due(&self, timing: &SubscriberTiming) -> Option<Time> {
         let action = match *self {
-            Link::Waiting { until } => Some(until),
-            Link::Open { next_ping, .. } => Some(next_ping),
+            Connection::Waiting { until } => Some(until),
+            Connection::Open { next_ping, .. } => Some(next_ping),
             _ => None,
         };
-        [action, self.silent_at(timing)].into_iter().flatten().min()
+        [action, self.silence_deadline(timing)].into_iter().flatten().min()
     }
 
     /// The number of the ping that is due now, if one is.
     pub(super) fn next_ping(&mut self, now: Time, timing: &SubscriberTiming) -> Option<u32> {
         match self {
-            Link::Open { next_ping, sequence, .. } if *next_ping <= now => {
+            Connection::Open { next_ping, sequence, .. } if *next_ping <= now => {
                 *next_ping = now.plus(timing.ping_interval);
                 *sequence = sequence.wrapping_add(1);
                 Some(*sequence)
@@ -93,16 +95,18 @@
     /// The state as the status reports it.
     pub(super) fn state(&self) -> ConnectionState {
         match *self {
-            Link::Idle => ConnectionState::Idle,
-            Link::Waiting { until } => ConnectionState::Waiting { until },
-            Link::Connecting { control_machine, .. } => {
+            Connection::Idle => ConnectionState::Idle,
+            Connection::Waiting { until } => ConnectionState::Waiting { until },
+            Connection::Connecting { control_machine, .. } => {
                 ConnectionState::Connecting { control_machine }
             }
-            Link::Greeting { control_machine, .. } => ConnectionState::Greeting { control_machine },
-            Link::Open { control_machine, is_current: false, .. } => {
+            Connection::Greeting { control_machine, .. } => {
+                ConnectionState::Greeting { control_machine }
+            }
+            Connection::Open { control_machine, is_current: false, .. } => {
                 ConnectionState::Syncing { control_machine }
             }
-            Link::Open { control_machine, is_current: true, .. } => {
+            Connection::Open { control_machine, is_current: true, .. } => {
                 ConnectionState::Current { control_machine }
             }
         }
--- a/crates/distribution/src/subscriber/machine_selector.rs
+++ b/crates/distribution/src/subscriber/machine_selector.rs
@@ -7,9 +7,9 @@
 use super::options::SubscriberTiming;
 
 /// How long a control machine that is behind, diverged or full is avoided if there are others.
-const AVOID: Span = Span(10_000_000);
+const AVOID_DURATION: Span = Span(10_000_000);
 /// Consecutive failures after which control is reported to be unreachable.
-const UNREACHABLE_AFTER: u32 = 3;
+const UNREACHABLE_AFTER_FAILURES: u32 = 3;
 /// Doublings after which any backoff is at its limit; keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 
@@ -18,7 +18,7 @@
     random: Rand64,
     /// By machine: until when it is avoided.
     avoided_until: Vec<Option<Time>>,
-    last: Option<usize>,
+    last_picked: Option<usize>,
     /// Consecutive connections without a bookmark that matched the applied state.
     failures: u32,
     unreachable_reported: bool,
@@ -29,7 +29,7 @@
         MachineSelector {
             random: Rand64::new(u128::from(seed)),
             avoided_until: vec![None; machines],
-            last: None,
+            last_picked: None,
             failures: 0,
             unreachable_reported: false,
         }
@@ -41,16 +41,16 @@
     }
 
     /// A connection has led to a bookmark that matched the applied state.
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.failures = 0;
         self.unreachable_reported = false;
     }
 
     /// A connection has failed or ended; whether control is to be reported as unreachable.
-    pub(super) fn failed(&mut self) -> bool {
+    pub(super) fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
-        let enough = UNREACHABLE_AFTER.min(self.avoided_until.len() as u32);
-        if self.failures < enough || self.unreachable_reported {
+        let threshold = UNREACHABLE_AFTER_FAILURES.min(self.avoided_until.len() as u32);
+        if self.failures < threshold || self.unreachable_reported {
             return false;
         }
         self.unreachable_reported = true;
@@ -68,7 +68,7 @@
     /// Avoids a control machine for a while.
     pub(super) fn avoid(&mut self, control_machine: usize, now: Time) {
         if let Some(until) = self.avoided_until.get_mut(control_machine) {
-            *until = Some(now.plus(AVOID));
+            *until = Some(now.plus(AVOID_DURATION));
         }
     }
 
@@ -76,7 +76,7 @@
     pub(super) fn pick(&mut self, now: Time) -> Option<usize> {
         let machines = self.avoided_until.len();
         let is_other =
-            |control_machine: &usize| self.last != Some(*control_machine) || machines == 1;
+            |control_machine: &usize| self.last_picked != Some(*control_machine) || machines == 1;
         let others: Vec<usize> = (0..machines).filter(is_other).collect();
         let is_usable = |control_machine: &usize| {
             self.avoided_until[*control_machine].is_none_or(|until| until <= now)
@@ -89,7 +89,7 @@
             return None;
         }
         let index = self.random.rand_range(0..candidates.len() as u64) as usize;
-        self.last = candidates.get(index).copied();
-        self.last
+        self.last_picked = candidates.get(index).copied();
+        self.last_picked
     }
 }
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -1,9 +1,9 @@
 //! The balancer's side: which control machine it is connected to, what it has applied, what it has to apply.
 
 mod applied_state;
+mod connection;
 mod disconnect_reason;
 mod event;
-mod link;
 mod machine_selector;
 mod options;
 mod output;
@@ -34,7 +34,7 @@
 use crate::resource::Resource;
 use crate::violation::PublisherViolation;
 use applied_state::AppliedState;
-use link::Link;
+use connection::Connection;
 use machine_selector::MachineSelector;
 use transaction::{IncomingTransaction, PendingTransaction};
 
@@ -48,7 +48,7 @@
     timing: SubscriberTiming,
     max_transaction_bytes: usize,
     selector: MachineSelector,
-    link: Link,
+    connection: Connection,
     applied: AppliedState,
     /// The furthest position that any control machine has shown.
     position: Position,
@@ -80,7 +80,7 @@
             timing: options.timing,
             max_transaction_bytes: options.max_transaction_bytes,
             selector: MachineSelector::new(options.control_machine_count, options.seed),
-            link: Link::Idle,
+            connection: Connection::Idle,
             applied,
             position,
             bookmark: Position::default(),
@@ -101,14 +101,15 @@
             out.push(SubscriberOutput::Event(SubscriberEvent::SavedStateDamaged { service }));
         }
         let until = now.plus(self.selector.random_delay(self.timing.first_delay_max));
-        self.link = Link::Waiting { until };
+        self.connection = Connection::Waiting { until };
         self.next_scrub = Some(now.plus(self.timing.scrub_interval));
     }
 
     /// The connection that [`SubscriberOutput::Connect`] asked for has been made.
     pub fn connected(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
-        if let Link::Connecting { control_machine, .. } = self.link {
-            self.link = Link::Greeting { control_machine, since: now, hello_sent: false };
+        if let Connection::Connecting { control_machine, .. } = self.connection {
+            self.connection =
+                Connection::Greeting { control_machine, since: now, hello_sent: false };
             self.send_hello_if_ready(out);
         }
     }
@@ -120,7 +121,7 @@
         reason: DisconnectReason,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        if self.link.control_machine().is_some() {
+        if self.connection.control_machine().is_some() {
             self.connection_ended(now, reason, out);
         }
     }
@@ -132,11 +133,11 @@
         message: PublisherMessage,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        let Some(control_machine) = self.link.control_machine() else {
+        let Some(control_machine) = self.connection.control_machine() else {
             return;
         };
         self.last_contact = Some(now);
-        self.link.heard(now);
+        self.connection.record_message(now);
         if let Err(reason) = self.handle(now, control_machine, message, out) {
             self.close(now, reason, out);
         }
@@ -144,7 +145,7 @@
 
     /// A malformed frame has come: the connection is closed and counted.
     pub fn malformed(&mut self, now: Time, error: CodecError, out: &mut Vec<SubscriberOutput>) {
-        if self.link.control_machine().is_some() {
+        if self.connection.control_machine().is_some() {
             self.close(now, PublisherViolation::Malformed(error).into(), out);
         }
     }
@@ -172,9 +173,9 @@
     /// uses its own, and skips what a pending transaction says of them.
     pub fn set_scope(&mut self, scope: Vec<ServiceName>, out: &mut Vec<SubscriberOutput>) {
         let scope: BTreeSet<ServiceName> = scope.into_iter().collect();
-        let removed = self.applied.remove_all_but(&scope);
+        let removed = self.applied.retain_scope(&scope);
         let added = self.applied.add_missing(&scope);
-        if self.link.scope_sent() && !(removed.is_empty() && added.is_empty()) {
+        if self.connection.scope_sent() && !(removed.is_empty() && added.is_empty()) {
             self.send_scope(added, removed, out);
         }
     }
@@ -190,13 +191,13 @@
 
     /// When [`Self::tick`] is to be called; each other call may change it.
     pub fn due(&self) -> Option<Time> {
-        [self.link.due(&self.timing), self.next_scrub].into_iter().flatten().min()
+        [self.connection.due(&self.timing), self.next_scrub].into_iter().flatten().min()
     }
 
     /// The status. The cost follows the number of services.
     pub fn status(&self, now: Time) -> SubscriberStatus {
         SubscriberStatus {
-            connection: self.link.state(),
+            connection: self.connection.state(),
             position: self.position,
             bookmark: self.bookmark,
             last_contact_age: self.last_contact.map(|at| now.since(at)),
@@ -246,10 +247,10 @@
     ) -> Result<(), DisconnectReason> {
         match message {
             PublisherMessage::Welcome { position } => {
-                self.welcomed(now, control_machine, position, out)
+                self.handle_welcome(now, control_machine, position, out)
             }
             PublisherMessage::Refused(refusal) => {
-                Err(self.refused(now, control_machine, refusal, out))
+                Err(self.handle_refusal(now, control_machine, refusal, out))
             }
             PublisherMessage::Begin { transaction, generation, services } => {
                 self.begin_transaction(transaction, generation, services)
@@ -279,7 +280,7 @@
         };
         self.counters.drifts += 1;
         out.push(SubscriberOutput::Event(SubscriberEvent::Drift { service: service.clone() }));
-        if self.link.scope_sent() {
+        if self.connection.scope_sent() {
             self.send_scope(vec![service], Vec::new(), out);
         }
     }
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -29,7 +29,7 @@
         let incoming =
             self.incoming.get_or_insert_with(|| IncomingTransaction::new(id, generation));
         incoming.begin(id, generation, services)?;
-        self.check_buffer()
+        self.check_buffered_bytes()
     }
 
     /// Changes of the incoming transaction have come.
@@ -43,7 +43,7 @@
             return Err(PublisherViolation::ChangesWithoutBegin.into());
         };
         incoming.add_changes(changes)?;
-        self.check_buffer()
+        self.check_buffered_bytes()
     }
 
     /// The incoming transaction is complete: it is answered, or handed to the caller.
@@ -73,7 +73,7 @@
             out.push(SubscriberOutput::Send(SubscriberMessage::Ack { transaction: id }));
             return Ok(());
         }
-        let services = transfers.iter().map(|transfer| self.update(transfer)).collect();
+        let services = transfers.iter().map(|transfer| self.service_update(transfer)).collect();
         self.pending.push_back(PendingTransaction { id, transfers, bytes });
         out.push(SubscriberOutput::Apply(Transaction { id, position, services }));
         Ok(())
@@ -91,7 +91,7 @@
             self.applied.apply(transfer);
         }
         out.push(SubscriberOutput::Save);
-        self.answer(SubscriberMessage::Ack { transaction: transaction.id }, out);
+        self.send_answer(SubscriberMessage::Ack { transaction: transaction.id }, out);
     }
 
     /// The caller has rejected a transaction.
@@ -104,13 +104,13 @@
         self.counters.rejected += 1;
         rejections.truncate(MAX_REJECTIONS);
         for transfer in &transaction.transfers {
-            self.applied.note_rejected(transfer);
+            self.applied.record_rejection(transfer);
         }
         let services = transaction.services().cloned().collect();
         let event = SubscriberEvent::Rejected { services, rejections: rejections.clone() };
         out.push(SubscriberOutput::Event(event));
         let reason = NackReason::Rejected(rejections);
-        self.answer(SubscriberMessage::Nack { transaction: transaction.id, reason }, out);
+        self.send_answer(SubscriberMessage::Nack { transaction: transaction.id, reason }, out);
     }
 
     /// A bookmark has come: if it does not match the applied state, the complete scope is sent again, once.
@@ -138,8 +138,8 @@
         }
         self.mismatched_bookmarks = 0;
         self.bookmark = position;
-        self.selector.succeeded();
-        if self.link.becomes_current() {
+        self.selector.record_success();
+        if self.connection.mark_current() {
             out.push(SubscriberOutput::Event(SubscriberEvent::Current { position }));
         }
         Ok(())
@@ -160,19 +160,19 @@
         out.push(SubscriberOutput::Event(SubscriberEvent::Mismatch { services }));
     }
 
-    fn update(&self, transfer: &ServiceTransfer) -> ServiceUpdate {
-        transfer.update(self.applied.state(&transfer.target.service))
+    fn service_update(&self, transfer: &ServiceTransfer) -> ServiceUpdate {
+        transfer.service_update(self.applied.state(&transfer.target.service))
     }
 
     /// Sends the answer to a transaction, unless its connection has ended since.
-    fn answer(&self, message: SubscriberMessage, out: &mut Vec<SubscriberOutput>) {
-        if self.link.scope_sent() {
+    fn send_answer(&self, message: SubscriberMessage, out: &mut Vec<SubscriberOutput>) {
+        if self.connection.scope_sent() {
             out.push(SubscriberOutput::Send(message));
         }
     }
 
     /// Bounds the memory for transactions: one that is incoming, and as much again that the caller has not answered.
-    fn check_buffer(&self) -> Result<(), DisconnectReason> {
+    fn check_buffered_bytes(&self) -> Result<(), DisconnectReason> {
         let incoming = self.incoming.as_ref().map_or(0, |incoming| incoming.bytes);
         if incoming > self.max_transaction_bytes
             || self.buffered_bytes() > 2 * self.max_transaction_bytes
--- a/crates/distribution/src/subscriber/service_transfer.rs
+++ b/crates/distribution/src/subscriber/service_transfer.rs
@@ -30,21 +30,21 @@
 
     /// Whether the changes apply to a state of an epoch, don't lead back, and come to the digest of the target.
     pub(super) fn matches(&self, state: &ServiceState, epoch: u32) -> bool {
-        let leads_back =
+        let is_older =
             self.epoch < epoch || (self.epoch == epoch && self.target.version < state.version);
-        let has_base = match self.base {
+        let base_matches = match self.base {
             Base::Delta { from } => from == state.version,
             Base::Snapshot => true,
         };
-        !leads_back && has_base && self.digest_on(state) == self.target.digest
+        !is_older && base_matches && self.digest_after(state) == self.target.digest
     }
 
     /// The changes for the caller, given the applied state.
-    pub(super) fn update(&self, state: Option<&ServiceState>) -> ServiceUpdate {
+    pub(super) fn service_update(&self, state: Option<&ServiceState>) -> ServiceUpdate {
         let changes = if self.is_snapshot() {
             let present = state.into_iter().flat_map(|state| state.resources.keys());
-            let is_gone = |key: &&ResourceKey| !matches!(self.changes.get(*key), Some(Some(_)));
-            let removals = present.filter(is_gone).map(|key| change(&self.target, key, None));
+            let is_removed = |key: &&ResourceKey| !matches!(self.changes.get(*key), Some(Some(_)));
+            let removals = present.filter(is_removed).map(|key| change(&self.target, key, None));
             let sets = self.changes.values().flatten().cloned().map(Change::Set);
             removals.chain(sets).collect()
         } else {
@@ -67,7 +67,7 @@
     }
 
     /// The digest of a state after the changes. The cost follows the changes and not the state.
-    fn digest_on(&self, state: &ServiceState) -> u64 {
+    fn digest_after(&self, state: &ServiceState) -> u64 {
         let mut digest = if self.is_snapshot() { 0 } else { state.digest };
         for (key, change) in &self.changes {
             if !self.is_snapshot()
--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -3,9 +3,9 @@
 use sableloom_types::Time;
 
 use super::Subscriber;
+use super::connection::Connection;
 use super::disconnect_reason::DisconnectReason;
 use super::event::SubscriberEvent;
-use super::link::Link;
 use super::output::SubscriberOutput;
 use crate::message::{MAX_SERVICES_PER_MESSAGE, Refusal, SubscriberMessage};
 use crate::name::ServiceName;
@@ -18,14 +18,14 @@
 impl Subscriber {
     /// Connects, sends a ping or closes a silent connection, if that is due.
     pub(super) fn tick_connection(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
-        if self.link.silent_at(&self.timing).is_some_and(|at| at <= now) {
+        if self.connection.silence_deadline(&self.timing).is_some_and(|at| at <= now) {
             self.close(now, DisconnectReason::Silent, out);
             return;
         }
-        match self.link {
-            Link::Waiting { until } if until <= now => self.connect(now, out),
+        match self.connection {
+            Connection::Waiting { until } if until <= now => self.connect(now, out),
             _ => {
-                if let Some(sequence) = self.link.next_ping(now, &self.timing) {
+                if let Some(sequence) = self.connection.next_ping(now, &self.timing) {
                     out.push(SubscriberOutput::Send(SubscriberMessage::Ping { sequence }));
                 }
             }
@@ -35,7 +35,7 @@
     /// Sends hello and scope on a new connection, once the caller has answered all transactions of the earlier one:
     /// these may change the versions that the scope reports, and their answers don't belong on this connection.
     pub(super) fn send_hello_if_ready(&mut self, out: &mut Vec<SubscriberOutput>) {
-        let Link::Greeting { hello_sent, .. } = &mut self.link else {
+        let Connection::Greeting { hello_sent, .. } = &mut self.connection else {
             return;
         };
         if *hello_sent || !self.pending.is_empty() {
@@ -88,22 +88,22 @@
     }
 
     /// The control machine has welcomed the subscriber.
-    pub(super) fn welcomed(
+    pub(super) fn handle_welcome(
         &mut self,
         now: Time,
         control_machine: usize,
         position: Position,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
-        let Link::Greeting { hello_sent: true, .. } = self.link else {
+        let Connection::Greeting { hello_sent: true, .. } = self.connection else {
             return Err(PublisherViolation::UnexpectedWelcome.into());
         };
         self.advance_position(now, control_machine, position, out)?;
         self.counters.sessions += 1;
         let next_ping = now.plus(self.selector.random_delay(self.timing.ping_interval));
-        self.link = Link::Open {
+        self.connection = Connection::Open {
             control_machine,
-            last_heard: now,
+            last_received: now,
             next_ping,
             sequence: 0,
             is_current: false,
@@ -121,17 +121,17 @@
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
         if position.is_before(self.position) {
-            return Err(self.machine_is_behind(now, control_machine, position));
+            return Err(self.avoid_behind_machine(now, control_machine, position));
         }
         if position.diverges_from(self.position) {
-            return Err(self.machine_has_diverged(now, control_machine, position, out));
+            return Err(self.avoid_diverged_machine(now, control_machine, position, out));
         }
         self.position = position;
         Ok(())
     }
 
     /// The control machine has refused the session; returns why the connection is closed.
-    pub(super) fn refused(
+    pub(super) fn handle_refusal(
         &mut self,
         now: Time,
         control_machine: usize,
@@ -139,9 +139,11 @@
         out: &mut Vec<SubscriberOutput>,
     ) -> DisconnectReason {
         match refusal {
-            Refusal::Behind { position } => self.machine_is_behind(now, control_machine, position),
+            Refusal::Behind { position } => {
+                self.avoid_behind_machine(now, control_machine, position)
+            }
             Refusal::Diverged { position } => {
-                self.machine_has_diverged(now, control_machine, position, out)
+                self.avoid_diverged_machine(now, control_machine, position, out)
             }
             Refusal::Full | Refusal::ScopeTooLarge { .. } | Refusal::Version { .. } => {
                 self.selector.avoid(control_machine, now);
@@ -172,24 +174,25 @@
         reason: DisconnectReason,
         out: &mut Vec<SubscriberOutput>,
     ) {
-        if let Some(control_machine) = self.link.control_machine() {
+        if let Some(control_machine) = self.connection.control_machine() {
             let event = SubscriberEvent::Disconnected { control_machine, reason };
             out.push(SubscriberOutput::Event(event));
         }
         self.incoming = None;
-        if self.selector.failed() {
+        if self.selector.record_failure() {
             out.push(SubscriberOutput::Event(SubscriberEvent::Unreachable));
         }
-        self.link = Link::Waiting { until: now.plus(self.selector.backoff(&self.timing)) };
+        self.connection =
+            Connection::Waiting { until: now.plus(self.selector.backoff(&self.timing)) };
     }
 
     fn connect(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         let Some(control_machine) = self.selector.pick(now) else {
-            self.link = Link::Idle;
+            self.connection = Connection::Idle;
             return;
         };
         self.counters.connects += 1;
-        self.link = Link::Connecting { control_machine, since: now };
+        self.connection = Connection::Connecting { control_machine, since: now };
         out.push(SubscriberOutput::Connect { control_machine });
     }
 
@@ -201,14 +204,14 @@
         let generation = self.scope_generation;
         let applied = services
             .iter()
-            .filter_map(|service| self.applied.add_to_scope_message(service, generation))
+            .filter_map(|service| self.applied.record_scope_generation(service, generation))
             .collect();
         let rejected =
             services.iter().filter_map(|service| self.applied.rejected_version(service)).collect();
         (applied, rejected)
     }
 
-    fn machine_is_behind(
+    fn avoid_behind_machine(
         &mut self,
         now: Time,
         control_machine: usize,
@@ -219,7 +222,7 @@
         DisconnectReason::Behind(position)
     }
 
-    fn machine_has_diverged(
+    fn avoid_diverged_machine(
         &mut self,
         now: Time,
         control_machine: usize,
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn a_malformed_frame_ends_the_stream_for_good() {
-    let end = |bytes: &[u8]| {
+fn no_message_is_read_after_a_malformed_frame() {
+    let first_result = |bytes: &[u8]| {
         let mut reader = FrameReader::new();
         reader.push(bytes);
         let first = reader.next_message::<SubscriberMessage>();
@@ -144,30 +144,37 @@
         );
         first
     };
-    assert_eq!(end(&[0, 0, 0, 0]), Err(CodecError::Empty));
+    assert_eq!(first_result(&[0, 0, 0, 0]), Err(CodecError::Empty));
     let too_long = MAX_FRAME_BYTES as u32 + 1;
-    assert_eq!(end(&too_long.to_be_bytes()), Err(CodecError::TooLong(MAX_FRAME_BYTES + 1)));
+    assert_eq!(
+        first_result(&too_long.to_be_bytes()),
+        Err(CodecError::TooLong(MAX_FRAME_BYTES + 1))
+    );
     // The versions of earlier programs and of later ones.
     for other in [0, 1, PROTOCOL_VERSION + 1] {
-        let version = end(&[0, 0, 0, 9, other]);
+        let version = first_result(&[0, 0, 0, 9, other]);
         assert_eq!(
             version,
             Err(CodecError::UnsupportedVersion(other)),
             "it is reported before the frame is complete"
         );
     }
-    assert_eq!(end(&[0, 0, 0, 2, 2, 99]), Err(CodecError::Malformed));
+    assert_eq!(first_result(&[0, 0, 0, 2, 2, 99]), Err(CodecError::Malformed));
     assert_eq!(
-        end(&[0, 0, 0, 4, 2, 4, 7, 0]),
+        first_result(&[0, 0, 0, 4, 2, 4, 7, 0]),
         Err(CodecError::Malformed),
         "a byte after the message"
     );
-    assert_eq!(end(&[0, 0, 0, 5, 2, 1, 1, 1, 0]), Err(CodecError::Malformed), "an empty name");
-    assert_eq!(end(&[0, 0, 0, 3, 2, 4]), Ok(None), "an incomplete frame");
+    assert_eq!(
+        first_result(&[0, 0, 0, 5, 2, 1, 1, 1, 0]),
+        Err(CodecError::Malformed),
+        "an empty name"
+    );
+    assert_eq!(first_result(&[0, 0, 0, 3, 2, 4]), Ok(None), "an incomplete frame");
 }
 
 #[test]
-fn a_claimed_length_allocates_nothing_for_absent_elements() {
+fn a_message_that_claims_absent_elements_allocates_at_most_one_mebibyte() {
     // A transaction that claims 2^60 services and holds none.
     let mut frame = vec![0, 0, 0, 13, 2, 2, 1, 1];
     frame.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f]);
@@ -180,7 +187,7 @@
 }
 
 #[test]
-fn a_reader_buffers_no_more_than_its_limit() {
+fn a_reader_buffers_at_most_its_limit_and_then_reports_an_overflow() {
     let mut reader = FrameReader::new();
     let frame = encode(&SubscriberMessage::Ping { sequence: 1 });
     for _ in 0..MAX_BUFFERED_BYTES {
@@ -228,10 +235,10 @@
         let mut read = Vec::new();
         let mut rest = &stream[..];
         for length in cuts.iter().cycle() {
-            let (fragment, behind) = rest.split_at((*length).min(rest.len()));
+            let (fragment, remaining) = rest.split_at((*length).min(rest.len()));
             reader.push(fragment);
             read.extend(read_all(&mut reader));
-            rest = behind;
+            rest = remaining;
             if rest.is_empty() {
                 break;
             }
--- a/crates/distribution/tests/frames/main.rs
+++ b/crates/distribution/tests/frames/main.rs
@@ -18,7 +18,7 @@
     text.lines().map(line).collect()
 }
 
-fn check<M: Message + PartialEq + Debug + Clone>(
+fn check_frames<M: Message + PartialEq + Debug + Clone>(
     messages: Vec<(&'static str, M)>,
     mut recorded: BTreeMap<&'static str, Vec<u8>>,
 ) {
@@ -35,12 +35,12 @@
 
 #[test]
 fn recorded_frames_of_subscribers_decode_and_encode_to_the_same_bytes() {
-    check(subscriber_messages(), recorded(include_str!("../data/subscriber-frames.hex")));
+    check_frames(subscriber_messages(), recorded(include_str!("../data/subscriber-frames.hex")));
 }
 
 #[test]
 fn recorded_frames_of_publishers_decode_and_encode_to_the_same_bytes() {
-    check(publisher_messages(), recorded(include_str!("../data/publisher-frames.hex")));
+    check_frames(publisher_messages(), recorded(include_str!("../data/publisher-frames.hex")));
 }
 
 #[test]
--- a/crates/distribution/tests/frames/messages.rs
+++ b/crates/distribution/tests/frames/messages.rs
@@ -172,7 +172,7 @@
         latest_version: 302,
         behind_ms: 303,
     };
-    let refusal = |problem| RejectionStatus {
+    let rejected = |problem| RejectionStatus {
         service: service("points"),
         applied_version: 304,
         rejected_version: 305,
@@ -189,7 +189,7 @@
         lagging: 311,
         lags: vec![lag],
         rejecting: 312,
-        rejections: vec![refusal(Some(rejection("address"))), refusal(None)],
+        rejections: vec![rejected(Some(rejection("address"))), rejected(None)],
     };
     StatusRows::Sessions { sessions: vec![session], next: Some(313) }
 }
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -127,7 +127,7 @@
             .collect()
     }
 
-    fn applies(&mut self) -> Vec<Transaction> {
+    fn transactions(&mut self) -> Vec<Transaction> {
         self.take(|output| match output {
             SubscriberOutput::Apply(transaction) => Ok(transaction),
             output => Err(output),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_transaction_with_a_wrong_digest_is_not_handed_out() {
+fn a_transaction_with_a_wrong_digest_or_base_is_reported_as_a_mismatch_and_not_applied() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
     balancer.open_session(at(3));
     let resource = balancer.apply_server("points", 3);
@@ -202,7 +202,7 @@
     };
     let change = Change::Set(server("points", "b", 4, b"x"));
     let wrong = ServiceVersion { version: 4, digest: 1, ..applied.clone() };
-    balancer.applies();
+    balancer.transactions();
     balancer.receive_transaction(9, at(4), Base::Delta { from: 3 }, vec![change.clone()], wrong);
     assert_eq!(
         balancer.sent(),
@@ -225,9 +225,9 @@
         balancer.sent(),
         [SubscriberMessage::Nack { transaction: 10, reason: NackReason::Mismatch(vec![applied]) }]
     );
-    assert_eq!(balancer.applies(), []);
+    assert_eq!(balancer.transactions(), []);
     balancer.receive_transaction(11, at(4), Base::Delta { from: 3 }, vec![change], right);
-    assert_eq!(balancer.applies().len(), 1);
+    assert_eq!(balancer.transactions().len(), 1);
 }
 
 #[test]
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_transaction_beyond_the_buffer_ends_the_connection() {
+fn a_transaction_over_the_buffer_limit_closes_the_connection() {
     let mut balancer = Balancer::new(SubscriberOptions {
         max_transaction_bytes: 2_000,
         ..options(2, &["points"], 1)
@@ -350,8 +350,9 @@
     let other = Position { chain: 1, ..at(5) };
     balancer.receive(PublisherMessage::Welcome { position: other });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
-    let named = SubscriberEvent::Diverged { control_machine: diverged, seen: at(5), other };
-    assert!(balancer.events().contains(&named));
+    let diverged_event =
+        SubscriberEvent::Diverged { control_machine: diverged, seen: at(5), other };
+    assert!(balancer.events().contains(&diverged_event));
     // A refusal by the control machine has the same effect.
     balancer.next_connect();
     balancer.connected();
@@ -389,7 +390,7 @@
 }
 
 #[test]
-fn a_bookmark_that_does_not_match_leads_to_the_complete_scope_once() {
+fn the_first_mismatched_bookmark_resends_the_scope_and_the_second_closes_the_connection() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
     balancer.open_session(at(3));
     let bookmark =
@@ -403,11 +404,11 @@
 }
 
 #[test]
-fn a_service_that_leaves_the_scope_and_returns_ignores_earlier_transactions() {
+fn a_service_that_is_removed_and_added_again_ignores_earlier_transactions() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
     balancer.open_session(at(3));
     balancer.apply_server("points", 3);
-    balancer.applies();
+    balancer.transactions();
     let new = server("points", "b", 4, b"x");
     let services = vec![ServiceBase { service: service("points"), base: Base::Delta { from: 3 } }];
     balancer.receive(PublisherMessage::Begin { transaction: 9, generation: 1, services });
@@ -429,13 +430,13 @@
         position: at(4),
         services: vec![applied],
     });
-    assert_eq!(balancer.applies(), []);
+    assert_eq!(balancer.transactions(), []);
     assert_eq!(balancer.sent(), [SubscriberMessage::Ack { transaction: 9 }]);
     assert_eq!(balancer.subscriber.resources(&service("points")).count(), 0);
 }
 
 #[test]
-fn an_apply_that_finishes_after_its_service_left_and_returned_is_not_counted_as_applied() {
+fn an_apply_that_finishes_after_its_service_was_removed_and_added_again_has_no_effect() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
     balancer.open_session(at(3));
     let resource = server("points", "a", 3, b"body");
@@ -460,10 +461,10 @@
     balancer.open_session(at(3));
     let resource = balancer.apply_server("points", 3);
     balancer.lose_connection();
-    let heard = balancer.now;
+    let last_contact = balancer.now;
     let mut unreachable = 0;
     let mut connects = 0;
-    while balancer.now < heard + 3_600 * SECOND {
+    while balancer.now < last_contact + 3_600 * SECOND {
         unreachable += balancer
             .events()
             .iter()
@@ -481,7 +482,7 @@
     // A mean backoff of 2 s: 1,800 attempts in an hour.
     assert!((900..4_500).contains(&connects), "{connects} in an hour");
     let status = balancer.subscriber.status(Time(balancer.now));
-    assert_eq!(status.last_contact_age.map(|age| age.0), Some(balancer.now - heard));
+    assert_eq!(status.last_contact_age.map(|age| age.0), Some(balancer.now - last_contact));
     assert!(matches!(status.connection, ConnectionState::Waiting { .. }));
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
 }
@@ -489,25 +490,28 @@
 #[test]
 fn the_subscribers_of_a_failed_control_machine_spread_over_the_others_and_over_time() {
     let mut by_machine: BTreeMap<usize, u32> = BTreeMap::new();
-    let mut by_tenth: BTreeMap<i64, u32> = BTreeMap::new();
+    let mut by_tenth_of_second: BTreeMap<i64, u32> = BTreeMap::new();
     for seed in 0..133 {
         let mut balancer = Balancer::new(options(57, &["points"], seed));
         let first = balancer.next_connect();
         balancer.connected();
         balancer.receive(PublisherMessage::Welcome { position: at(1) });
-        let died = balancer.now;
+        let lost_at = balancer.now;
         balancer.lose_connection();
         let next = balancer.next_connect();
         assert_ne!(next, first);
         *by_machine.entry(next).or_default() += 1;
-        *by_tenth.entry((balancer.now - died) / 100_000).or_default() += 1;
+        *by_tenth_of_second.entry((balancer.now - lost_at) / 100_000).or_default() += 1;
     }
     assert!(by_machine.values().all(|count| *count <= 10), "{by_machine:?}");
-    assert!(by_tenth.len() == 10 && by_tenth.values().all(|count| *count <= 30), "{by_tenth:?}");
+    assert!(
+        by_tenth_of_second.len() == 10 && by_tenth_of_second.values().all(|count| *count <= 30),
+        "{by_tenth_of_second:?}"
+    );
 }
 
 #[test]
-fn a_restart_begins_with_the_saved_state_and_leaves_a_damaged_service_out() {
+fn a_restart_restores_the_saved_state_except_for_damaged_services() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
     balancer.open_session(at(3));
     balancer.apply_server("points", 3);
@@ -520,9 +524,9 @@
             ..options(1, scope, 2)
         })
     };
-    let again = restored(&saved, &["points", "partners"]);
-    assert!(again.subscriber.service_versions().eq(balancer.subscriber.service_versions()));
-    assert_eq!(again.subscriber.saved_state(), saved);
+    let second = restored(&saved, &["points", "partners"]);
+    assert!(second.subscriber.service_versions().eq(balancer.subscriber.service_versions()));
+    assert_eq!(second.subscriber.saved_state(), saved);
     assert_eq!(restored(&saved, &["points"]).subscriber.status(Time(0)).services_applied, 1);
     saved.services[1].resources[0].body = b"flip".as_slice().into();
     let mut damaged = restored(&saved, &["points", "partners"]);
