--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -21,8 +21,7 @@
             format!("no connection to {}: {reason}", machine(control_machine))
         }
         SubscriberEvent::Unreachable => {
-            "no control_machine machine can be reached; serving on with what is in force"
-                .to_string()
+            "no control machine can be reached; serving on with what is in force".to_string()
         }
         SubscriberEvent::Current { position } => format!("all is in force up to {position}"),
         SubscriberEvent::Diverged { control_machine, seen, other } => format!(
