--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -1,6 +1,7 @@
-//! The cost of publisher and subscriber by size, as lines of JSON. Processor time is that of this thread, so that other
-//! work on the machine affects it little; bytes and memory are exact. Times named `model` come from the token bucket
-//! and not from this machine.
+//! Measures how the cost of the publisher and of the subscriber grows with the number of subscribers, the size of the
+//! store and the size of a scope, and prints lines of JSON. Processor time is that of this thread, so that other work
+//! on the machine has little effect on it; bytes and memory are exact. `model_seconds` is simulated time, which passes
+//! where the token bucket of the publisher delays frames.
 //!
 //! `cargo run --release -p sableloom-distribution --example slopes`
 
@@ -15,23 +16,26 @@
 use sableloom_types::Time;
 use serde_json::{Value, json};
 
+/// The resources of a service, and the lengths of their bodies.
 const SERVERS_PER_SERVICE: usize = 48;
 const ROUTES_PER_SERVICE: usize = 84;
 const SERVER_BODY_BYTES: usize = 40;
 const ROUTE_BODY_BYTES: usize = 90;
 const POOL_BODY_BYTES: usize = 120;
-/// Services in the scope of a balancer.
+/// The number of services in the scope of a balancer.
 const SERVICES_PER_SCOPE: usize = 50;
-/// Subscribers of one of 57 control machines, twice as many, and the whole fleet.
+/// The numbers of subscribers of one control machine: its share of a fleet with 57 control machines, twice that share,
+/// and the whole fleet.
 const SUBSCRIBER_COUNTS: [usize; 3] = [133, 267, 7_600];
 
+/// Returns the processor time of this thread in microseconds.
 fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
 fn service(index: usize) -> ServiceName {
-    ServiceName::try_from(format!("service-{index:04}").as_str()).expect("a name")
+    ServiceName::try_from(format!("service-{index:04}").as_str()).expect("a valid name")
 }
 
 fn resource(name: ResourceName, version: u64, bytes: usize) -> Resource {
@@ -48,6 +52,7 @@
     LogEntry { number, epoch: 1, changes, hash: number }
 }
 
+/// Returns the changes that create a service.
 fn whole_service(of: usize, version: u64, servers: usize, routes: usize) -> Vec<Change> {
     let mut changes =
         vec![Change::Set(resource(ResourceName::pool(service(of)), version, POOL_BODY_BYTES))];
@@ -69,26 +74,33 @@
         let number = index as u64 + 1;
         store
             .append(entry(number, whole_service(index, number, servers, routes)))
-            .expect("a change");
+            .expect("the store accepts the change");
     }
     store
 }
 
-/// A subscriber with its connection.
+/// A subscriber with the reader of its connection.
 struct SubscriberEnd {
     subscriber: Subscriber,
     reader: FrameReader,
 }
 
-/// One control machine and its subscribers, connected without delay; time passes only where the publisher waits.
+/// One control machine and its subscribers, connected by links without delay. Time passes only while the publisher
+/// waits for bandwidth.
 struct Network {
     publisher: Publisher,
     subscribers: Vec<SubscriberEnd>,
+    /// The simulated time in microseconds.
     now: i64,
+    /// The simulated time in microseconds at which all subscribers send a ping.
     next_ping: i64,
+    /// The processor time of the publisher since the last reset, in microseconds.
     publisher_us: f64,
+    /// The processor time of all subscribers since the last reset, in microseconds.
     subscriber_us: f64,
+    /// The bytes of frames to subscribers since the last reset.
     bytes_down: u64,
+    /// The bytes of frames to the publisher since the last reset.
     bytes_up: u64,
 }
 
@@ -110,12 +122,13 @@
 
     fn add_subscriber(&mut self, scope: Vec<ServiceName>) {
         let index = self.subscribers.len();
-        let name = SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a name");
+        let name =
+            SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a valid name");
         let subscriber = Subscriber::new(SubscriberOptions::new(name, 1, scope, index as u64));
         self.subscribers.push(SubscriberEnd { subscriber, reader: FrameReader::new() });
     }
 
-    /// Starts or reconnects all subscribers at once, and runs until nothing is left to do.
+    /// Starts or reconnects all subscribers at the same time, and runs until the publisher is idle.
     fn connect_all(&mut self, first_session: u64) {
         let mut queue = Vec::new();
         for index in 0..self.subscribers.len() {
@@ -134,13 +147,14 @@
         self.run(first_session, queue);
     }
 
+    /// Appends a change, and runs until the publisher is idle.
     fn append_change(&mut self, first_session: u64, changes: Vec<Change>) {
         let number = self.publisher.store().position().number + 1;
         let mut queue = Vec::new();
         let started = thread_cpu_us();
         self.publisher
             .append(Time(self.now), entry(number, changes), &mut queue)
-            .expect("a change");
+            .expect("the store accepts the change");
         self.publisher_us += thread_cpu_us() - started;
         self.run(first_session, queue);
     }
@@ -157,7 +171,8 @@
                 }
                 queue = next;
             }
-            // Waits for bandwidth take milliseconds; all other timers run for seconds.
+            // A timer that expires within 0.5 s is a wait for bandwidth, which takes milliseconds; all others run for
+            // seconds.
             let Some(due) = self.publisher.due().filter(|due| due.0 < self.now + 500_000) else {
                 return;
             };
@@ -191,7 +206,9 @@
         let mut out = Vec::new();
         let started = thread_cpu_us();
         subscriber_end.reader.push(frame);
-        while let Some(message) = subscriber_end.reader.next_message().expect("a message") {
+        while let Some(message) =
+            subscriber_end.reader.next_message().expect("the frame holds a message")
+        {
             subscriber_end.subscriber.message(Time(self.now), message, &mut out);
         }
         let applied: Vec<u64> = out.iter().filter_map(transaction_id).collect();
@@ -246,7 +263,7 @@
     }
 }
 
-/// Enough bandwidth that nothing waits for it.
+/// Returns options with a bandwidth limit that delays no frame.
 fn unlimited_bandwidth() -> PublisherOptions {
     PublisherOptions {
         bytes_per_second: 1 << 40,
@@ -263,7 +280,7 @@
     println!("{line}");
 }
 
-/// One changed server: bytes and processor time by the number of subscribers of its service.
+/// Measures bytes and processor time of a change to one server, by the number of subscribers of its service.
 fn change_cost_by_subscribers() {
     for subscribers in [1, 10, 133, 267, 1_000, 7_600] {
         let mut network = Network::new(store(1), unlimited_bandwidth());
@@ -289,7 +306,7 @@
     }
 }
 
-/// One changed server with ten subscribers, by the size of the store and of their scope.
+/// Measures bytes and processor time of a change to one server with ten subscribers, by the size of the store.
 fn change_cost_by_store_size() {
     for services in [25, 250, 2_500] {
         let mut network = Network::new(store(services), unlimited_bandwidth());
@@ -314,7 +331,8 @@
     }
 }
 
-/// Memory of a store, a session and a subscriber; bytes and processor time of a snapshot.
+/// Measures the memory of a store, by its size, and the memory of a session and a subscriber and the bytes and
+/// processor time of a snapshot, by the size of the scope.
 fn memory_and_snapshot_cost() {
     for services in [25, 250, 2_500] {
         let mut created_store = None;
@@ -344,12 +362,13 @@
     }
 }
 
-/// All subscribers of a machine at once: without any state, with the latest state, and ten changes behind.
+/// Measures the resume of all subscribers of a control machine at the same time: without any state, with the latest
+/// state, and with each of them ten changes behind.
 fn simultaneous_resumes() {
     let services = 2_500;
     for subscribers in SUBSCRIBER_COUNTS {
-        // The states of the whole fleet would not fit into this process: the services are small here, and the cost of
-        // a resume follows their number.
+        // The services are smaller for the whole fleet, whose states would otherwise not fit into the memory of this
+        // process. The cost of a resume depends on the number of services.
         let (servers, routes) =
             if subscribers > 1_000 { (4, 1) } else { (SERVERS_PER_SERVICE, ROUTES_PER_SERVICE) };
         let mut network =
@@ -385,6 +404,7 @@
     }
 }
 
+/// Returns the measurements since the last reset as JSON, with the simulated time since `since`, and resets them.
 fn take_measurements(network: &mut Network, since: i64) -> Value {
     let row = json!({
         "publisher_us": network.publisher_us, "subscriber_us_each": network.subscriber_us / network.subscribers.len() as f64,
--- a/crates/distribution/examples/tenants.rs
+++ b/crates/distribution/examples/tenants.rs
@@ -1,5 +1,5 @@
-//! The memory of tenants' limits at a control machine and at subscribers, as lines of JSON. Bytes are those requested
-//! from the allocator: exact, and the same on every machine.
+//! Measures the memory of tenants' limits at a control machine and at subscribers, and prints lines of JSON. The bytes
+//! are those requested from the allocator, which are the same on every machine.
 //!
 //! `cargo run --release -p sableloom-distribution --example tenants`
 
@@ -12,19 +12,20 @@
 };
 use serde_json::json;
 
-/// Services of the fleet, and tenants of each.
+/// The number of services of the fleet.
 const SERVICES: usize = 2_500;
+/// The number of tenants of each service.
 const TENANTS_PER_SERVICE: usize = 324;
-/// Services in the scope of a balancer.
+/// The numbers of services in the scope of a balancer.
 const SCOPE_SIZES: [usize; 2] = [5, 25];
-/// Bytes of a limit's body: version, a float of 8 bytes, a burst of two.
+/// The length of the body of a limit: one byte for the version, 8 for a float and two for the burst.
 const BODY_BYTES: usize = 11;
 
 fn service(index: usize) -> ServiceName {
-    ServiceName::try_from(format!("service-{index:04}").as_str()).expect("a name")
+    ServiceName::try_from(format!("service-{index:04}").as_str()).expect("a valid name")
 }
 
-/// The tenants of a service as a change file sets them, with one shared name of the file.
+/// Returns the tenants of a service as a change file sets them. They share the name of the file.
 fn tenants(of: &ServiceName, version: u64, file: &Arc<str>) -> Vec<Resource> {
     let tenant = |index: usize| Resource {
         name: ResourceName::tenant(of.clone(), &format!("customer-{index:06}")),
@@ -43,13 +44,15 @@
         let resources = tenants(&service(index), number, &file);
         let changes = resources.into_iter().map(Change::Set).collect();
         let hash = hash_bytes(&number.to_le_bytes());
-        store.append(LogEntry { number, epoch: 1, changes, hash }).expect("a change");
+        store
+            .append(LogEntry { number, epoch: 1, changes, hash })
+            .expect("the store accepts the change");
     }
     store
 }
 
-/// A subscriber that was restored from a saved state. Each resource has its own copy of the file's name, as when
-/// decoded from a frame.
+/// Returns a subscriber that is restored from a saved state. Each resource has its own copy of the file's name, like a
+/// resource that is decoded from a frame.
 fn subscriber(scope: usize) -> Subscriber {
     let saved = |index| {
         let name = service(index);
@@ -63,7 +66,7 @@
     };
     let position = Position { epoch: 1, number: 1, chain: 1 };
     let state = SavedState { position, services: (0..scope).map(saved).collect() };
-    let name = SubscriberName::try_from("balancer").expect("a name");
+    let name = SubscriberName::try_from("balancer").expect("a valid name");
     let services = (0..scope).map(service).collect();
     let options = SubscriberOptions::new(name, 1, services, 1);
     Subscriber::new(SubscriberOptions { saved_state: Some(state), ..options })
--- a/crates/distribution/src/body.rs
+++ b/crates/distribution/src/body.rs
@@ -6,25 +6,26 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The most bytes of a resource's body. Four fit into a frame.
+/// The maximum length of a resource's body in bytes. Four such bodies fit into a frame.
 pub const MAX_BODY_BYTES: usize = 60 * 1024;
 
-/// The encoded body of a resource, opaque to this crate. Shared, so cheap to clone.
+/// The encoded body of a resource, opaque to this crate. A clone shares the bytes. Decoding a message rejects a body
+/// over [`MAX_BODY_BYTES`]; other constructors don't check the length.
 #[derive(Clone, PartialEq, Eq, Hash, Default)]
 pub struct ResourceBody(Arc<[u8]>);
 
 impl ResourceBody {
-    /// The bytes.
+    /// Returns the bytes.
     pub fn as_slice(&self) -> &[u8] {
         &self.0
     }
 
-    /// The number of bytes.
+    /// Returns the number of bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are no bytes.
+    /// Returns whether the body has no bytes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/distribution/src/bounded_text.rs
+++ b/crates/distribution/src/bounded_text.rs
@@ -1,12 +1,12 @@
-//! Texts of operators and of errors in messages (`serde(with)`): a longer text is cut at a character when it is
-//! written, and refused when it is read.
+//! The encoding (`serde(with)`) of texts from operators and errors in messages. Encoding cuts a text over
+//! [`MAX_TEXT_BYTES`] at a character boundary; decoding reports an error for one.
 
 use std::sync::Arc;
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serializer};
 
-/// The most bytes of a file's name, a field's name or a problem's text in a message.
+/// The maximum length in bytes of a file's name, a field's name or a problem's text in a message.
 pub const MAX_TEXT_BYTES: usize = 512;
 
 pub(crate) fn serialize<S: Serializer>(text: &Arc<str>, serializer: S) -> Result<S::Ok, S::Error> {
--- a/crates/distribution/src/codec.rs
+++ b/crates/distribution/src/codec.rs
@@ -1,45 +1,46 @@
-//! Frames: a length of four bytes (big endian), the version of the protocol, the message in postcard.
+//! The encoding of messages as frames. A frame is a length of four bytes (big endian), one byte for the version of the
+//! protocol, and the message in postcard; the length counts the version and the message.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::message::{PublisherMessage, SubscriberMessage};
 
-/// The version of the protocol, in each frame. It is raised with each kind of resource that earlier programs can't
-/// decode: they then refuse the frame by its version, and neither skip the resource nor report the frame as malformed.
-/// Version 1 has pools, servers and routes; version 2 has tenants as well.
+/// The version of the protocol, which each frame holds. It is raised with each new kind of resource: earlier programs
+/// cannot decode it, and then refuse the frame by its version instead of reporting a malformed frame. Version 1 has
+/// pools, servers and routes; version 2 also has tenants.
 pub const PROTOCOL_VERSION: u8 = 2;
-/// The bytes of a frame before its message: length and version.
+/// The number of bytes of a frame before its message: the length and the version.
 pub const FRAME_HEADER_BYTES: usize = 5;
-/// The most bytes of a frame's version and message together.
+/// The maximum number of bytes of a frame's version and message together.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// The most bytes that a reader buffers: an incomplete frame and one large read.
+/// The maximum number of bytes that a reader buffers: an incomplete frame and one large read.
 pub const MAX_BUFFERED_BYTES: usize = 2 * MAX_FRAME_BYTES;
 
 const LENGTH_BYTES: usize = 4;
 const VERSION_BYTES: usize = FRAME_HEADER_BYTES - LENGTH_BYTES;
 
-/// Why no further frame of a stream can be read.
+/// The reason why no further frame of a stream can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// A frame claims more bytes than [`MAX_FRAME_BYTES`].
+    /// The length of a frame is over [`MAX_FRAME_BYTES`].
     #[error("a frame of {0} bytes, at most {MAX_FRAME_BYTES} are allowed")]
     TooLong(usize),
-    /// A frame has no version.
-    #[error("an empty frame")]
+    /// The length of a frame is 0, so that it has no version.
+    #[error("an empty frame, without a protocol version")]
     Empty,
     /// A frame has another version of the protocol.
     #[error("protocol version {0}, expected {PROTOCOL_VERSION}")]
     UnsupportedVersion(u8),
     /// A frame does not decode to a message, or has bytes after the message.
-    #[error("a frame that is no message")]
+    #[error("a frame that holds no message, or bytes after the message")]
     Malformed,
-    /// More bytes were pushed than [`MAX_BUFFERED_BYTES`] without reading the frames.
-    #[error("more than {MAX_BUFFERED_BYTES} bytes unread")]
+    /// Pushed bytes would make the unread bytes exceed [`MAX_BUFFERED_BYTES`].
+    #[error("more than {MAX_BUFFERED_BYTES} bytes are unread")]
     Overflow,
 }
 
-/// A message that a frame may hold.
+/// A message that a frame may hold: a [`SubscriberMessage`] or a [`PublisherMessage`].
 pub trait Message: Serialize + DeserializeOwned + private::Sealed {}
 
 impl Message for SubscriberMessage {}
@@ -51,7 +52,7 @@
     impl Sealed for crate::PublisherMessage {}
 }
 
-/// Encodes a message as a frame. The bounds of the messages keep it within [`MAX_FRAME_BYTES`].
+/// Encodes a message as a frame. A message within the bounds of its fields fits into [`MAX_FRAME_BYTES`].
 pub fn encode<M: Message>(message: &M) -> Vec<u8> {
     let header = vec![0, 0, 0, 0, PROTOCOL_VERSION];
     let mut frame = postcard::to_extend(message, header).unwrap_or_default();
@@ -62,22 +63,26 @@
     frame
 }
 
-/// Splits a stream of bytes into messages. After an error it returns the same error forever: a stream has no mark from
-/// which reading could be resumed.
+/// Splits a stream of bytes into messages. After an error every read returns the same error, since a stream has no
+/// marker from which reading could resume.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
+    /// The number of bytes at the start of the buffer whose messages have been returned.
     read_bytes: usize,
+    /// The error that ended the stream, if there was one.
     error: Option<CodecError>,
 }
 
 impl FrameReader {
-    /// An empty reader.
+    /// Creates a reader without buffered bytes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Buffers bytes. The caller reads all messages by [`Self::next_message`] before it pushes more.
+    /// Buffers bytes of the stream. The caller must read all messages with [`Self::next_message`] before it pushes
+    /// more; if more than [`MAX_BUFFERED_BYTES`] are unread, the next read reports an error. After an error the bytes
+    /// are dropped.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.error.is_some() {
             return;
@@ -91,11 +96,11 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message, if a complete one is buffered.
+    /// Returns the next message, or none if no complete frame is buffered.
     ///
     /// # Errors
     ///
-    /// If the stream is no sequence of frames of this protocol version, or too many bytes were pushed.
+    /// If the stream is not a sequence of frames of this protocol version, or if too many bytes were pushed.
     pub fn next_message<M: Message>(&mut self) -> Result<Option<M>, CodecError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -109,7 +114,7 @@
         }
     }
 
-    /// The bytes that are buffered.
+    /// Returns the number of bytes that are buffered and not read.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() - self.read_bytes
     }
@@ -132,7 +137,7 @@
         if length > MAX_FRAME_BYTES {
             return Err(CodecError::TooLong(length));
         }
-        // The version is checked before the frame is complete: a frame of another protocol may never be.
+        // The version is checked before the frame is complete, since a frame of another protocol may never be complete.
         match rest.first() {
             Some(&PROTOCOL_VERSION) => {}
             Some(version) => return Err(CodecError::UnsupportedVersion(*version)),
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,31 +1,32 @@
-//! Distribution of configuration: how 7,600 balancers come to have what operators say of 2,500 services, each just the
-//! services that it serves, within seconds of a change, and without storms when a control machine or a region returns.
+//! Distribution of configuration to a fleet of 7,600 balancers. Each balancer receives the configuration of the
+//! services that it serves, out of 2,500, within seconds of a change. Reconnections are spread over machines and over
+//! time, so that the return of a control machine or of a region causes no burst of them.
 //!
 //! A control machine reads the operators' numbered change files into a [`Store`] and serves the sessions of its
 //! subscribers by a [`Publisher`]. A balancer runs a [`Subscriber`] that connects to one of the control machines,
 //! subscribes to its services and gets transactions, which it applies as a whole and acknowledges (ACK) or rejects
-//! (NACK). It resumes by version and digest: a service that has not changed costs nothing, one within the log of the
-//! store a delta, any other a snapshot of that service alone. This is incremental xDS with the resource versions and
-//! bookmarks of Kubernetes' watch.
+//! (NACK). On a new connection it reports the version and the digest of each service: the control machine sends nothing
+//! for a service that has not changed, a delta for one whose changes are in the log of the store, and a snapshot for
+//! any other. The protocol is that of incremental xDS, with the resource versions and bookmarks of Kubernetes' watch.
 //!
-//! Never: no I/O, no clock and no threads. Bytes, messages and times come in, frames and outputs go out, and the same
-//! calls give the same outputs. No queue grows with the number of changes, and nothing is allocated for a length that
-//! a frame only claims.
+//! The crate has no I/O, no clock and no threads. The caller passes in bytes, messages and times and carries out the
+//! outputs; the same calls give the same outputs. No queue grows with the number of changes, and a length that a frame
+//! claims allocates at most a fixed amount of memory before its bytes have been received.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `name`, `body`, `resource`, `log_entry`, `position`, `rejection` | the vocabulary |
+//! | `name`, `body`, `resource`, `log_entry`, `position`, `rejection` | names, resources, changes, log positions |
 //! | `digest` | the hashes by which two sides detect that their state differs |
-//! | `message`, `status`, `codec`, `bounded_text` | what is sent, and its encoding as frames |
+//! | `message`, `status`, `codec`, `bounded_text` | the messages, and their encoding as frames |
 //! | `violation` | the messages that the protocol does not allow |
 //! | `store`, `service_state` | all resources by service, with a bounded log of changes |
 //! | `publisher` | the sessions of a control machine's subscribers |
 //! | `subscriber` | the connection and the applied state of a balancer |
 //!
-//! Invariants: a subscriber's position never goes back; a transaction is applied completely or not at all; the last good
-//! state stays in force after a rejection and without any control machine; all services of a scope that one change has
-//! touched are in one transaction as long as the log holds the change. The state machines of a publisher's session and
-//! of a subscriber, and why they are as they are, are in `docs/design/distribution.md`.
+//! Invariants: a subscriber's position never moves back; a transaction is applied completely or not at all; the last
+//! good state stays in force after a rejection and without any control machine; all services of a scope that one change
+//! has touched are in one transaction as long as the log holds the change. The state machines of a publisher's session
+//! and of a subscriber, and the reasons for their design, are in `docs/design/distribution.md`.
 //!
 //! ```
 //! use sableloom_distribution::{
@@ -53,7 +54,7 @@
 //! subscriber.tick(due, &mut outputs);
 //! assert_eq!(outputs, [SubscriberOutput::Connect { control_machine: 0 }]);
 //!
-//! // The caller connects, and carries the messages to the other side.
+//! // The caller makes the connection and passes the messages on to the other side.
 //! publisher.connected(due, SessionId(1));
 //! outputs.clear();
 //! subscriber.connected(due, &mut outputs);
@@ -63,7 +64,7 @@
 //!         publisher.message(due, SessionId(1), message, &mut frames);
 //!     }
 //! }
-//! // A welcome, and a snapshot of the service: begin, changes, commit.
+//! // The frames are a welcome and a snapshot of the service: begin, changes, commit.
 //! assert_eq!(frames.len(), 4);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between a subscriber and a control machine. They are encoded by position: the order of fields and
+//! The messages between a subscriber and a control machine. The encoding holds no names: the order of fields and
 //! variants is the wire format.
 
 use serde::{Deserialize, Serialize};
@@ -9,132 +9,135 @@
 use crate::resource::Change;
 use crate::status::StatusPage;
 
-/// The most services named in one message. Even with the longest names they fit into a frame.
+/// The maximum number of services named in one message. Even with the longest names they fit into a frame.
 pub const MAX_SERVICES_PER_MESSAGE: usize = 1_024;
-/// The most changes in one message.
+/// The maximum number of changes in one message.
 pub const MAX_CHANGES_PER_MESSAGE: usize = 4_096;
-/// The most problems in one rejection of a transaction.
+/// The maximum number of problems in one rejection of a transaction.
 pub const MAX_REJECTIONS: usize = 16;
 
 /// A message to a control machine, from a subscriber or from a tool that requests the status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberMessage {
-    /// The first of a subscriber's messages on a connection.
+    /// The first message of a subscriber on a connection.
     Hello {
-        /// The subscriber's name.
+        /// The name by which the control machine lists the subscriber in its status.
         subscriber: SubscriberName,
-        /// The furthest position that the subscriber has seen at any control machine.
+        /// The latest position that the subscriber has received from any control machine.
         position: Position,
     },
-    /// A change of the scope, the services that are subscribed to; a service may be added again to have it repaired.
-    /// A long scope comes in several messages, and nothing is sent before the last.
+    /// A change of the scope, which is the set of services that the subscriber subscribes to. A service that is in
+    /// scope may be added again, so that a faulty copy is replaced. A long change takes several messages, and the
+    /// control machine sends no transaction before it has received the last of them.
     Scope {
-        /// The number of the scope message on this connection, from 1.
+        /// The number of this scope message on the connection; the first is 1.
         generation: u32,
-        /// Services subscribed to, with the version that the subscriber has applied.
+        /// The services to subscribe to, with the version that the subscriber has applied of each.
         add: Vec<ServiceVersion>,
-        /// Services no longer subscribed to.
+        /// The services to unsubscribe from.
         remove: Vec<ServiceName>,
-        /// Versions of them that the subscriber has rejected: they are not to be sent again.
+        /// The versions of added services that the subscriber has rejected; the control machine must not send them
+        /// again.
         rejected: Vec<ServiceVersion>,
-        /// Whether this is the last message of the scope.
+        /// Whether this is the last message of the change.
         last: bool,
     },
-    /// The transaction has been applied.
+    /// The subscriber has applied a transaction.
     Ack {
-        /// The transaction.
+        /// The id of the transaction, from its [`PublisherMessage::Begin`].
         transaction: u64,
     },
-    /// Nothing of the transaction has been applied.
+    /// The subscriber has applied nothing of a transaction.
     Nack {
-        /// The transaction.
+        /// The id of the transaction, from its [`PublisherMessage::Begin`].
         transaction: u64,
-        /// Why not.
+        /// Why it was not applied.
         reason: NackReason,
     },
     /// A request for a [`PublisherMessage::Pong`]; it shows that the subscriber is alive.
     Ping {
-        /// Returned in the answer.
+        /// A number that the pong repeats.
         sequence: u32,
     },
-    /// A request for a page of the status. It needs no hello.
+    /// A request for a page of the status. It may be sent without a hello.
     StatusRequest(StatusQuery),
 }
 
 /// Why a transaction was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NackReason {
-    /// The subscriber rejects the content: at most [`MAX_REJECTIONS`] problems.
+    /// The subscriber has rejected the content for at most [`MAX_REJECTIONS`] problems.
     Rejected(Vec<Rejection>),
-    /// The base or the digest does not match the state of the subscriber: the versions that it has applied.
+    /// The base or the digest of some services does not match the state of the subscriber, which reports the versions
+    /// that it has applied of them.
     Mismatch(Vec<ServiceVersion>),
 }
 
-/// The part of the status that is requested.
+/// The page of the status that is requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusQuery {
-    /// Sessions from this id on.
+    /// The status of sessions, in the order of their ids.
     Sessions {
-        /// The first id.
+        /// The lowest session id of the page; 0 for the first page.
         from: u64,
     },
-    /// Services after this one.
+    /// The versions of services, in the order of their names.
     Services {
-        /// The last service of the page before; none for the first page.
+        /// The last service of the previous page; none for the first page.
         after: Option<ServiceName>,
     },
-    /// The control machine's progress in its log, and why it has closed connections.
+    /// The progress of the control machine in its log, and why it has closed connections.
     Machine,
 }
 
 /// A message from a control machine to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublisherMessage {
-    /// The answer to a hello.
+    /// The answer to a hello that the control machine accepts.
     Welcome {
-        /// The position of the control machine.
+        /// The position up to which the control machine has read its log.
         position: Position,
     },
-    /// The answer to a hello or a scope that cannot be served; the connection ends.
+    /// The answer to a hello or a scope that the control machine does not serve; it then closes the connection.
     Refused(Refusal),
-    /// The start of a transaction, or further services of it.
+    /// The start of a transaction, or further services of the transaction that has begun.
     Begin {
-        /// The transaction.
+        /// The id of the transaction, unique while the publisher runs.
         transaction: u64,
-        /// The last scope message that the control machine had processed.
+        /// The number of the last scope message that the control machine had processed.
         generation: u32,
-        /// What each service's changes are based on.
+        /// The services of the transaction, with the state that the changes of each apply to.
         services: Vec<ServiceBase>,
     },
-    /// Changes of the transaction, in order.
+    /// Changes of the transaction, in the order in which they apply.
     Changes {
-        /// The transaction.
+        /// The id of the transaction.
         transaction: u64,
-        /// At most [`MAX_CHANGES_PER_MESSAGE`].
+        /// The changes, at most [`MAX_CHANGES_PER_MESSAGE`].
         changes: Vec<Change>,
     },
-    /// The transaction is complete.
+    /// The end of a transaction: all of its changes have been sent.
     Commit {
-        /// The transaction.
+        /// The id of the transaction.
         transaction: u64,
-        /// The position of the control machine.
+        /// The position up to which the control machine has read its log.
         position: Position,
         /// The version of each service of the transaction once it is applied.
         services: Vec<ServiceVersion>,
     },
-    /// A bookmark: every change of the scope up to this position has been acknowledged or rejected.
+    /// A bookmark: the subscriber has acknowledged or rejected every change of its scope up to a position.
     Current {
-        /// The position.
+        /// The position of the bookmark.
         position: Position,
-        /// The last scope message that the control machine had processed.
+        /// The number of the last scope message that the control machine had processed.
         generation: u32,
-        /// The sum of [`crate::scope_digest_term`] over the scope, by the versions that the control machine believes to
-        /// be applied.
+        /// The sum of [`crate::scope_digest_term`] over the scope, computed from the versions that, as far
+        /// as the control machine knows, the subscriber has applied.
         digest: u64,
     },
     /// The answer to a ping.
     Pong {
-        /// As in the ping.
+        /// The number of the ping.
         sequence: u32,
     },
     /// The answer to a status request.
@@ -144,27 +147,27 @@
 /// Why a control machine does not serve a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The control machine is behind the position that the subscriber has seen.
+    /// The control machine is behind the position of the subscriber's hello.
     Behind {
-        /// The position of the control machine.
+        /// The position up to which the control machine has read its log.
         position: Position,
     },
-    /// The control machine has read another change under the same number.
+    /// The control machine has read other changes up to the number of the subscriber's position.
     Diverged {
-        /// Its position at that number.
+        /// The position of the control machine at that number.
         position: Position,
     },
-    /// The control machine has as many sessions as it may.
+    /// The control machine has its maximum number of sessions.
     Full,
     /// The scope has too many services.
     ScopeTooLarge {
-        /// The most that it may have.
+        /// The maximum number of services in a scope.
         max: u32,
     },
-    /// The control machine speaks another version of the protocol. The frame of this answer has that version, so that
-    /// a subscriber that can't decode the message can still log both versions.
+    /// The control machine uses another version of the protocol. The frame of this answer has that version in its
+    /// header, so that a subscriber that cannot decode the message can still log both versions.
     Version {
-        /// The version that the control machine speaks.
+        /// The version that the control machine uses.
         expected: u8,
     },
 }
@@ -172,7 +175,7 @@
 /// A service of a transaction, with the state that its changes apply to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceBase {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
     /// The state that the changes apply to.
     pub base: Base,
@@ -183,9 +186,9 @@
 pub enum Base {
     /// The state that the subscriber has applied.
     Delta {
-        /// The version of that state.
+        /// The version of the service in that state.
         from: u64,
     },
-    /// An empty service: the changes are all of its resources.
+    /// An empty service: the changes set all of its resources.
     Snapshot,
 }
--- a/crates/distribution/src/name.rs
+++ b/crates/distribution/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of services, subscribers and resources, checked where they are made and where they are decoded.
+//! Names of services, subscribers and resources. They are validated when they are created and when they are decoded.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -7,12 +7,12 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The most bytes of a service's or subscriber's name.
+/// The maximum length of the name of a service or a subscriber, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// The most bytes of a resource's key (a server's id, a route's name).
+/// The maximum length of a resource's key (for instance a server's id or a route's name), in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// The most bytes that the kind and the two lengths of a [`ResourceName`] take in a message.
+/// The maximum number of bytes that the kind and the two lengths of a [`ResourceName`] take in a message.
 const ENCODING_OVERHEAD_BYTES: usize = 5;
 
 /// Why a text is not a valid name.
@@ -51,7 +51,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -92,7 +92,7 @@
 
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-                // Borrowed: a name that claims to be long must not be allocated before its length has been checked.
+                // The text is borrowed: nothing is allocated for a name before its length has been checked.
                 let text = <&str>::deserialize(deserializer)?;
                 Self::try_from(text).map_err(D::Error::custom)
             }
@@ -101,19 +101,20 @@
 }
 
 checked_name! {
-    /// The name of a service: 1 to [`MAX_NAME_BYTES`] bytes of `a-z`, `0-9`, `.`, `_` and `-`. Cheap to clone.
+    /// The name of a service: 1 to [`MAX_NAME_BYTES`] bytes of `a-z`, `0-9`, `.`, `_` and `-`. A clone shares the
+    /// text.
     ServiceName
 }
 
 checked_name! {
-    /// The name of a subscriber, by the same rule as [`ServiceName`].
+    /// The name of a subscriber, with the same length and characters as a [`ServiceName`].
     SubscriberName
 }
 
-/// The kind of a resource. Frames and digests hold its number: the order of the variants must stay.
+/// The kind of a resource. Frames and saved states hold the index of the variant: the order must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ResourceKind {
-    /// The settings of a service's pool: one per service, with an empty key.
+    /// The settings of the service's pool. There is at most one per service, and its key is empty.
     Pool,
     /// A server of the pool; the key is the server's id.
     Server,
@@ -130,33 +131,34 @@
     pub service: ServiceName,
     /// The kind of the resource.
     pub kind: ResourceKind,
-    /// Empty for a pool, a server's id, a route's or tenant's name; at most [`MAX_KEY_BYTES`].
+    /// The key within the service and kind: empty for a pool, otherwise the id of the server or the name of the route
+    /// or tenant. It has at most [`MAX_KEY_BYTES`] bytes.
     #[serde(with = "key_text")]
     pub key: Arc<str>,
 }
 
 impl ResourceName {
-    /// A service's pool.
+    /// Returns the name of a service's pool.
     pub fn pool(service: ServiceName) -> Self {
         ResourceName { service, kind: ResourceKind::Pool, key: "".into() }
     }
 
-    /// A server of a service.
+    /// Returns the name of a server with an id.
     pub fn server(service: ServiceName, id: &str) -> Self {
         ResourceName { service, kind: ResourceKind::Server, key: id.into() }
     }
 
-    /// A route to a service.
+    /// Returns the name of a route to a service.
     pub fn route(service: ServiceName, name: &str) -> Self {
         ResourceName { service, kind: ResourceKind::Route, key: name.into() }
     }
 
-    /// The rate limit of a tenant of a service.
+    /// Returns the name of the rate limit of a tenant.
     pub fn tenant(service: ServiceName, name: &str) -> Self {
         ResourceName { service, kind: ResourceKind::Tenant, key: name.into() }
     }
 
-    /// An upper estimate of the bytes that the name takes in a message.
+    /// Returns an upper bound of the number of bytes that the name takes in a message.
     pub fn encoded_size(&self) -> usize {
         self.service.as_str().len() + self.key.len() + ENCODING_OVERHEAD_BYTES
     }
@@ -173,7 +175,7 @@
     }
 }
 
-/// A key in a message: checked for its length before it is allocated.
+/// The encoding of a key in a message. Decoding checks the length before it allocates the key.
 mod key_text {
     use std::sync::Arc;
 
--- a/crates/distribution/src/rejection.rs
+++ b/crates/distribution/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Why a subscriber does not apply a resource.
+//! The problems for which a subscriber rejects a transaction.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,17 +8,19 @@
 use crate::name::ResourceName;
 use crate::resource::Origin;
 
-/// A problem that a subscriber found in a resource; the transaction that set the resource is not applied.
+/// A problem that a subscriber has found in a resource. The subscriber applies nothing of the transaction
+/// that sets the resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The resource.
+    /// The name of the resource.
     pub resource: ResourceName,
-    /// Where an operator wrote it.
+    /// The place where an operator wrote the resource.
     pub origin: Origin,
-    /// The field, empty if the problem is of no single field; at most [`crate::MAX_TEXT_BYTES`].
+    /// The name of the field, or empty if the problem is not in a single field. A message holds at most
+    /// [`crate::MAX_TEXT_BYTES`] bytes of it.
     #[serde(with = "crate::bounded_text")]
     pub field: Arc<str>,
-    /// What is wrong; at most [`crate::MAX_TEXT_BYTES`].
+    /// A description of the problem. A message holds at most [`crate::MAX_TEXT_BYTES`] bytes of it.
     #[serde(with = "crate::bounded_text")]
     pub problem: Arc<str>,
 }
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources, and the changes to them.
+//! Resources, and the changes of operators to them.
 
 use std::sync::Arc;
 
@@ -7,40 +7,41 @@
 use crate::body::ResourceBody;
 use crate::name::{ResourceName, ServiceName};
 
-/// The most bytes of a change's variant in a message.
+/// The number of bytes that the variant of a change takes in a message.
 const TAG_BYTES: usize = 1;
-/// The most bytes of a version in a message.
+/// The maximum number of bytes that a version takes in a message.
 const VERSION_BYTES: usize = 10;
-/// Bytes that are counted for the length of a name in a message.
+/// The number of bytes that are counted for the length of a name in a message.
 const LENGTH_BYTES: usize = 1;
-/// The most bytes of a resource's version, line and lengths in a message.
+/// The maximum number of bytes that the version, the line and the lengths of a resource take in a message.
 const RESOURCE_OVERHEAD_BYTES: usize = 24;
 
-/// Where an operator wrote a resource: file and line.
+/// The file and the line in which an operator wrote a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The change file, as the control machine names it; at most [`crate::MAX_TEXT_BYTES`].
+    /// The name of the change file, as the control machine reports it. A message holds at most
+    /// [`crate::MAX_TEXT_BYTES`] bytes of it.
     #[serde(with = "crate::bounded_text")]
     pub file: Arc<str>,
-    /// The line, from 1; 0 if unknown.
+    /// The line number; the first line is 1, and 0 stands for an unknown line.
     pub line: u32,
 }
 
-/// A resource as the change of number `version` set it.
+/// A resource in the state that the change with the number `version` gave it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resource {
-    /// The resource's name.
+    /// The full name, which identifies the resource.
     pub name: ResourceName,
     /// The number of the change that last set it.
     pub version: u64,
-    /// Where an operator wrote it.
+    /// The place where an operator wrote the resource.
     pub origin: Origin,
-    /// The encoded content.
+    /// The encoded content, which this crate does not interpret.
     pub body: ResourceBody,
 }
 
 impl Resource {
-    /// An upper estimate of the bytes that it takes in a message.
+    /// Returns an upper estimate of the number of bytes that the resource takes in a message.
     pub fn encoded_size(&self) -> usize {
         self.name.encoded_size()
             + self.body.len()
@@ -56,23 +57,23 @@
     Set(Resource),
     /// The resource is removed.
     Remove {
-        /// Its name.
+        /// The name of the removed resource.
         name: ResourceName,
-        /// The number of the change that removed it.
+        /// The number of the change that removed the resource.
         version: u64,
     },
-    /// All resources of the service are removed. Only in an operator's change file: the store expands it into single
-    /// removals, and no frame carries it.
+    /// All resources of the service are removed. Only an operator's change file may hold this variant: the store
+    /// expands it into removals of single resources, and no frame carries it.
     RemoveService {
-        /// The service.
+        /// The name of the service.
         service: ServiceName,
-        /// The number of the change that removed it.
+        /// The number of the change that removed the service.
         version: u64,
     },
 }
 
 impl Change {
-    /// The service that the change touches.
+    /// Returns the service that the change touches.
     pub fn service(&self) -> &ServiceName {
         match self {
             Change::Set(resource) => &resource.name.service,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The number of the change file that the change came with.
+    /// Returns the number of the change file that the change comes from.
     pub fn version(&self) -> u64 {
         match self {
             Change::Set(resource) => resource.version,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// An upper estimate of the bytes that it takes in a message.
+    /// Returns an upper estimate of the number of bytes that the change takes in a message.
     pub fn encoded_size(&self) -> usize {
         match self {
             Change::Set(resource) => resource.encoded_size() + TAG_BYTES,
--- a/crates/distribution/src/subscriber/applied_state.rs
+++ b/crates/distribution/src/subscriber/applied_state.rs
@@ -1,4 +1,4 @@
-//! What a subscriber has applied, by service of its scope.
+//! The state that a subscriber has applied, for each service of its scope.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
@@ -16,11 +16,11 @@
 #[derive(Debug, Default)]
 struct AppliedService {
     state: ServiceState,
-    /// The epoch of the version.
+    /// The epoch of the log to which the version belongs.
     epoch: u32,
-    /// The scope message that last added the service on this connection.
+    /// The number of the scope message that last added the service on this connection.
     generation: u32,
-    /// Version and digest that were rejected last.
+    /// The version and the digest that the caller rejected last, unless a version has been applied since.
     rejected: Option<(u64, u64)>,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(super) struct AppliedState {
     services: BTreeMap<ServiceName, AppliedService>,
-    /// Sum of [`scope_digest_term`].
+    /// The wrapping sum of [`scope_digest_term`] over all services.
     scope_digest: u64,
     /// The service whose digest was recomputed last.
     last_scrubbed: Option<ServiceName>,
@@ -42,7 +42,8 @@
         applied
     }
 
-    /// Restores the saved services that are in scope; returns those whose digest is wrong, which are left empty.
+    /// Restores the saved services that are in scope. Returns those whose resources do not match the saved digest or
+    /// belong to another service; they stay empty.
     pub(super) fn restore(&mut self, saved: Vec<SavedService>) -> Vec<ServiceName> {
         let mut damaged = Vec::new();
         for saved in saved {
@@ -67,7 +68,7 @@
         damaged
     }
 
-    /// The services of which a version has been applied, to be saved.
+    /// Returns the services of which a version has been applied, in the form in which they are saved.
     pub(super) fn saved(&self) -> Vec<SavedService> {
         let save = |(name, applied): (&ServiceName, &AppliedService)| SavedService {
             service: name.clone(),
@@ -79,7 +80,7 @@
         self.services.iter().filter(|(_, applied)| applied.state.version > 0).map(save).collect()
     }
 
-    /// The sum over the scope that a bookmark is compared with.
+    /// Returns the digest of the scope, which must equal the digest of a bookmark.
     pub(super) fn scope_digest(&self) -> u64 {
         self.scope_digest
     }
@@ -116,7 +117,7 @@
         self.state(service).into_iter().flat_map(|state| state.resources.values())
     }
 
-    /// The versions that were rejected and not replaced since.
+    /// Returns the rejected versions of services of which no version has been applied since.
     pub(super) fn rejected_versions(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
         self.services.keys().filter_map(|service| self.rejected_version(service))
     }
@@ -126,7 +127,8 @@
         Some(ServiceVersion { service: service.clone(), version, digest })
     }
 
-    /// Notes that a scope message adds a service; returns the version that has been applied.
+    /// Records the number of the scope message that adds a service. Returns the version that has been applied, or none
+    /// if the service is not in scope.
     pub(super) fn record_scope_generation(
         &mut self,
         service: &ServiceName,
@@ -137,7 +139,7 @@
         Some(applied.version(service))
     }
 
-    /// Removes the services that are not in a scope; returns their names.
+    /// Removes the services that are not in the new scope. Returns their names.
     pub(super) fn retain_scope(&mut self, scope: &BTreeSet<ServiceName>) -> Vec<ServiceName> {
         let removed: Vec<ServiceName> =
             self.services.keys().filter(|name| !scope.contains(*name)).cloned().collect();
@@ -150,7 +152,7 @@
         removed
     }
 
-    /// Adds the services of a scope that are missing; returns their names.
+    /// Adds the services of the new scope that are missing, as empty services. Returns their names.
     pub(super) fn add_missing(&mut self, scope: &BTreeSet<ServiceName>) -> Vec<ServiceName> {
         let added: Vec<ServiceName> =
             scope.iter().filter(|name| !self.services.contains_key(*name)).cloned().collect();
@@ -163,22 +165,22 @@
         added
     }
 
-    /// Whether a service is in scope and was not added to a scope message again after the control machine had begun
-    /// the transaction.
+    /// Returns whether the service is in scope, and no scope message has added it again that the control machine had
+    /// not processed when it began the transaction.
     pub(super) fn expects(&self, transfer: &ServiceTransfer) -> bool {
         self.services
             .get(&transfer.target.service)
             .is_some_and(|applied| applied.generation <= transfer.generation)
     }
 
-    /// Whether the changes of a service match what has been applied of it.
+    /// Returns whether the changes of a service apply to its state and lead to the expected digest.
     pub(super) fn matches(&self, transfer: &ServiceTransfer) -> bool {
         self.services
             .get(&transfer.target.service)
             .is_some_and(|applied| transfer.matches(&applied.state, applied.epoch))
     }
 
-    /// Applies the changes of a service, unless it is not expected any more.
+    /// Applies the changes of a service, unless they are no longer expected (see [`Self::expects`]).
     pub(super) fn apply(&mut self, transfer: ServiceTransfer) {
         if !self.expects(&transfer) {
             return;
@@ -191,7 +193,7 @@
         });
     }
 
-    /// Notes that the changes of a service were rejected, unless it is not expected any more.
+    /// Records that the caller has rejected the changes of a service, unless they are no longer expected.
     pub(super) fn record_rejection(&mut self, transfer: &ServiceTransfer) {
         if !self.expects(transfer) {
             return;
@@ -201,8 +203,9 @@
         }
     }
 
-    /// Recomputes the digest of the next service in turn, unless it is busy; returns the service if the digest was
-    /// wrong, and corrects it. Guards against a fault of memory, which no other comparison would show.
+    /// Recomputes the digest of the next service in the order of names, unless a pending transaction changes that
+    /// service. If the digest was wrong, corrects it and returns the service. This detects memory errors, which no
+    /// other comparison would detect.
     pub(super) fn scrub_next(
         &mut self,
         is_busy: impl Fn(&ServiceName) -> bool,
@@ -215,7 +218,7 @@
         (!is_busy(&service) && self.correct_digest(&service)).then_some(service)
     }
 
-    /// Replaces the body of a resource as a fault of memory would.
+    /// Replaces the body of a resource and leaves the digest as it is, like a memory error.
     pub(super) fn corrupt(&mut self, service: &ServiceName, index: usize, body: ResourceBody) {
         let resource = self
             .services
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Recomputes the digest of a service; whether it was wrong.
+    /// Recomputes and corrects the digest of a service. Returns whether it was wrong.
     fn correct_digest(&mut self, service: &ServiceName) -> bool {
         let Some(state) = self.state(service) else {
             return false;
@@ -239,7 +242,7 @@
         true
     }
 
-    /// Changes a service and keeps the digest of the scope.
+    /// Changes a service and updates the digest of the scope.
     fn update(&mut self, service: &ServiceName, change: impl FnOnce(&mut AppliedService)) {
         let Some(applied) = self.services.get_mut(service) else {
             return;
--- a/crates/distribution/src/subscriber/connection.rs
+++ b/crates/distribution/src/subscriber/connection.rs
@@ -1,22 +1,22 @@
-//! The states of a subscriber's connection.
+//! The state machine of a subscriber's connection.
 
 use sableloom_types::Time;
 
 use super::options::SubscriberTiming;
 use super::status::ConnectionState;
 
-/// The connection and what has happened on it.
+/// The state of the connection, with what its timers and its status need.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Connection {
-    /// Not started.
+    /// The subscriber has not been started.
     Idle,
-    /// Waiting before the next connection.
+    /// The subscriber waits before it connects again.
     Waiting { until: Time },
-    /// The caller is connecting.
+    /// The caller is establishing the connection.
     Connecting { control_machine: usize, since: Time },
-    /// Connected, not welcomed yet.
+    /// The connection is established, and no welcome has been received.
     Greeting { control_machine: usize, since: Time, hello_sent: bool },
-    /// In a session.
+    /// A welcome has been received: the session is open.
     Open {
         control_machine: usize,
         last_received: Time,
@@ -27,7 +27,7 @@
 }
 
 impl Connection {
-    /// The control machine of the connection, if there is one.
+    /// Returns the number of the control machine of the connection, if there is one.
     pub(super) fn control_machine(&self) -> Option<usize> {
         match *self {
             Connection::Idle | Connection::Waiting { .. } => None,
@@ -37,19 +37,19 @@
         }
     }
 
-    /// Whether hello and scope have been sent.
+    /// Returns whether the hello and the scope have been sent on this connection.
     pub(super) fn scope_sent(&self) -> bool {
         matches!(self, Connection::Greeting { hello_sent: true, .. } | Connection::Open { .. })
     }
 
-    /// A message has come.
+    /// Records that a message has been received.
     pub(super) fn record_message(&mut self, now: Time) {
         if let Connection::Open { last_received, .. } = self {
             *last_received = now;
         }
     }
 
-    /// A bookmark has matched the applied state; whether it is the first of the session.
+    /// Records that a bookmark has matched the applied state. Returns whether it is the first one of the session.
     pub(super) fn mark_current(&mut self) -> bool {
         match self {
             Connection::Open { is_current, .. } => !std::mem::replace(is_current, true),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// When the connection times out because no message came.
+    /// Returns when the connection times out unless a message is received before.
     pub(super) fn silence_deadline(&self, timing: &SubscriberTiming) -> Option<Time> {
         match *self {
             Connection::Idle | Connection::Waiting { .. } => None,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// When something is to be done.
+    /// Returns when the next timer of the connection expires, if there is one.
     pub(super) fn due(&self, timing: &SubscriberTiming) -> Option<Time> {
         let action = match *self {
             Connection::Waiting { until } => Some(until),
@@ -80,7 +80,7 @@
         [action, self.silence_deadline(timing)].into_iter().flatten().min()
     }
 
-    /// The number of the ping that is due now, if one is.
+    /// Returns the number of the ping that is due now, if there is one, and schedules the next one.
     pub(super) fn next_ping(&mut self, now: Time, timing: &SubscriberTiming) -> Option<u32> {
         match self {
             Connection::Open { next_ping, sequence, .. } if *next_ping <= now => {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The state as the status reports it.
+    /// Returns the state as the status reports it.
     pub(super) fn state(&self) -> ConnectionState {
         match *self {
             Connection::Idle => ConnectionState::Idle,
--- a/crates/distribution/src/subscriber/event.rs
+++ b/crates/distribution/src/subscriber/event.rs
@@ -1,64 +1,64 @@
-//! What happens to a subscriber.
+//! The events of a subscriber that its caller logs.
 
 use super::disconnect_reason::DisconnectReason;
 use crate::name::ServiceName;
 use crate::position::Position;
 use crate::rejection::Rejection;
 
-/// An event that is worth a line in the log.
+/// An event that the caller should log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriberEvent {
-    /// A session has begun.
+    /// A control machine has accepted the subscriber's hello.
     Connected {
-        /// The control machine.
+        /// The number of the control machine.
         control_machine: usize,
-        /// Its position.
+        /// The position up to which the control machine has read its log.
         position: Position,
     },
-    /// A connection has ended.
+    /// A connection has ended or could not be established.
     Disconnected {
-        /// The control machine.
+        /// The number of the control machine.
         control_machine: usize,
-        /// Why it has ended.
+        /// The reason for which it has ended.
         reason: DisconnectReason,
     },
-    /// No control machine can be reached: reported once, after three consecutive failures (fewer if there are fewer
-    /// machines), and again only after a bookmark has come.
+    /// No control machine can be reached. The event is reported once after three consecutive failures (fewer if there
+    /// are fewer control machines), and again only after a bookmark has matched the applied state.
     Unreachable,
-    /// Every change of the scope up to a position has been applied or rejected: reported once per session.
+    /// Every change of the scope up to a position has been applied or rejected. The event is reported once per session.
     Current {
-        /// The position.
+        /// The position of the bookmark that matched.
         position: Position,
     },
     /// Two control machines have read different changes under one number.
     Diverged {
-        /// The control machine that is not followed.
+        /// The number of the control machine whose connection is closed for it.
         control_machine: usize,
-        /// The furthest position that was seen.
+        /// The latest position that any control machine has reported, which the subscriber keeps.
         seen: Position,
-        /// The position of the control machine.
+        /// The position of the control machine whose connection is closed.
         other: Position,
     },
-    /// A transaction was rejected for its content.
+    /// The caller has rejected a transaction for its content.
     Rejected {
         /// The services that the transaction touches.
         services: Vec<ServiceName>,
-        /// The problems.
+        /// The problems, at most [`crate::MAX_REJECTIONS`].
         rejections: Vec<Rejection>,
     },
-    /// A transaction whose base or digest does not match the applied state.
+    /// The base or the digest of a transaction does not match the applied state, and the transaction was not applied.
     Mismatch {
         /// The services that do not match.
         services: Vec<ServiceName>,
     },
     /// The resources of a service in memory do not match its digest; the service is requested again.
     Drift {
-        /// The service.
+        /// The name of the service.
         service: ServiceName,
     },
-    /// The resources of a service in the saved state do not match its digest; they are not used.
+    /// The resources of a service in the saved state do not match its digest, and were not restored.
     SavedStateDamaged {
-        /// The service.
+        /// The name of the service.
         service: ServiceName,
     },
 }
--- a/crates/distribution/src/subscriber/machine_selector.rs
+++ b/crates/distribution/src/subscriber/machine_selector.rs
@@ -1,25 +1,27 @@
-//! Which control machine a subscriber connects to, and after which delay: both at random, so that the subscribers of a
-//! machine that fails spread over all others and over time.
+//! The choice of the control machine that a subscriber connects to, and of the delay before it connects. Both are
+//! random, so that the subscribers of a control machine that fails spread over all others and over time.
 
 use oorandom::Rand64;
 use sableloom_types::{Span, Time};
 
 use super::options::SubscriberTiming;
 
-/// How long a control machine that is behind, diverged or full is avoided if there are others.
+/// The time for which a control machine that is behind, diverged or full is avoided if there are others: 10 s.
 const AVOID_DURATION: Span = Span(10_000_000);
-/// Consecutive failures after which control is reported to be unreachable.
+/// The number of consecutive failures after which all control machines are reported as unreachable.
 const UNREACHABLE_AFTER_FAILURES: u32 = 3;
-/// Doublings after which any backoff is at its limit; keeps the shift in range.
+/// The maximum number of times that the backoff doubles. It keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 
+/// Chooses control machines and delays, and counts consecutive failures.
 #[derive(Debug)]
 pub(super) struct MachineSelector {
     random: Rand64,
-    /// By machine: until when it is avoided.
+    /// For each control machine, the time until which it is avoided.
     avoided_until: Vec<Option<Time>>,
+    /// The number of the control machine that was chosen last.
     last_picked: Option<usize>,
-    /// Consecutive connections without a bookmark that matched the applied state.
+    /// The number of consecutive connections without a bookmark that matched the applied state.
     failures: u32,
     unreachable_reported: bool,
 }
@@ -35,18 +37,19 @@
         }
     }
 
-    /// A random time up to a limit.
+    /// Returns a random delay from 0 to the limit.
     pub(super) fn random_delay(&mut self, limit: Span) -> Span {
         Span(self.random.rand_range(0..limit.0.max(0) as u64 + 1) as i64)
     }
 
-    /// A connection has led to a bookmark that matched the applied state.
+    /// Records that a bookmark has matched the applied state.
     pub(super) fn record_success(&mut self) {
         self.failures = 0;
         self.unreachable_reported = false;
     }
 
-    /// A connection has failed or ended; whether control is to be reported as unreachable.
+    /// Records that a connection has failed or ended. Returns whether all control machines are to be reported as
+    /// unreachable.
     pub(super) fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
         let threshold = UNREACHABLE_AFTER_FAILURES.min(self.avoided_until.len() as u32);
@@ -57,22 +60,25 @@
         true
     }
 
-    /// Full jitter: a random time up to a limit that doubles with each failure. Guards against the simultaneous
-    /// reconnection of all subscribers when a control machine fails or a region comes back.
+    /// Returns the delay before the next connection: exponential backoff with full jitter, which is a random delay up
+    /// to a limit that doubles with each failure. It prevents all subscribers from reconnecting at the same time when a
+    /// control machine fails or a region returns.
     pub(super) fn backoff(&mut self, timing: &SubscriberTiming) -> Span {
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let limit = (timing.backoff_base.0 << doublings).min(timing.backoff_max.0);
         self.random_delay(Span(limit))
     }
 
-    /// Avoids a control machine for a while.
+    /// Avoids a control machine for [`AVOID_DURATION`].
     pub(super) fn avoid(&mut self, control_machine: usize, now: Time) {
         if let Some(until) = self.avoided_until.get_mut(control_machine) {
             *until = Some(now.plus(AVOID_DURATION));
         }
     }
 
-    /// A machine that is neither avoided nor the last one; if there is none, any but the last one.
+    /// Returns a random control machine that is neither avoided nor the one that was chosen last. If all others are
+    /// avoided, returns any except the last one; if there is only one, returns that one. Returns none if there are no
+    /// control machines.
     pub(super) fn pick(&mut self, now: Time) -> Option<usize> {
         let machines = self.avoided_until.len();
         let is_other =
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -1,4 +1,5 @@
-//! The balancer's side: which control machine it is connected to, what it has applied, what it has to apply.
+//! The state machine of a balancer's subscription: its connection, the applied state, and the transactions that are to
+//! be applied.
 
 mod applied_state;
 mod connection;
@@ -40,8 +41,8 @@
 
 /// A balancer's subscription to its configuration.
 ///
-/// The caller owns connections, clock and files: it reports what happens, carries out the [`SubscriberOutput`]s in
-/// order, and calls [`Self::tick`] when [`Self::due`] says so.
+/// The caller owns connections, clock and files. It reports events by calling the methods, carries out the
+/// [`SubscriberOutput`]s in order, and calls [`Self::tick`] at the time that [`Self::due`] returns.
 #[derive(Debug)]
 pub struct Subscriber {
     name: SubscriberName,
@@ -50,26 +51,30 @@
     selector: MachineSelector,
     connection: Connection,
     applied: AppliedState,
-    /// The furthest position that any control machine has shown.
+    /// The latest position that any control machine has reported.
     position: Position,
-    /// The last bookmark that matched the applied state.
+    /// The position of the last bookmark that matched the applied state.
     bookmark: Position,
+    /// The time of the last message of any control machine.
     last_contact: Option<Time>,
     /// The number of scope messages sent on this connection.
     scope_generation: u32,
+    /// The transaction of which the commit has not been received.
     incoming: Option<IncomingTransaction>,
-    /// Transactions that the caller has not answered, in the order in which they were handed out.
+    /// The transactions that the caller has not answered, in the order in which they were handed to it.
     pending: VecDeque<PendingTransaction>,
+    /// The time at which the digest of the next service is recomputed; none before the start.
     next_scrub: Option<Time>,
-    /// Consecutive bookmarks that did not match the applied state.
+    /// The number of consecutive bookmarks that did not match the applied state.
     mismatched_bookmarks: u32,
     counters: SubscriberCounters,
-    /// Damaged services of the saved state, reported at the start.
+    /// The services whose saved state was damaged, until they are reported at the start.
     damaged: Vec<ServiceName>,
 }
 
 impl Subscriber {
-    /// A subscriber with its saved state, if any. It connects to nothing before [`Self::start`].
+    /// Creates a subscriber from its options and its saved state, if there is one. It does not connect before
+    /// [`Self::start`].
     pub fn new(options: SubscriberOptions) -> Self {
         let mut applied = AppliedState::new(options.scope);
         let saved = options.saved_state.unwrap_or_default();
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Starts: the first connection is made after a random delay within [`SubscriberTiming::first_delay_max`].
+    /// Starts the subscription. It connects after a random delay of up to [`SubscriberTiming::first_delay_max`].
     pub fn start(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         for service in std::mem::take(&mut self.damaged) {
             out.push(SubscriberOutput::Event(SubscriberEvent::SavedStateDamaged { service }));
@@ -105,7 +110,7 @@
         self.next_scrub = Some(now.plus(self.timing.scrub_interval));
     }
 
-    /// The connection that [`SubscriberOutput::Connect`] asked for has been made.
+    /// Reports that the connection requested by [`SubscriberOutput::Connect`] has been established.
     pub fn connected(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         if let Connection::Connecting { control_machine, .. } = self.connection {
             self.connection =
@@ -114,7 +119,8 @@
         }
     }
 
-    /// The connection has ended or could not be made. Not to be called after [`SubscriberOutput::Close`].
+    /// Reports that the connection has ended or could not be established. It must not be called for a connection that
+    /// the caller has closed for a [`SubscriberOutput::Close`].
     pub fn disconnected(
         &mut self,
         now: Time,
@@ -126,7 +132,7 @@
         }
     }
 
-    /// A message has come.
+    /// Handles a message that was received on the connection.
     pub fn message(
         &mut self,
         now: Time,
@@ -143,15 +149,16 @@
         }
     }
 
-    /// A malformed frame has come: the connection is closed and counted.
+    /// Handles a malformed frame that was received on the connection: closes the connection and counts the violation.
     pub fn malformed(&mut self, now: Time, error: CodecError, out: &mut Vec<SubscriberOutput>) {
         if self.connection.control_machine().is_some() {
             self.close(now, PublisherViolation::Malformed(error).into(), out);
         }
     }
 
-    /// The caller has applied all of a transaction, or rejects it and has applied nothing of it. Transactions are
-    /// answered in the order in which they were handed out, also when their connection has ended since.
+    /// Reports that the caller has applied all of a transaction, or that it has rejected it and applied nothing of it.
+    /// The caller must report transactions in the order in which it got them, even after their connection has ended;
+    /// any other report is ignored.
     pub fn apply_finished(
         &mut self,
         transaction: u64,
@@ -169,8 +176,8 @@
         self.send_hello_if_ready(out);
     }
 
-    /// Changes the scope. The state of services that leave it is dropped at once: the caller decides how long it still
-    /// uses its own, and skips what a pending transaction says of them.
+    /// Changes the scope. The state of services that are no longer in it is dropped at once. The caller decides how
+    /// long it keeps its own copy of them, and must skip their changes in transactions that it has not applied.
     pub fn set_scope(&mut self, scope: Vec<ServiceName>, out: &mut Vec<SubscriberOutput>) {
         let scope: BTreeSet<ServiceName> = scope.into_iter().collect();
         let removed = self.applied.retain_scope(&scope);
@@ -180,7 +187,8 @@
         }
     }
 
-    /// Does what is due: connects, sends a ping, closes a silent connection, recomputes a digest.
+    /// Runs the timers that have expired: connects, sends a ping, closes a connection that has timed out, or recomputes
+    /// a digest.
     pub fn tick(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         self.tick_connection(now, out);
         if self.next_scrub.is_some_and(|at| at <= now) {
@@ -189,12 +197,12 @@
         }
     }
 
-    /// When [`Self::tick`] is to be called; each other call may change it.
+    /// Returns the time at which [`Self::tick`] must be called, or none before the start. Any other call may change it.
     pub fn due(&self) -> Option<Time> {
         [self.connection.due(&self.timing), self.next_scrub].into_iter().flatten().min()
     }
 
-    /// The status. The cost follows the number of services.
+    /// Returns the status. The cost grows with the number of services in scope.
     pub fn status(&self, now: Time) -> SubscriberStatus {
         SubscriberStatus {
             connection: self.connection.state(),
@@ -211,28 +219,30 @@
         }
     }
 
-    /// The applied versions of the services of the scope, in the order of their names.
+    /// Returns the applied versions of all services of the scope, in the order of their names.
     pub fn service_versions(&self) -> impl Iterator<Item = ServiceVersion> + '_ {
         self.applied.versions()
     }
 
-    /// The applied resources of a service of the scope, in the order of kind and key.
+    /// Returns the applied resources of a service in the order of kind and key; none if the service is not in scope.
     pub fn resources(&self, service: &ServiceName) -> impl Iterator<Item = &Resource> + '_ {
         self.applied.resources(service)
     }
 
-    /// The state to save for a restart. Bodies are shared, not copied.
+    /// Returns the state to save for a restart. The bodies of resources are shared, not copied.
     pub fn saved_state(&self) -> SavedState {
         SavedState { position: self.position, services: self.applied.saved() }
     }
 
-    /// An estimate of the bytes that are buffered for transactions that have not been applied.
+    /// Returns an estimate of the bytes buffered for the incoming transaction and for those that the caller has not
+    /// answered.
     pub fn buffered_bytes(&self) -> usize {
         let incoming = self.incoming.as_ref().map_or(0, |incoming| incoming.bytes);
         incoming + self.pending.iter().map(|transaction| transaction.bytes).sum::<usize>()
     }
 
-    /// Replaces the body of an applied resource as a fault of memory would. For tests of how drift is detected.
+    /// Replaces the body of an applied resource and leaves its digest as it is, like a memory error. Tests use it to
+    /// check that drift is detected.
     #[doc(hidden)]
     pub fn corrupt(&mut self, service: &ServiceName, index: usize, body: ResourceBody) {
         self.applied.corrupt(service, index, body);
@@ -271,7 +281,7 @@
         }
     }
 
-    /// Recomputes one service's digest; if it was wrong, the service is requested again.
+    /// Recomputes the digest of one service. If it was wrong, the service is reported and requested again.
     fn scrub(&mut self, out: &mut Vec<SubscriberOutput>) {
         let busy: BTreeSet<&ServiceName> =
             self.pending.iter().flat_map(PendingTransaction::services).collect();
--- a/crates/distribution/src/subscriber/options.rs
+++ b/crates/distribution/src/subscriber/options.rs
@@ -8,24 +8,27 @@
 /// The configuration of a subscriber.
 #[derive(Clone, Debug)]
 pub struct SubscriberOptions {
-    /// The subscriber's name.
+    /// The name by which control machines list the subscriber in their status.
     pub name: SubscriberName,
-    /// The number of control machines, which are numbered from 0.
+    /// The number of control machines. In outputs and events they are numbered from 0.
     pub control_machine_count: usize,
-    /// The services that it subscribes to.
+    /// The services to subscribe to.
     pub scope: Vec<ServiceName>,
-    /// The seed of its random choices: of control machines and of delays. It must differ between balancers.
+    /// The seed of the random choices of control machines and of delays. It must differ between balancers,
+    /// because equal seeds give equal choices.
     pub seed: u64,
-    /// The state that was saved before, if any. A service that is not in scope or whose digest is wrong is dropped.
+    /// The state that a previous process saved, if there is one. Services that are not in scope or whose digest is
+    /// wrong are not restored.
     pub saved_state: Option<SavedState>,
-    /// Delays, intervals and timeouts.
+    /// The delays, intervals and timeouts.
     pub timing: SubscriberTiming,
-    /// The most bytes of one transaction that are buffered, by estimate. Default 5 MiB, above the publisher's 4 MiB.
+    /// The maximum number of bytes, by estimate, that are buffered for one transaction. The default is 5 MiB, above the
+    /// publisher's limit of 4 MiB.
     pub max_transaction_bytes: usize,
 }
 
 impl SubscriberOptions {
-    /// The defaults, with no saved state.
+    /// Creates options with the default timing and limit and without a saved state.
     pub fn new(
         name: SubscriberName,
         control_machine_count: usize,
@@ -47,18 +50,19 @@
 /// The delays, intervals and timeouts of a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubscriberTiming {
-    /// The limit of the random delay before the first connection. Default 0.2 s.
+    /// The upper limit of the random delay before the first connection. The default is 0.2 s.
     pub first_delay_max: Span,
-    /// The limit of the random delay before a reconnection, after a first failure. Default 1 s.
+    /// The upper limit of the random delay before the connection that follows a first failure. The default is 1 s.
     pub backoff_base: Span,
-    /// The limit doubles with each consecutive failure up to this. Default 4 s: with a resume that stays below the 6 s
-    /// within which a change must be applied once a control machine can be reached again.
+    /// The value up to which [`Self::backoff_base`] doubles with each consecutive failure. The default is 4 s: together
+    /// with the time that a resume takes, it stays below the 6 s within which a change must be applied once a control
+    /// machine can be reached again.
     pub backoff_max: Span,
-    /// The interval of pings. Default 1 s.
+    /// The interval between pings. The default is 1 s.
     pub ping_interval: Span,
-    /// A connection is closed if no message comes for this time. Default 4 s.
+    /// The time after which a connection is closed if no message has been received on it. The default is 4 s.
     pub silence_timeout: Span,
-    /// The interval at which the digest of one service after the other is recomputed. Default 1 s.
+    /// The interval between recomputations of a digest, each of which is for the next service. The default is 1 s.
     pub scrub_interval: Span,
 }
 
--- a/crates/distribution/src/subscriber/output.rs
+++ b/crates/distribution/src/subscriber/output.rs
@@ -1,4 +1,4 @@
-//! What a subscriber tells its caller to do.
+//! The actions that a subscriber requests from its caller.
 
 use super::disconnect_reason::DisconnectReason;
 use super::event::SubscriberEvent;
@@ -7,37 +7,38 @@
 use crate::position::Position;
 use crate::resource::Change;
 
-/// Changes that are to be applied all or not at all.
+/// Changes that the caller must apply completely or not at all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transaction {
-    /// The id, for [`crate::Subscriber::apply_finished`].
+    /// The id with which the caller calls [`crate::Subscriber::apply_finished`].
     pub id: u64,
-    /// The position of the control machine.
+    /// The position up to which the control machine has read its log.
     pub position: Position,
-    /// The changes by service.
+    /// The changes, grouped by service.
     pub services: Vec<ServiceUpdate>,
 }
 
 /// The changes of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceUpdate {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
-    /// Its version afterwards.
+    /// The version of the service once the changes are applied.
     pub version: u64,
-    /// Its digest afterwards.
+    /// The digest of the service once the changes are applied.
     pub digest: u64,
-    /// Whether the changes are complete: a `Set` for each resource that the service has afterwards, and a `Remove` for
-    /// each resource that it had before and has no more. To replace the service and to apply the changes is the same.
+    /// Whether the changes are complete: a `Set` for each resource that the service then has, and a `Remove` for each
+    /// applied resource that it then no longer has. The caller may either replace the service or apply the changes; the
+    /// result is the same.
     pub snapshot: bool,
-    /// The changes: only `Set` and `Remove`, each resource once.
+    /// The changes, which are only `Set` and `Remove`, with at most one for each resource.
     pub changes: Vec<Change>,
 }
 
-/// What the caller has to do.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriberOutput {
-    /// Connect to a control machine, and call [`crate::Subscriber::connected`] or
+    /// Connect to a control machine, and report the result by [`crate::Subscriber::connected`] or
     /// [`crate::Subscriber::disconnected`].
     Connect {
         /// The number of the control machine.
@@ -45,12 +46,13 @@
     },
     /// Send a message on the connection.
     Send(SubscriberMessage),
-    /// Close the connection, or stop connecting. The subscriber expects no report of it.
+    /// Close the connection, or stop connecting. The caller must not report this by
+    /// [`crate::Subscriber::disconnected`].
     Close {
-        /// Why the connection is closed.
+        /// The reason for which the connection is closed.
         reason: DisconnectReason,
     },
-    /// Validate and apply a transaction, and call [`crate::Subscriber::apply_finished`].
+    /// Validate and apply a transaction, and report the result by [`crate::Subscriber::apply_finished`].
     Apply(Transaction),
     /// Log an event.
     Event(SubscriberEvent),
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -1,5 +1,5 @@
-//! Transactions and bookmarks of the control machine: buffered within a bound, checked by digest, handed to the caller
-//! only when they are complete.
+//! The handling of transactions and bookmarks from the control machine. Transactions are buffered up to a limit,
+//! checked by digest, and handed to the caller only when they are complete.
 
 use super::Subscriber;
 use super::disconnect_reason::DisconnectReason;
@@ -14,12 +14,12 @@
 use crate::resource::Change;
 use crate::violation::PublisherViolation;
 
-/// Consecutive bookmarks that do not match the applied state, after which the connection is closed: the first leads to
-/// the complete scope being sent again.
+/// The number of consecutive bookmarks that may mismatch the applied state before the connection is closed. The first
+/// mismatch makes the subscriber send its complete scope again.
 const MAX_MISMATCHED_BOOKMARKS: u32 = 1;
 
 impl Subscriber {
-    /// A transaction starts, or takes in further services.
+    /// Begins a transaction, or adds further services to the one that has begun.
     pub(super) fn begin_transaction(
         &mut self,
         id: u64,
@@ -32,7 +32,7 @@
         self.check_buffered_bytes()
     }
 
-    /// Changes of the incoming transaction have come.
+    /// Adds changes to the incoming transaction.
     pub(super) fn add_changes(
         &mut self,
         id: u64,
@@ -46,7 +46,8 @@
         self.check_buffered_bytes()
     }
 
-    /// The incoming transaction is complete: it is answered, or handed to the caller.
+    /// Completes the incoming transaction. It is handed to the caller if it matches the applied state, and answered at
+    /// once if it does not match or if none of its services is expected any more.
     pub(super) fn commit_transaction(
         &mut self,
         id: u64,
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// The caller has applied a transaction.
+    /// Records a transaction that the caller has applied, and acknowledges it.
     pub(super) fn acknowledge(
         &mut self,
         transaction: PendingTransaction,
@@ -94,7 +95,7 @@
         self.send_answer(SubscriberMessage::Ack { transaction: transaction.id }, out);
     }
 
-    /// The caller has rejected a transaction.
+    /// Records a transaction that the caller has rejected, and reports the rejection.
     pub(super) fn reject(
         &mut self,
         transaction: PendingTransaction,
@@ -113,7 +114,8 @@
         self.send_answer(SubscriberMessage::Nack { transaction: transaction.id, reason }, out);
     }
 
-    /// A bookmark has come: if it does not match the applied state, the complete scope is sent again, once.
+    /// Compares a bookmark with the applied state. On a first mismatch the complete scope is sent again; on the next
+    /// one the connection is closed.
     pub(super) fn check_bookmark(
         &mut self,
         position: Position,
@@ -121,7 +123,7 @@
         digest: u64,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<(), DisconnectReason> {
-        // The bookmark of an earlier scope, or one that does not know of the last answers, can't match.
+        // A bookmark can only match if the control machine had processed the last scope message and all answers.
         if generation != self.scope_generation
             || !self.pending.is_empty()
             || self.incoming.is_some()
@@ -145,8 +147,8 @@
         Ok(())
     }
 
-    /// Answers that the transaction does not match, with the versions that have been applied: the control machine then
-    /// sends snapshots of these services.
+    /// Reports the applied versions of services whose changes do not match; the control machine then sends snapshots of
+    /// these services.
     fn report_mismatch(
         &mut self,
         id: u64,
@@ -164,14 +166,15 @@
         transfer.service_update(self.applied.state(&transfer.target.service))
     }
 
-    /// Sends the answer to a transaction, unless its connection has ended since.
+    /// Sends the answer to a transaction, unless the connection on which the transaction came has ended.
     fn send_answer(&self, message: SubscriberMessage, out: &mut Vec<SubscriberOutput>) {
         if self.connection.scope_sent() {
             out.push(SubscriberOutput::Send(message));
         }
     }
 
-    /// Bounds the memory for transactions: one that is incoming, and as much again that the caller has not answered.
+    /// Checks the limits of buffered bytes: the maximum size of a transaction for the incoming one, and twice that size
+    /// together with the transactions that the caller has not answered.
     fn check_buffered_bytes(&self) -> Result<(), DisconnectReason> {
         let incoming = self.incoming.as_ref().map_or(0, |incoming| incoming.bytes);
         if incoming > self.max_transaction_bytes
--- a/crates/distribution/src/subscriber/saved_state.rs
+++ b/crates/distribution/src/subscriber/saved_state.rs
@@ -1,4 +1,4 @@
-//! What a subscriber keeps over a restart.
+//! The state that a subscriber keeps across a restart.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,27 +6,27 @@
 use crate::position::Position;
 use crate::resource::Resource;
 
-/// The state that a restart begins with: the last that was applied. Stored by position: the order of fields is the
-/// format.
+/// The last applied state, with which a subscriber starts again. Its encoding holds no names: the order of fields is
+/// the format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedState {
-    /// The furthest position that any control machine has shown.
+    /// The latest position that any control machine has reported.
     pub position: Position,
-    /// The services that have been applied.
+    /// The services of which a version has been applied.
     pub services: Vec<SavedService>,
 }
 
 /// One service of a [`SavedState`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedService {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
-    /// The epoch of its version.
+    /// The epoch of the log to which the version belongs.
     pub epoch: u32,
-    /// Its version.
+    /// The number of the last change that touched the service.
     pub version: u64,
-    /// Its digest.
+    /// The wrapping sum of [`crate::resource_digest`] over the resources.
     pub digest: u64,
-    /// Its resources.
+    /// All resources of the service.
     pub resources: Vec<Resource>,
 }
--- a/crates/distribution/src/subscriber/service_transfer.rs
+++ b/crates/distribution/src/subscriber/service_transfer.rs
@@ -1,4 +1,4 @@
-//! One service of a complete transaction: its changes, and what they make of the applied state.
+//! The changes of one service in a complete transaction, and their effect on the applied state.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +9,17 @@
 use crate::resource::{Change, Resource};
 use crate::service_state::{ResourceKey, ServiceState};
 
-/// The last change of each resource: its new state, or none if it is removed.
+/// The last change of each resource: its new state, or none if the resource is removed.
 pub(super) type ResourceChanges = BTreeMap<ResourceKey, Option<Resource>>;
 
+/// The changes of one service, with the state that they apply to and the version that they lead to.
 #[derive(Debug)]
 pub(super) struct ServiceTransfer {
-    /// The version that the changes lead to.
+    /// The version and the digest of the service once the changes are applied.
     pub(super) target: ServiceVersion,
+    /// The epoch of the log to which the version belongs.
     pub(super) epoch: u32,
-    /// The last scope message that the control machine had processed when it began the transaction.
+    /// The number of the last scope message that the control machine had processed when it began the transaction.
     pub(super) generation: u32,
     pub(super) base: Base,
     pub(super) changes: ResourceChanges,
@@ -28,7 +30,8 @@
         self.base == Base::Snapshot
     }
 
-    /// Whether the changes apply to a state of an epoch, don't lead back, and come to the digest of the target.
+    /// Returns whether the changes apply to the state, whose version belongs to `epoch`, do not lead to an older
+    /// version, and result in the digest of the target.
     pub(super) fn matches(&self, state: &ServiceState, epoch: u32) -> bool {
         let is_older =
             self.epoch < epoch || (self.epoch == epoch && self.target.version < state.version);
@@ -39,7 +42,8 @@
         !is_older && base_matches && self.digest_after(state) == self.target.digest
     }
 
-    /// The changes for the caller, given the applied state.
+    /// Returns the changes for the caller. For a snapshot they include the removals of resources in the applied state
+    /// that the snapshot does not have.
     pub(super) fn service_update(&self, state: Option<&ServiceState>) -> ServiceUpdate {
         let changes = if self.is_snapshot() {
             let present = state.into_iter().flat_map(|state| state.resources.keys());
@@ -55,7 +59,7 @@
         ServiceUpdate { service, version, digest, snapshot: self.is_snapshot(), changes }
     }
 
-    /// Applies the changes.
+    /// Applies the changes to the state of the service.
     pub(super) fn apply_to(self, state: &mut ServiceState) {
         if self.is_snapshot() {
             *state = ServiceState::default();
@@ -66,7 +70,7 @@
         }
     }
 
-    /// The digest of a state after the changes. The cost follows the changes and not the state.
+    /// Returns the digest of the state after the changes. The cost grows with the changes and not with the state.
     fn digest_after(&self, state: &ServiceState) -> u64 {
         let mut digest = if self.is_snapshot() { 0 } else { state.digest };
         for (key, change) in &self.changes {
@@ -83,7 +87,7 @@
     }
 }
 
-/// The change that sets a resource, or removes it.
+/// Returns the change that sets a resource, or that removes it if it is none.
 fn change(target: &ServiceVersion, key: &ResourceKey, resource: Option<Resource>) -> Change {
     match resource {
         Some(resource) => Change::Set(resource),
--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -1,4 +1,4 @@
-//! The connection to a control machine: connecting, hello and scope, pings, the end.
+//! The connection to a control machine: connecting, the hello and the scope, pings, and the end of the connection.
 
 use sableloom_types::Time;
 
@@ -12,11 +12,13 @@
 use crate::position::{Position, ServiceVersion};
 use crate::violation::PublisherViolation;
 
-/// Services added by one scope message: each may also be named as rejected.
+/// The maximum number of services that one scope message adds. It is half of the limit, because each added service may
+/// be named again with a rejected version.
 const MAX_ADDED_PER_MESSAGE: usize = MAX_SERVICES_PER_MESSAGE / 2;
 
 impl Subscriber {
-    /// Connects, sends a ping or closes a silent connection, if that is due.
+    /// Runs the timers of the connection that have expired: connects, sends a ping, or closes a connection that has
+    /// timed out.
     pub(super) fn tick_connection(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         if self.connection.silence_deadline(&self.timing).is_some_and(|at| at <= now) {
             self.close(now, DisconnectReason::Silent, out);
@@ -32,8 +34,9 @@
         }
     }
 
-    /// Sends hello and scope on a new connection, once the caller has answered all transactions of the earlier one:
-    /// these may change the versions that the scope reports, and their answers don't belong on this connection.
+    /// Sends the hello and the scope on a new connection, once the caller has answered all transactions of the earlier
+    /// connection: they may change the versions that the scope reports, and their answers must not be sent on the new
+    /// connection.
     pub(super) fn send_hello_if_ready(&mut self, out: &mut Vec<SubscriberOutput>) {
         let Connection::Greeting { hello_sent, .. } = &mut self.connection else {
             return;
@@ -50,13 +53,13 @@
         self.send_complete_scope(out);
     }
 
-    /// Adds all services of the scope, again or for the first time.
+    /// Sends scope messages that add all services of the scope, for the first time or again.
     pub(super) fn send_complete_scope(&mut self, out: &mut Vec<SubscriberOutput>) {
         let all = self.applied.versions().map(|version| version.service).collect();
         self.send_scope(all, Vec::new(), out);
     }
 
-    /// Sends a change of the scope in as many messages as it takes, at least one.
+    /// Sends a change of the scope in one or more messages.
     pub(super) fn send_scope(
         &mut self,
         added: Vec<ServiceName>,
@@ -68,7 +71,7 @@
         loop {
             self.scope_generation += 1;
             let remove = removed.next().map_or(Vec::new(), <[_]>::to_vec);
-            // Removals go first: the scope must not exceed its limit in between.
+            // Removals are sent first, so that the scope does not exceed its limit in between.
             let add =
                 if removed.peek().is_none() && remove.is_empty() { added.next() } else { None };
             let (add, rejected) = self.report_versions(add.unwrap_or(&[]));
@@ -87,7 +90,7 @@
         }
     }
 
-    /// The control machine has welcomed the subscriber.
+    /// Handles the welcome of the control machine, which opens the session.
     pub(super) fn handle_welcome(
         &mut self,
         now: Time,
@@ -112,7 +115,8 @@
         Ok(())
     }
 
-    /// Takes the position of a control machine over, unless it is behind the furthest one or contradicts it.
+    /// Takes over the position of a control machine. Reports an error if the position is behind the latest one that is
+    /// known or diverges from it.
     pub(super) fn advance_position(
         &mut self,
         now: Time,
@@ -130,7 +134,8 @@
         Ok(())
     }
 
-    /// The control machine has refused the session; returns why the connection is closed.
+    /// Handles the refusal of the session by the control machine. Returns the reason for which the connection is
+    /// closed.
     pub(super) fn handle_refusal(
         &mut self,
         now: Time,
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Closes the connection.
+    /// Makes the caller close the connection, and counts a violation of the protocol.
     pub(super) fn close(
         &mut self,
         now: Time,
@@ -166,8 +171,8 @@
         self.connection_ended(now, reason, out);
     }
 
-    /// The connection has ended: an incomplete transaction is dropped, and the next connection is made after a random
-    /// delay.
+    /// Drops an incomplete transaction of the connection that has ended, and schedules the next connection after a
+    /// random delay.
     pub(super) fn connection_ended(
         &mut self,
         now: Time,
@@ -186,6 +191,7 @@
             Connection::Waiting { until: now.plus(self.selector.backoff(&self.timing)) };
     }
 
+    /// Makes the caller connect to the next control machine; without any control machine, no connection is made.
     fn connect(&mut self, now: Time, out: &mut Vec<SubscriberOutput>) {
         let Some(control_machine) = self.selector.pick(now) else {
             self.connection = Connection::Idle;
@@ -196,7 +202,8 @@
         out.push(SubscriberOutput::Connect { control_machine });
     }
 
-    /// The versions of services that a scope message reports: those applied, and those rejected.
+    /// Returns the versions that a scope message reports of added services: the applied versions, and the rejected
+    /// ones.
     fn report_versions(
         &mut self,
         services: &[ServiceName],
@@ -211,6 +218,7 @@
         (applied, rejected)
     }
 
+    /// Avoids and counts a control machine that is behind. Returns the reason for which its connection is closed.
     fn avoid_behind_machine(
         &mut self,
         now: Time,
@@ -222,6 +230,8 @@
         DisconnectReason::Behind(position)
     }
 
+    /// Avoids, counts and reports a control machine that has diverged. Returns the reason for which its connection is
+    /// closed.
     fn avoid_diverged_machine(
         &mut self,
         now: Time,
--- a/crates/distribution/src/subscriber/status.rs
+++ b/crates/distribution/src/subscriber/status.rs
@@ -8,32 +8,32 @@
 /// The state of a subscriber's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Not started.
+    /// The subscriber has not been started.
     #[default]
     Idle,
-    /// Waiting before the next connection.
+    /// The subscriber waits before it connects again.
     Waiting {
-        /// When it connects.
+        /// The time at which it connects.
         until: Time,
     },
-    /// The caller is connecting.
+    /// The caller is establishing the connection.
     Connecting {
-        /// The control machine.
+        /// The number of the control machine.
         control_machine: usize,
     },
-    /// Connected, and the control machine has not welcomed the subscriber yet.
+    /// The connection is established, and no welcome has been received.
     Greeting {
-        /// The control machine.
+        /// The number of the control machine.
         control_machine: usize,
     },
-    /// In a session without a bookmark that matches the applied state.
+    /// The session is open, and no bookmark of it has matched the applied state.
     Syncing {
-        /// The control machine.
+        /// The number of the control machine.
         control_machine: usize,
     },
-    /// In a session, and a bookmark has matched the applied state.
+    /// The session is open, and a bookmark of it has matched the applied state.
     Current {
-        /// The control machine.
+        /// The number of the control machine.
         control_machine: usize,
     },
 }
@@ -41,51 +41,53 @@
 /// The status of a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberStatus {
-    /// The connection.
+    /// The state of the connection.
     pub connection: ConnectionState,
-    /// The furthest position that any control machine has shown.
+    /// The latest position that any control machine has reported.
     pub position: Position,
-    /// The position of the last bookmark that matched: every change of the scope up to it has been applied or rejected.
+    /// The position of the last bookmark that matched the applied state. Every change of the scope up to it has been
+    /// applied or rejected.
     pub bookmark: Position,
-    /// The time since the last message of a control machine; none if there was none.
+    /// The time since the last message from any control machine; none if no message has been received.
     pub last_contact_age: Option<Span>,
-    /// Services in the scope.
+    /// The number of services in the scope.
     pub services: usize,
-    /// Services of the scope of which a version has been applied.
+    /// The number of services of the scope of which a version has been applied.
     pub services_applied: usize,
-    /// Resources that have been applied.
+    /// The number of applied resources.
     pub resources: usize,
-    /// Of these, limits of tenants.
+    /// The number of applied resources that are limits of tenants.
     pub tenants: usize,
-    /// An upper estimate of the bytes of all resources.
+    /// An upper estimate of the bytes of all applied resources.
     pub bytes: usize,
-    /// The services of which the latest version was rejected.
+    /// The services with a rejected version of which no version has been applied since.
     pub rejected: Vec<ServiceName>,
-    /// The counters.
+    /// The counters of the subscriber.
     pub counters: SubscriberCounters,
 }
 
-/// The counters of a subscriber since its start.
+/// The counters of a subscriber since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounters {
-    /// Connections that were started.
+    /// The number of attempts to connect.
     pub connects: u64,
-    /// Sessions that were welcomed.
+    /// The number of sessions that a control machine welcomed.
     pub sessions: u64,
-    /// Transactions that were applied.
+    /// The number of transactions that were applied.
     pub applied: u64,
-    /// Services that were applied as a snapshot.
+    /// The number of snapshots of a service in applied transactions.
     pub snapshots: u64,
-    /// Transactions that were rejected for their content.
+    /// The number of transactions that were rejected for their content.
     pub rejected: u64,
-    /// Transactions whose base or digest did not match the applied state.
+    /// The number of transactions whose base or digest did not match the applied state.
     pub mismatches: u64,
-    /// Services whose resources did not match their digest.
+    /// The number of times that the resources of a service did not match its digest.
     pub drifts: u64,
-    /// Connections to a control machine that had diverged.
+    /// The number of connections that were closed because the control machine had diverged.
     pub diverged: u64,
-    /// Connections to a control machine that was behind.
+    /// The number of connections that were closed because the control machine was behind.
     pub behind: u64,
-    /// Connections closed for a message that the protocol does not allow at that point, or for a malformed frame.
+    /// The number of connections that were closed for a message that the protocol does not allow at that point, or for
+    /// a malformed frame.
     pub violations: u64,
 }
--- a/crates/distribution/src/subscriber/transaction.rs
+++ b/crates/distribution/src/subscriber/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions on their way: the one of which not all has come, and those that the caller applies.
+//! The transactions of a subscriber: the one that is being received, and those that the caller applies.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 use crate::service_state::ResourceKey;
 use crate::violation::PublisherViolation;
 
-/// A transaction of which not all has come.
+/// A transaction whose commit has not been received.
 #[derive(Debug)]
 pub(super) struct IncomingTransaction {
     id: u64,
-    /// The last scope message that the control machine had processed.
+    /// The number of the last scope message that the control machine had processed when it began the transaction.
     generation: u32,
     services: BTreeMap<ServiceName, IncomingService>,
-    /// An estimate of the bytes that are buffered.
+    /// An estimate of the bytes that are buffered for the transaction.
     pub(super) bytes: usize,
 }
 
@@ -28,7 +28,7 @@
     changes: ResourceChanges,
 }
 
-/// A transaction that was handed to the caller and has not been answered.
+/// A transaction that was handed to the caller, which has not answered it.
 #[derive(Debug)]
 pub(super) struct PendingTransaction {
     pub(super) id: u64,
@@ -51,7 +51,9 @@
         self.id
     }
 
-    /// Adds services: at the start, and later as long as it is the same transaction.
+    /// Adds services, at the start or in a further message of the same transaction.
+    ///
+    /// Fails if the message belongs to another transaction.
     pub(super) fn begin(
         &mut self,
         id: u64,
@@ -69,7 +71,9 @@
         Ok(())
     }
 
-    /// Adds changes; a later change of a resource replaces an earlier one.
+    /// Adds changes. A later change of a resource replaces an earlier one.
+    ///
+    /// Fails if a change is of a service that is not in the transaction, or is the removal of a service.
     pub(super) fn add_changes(&mut self, changes: Vec<Change>) -> Result<(), DisconnectReason> {
         for change in changes {
             self.bytes += change.encoded_size();
@@ -88,7 +92,9 @@
         Ok(())
     }
 
-    /// The transaction is complete: its services with their targets.
+    /// Completes the transaction. Returns the changes of its services with their targets.
+    ///
+    /// Fails if the targets are not exactly the services of the transaction.
     pub(super) fn commit(
         mut self,
         position: Position,
--- a/crates/distribution/src/violation.rs
+++ b/crates/distribution/src/violation.rs
@@ -1,64 +1,66 @@
-//! Messages that the protocol does not allow at the point at which they come; the connection is closed.
+//! Violations of the protocol: messages that are not allowed at the point at which they are received. Both sides close
+//! the connection on one.
 
 use crate::codec::CodecError;
+use crate::message::MAX_SERVICES_PER_MESSAGE;
 
-/// What a subscriber did, as the control machine detects it.
+/// A violation by a subscriber or a status tool, detected by the control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubscriberViolation {
-    /// A message of a connection that is not known.
-    #[error("no session")]
+    /// A message on a connection that the publisher does not know.
+    #[error("a message on an unknown connection")]
     NoSession,
-    /// A scope or an answer before the hello.
-    #[error("no hello")]
+    /// A scope message or an answer to a transaction before the hello.
+    #[error("a message that requires a hello before it")]
     NoHello,
     /// A second hello on one connection.
-    #[error("a second hello")]
+    #[error("a second hello on one connection")]
     SecondHello,
     /// A scope message whose generation is not the next one.
-    #[error("scope messages out of order")]
+    #[error("a scope message whose generation is not the next one")]
     ScopeOutOfOrder,
     /// A scope message with more than [`crate::MAX_SERVICES_PER_MESSAGE`] services.
-    #[error("a scope message with too many services")]
+    #[error("a scope message with over {MAX_SERVICES_PER_MESSAGE} services")]
     ScopeMessageTooLarge,
-    /// An ACK or NACK of a transaction that is not unacknowledged.
-    #[error("an answer to no transaction")]
+    /// An ACK or NACK of a transaction that does not wait for one.
+    #[error("an answer to a transaction that does not wait for one")]
     UnknownTransaction,
 }
 
-/// What a control machine did, as the subscriber detects it.
+/// A violation by a control machine, detected by the subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublisherViolation {
-    /// A frame that can't be decoded.
+    /// A frame that cannot be decoded.
     #[error("{0}")]
     Malformed(CodecError),
     /// A welcome before the hello, or a second one.
-    #[error("a welcome without a hello")]
+    #[error("a welcome without a hello, or a second one")]
     UnexpectedWelcome,
-    /// A transaction begins before the one before is complete.
-    #[error("a transaction begins within another")]
+    /// A transaction begins before the previous one is complete.
+    #[error("a transaction begins before the previous one is complete")]
     NestedTransaction,
     /// Changes of a transaction that has not begun.
-    #[error("changes of no transaction")]
+    #[error("changes of a transaction that has not begun")]
     ChangesWithoutBegin,
     /// A change of a service that the transaction does not name.
     #[error("a change of a service that is not in the transaction")]
     ServiceNotInTransaction,
-    /// A change that only an operator's change file may hold.
+    /// A change that only an operator's change file may hold: the removal of a service.
     #[error("the removal of a service")]
     ServiceRemoval,
     /// A commit of a transaction that has not begun.
-    #[error("the end of no transaction")]
+    #[error("a commit of a transaction that has not begun")]
     CommitWithoutBegin,
     /// A commit names a service that the transaction does not have.
-    #[error("a transaction without one of its services")]
+    #[error("a commit of a service that is not in the transaction")]
     MissingService,
     /// A commit does not name each service of its transaction.
-    #[error("a transaction that does not end all of its services")]
+    #[error("a commit that does not name all services of the transaction")]
     UncommittedService,
     /// Consecutive bookmarks did not match the applied state.
-    #[error("bookmarks do not fit what is held")]
+    #[error("consecutive bookmarks do not match the applied state")]
     BookmarkMismatch,
-    /// A status, which a subscriber does not request.
-    #[error("a status that was not asked for")]
+    /// A page of the status, which a subscriber never requests.
+    #[error("a status that was not requested")]
     UnexpectedStatus,
 }
--- a/crates/distribution/tests/codec.rs
+++ b/crates/distribution/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames: expected bytes, any fragmentation of the stream, malformed input.
+//! Tests of the codec: the expected bytes of frames, fragmented streams, and malformed input.
 
 use proptest::prelude::*;
 use sableloom_distribution::{
@@ -8,7 +8,7 @@
 };
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::try_from(name).expect("a name")
+    ServiceName::try_from(name).expect("a valid name")
 }
 
 fn resource() -> Resource {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Messages of a publisher, with the frame that each encodes to.
+/// Messages of a publisher, with the frame that each encodes to. The test fills in the length.
 fn publisher_frames() -> Vec<(PublisherMessage, Vec<u8>)> {
     let position = Position { epoch: 1, number: 300, chain: 5 };
     let committed = ServiceVersion { service: service("ab"), version: 300, digest: 7 };
@@ -65,7 +65,7 @@
 #[test]
 fn messages_encode_to_the_expected_bytes_and_decode_back() {
     for (message, mut frame) in publisher_frames() {
-        // The length is computed here; the rest is given above byte by byte.
+        // Only the length is computed; the expected bytes of the rest are listed in `publisher_frames`.
         let length = (frame.len() - 4) as u32;
         frame[..4].copy_from_slice(&length.to_be_bytes());
         assert_eq!(encode(&message), frame, "{message:?}");
@@ -75,7 +75,7 @@
         assert_eq!(reader.next_message::<PublisherMessage>(), Ok(None));
     }
     let hello = SubscriberMessage::Hello {
-        subscriber: SubscriberName::try_from("b").expect("a name"),
+        subscriber: SubscriberName::try_from("b").expect("a valid name"),
         position: Position { epoch: 1, number: 2, chain: 3 },
     };
     assert_eq!(encode(&hello), [0, 0, 0, 7, 2, 0, 1, b'b', 1, 2, 3]);
@@ -105,7 +105,7 @@
     let Ok(Some(SubscriberMessage::Nack { reason: NackReason::Rejected(read), .. })) =
         reader.next_message()
     else {
-        panic!("no message");
+        panic!("the frame does not decode to a rejection");
     };
     assert_eq!(&*read[0].problem, "ä".repeat(256));
 }
@@ -120,7 +120,7 @@
     let mut frame = vec![0, 0, 0, 10, 2, 3, 1, 1, 1, 1, b'c', 3, 1, b't', 1];
     frame[3] = frame.len() as u8 - 4;
     assert_eq!(encode(&message), frame);
-    // The first number that is no kind.
+    // 4 is the first number that stands for no kind of resource.
     frame[11] = 4;
     let mut reader = FrameReader::new();
     reader.push(&frame);
@@ -133,7 +133,7 @@
         let mut reader = FrameReader::new();
         reader.push(bytes);
         let first = reader.next_message::<SubscriberMessage>();
-        // A correct frame after it is not read.
+        // A well-formed frame after the malformed one is not read.
         reader.push(&encode(&SubscriberMessage::Ping { sequence: 1 }));
         if first != Ok(None) {
             assert_eq!(reader.next_message::<SubscriberMessage>(), first);
@@ -150,13 +150,13 @@
         first_result(&too_long.to_be_bytes()),
         Err(CodecError::TooLong(MAX_FRAME_BYTES + 1))
     );
-    // The versions of earlier programs and of later ones.
+    // Programs of earlier and of later versions send these versions.
     for other in [0, 1, PROTOCOL_VERSION + 1] {
         let version = first_result(&[0, 0, 0, 9, other]);
         assert_eq!(
             version,
             Err(CodecError::UnsupportedVersion(other)),
-            "it is reported before the frame is complete"
+            "the version is reported before the frame is complete"
         );
     }
     assert_eq!(first_result(&[0, 0, 0, 2, 2, 99]), Err(CodecError::Malformed));
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_message_that_claims_absent_elements_allocates_at_most_one_mebibyte() {
-    // A transaction that claims 2^60 services and holds none.
+    // The frame begins a transaction that claims 2^60 - 1 services and has none.
     let mut frame = vec![0, 0, 0, 13, 2, 2, 1, 1];
     frame.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f]);
     let mut reader = FrameReader::new();
@@ -222,7 +222,7 @@
         let mut reader = FrameReader::new();
         reader.push(&frame);
         while let Ok(Some(message)) = reader.next_message::<PublisherMessage>() {
-            // Whatever decodes can be encoded.
+            // Each message that decodes can be encoded, within the maximum size of a frame.
             prop_assert!(encode(&message).len() <= MAX_FRAME_BYTES + 4);
         }
     }
--- a/crates/distribution/tests/frames/messages.rs
+++ b/crates/distribution/tests/frames/messages.rs
@@ -1,4 +1,4 @@
-//! One message or more of each kind, with each variant of what they hold.
+//! The values whose bytes are recorded: at least one message of each kind, with all variants of its fields.
 
 use sableloom_distribution::{
     Base, Change, LagStatus, LogStatus, MachineStatus, NackReason, Origin, Position,
@@ -8,11 +8,11 @@
 };
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::try_from(name).expect("a sound name")
+    ServiceName::try_from(name).expect("a valid name")
 }
 
 fn subscriber(name: &str) -> SubscriberName {
-    SubscriberName::try_from(name).expect("a sound name")
+    SubscriberName::try_from(name).expect("a valid name")
 }
 
 fn position() -> Position {
@@ -53,7 +53,7 @@
     }
 }
 
-/// From a subscriber to a control machine.
+/// Returns the messages from a subscriber to a control machine, by the names under which their frames are recorded.
 pub(crate) fn subscriber_messages() -> Vec<(&'static str, SubscriberMessage)> {
     let hello = SubscriberMessage::Hello { subscriber: subscriber("east-7"), position: position() };
     let scope = SubscriberMessage::Scope {
@@ -88,7 +88,7 @@
     ]
 }
 
-/// From a control machine to a subscriber.
+/// Returns the messages from a control machine to a subscriber, by the names under which their frames are recorded.
 pub(crate) fn publisher_messages() -> Vec<(&'static str, PublisherMessage)> {
     let refused = PublisherMessage::Refused;
     let mut changes: Vec<Change> = resources().into_iter().map(Change::Set).collect();
@@ -128,7 +128,7 @@
     ]
 }
 
-/// A balancer's saved state, as it is stored.
+/// Returns the saved state whose bytes are recorded.
 pub(crate) fn saved_state() -> SavedState {
     let saved = SavedService {
         service: service("points"),
@@ -141,7 +141,7 @@
 }
 
 fn status(rows: StatusRows) -> PublisherMessage {
-    // Each number once, so that two fields that change places show.
+    // Each field has a different number, so that the test detects two fields that have changed places.
     let status = PublisherStatus {
         position: position(),
         services: 201,
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! The subscriber, one case per test.
+//! Tests of the subscriber against scripted messages of control machines.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,11 @@
 };
 use sableloom_types::Time;
 
+/// One second in the unit of [`Time`], microseconds.
 const SECOND: i64 = 1_000_000;
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::try_from(name).expect("a name")
+    ServiceName::try_from(name).expect("a valid name")
 }
 
 fn server(of: &str, id: &str, version: u64, body: &[u8]) -> Resource {
@@ -26,11 +27,11 @@
 }
 
 fn options(machines: usize, scope: &[&str], seed: u64) -> SubscriberOptions {
-    let name = SubscriberName::try_from("balancer").expect("a name");
+    let name = SubscriberName::try_from("balancer").expect("a valid name");
     SubscriberOptions::new(name, machines, scope.iter().map(|name| service(name)).collect(), seed)
 }
 
-/// A subscriber and its outputs that have not been read.
+/// A subscriber, the current time in microseconds, and the outputs that a test has not read.
 struct Balancer {
     subscriber: Subscriber,
     now: i64,
@@ -45,7 +46,7 @@
         balancer
     }
 
-    /// Lets time pass to the next connection, and runs all timers until then.
+    /// Runs all timers until the subscriber connects, and returns the number of the control machine.
     fn next_connect(&mut self) -> usize {
         loop {
             for output in std::mem::take(&mut self.out) {
@@ -54,7 +55,7 @@
                 }
             }
             let Some(Time(due)) = self.subscriber.due() else {
-                panic!("nothing is due");
+                panic!("no timer is running");
             };
             self.now = self.now.max(due);
             self.subscriber.tick(Time(self.now), &mut self.out);
@@ -85,7 +86,7 @@
         sent
     }
 
-    /// Receives a transaction of one service.
+    /// Delivers a transaction of one service.
     fn receive_transaction(
         &mut self,
         transaction: u64,
@@ -100,7 +101,7 @@
         self.receive(PublisherMessage::Commit { transaction, position, services: vec![applied] });
     }
 
-    /// Receives and applies a snapshot of one server.
+    /// Delivers a snapshot of a service with one server, and reports it as applied.
     fn apply_server(&mut self, of: &str, version: u64) -> Resource {
         let resource = server(of, "a", version, b"body");
         let applied =
@@ -117,6 +118,7 @@
         resource
     }
 
+    /// Returns the messages that were sent since the last call, without pings.
     fn sent(&mut self) -> Vec<SubscriberMessage> {
         let sent = self.take(|output| match output {
             SubscriberOutput::Send(message) => Ok(message),
@@ -127,6 +129,7 @@
             .collect()
     }
 
+    /// Returns the transactions that were handed out since the last call.
     fn transactions(&mut self) -> Vec<Transaction> {
         self.take(|output| match output {
             SubscriberOutput::Apply(transaction) => Ok(transaction),
@@ -141,6 +144,7 @@
         })
     }
 
+    /// Returns the reason for which the subscriber has closed the connection since the last call.
     fn closed(&mut self) -> Option<DisconnectReason> {
         let closed = self.take(|output| match output {
             SubscriberOutput::Close { reason } => Ok(reason),
@@ -149,6 +153,7 @@
         closed.into_iter().next()
     }
 
+    /// Removes the outputs that `pick` selects, and returns their values.
     fn take<T>(
         &mut self,
         pick: impl Fn(SubscriberOutput) -> Result<T, SubscriberOutput>,
@@ -211,7 +216,7 @@
             reason: NackReason::Mismatch(vec![applied.clone()])
         }]
     );
-    // The digest is right, but the base has not been applied.
+    // The digest is correct, but the base is not the applied version.
     let digest = applied.digest.wrapping_add(resource_digest(&server("points", "b", 4, b"x")));
     let right = ServiceVersion { version: 4, digest, ..applied.clone() };
     balancer.receive_transaction(
@@ -256,11 +261,11 @@
     assert_eq!(balancer.sent(), [SubscriberMessage::Nack { transaction: 9, reason }]);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     assert_eq!(balancer.subscriber.status(Time(0)).rejected, [service("points")]);
-    // The rejection is reported to the next control machine as well.
+    // The next control machine gets a report of the rejection as well.
     balancer.lose_connection();
     balancer.next_connect();
     let SubscriberMessage::Scope { rejected, .. } = &balancer.connected()[1] else {
-        panic!("no scope")
+        panic!("no scope message was sent")
     };
     assert_eq!(*rejected, [applied]);
 }
@@ -280,7 +285,7 @@
     balancer.lose_connection();
     assert_eq!(balancer.subscriber.buffered_bytes(), 0);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
-    // Its commit is a violation on the next connection.
+    // On the next connection, the commit of the dropped transaction violates the protocol.
     balancer.open_session(at(4));
     balancer.receive(PublisherMessage::Commit {
         transaction: 9,
@@ -332,7 +337,11 @@
     let [SubscriberMessage::Hello { .. }, SubscriberMessage::Scope { add, .. }] = &sent[..] else {
         panic!("{sent:?}")
     };
-    assert_eq!(*add, [applied], "and no answer to the earlier connection's transaction");
+    assert_eq!(
+        *add,
+        [applied],
+        "the scope reports the applied version, and no acknowledgement is sent"
+    );
 }
 
 #[test]
@@ -353,12 +362,12 @@
     let diverged_event =
         SubscriberEvent::Diverged { control_machine: diverged, seen: at(5), other };
     assert!(balancer.events().contains(&diverged_event));
-    // A refusal by the control machine has the same effect.
+    // A refusal by the control machine has the same effect as a diverged position in its welcome.
     balancer.next_connect();
     balancer.connected();
     balancer.receive(PublisherMessage::Refused(Refusal::Diverged { position: other }));
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
-    // A higher epoch is accepted although its number is lower; the old epoch is not accepted any more.
+    // A higher epoch is accepted although its number is lower, and the lower epoch is not accepted after it.
     balancer.open_session(Position { epoch: 2, number: 1, chain: 3 });
     assert_eq!(balancer.closed(), None);
     balancer.lose_connection();
@@ -374,7 +383,7 @@
     balancer.events();
     balancer.subscriber.corrupt(&service("points"), 0, b"flip".as_slice().into());
     let digest = resource_digest(
-        balancer.subscriber.resources(&service("points")).next().expect("a server"),
+        balancer.subscriber.resources(&service("points")).next().expect("the service has a server"),
     );
     for _ in 0..3 {
         balancer.receive(PublisherMessage::Pong { sequence: 0 });
@@ -396,7 +405,7 @@
     let bookmark =
         |generation| PublisherMessage::Current { position: at(3), generation, digest: 1 };
     balancer.receive(bookmark(0));
-    assert_eq!(balancer.sent(), [], "a bookmark of an earlier scope says nothing");
+    assert_eq!(balancer.sent(), [], "a bookmark of an earlier scope is ignored");
     balancer.receive(bookmark(1));
     assert_eq!(balancer.sent().len(), 1);
     balancer.receive(bookmark(2));
@@ -479,7 +488,7 @@
         );
     }
     assert_eq!(unreachable, 1);
-    // A mean backoff of 2 s: 1,800 attempts in an hour.
+    // The mean backoff is 2 s, which gives 1,800 attempts in an hour.
     assert!((900..4_500).contains(&connects), "{connects} in an hour");
     let status = balancer.subscriber.status(Time(balancer.now));
     assert_eq!(status.last_contact_age.map(|age| age.0), Some(balancer.now - last_contact));
@@ -535,7 +544,7 @@
         [SubscriberEvent::SavedStateDamaged { service: service("points") }]
     );
     assert_eq!(damaged.subscriber.resources(&service("points")).count(), 0);
-    // Bookmarks that match are reported once.
+    // Only the first of several bookmarks that match is reported.
     let digest = balancer.subscriber.service_versions().fold(0u64, |sum, applied| {
         sum.wrapping_add(sableloom_distribution::scope_digest_term(
             &applied.service,
--- a/crates/distribution/tests/version.rs
+++ b/crates/distribution/tests/version.rs
@@ -1,4 +1,4 @@
-//! A subscriber of another version of the protocol.
+//! Tests of the answer to a subscriber that uses another version of the protocol.
 
 use sableloom_distribution::{
     CloseReason, CodecError, FrameReader, PROTOCOL_VERSION, Publisher, PublisherMessage,
@@ -16,9 +16,9 @@
         publisher.connected(Time(0), session);
         publisher.malformed(Time(0), session, error, &mut out);
         let [PublisherOutput::Send { frame, .. }, closed] = &out[..] else {
-            panic!("an answer, then the end: {out:?}");
+            panic!("expected an answer and then a close: {out:?}");
         };
-        // The version comes before anything that the other side could not decode.
+        // The version is in the header, before any byte that depends on the version of the protocol.
         assert_eq!(frame[4], PROTOCOL_VERSION);
         let mut reader = FrameReader::new();
         reader.push(frame);
