--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -20,7 +20,7 @@
     queries: QueryBudget,
     probes: ProbeBudget,
     /// The key of the member, or the one before the member, that is queried next.
-    next_queried: Key,
+    next_query_key: Key,
 }
 
 impl CapacityShare {
@@ -34,9 +34,9 @@
             members,
             resumed: false,
             duplicate_identity: false,
-            queries: QueryBudget::new(timing.lease, timing.max_queries),
+            queries: QueryBudget::new(timing.lease, timing.max_queries_per_lease),
             probes: ProbeBudget::new(timing.probe_interval),
-            next_queried: 0,
+            next_query_key: 0,
         }
     }
 
@@ -62,16 +62,16 @@
 
     /// A datagram has come from a member's address, whatever it says. That proves nothing, and only ever makes the
     /// share smaller: a proof of absence that is older has ended.
-    pub fn heard(&mut self, now: Time, key: Key) {
+    pub fn datagram_received(&mut self, now: Time, key: Key) {
         self.members.change(key, |member| {
-            member.last_heard = now;
+            member.last_datagram_at = now;
             member.absent_since = NEVER;
         });
     }
 
     /// A member has acknowledged this very process, and stated the length of its list.
     pub fn acknowledged(&mut self, now: Time, key: Key, list_length: u16) {
-        self.heard(now, key);
+        self.datagram_received(now, key);
         self.members.change(key, |member| {
             member.cannot_hold_stale_proof = true;
             member.list_length = list_length;
@@ -86,7 +86,7 @@
             let before = member.absent_since;
             member.cannot_hold_stale_proof |= queried >= started;
             // A datagram that came since is from a process that has started since.
-            if member.last_heard < queried {
+            if member.last_datagram_at < queried {
                 member.absent_since = before.max(queried);
                 member.list_length = 0;
             }
@@ -111,17 +111,17 @@
 
     /// Queries begin at this key. Processes that began at the same one would all query the same few members.
     pub fn start_queries_at(&mut self, key: Key) {
-        self.next_queried = key;
+        self.next_query_key = key;
     }
 
     /// The key from which members are queried next: where there are too many to query, each has its turn.
-    pub fn next_queried(&self) -> Key {
-        self.next_queried
+    pub fn next_query_key(&self) -> Key {
+        self.next_query_key
     }
 
     /// The other members in the order in which they are queried.
     pub fn query_order(&self) -> impl Iterator<Item = Key> {
-        self.members.round_from(self.next_queried).map(|member| member.key)
+        self.members.round_from(self.next_query_key).map(|member| member.key)
     }
 
     /// The absence queries to send now: about the first of these candidates that may be queried, `max` at most.
@@ -150,7 +150,7 @@
             self.members.change(key, |member| member.last_queried = now);
             self.queries.spend(now);
             queries.to.push(key);
-            self.next_queried = key.wrapping_add(1);
+            self.next_query_key = key.wrapping_add(1);
         }
         if self.queries.is_spent()
             && let Some(frees_at) = self.queries.frees_at()
@@ -186,7 +186,7 @@
     }
 
     /// How many members are proved absent.
-    pub fn absent_members(&self, now: Time) -> usize {
+    pub fn count_absent(&self, now: Time) -> usize {
         let expired =
             self.members.proof_times().take_while(|queried| self.is_expired(now, *queried));
         self.members.proof_count() - expired.count()
@@ -194,22 +194,22 @@
 
     /// The length of the longest list that this process knows of, its own included: where lists differ, the longer
     /// one holds, as the members that a shorter one lacks act too.
-    pub fn longest_list(&self) -> u32 {
+    pub fn longest_list_length(&self) -> u32 {
         let own = self.members.len() as u32 + 1;
-        own.max(u32::from(self.members.longest_list()))
+        own.max(u32::from(self.members.longest_list_length()))
     }
 
     /// The share now.
     pub fn share(&self, now: Time) -> Share {
         let factor = if self.duplicate_identity { 2 } else { 1 };
-        let longest = self.longest_list();
+        let longest = self.longest_list_length();
         let balancers_after = longest * factor;
         let waiting_for = self.waiting_for(now);
         if waiting_for > 0 {
             let (until, reason) = (Some(self.wait_ends()), ShareReason::Waiting(waiting_for));
             return Share { balancers: 0, until, balancers_after, reason };
         }
-        let acting = longest.saturating_sub(self.absent_members(now) as u32).max(1);
+        let acting = longest.saturating_sub(self.count_absent(now) as u32).max(1);
         let reason = match (self.duplicate_identity, self.resumed) {
             (true, _) => ShareReason::DuplicateIdentity,
             (_, true) => ShareReason::Resumed,
--- a/crates/capacity-share/src/capacity_share/tests.rs
+++ b/crates/capacity-share/src/capacity_share/tests.rs
@@ -10,7 +10,7 @@
 fn check_indexes(share: &CapacityShare, now: Time, seed: u128) {
     let members = || share.members.iter();
     let is_absent = |member: &&Member| !share.is_expired(now, member.absent_since);
-    assert_eq!(share.absent_members(now), members().filter(is_absent).count(), "seed {seed}");
+    assert_eq!(share.count_absent(now), members().filter(is_absent).count(), "seed {seed}");
     let unconfirmed: BTreeSet<(Time, Key)> = members().filter_map(Member::unconfirmed).collect();
     assert_eq!(
         (share.members.unconfirmed(), share.members.probe_order().collect::<BTreeSet<_>>()),
@@ -19,7 +19,7 @@
     );
     let own = share.members.len() as u32 + 1;
     let longest = members().map(|member| u32::from(member.list_length)).fold(own, u32::max);
-    assert_eq!(share.longest_list(), longest, "seed {seed}");
+    assert_eq!(share.longest_list_length(), longest, "seed {seed}");
     let first = members().filter(is_absent).map(|member| member.absent_since).min();
     if share.waiting_for(now) == 0 {
         let until = first.map(|queried| queried.plus(share.timing.lease));
@@ -46,7 +46,7 @@
                 3 | 4 => {
                     share.due_probes(now);
                 }
-                5 | 6 => share.heard(now, key),
+                5 | 6 => share.datagram_received(now, key),
                 7 | 8 => share.acknowledged(now, key, rng.rand_range(0..40) as u16),
                 _ => {
                     share.proved_absent(key, Time(now.0 - rng.rand_range(0..2_500_000) as i64));
--- a/crates/capacity-share/src/member.rs
+++ b/crates/capacity-share/src/member.rs
@@ -19,7 +19,7 @@
     /// process that has that name since began with no proofs.
     pub(crate) cannot_hold_stale_proof: bool,
     /// When any datagram last came from its address.
-    pub(crate) last_heard: Time,
+    pub(crate) last_datagram_at: Time,
     /// When the query was sent that proved it absent; [`NEVER`] without a proof.
     pub(crate) absent_since: Time,
     /// When its system was last queried.
@@ -37,7 +37,7 @@
             key,
             list_length: 0,
             cannot_hold_stale_proof: false,
-            last_heard: NEVER,
+            last_datagram_at: NEVER,
             absent_since: NEVER,
             last_queried: NEVER,
             last_probed: NEVER,
--- a/crates/capacity-share/src/member_table.rs
+++ b/crates/capacity-share/src/member_table.rs
@@ -147,7 +147,7 @@
     }
 
     /// The greatest length of a list that any member states; 0 if there are no members.
-    pub(crate) fn longest_list(&self) -> u16 {
+    pub(crate) fn longest_list_length(&self) -> u16 {
         self.list_lengths.last_key_value().map_or(0, |(length, _)| *length)
     }
 
--- a/crates/capacity-share/src/timing.rs
+++ b/crates/capacity-share/src/timing.rs
@@ -13,7 +13,7 @@
     pub probe_interval: Span,
     /// Absence queries within one lease at most, about all members together. A proof that can't be renewed expires;
     /// that makes the share smaller, which is safe.
-    pub max_queries: usize,
+    pub max_queries_per_lease: usize,
     /// How far a clock may be off, as a fraction of the time that has passed.
     pub clock_drift: f64,
 }
@@ -24,7 +24,7 @@
             lease: Span(2_000_000),
             query_interval: Span(500_000),
             probe_interval: Span(100_000),
-            max_queries: 1024,
+            max_queries_per_lease: 1024,
             clock_drift: 0.1,
         }
     }
--- a/crates/capacity-share/tests/rules.rs
+++ b/crates/capacity-share/tests/rules.rs
@@ -40,7 +40,7 @@
     let mut share = CapacityShare::new(at(0.0), 1..4, timing);
     assert_eq!(balancers_and_reason(&share, 0.0), (0, ShareReason::Waiting(3)));
     share.acknowledged(at(0.1), 1, 4);
-    share.heard(at(0.1), 2);
+    share.datagram_received(at(0.1), 2);
     assert_eq!(
         balancers_and_reason(&share, 0.1),
         (0, ShareReason::Waiting(2)),
@@ -83,7 +83,7 @@
 fn a_datagram_ends_the_proof_of_absence_at_once() {
     let mut share = acknowledged_by_all(4);
     share.proved_absent(2, at(0.3));
-    share.heard(at(0.5), 2);
+    share.datagram_received(at(0.5), 2);
     assert_eq!(balancers_and_reason(&share, 0.5).0, 4);
     // An answer to a query from before the datagram proves nothing.
     share.proved_absent(2, at(0.45));
@@ -137,7 +137,7 @@
 
 #[test]
 fn queries_stay_within_their_budget_and_reach_every_member() {
-    let timing = Timing { max_queries: 10, ..Timing::default() };
+    let timing = Timing { max_queries_per_lease: 10, ..Timing::default() };
     let mut share = CapacityShare::new(at(0.0), 1..31, timing);
     assert_eq!(query(&mut share, 0.0, |key| key % 2 == 0).len(), 10);
     assert_eq!(query(&mut share, 1.9, |key| key % 2 == 0), Vec::<u32>::new(), "none is left");
@@ -193,7 +193,7 @@
             now = now.plus(Span(rng.rand_range(0..400_000) as i64));
             let key = rng.rand_range(0..45) as u32;
             match rng.rand_range(0..5) {
-                0 => share.heard(now, key),
+                0 => share.datagram_received(now, key),
                 1 => share.acknowledged(now, key, rng.rand_range(0..65_536) as u16),
                 2 => share.set_resumed(rng.rand_range(0..2) == 0),
                 _ => {
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -89,12 +89,12 @@
     pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], output: &mut Output) {
         let sender = self.membership.member_at(from);
         if let Some(key) = sender {
-            self.capacity_share.heard(now, key);
+            self.capacity_share.datagram_received(now, key);
         }
         self.update(now, output, |membership, output| membership.receive(now, from, bytes, output));
         // Only a message that had an effect counts as an acknowledgement.
         let peer = sender.and_then(|key| self.membership.peer(key));
-        if let Some(peer) = peer.filter(|peer| peer.last_heard == Some(now)) {
+        if let Some(peer) = peer.filter(|peer| peer.last_message_at == Some(now)) {
             self.capacity_share.acknowledged(now, peer.key, peer.list_length);
             self.share = self.capacity_share.share(now);
         }
@@ -117,7 +117,7 @@
     fn query_related(&mut self, now: Time, queried: Time, output: &mut Output) {
         let membership = &self.membership;
         let is_silent = |key: &Key| {
-            let last_heard = membership.peer(*key).and_then(|peer| peer.last_heard);
+            let last_heard = membership.peer(*key).and_then(|peer| peer.last_message_at);
             last_heard.is_none_or(|heard| heard < queried)
         };
         let looked_at = self.capacity_share.query_order().take(MAX_RELATED_LOOKED_AT);
@@ -132,12 +132,12 @@
 
     /// Replaces the operators' list.
     pub fn update_list(&mut self, now: Time, list: Arc<MemberList>, output: &mut Output) {
-        let own = self.membership.own();
+        let own = self.membership.own_key();
         let others = list.members().iter().map(|(key, _)| *key).filter(|key| *key != own);
         self.capacity_share.update_members(others);
         self.update(now, output, |membership, output| {
             membership.update_list(now, list, output);
-            membership.greet(now, output);
+            membership.ping_missing_members(now, output);
         });
         self.share = self.capacity_share.share(now);
     }
@@ -180,7 +180,7 @@
             self.query(now, usize::MAX, suspected, output);
         }
         if now >= self.queries_due {
-            let next = self.capacity_share.next_queried();
+            let next = self.capacity_share.next_query_key();
             let unconfirmed = self.membership.unconfirmed_from(next);
             let unconfirmed: Vec<Key> = unconfirmed.take(MAX_UNCONFIRMED_LOOKED_AT).collect();
             self.queries_due = self.query_paced(now, usize::MAX, unconfirmed, output);
@@ -200,7 +200,7 @@
     /// Members that this member is the first to suspect, as its own probe failed. It queries their systems whatever the
     /// pace: other members do when they hear of the suspicion.
     fn suspected_by_itself(&self, changes: &[Change]) -> Vec<Key> {
-        let own = self.membership.own();
+        let own = self.membership.own_key();
         let suspected = changes.iter().filter_map(|change| match change {
             Change::Suspected { member, reported_by } if *reported_by == own => Some(*member),
             _ => None,
@@ -263,7 +263,7 @@
 
     /// A member's name; `itself` for this member.
     pub fn name(&self, key: Key) -> &str {
-        let other = self.membership.listed(key).filter(|_| key != self.membership.own());
+        let other = self.membership.listed(key).filter(|_| key != self.membership.own_key());
         other.map_or("itself", |listed| &listed.name)
     }
 }
--- a/crates/fleet/src/operator_query.rs
+++ b/crates/fleet/src/operator_query.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sableloom_membership::MAX_DATAGRAM;
+use sableloom_membership::MAX_DATAGRAM_BYTES;
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
@@ -83,7 +83,7 @@
 
 /// The answer with a page of this text; `None` past its end.
 pub(crate) fn answer(text: &[u8], page: u16) -> Option<Vec<u8>> {
-    let mut pages = text.chunks(MAX_DATAGRAM - HEAD);
+    let mut pages = text.chunks(MAX_DATAGRAM_BYTES - HEAD);
     let count = u16::try_from(pages.len()).ok()?;
     let content = pages.nth(usize::from(page))?;
     let mut answer = vec![OPERATOR_QUERY];
@@ -131,7 +131,7 @@
         let sent = socket.send(&query).await;
         sent.map_err(|source| QueryError::Send { member, source })?;
         let answered = async {
-            let mut buffer = [0; MAX_DATAGRAM];
+            let mut buffer = [0; MAX_DATAGRAM_BYTES];
             loop {
                 let length = socket.recv(&mut buffer).await?;
                 // A late answer to an earlier attempt is one to this, or of another page.
--- a/crates/fleet/src/operator_query/tests.rs
+++ b/crates/fleet/src/operator_query/tests.rs
@@ -7,7 +7,7 @@
         let mut whole: Vec<u8> = Vec::new();
         let mut page = 0;
         while let Some(bytes) = answer(&text, page) {
-            assert!(bytes.len() <= MAX_DATAGRAM);
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let Page { number, count, content } = read_answer(&bytes).expect("its own");
             assert_eq!((number, usize::from(count)), (page, length.div_ceil(251)));
             whole.extend(content);
--- a/crates/fleet/src/running_member.rs
+++ b/crates/fleet/src/running_member.rs
@@ -9,7 +9,7 @@
 
 use sableloom_capacity_share::Share;
 use sableloom_exchange::{Clock, Task};
-use sableloom_membership::{Change, Key, ListedMember, MAX_PAGE, MemberList};
+use sableloom_membership::{Change, Key, ListedMember, MAX_PAGE_BYTES, MemberList};
 use sableloom_types::Time;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -171,7 +171,7 @@
     /// Receives the datagrams that have come, up to a bound.
     fn receive_turn(self: &Rc<Self>) {
         // A datagram that fills one byte more than is allowed is recognized as too long.
-        let mut buffer = [0; MAX_PAGE + 1];
+        let mut buffer = [0; MAX_PAGE_BYTES + 1];
         for _ in 0..DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) if Some(from) == self.operator => {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -122,13 +122,13 @@
 impl Drops {
     fn of(membership: &Membership) -> Self {
         Self {
-            too_long: membership.dropped(DropReason::TooLong),
-            other_version: membership.dropped(DropReason::OtherVersion),
-            malformed: membership.dropped(DropReason::Malformed),
-            other_fleet: membership.dropped(DropReason::OtherFleet),
-            unknown_address: membership.dropped(DropReason::UnknownAddress),
-            wrong_sender: membership.dropped(DropReason::WrongSender),
-            stale_nonce: membership.dropped(DropReason::StaleNonce),
+            too_long: membership.count_dropped(DropReason::TooLong),
+            other_version: membership.count_dropped(DropReason::OtherVersion),
+            malformed: membership.count_dropped(DropReason::Malformed),
+            other_fleet: membership.count_dropped(DropReason::OtherFleet),
+            unknown_address: membership.count_dropped(DropReason::UnknownAddress),
+            wrong_sender: membership.count_dropped(DropReason::WrongSender),
+            stale_nonce: membership.count_dropped(DropReason::StaleNonce),
         }
     }
 }
@@ -144,8 +144,8 @@
         };
         Self {
             balancers: share.balancers,
-            longest_list: member.capacity_share().longest_list(),
-            absent_members: member.capacity_share().absent_members(now),
+            longest_list: member.capacity_share().longest_list_length(),
+            absent_members: member.capacity_share().count_absent(now),
             reason: reason.to_string(),
         }
     }
@@ -166,11 +166,11 @@
             name: member.name(peer.key).to_string(),
             address: listed.map(|listed| listed.address.to_string()).unwrap_or_default(),
             state: state.to_string(),
-            since_ms: milliseconds_since(peer.since),
+            since_ms: milliseconds_since(peer.health_since),
             reported_by: member.name(peer.reported_by).to_string(),
             suspected_by,
             process_incarnation: peer.process_incarnation,
-            last_heard_ms: peer.last_heard.map(milliseconds_since),
+            last_heard_ms: peer.last_message_at.map(milliseconds_since),
             list_length: peer.list_length,
             endpoints_digest: hexadecimal(peer.endpoints_digest),
         }
@@ -197,7 +197,7 @@
             endpoints_digest: hexadecimal(membership.endpoints_digest()),
             reachability: reachability.to_string(),
             reachable: membership.count_reachable() + 1,
-            listed: membership.count() + 1 - membership.count_left(),
+            listed: membership.count_others() + 1 - membership.count_left(),
             local_health: membership.local_health(),
             share: ShareStatus::of(member, now),
             members: members.collect(),
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -19,7 +19,7 @@
         lease: Span(2),
         query_interval: Span(0),
         probe_interval: Span(0),
-        max_queries: 100,
+        max_queries_per_lease: 100,
         clock_drift: 0.2,
     };
     assert_eq!(times.start_wait(), Span(3));
@@ -101,7 +101,7 @@
                 if self.members[to].is_some() {
                     self.with(to, None, |share, now| {
                         if without != Without::EndingProofs {
-                            share.heard(now, from as u32);
+                            share.datagram_received(now, from as u32);
                         }
                     });
                     self.in_flight.push(Datagram::Ack { from: to, to: from, meant: process });
@@ -110,7 +110,7 @@
             Datagram::Ack { from, to, meant } => {
                 let n = N as u16;
                 self.with(to, Some(meant), |share, now| share.acknowledged(now, from as u32, n));
-                self.with(to, None, |share, now| share.heard(now, from as u32));
+                self.with(to, None, |share, now| share.datagram_received(now, from as u32));
             }
             Datagram::AbsenceQuery { from, process, to, queried } => {
                 if self.members[to].is_none() {
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -6,8 +6,8 @@
 use sableloom_capacity_share::Timing;
 use sableloom_fleet::{FleetMember, MemberSettings, Output, Status};
 use sableloom_membership::{
-    Body, ListedMember, MAX_PAGE, MemberList, MemberState, Message, Timing as MembershipTiming,
-    Update, decode, encode, key_of,
+    Body, ListedMember, MAX_PAGE_BYTES, MemberList, MemberState, Message,
+    Timing as MembershipTiming, Update, decode, encode, key_of,
 };
 use sableloom_types::Time;
 
@@ -106,7 +106,7 @@
         };
         encode(&message).0
     };
-    member.receives(now, address(2), &[2; MAX_PAGE + 1]);
+    member.receives(now, address(2), &[2; MAX_PAGE_BYTES + 1]);
     member.receives(now, address(2), &[9, 9]);
     member.receives(now, address(2), &[2, 9]);
     member.receives(now, address(2), &[2]);
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -163,8 +163,8 @@
                     next: now.plus(Span(seed as i64 & 0xffff)),
                 }),
                 How::Lifeguard | How::Swim => {
-                    let has_local_health = self.how == How::Lifeguard;
-                    let timing = Timing { has_local_health, ..Timing::default() };
+                    let local_health_enabled = self.how == How::Lifeguard;
+                    let timing = Timing { local_health_enabled, ..Timing::default() };
                     let (own, list) = (format!("m{i}"), list.clone());
                     let membership = Membership::new(
                         "fleet",
@@ -182,7 +182,7 @@
                 network.call(i, |member, now, sent| {
                     if let Member::Swim(membership) = member {
                         let mut output = Output::default();
-                        membership.greet(now, &mut output);
+                        membership.ping_missing_members(now, &mut output);
                         carry(output, sent);
                     }
                 });
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -3,9 +3,9 @@
 use crate::message::{Body, Message, Update};
 
 /// Bytes of a datagram between members at most, but for pages.
-pub const MAX_DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Bytes of a page at most: with its headers it fits the smallest MTU of IPv6, 1,280, and is never fragmented.
-pub const MAX_PAGE: usize = 1200;
+pub const MAX_PAGE_BYTES: usize = 1200;
 /// The version of this format, the first byte of every format to come. A datagram of another version is dropped.
 const VERSION: u8 = 2;
 /// The datagram of an absence query. It is no message: the operating system of the member answers it (ICMP, port
@@ -46,8 +46,8 @@
 /// How long a datagram with this body may be.
 fn max_bytes(body: &Body) -> usize {
     match body {
-        Body::Page(_) => MAX_PAGE,
-        _ => MAX_DATAGRAM,
+        Body::Page(_) => MAX_PAGE_BYTES,
+        _ => MAX_DATAGRAM_BYTES,
     }
 }
 
@@ -71,7 +71,7 @@
 
 /// How many bytes an update takes in a message.
 pub(crate) fn update_bytes(update: &Update) -> usize {
-    postcard::experimental::serialized_size(update).unwrap_or(MAX_DATAGRAM)
+    postcard::experimental::serialized_size(update).unwrap_or(MAX_DATAGRAM_BYTES)
 }
 
 /// Decodes a datagram.
@@ -80,7 +80,7 @@
 ///
 /// The reason to drop the datagram if it is too long, of another version, or no message.
 pub fn decode(bytes: &[u8]) -> Result<Message, DropReason> {
-    if bytes.len() > MAX_PAGE {
+    if bytes.len() > MAX_PAGE_BYTES {
         return Err(DropReason::TooLong);
     }
     if *bytes == ABSENCE_QUERY {
--- a/crates/membership/src/codec/tests.rs
+++ b/crates/membership/src/codec/tests.rs
@@ -40,7 +40,7 @@
 fn a_message_carries_as_many_updates_as_fit() {
     for updates in 0..40 {
         let (bytes, kept) = encode(&message(updates));
-        assert!(bytes.len() <= MAX_DATAGRAM, "{}", bytes.len());
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
         let held = decode(&bytes).expect("its own").updates.len();
         assert!(held == kept && (held == updates || held >= 8), "{held} of {updates}");
     }
@@ -51,13 +51,13 @@
     let (mut bytes, _) = encode(&message(1));
     bytes[0] = 1;
     assert_eq!(decode(&bytes), Err(DropReason::OtherVersion));
-    assert_eq!(decode(&[VERSION; MAX_PAGE + 1]), Err(DropReason::TooLong));
+    assert_eq!(decode(&[VERSION; MAX_PAGE_BYTES + 1]), Err(DropReason::TooLong));
     // Only pages may be longer than the rest.
     let long = |body| Message { body, ..message(12) };
     let written = |message: &Message| {
         let mut bytes = vec![VERSION];
         bytes.extend(postcard::to_allocvec(message).expect("a message"));
-        assert!(bytes.len() > MAX_DATAGRAM && bytes.len() < MAX_PAGE);
+        assert!(bytes.len() > MAX_DATAGRAM_BYTES && bytes.len() < MAX_PAGE_BYTES);
         bytes
     };
     assert_eq!(decode(&written(&long(Body::Leave))), Err(DropReason::TooLong));
@@ -91,7 +91,7 @@
             }
         }
         if let Ok(read) = decode(&bytes) {
-            prop_assert!(encode(&read).0.len() <= MAX_DATAGRAM);
+            prop_assert!(encode(&read).0.len() <= MAX_DATAGRAM_BYTES);
         }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -44,7 +44,7 @@
 //! let a_address = "127.0.0.1:7000".parse()?;
 //! let b_address = "127.0.0.2:7000".parse()?;
 //! for now in [Time(0), Time(1000)] {
-//!     a.greet(now, &mut output);
+//!     a.ping_missing_members(now, &mut output);
 //!     for (_, ping) in std::mem::take(&mut output.datagrams) {
 //!         b.receive(now, a_address, &ping, &mut output);
 //!     }
@@ -70,7 +70,7 @@
 mod timing;
 mod view;
 
-pub use codec::{ABSENCE_QUERY, DropReason, MAX_DATAGRAM, MAX_PAGE, decode, encode};
+pub use codec::{ABSENCE_QUERY, DropReason, MAX_DATAGRAM_BYTES, MAX_PAGE_BYTES, decode, encode};
 pub use list::{ListedMember, MemberList};
 pub use membership::{Change, Membership, Output};
 pub use message::{Body, Key, MemberState, Message, Page, Pull, Update, key_of};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -214,12 +214,12 @@
     }
 
     /// Its own key.
-    pub fn own(&self) -> Key {
+    pub fn own_key(&self) -> Key {
         self.own
     }
 
     /// How many others there are on the list.
-    pub fn count(&self) -> usize {
+    pub fn count_others(&self) -> usize {
         self.table.len()
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// How many datagrams were dropped for this reason.
-    pub fn dropped(&self, reason: DropReason) -> u64 {
+    pub fn count_dropped(&self, reason: DropReason) -> u64 {
         self.dropped.get(&reason).copied().unwrap_or(0)
     }
 
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -4,7 +4,7 @@
 use sableloom_types::{Span, Time};
 
 use super::{Membership, Output};
-use crate::codec::{MAX_DATAGRAM, MAX_PAGE};
+use crate::codec::{MAX_DATAGRAM_BYTES, MAX_PAGE_BYTES};
 use crate::message::{Body, Key, Page, Pull, Update};
 use crate::meter::HEADER_BYTES;
 use crate::page::{self, Grouping};
@@ -15,7 +15,7 @@
 /// others ask at once would send more than its budget.
 const SERVE_BELOW: usize = 4500;
 /// Bytes that a page is expected to have. It has more where all that it names is new, as in a first pull.
-const EXPECTED_PAGE: usize = MAX_PAGE / 2;
+const EXPECTED_PAGE: usize = MAX_PAGE_BYTES / 2;
 /// A page that is shorter than this for lack of space is not worth its headers.
 const MIN_PAGE: usize = 256;
 /// A page that did not come within so many probe intervals is requested again, of another member;
@@ -156,7 +156,7 @@
             let fallback = pull.fallback.take().filter(|key| self.peer(*key).is_some());
             pull.server = fallback.unwrap_or(pull.server);
         }
-        let expected = MAX_DATAGRAM + EXPECTED_PAGE + 2 * HEADER_BYTES;
+        let expected = MAX_DATAGRAM_BYTES + EXPECTED_PAGE + 2 * HEADER_BYTES;
         pull.due = now.plus(BUDGET_RETRY);
         if self.meter.remaining(now, PULL_BELOW) >= expected {
             let seq = self.next_seq();
@@ -173,7 +173,7 @@
     /// A member requests a page. If the budget leaves no space for one it gets no answer, and asks another member.
     pub(super) fn serve_page(&mut self, now: Time, to: Key, pull: &Pull, output: &mut Output) {
         let remaining = self.meter.remaining(now, SERVE_BELOW);
-        let max_bytes = remaining.saturating_sub(HEADER_BYTES).min(MAX_PAGE);
+        let max_bytes = remaining.saturating_sub(HEADER_BYTES).min(MAX_PAGE_BYTES);
         if max_bytes < MIN_PAGE {
             return;
         }
--- a/crates/membership/src/membership/local_health.rs
+++ b/crates/membership/src/membership/local_health.rs
@@ -13,7 +13,7 @@
 
 impl Membership {
     pub(super) fn worsen_local_health(&mut self, by: u32) {
-        if self.timing.has_local_health {
+        if self.timing.local_health_enabled {
             self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
         }
     }
@@ -23,7 +23,7 @@
         let Some(due) = self.due else { return };
         let late = now.since(due).as_micros_f64();
         let intervals = late / self.timing.probe_interval.as_micros_f64();
-        if intervals < LATE_INTERVALS || !self.timing.has_local_health {
+        if intervals < LATE_INTERVALS || !self.timing.local_health_enabled {
             return;
         }
         self.worsen_local_health(intervals.ceil().min(f64::from(MAX_LOCAL_HEALTH)) as u32);
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -103,7 +103,7 @@
         }
         if now >= self.next_probe {
             self.start_probe(now, output);
-            self.ping_missing(output);
+            self.ping_random_missing(output);
         }
     }
 
@@ -145,7 +145,7 @@
     /// each interval, a single missing one of 7,600 was sent 38,000 datagrams a second. A process that has started
     /// pings more of those that it never heard of, for as long as it takes to ping each of them twice, or with a long
     /// list until the first has answered.
-    fn ping_missing(&mut self, output: &mut Output) {
+    fn ping_random_missing(&mut self, output: &mut Output) {
         let reachable = self.table.reachable();
         let missing = self.table.len() - reachable;
         let chance = (missing as f64 / (reachable + 1) as f64).min(1.0);
@@ -175,7 +175,7 @@
     /// Pings members that are not reachable, 64 at once at most: a process that has just started is known to all that
     /// answer, and knows them, within one round trip. With a long list, which all take over at about the same time, it
     /// pings none.
-    pub fn greet(&mut self, now: Time, output: &mut Output) {
+    pub fn ping_missing_members(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         if !self.has_short_list() {
             return;
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -64,7 +64,7 @@
             };
             self.learn(now, alive, output);
             self.table.change(position, |peer| {
-                (peer.nonce, peer.last_heard) = (nonce, Some(now));
+                (peer.nonce, peer.last_message_at) = (nonce, Some(now));
                 peer.list_length = message.list_length;
                 peer.endpoints_digest = message.endpoints_digest;
             });
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -80,7 +80,7 @@
             }
             peer.process_incarnation = update.process_incarnation;
             peer.incarnation = update.incarnation;
-            (peer.reported_by, peer.since) = (update.reported_by, now);
+            (peer.reported_by, peer.health_since) = (update.reported_by, now);
             (std::mem::replace(&mut peer.health, health), incarnation_before)
         });
         let is_same_process = incarnation_before == update.process_incarnation;
--- a/crates/membership/src/page/tests.rs
+++ b/crates/membership/src/page/tests.rs
@@ -2,7 +2,7 @@
 use sableloom_types::Time;
 
 use super::*;
-use crate::codec::MAX_PAGE;
+use crate::codec::MAX_PAGE_BYTES;
 use crate::peer::Health;
 
 fn peer(key: Key, process_incarnation: u32, health: Health) -> Peer {
@@ -34,8 +34,8 @@
             peers.iter().filter(|peer| peer.key >= from).cloned().collect()
         };
         let request = request(1, from, salt, grouping, from_on(own).iter());
-        let page = answer(&request, 1000, MAX_PAGE, from_on(others).iter()).expect("a page");
-        assert!(page.entries.len() + PAGE_HEAD <= MAX_PAGE && page.last_key >= from);
+        let page = answer(&request, 1000, MAX_PAGE_BYTES, from_on(others).iter()).expect("a page");
+        assert!(page.entries.len() + PAGE_HEAD <= MAX_PAGE_BYTES && page.last_key >= from);
         for entry in read(&page, from).expect("its own") {
             entries += 1;
             if let Some(known) = own.iter_mut().find(|peer| peer.key == entry.member) {
@@ -118,7 +118,7 @@
     let mut rng = Rand64::new(4);
     let others = table(&mut rng, 150);
     let request = Pull { seq: 1, first_key: 0, salt: 0, prefix_bits: 5, digests: Vec::new() };
-    let page = answer(&request, 1000, MAX_PAGE, others.iter()).expect("a page");
+    let page = answer(&request, 1000, MAX_PAGE_BYTES, others.iter()).expect("a page");
     let whole = read(&page, 0).expect("its own");
     assert!(whole.len() > 100);
     for cut in 0..page.entries.len() {
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -64,11 +64,11 @@
     /// Its health,
     pub health: Health,
     /// since this time,
-    pub since: Time,
+    pub health_since: Time,
     /// as this member found first.
     pub reported_by: Key,
     /// When a message from itself last came, if one ever did.
-    pub last_heard: Option<Time>,
+    pub last_message_at: Option<Time>,
     /// The nonce of its process; 0 if it is not known.
     pub nonce: u32,
     /// The length of its list, as it last stated; 0 if it has not.
@@ -80,15 +80,15 @@
 
 impl Peer {
     /// A member that this process has never heard of.
-    pub(crate) fn unknown(key: Key, since: Time, reported_by: Key) -> Self {
+    pub(crate) fn unknown(key: Key, health_since: Time, reported_by: Key) -> Self {
         Self {
             key,
             process_incarnation: 0,
             incarnation: 0,
             health: Health::Unknown,
-            since,
+            health_since,
             reported_by,
-            last_heard: None,
+            last_message_at: None,
             nonce: 0,
             list_length: 0,
             endpoints_digest: 0,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -240,7 +240,7 @@
 }
 
 fn is_heard_since(peer: &Peer, since: Time) -> bool {
-    peer.health.is_reachable() && peer.last_heard.is_some_and(|at| at >= since)
+    peer.health.is_reachable() && peer.last_message_at.is_some_and(|at| at >= since)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/table/tests.rs
+++ b/crates/membership/src/table/tests.rs
@@ -60,7 +60,7 @@
     assert!(found.iter().map(|key| key.wrapping_sub(from)).is_sorted(), "seed {seed}");
     if let Some(Resync { since, heard }) = table.resync() {
         let again =
-            |p: &Peer| p.health.is_reachable() && p.last_heard.is_some_and(|at| at >= since);
+            |p: &Peer| p.health.is_reachable() && p.last_message_at.is_some_and(|at| at >= since);
         assert_eq!(heard, count(&again), "seed {seed}");
     }
 }
@@ -76,7 +76,7 @@
             match rng.rand_range(0..10) {
                 0 => table.set_resync(Some(now)),
                 1 => table.set_resync(None),
-                2 | 3 => table.change(position, |p| p.last_heard = Some(now)),
+                2 | 3 => table.change(position, |p| p.last_message_at = Some(now)),
                 4 => table.change(position, |p| p.process_incarnation += 1),
                 _ => {
                     let health = health(rng.rand_range(0..8), now);
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -19,7 +19,7 @@
     pub retransmit_factor: f64,
     /// Whether the member lengthens its own timeouts when it is late, suspected or not answered (Lifeguard's local
     /// health). Without it the protocol is plain SWIM, which comparisons need.
-    pub has_local_health: bool,
+    pub local_health_enabled: bool,
     /// The longest list whose members are all pinged by a process that starts. In a longer one, pings of all would
     /// shorten no wait: a process that starts pulls the table from the first member that answers, and only after that
     /// queries the systems of members that it never heard of, as a system says nothing if its member is there.
@@ -36,7 +36,7 @@
             suspicion_factor: 5.0,
             max_suspicion_factor: 6.0,
             retransmit_factor: 3.0,
-            has_local_health: true,
+            local_health_enabled: true,
             max_short_list: 512,
         }
     }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -34,7 +34,7 @@
         (0..listed).map(|i| ListedMember { name: name(i), address: address_of(i) }),
     );
     // The updates before the pull began must not worsen its local health.
-    let times = Timing { has_local_health: false, ..Timing::default() };
+    let times = Timing { local_health_enabled: false, ..Timing::default() };
     Membership::new("points", &name(own), 9, list, times, own as u64 + 1, Time(0))
 }
 
@@ -168,10 +168,13 @@
     for i in others() {
         let known = a.peer(key_of(&name(i))).expect("on the list");
         assert_eq!((known.health.is_reachable(), known.process_incarnation), (true, 5));
-        assert_eq!((known.last_heard, known.nonce), (None, 0), "it was not heard itself");
+        assert_eq!((known.last_message_at, known.nonce), (None, 0), "it was not heard itself");
     }
     assert!(a.queued_updates() < 30, "{} to pass on", a.queued_updates());
-    assert!(b.peer(key_of(&name(0))).is_some_and(|peer| peer.last_heard.is_some()), "b knows a");
+    assert!(
+        b.peer(key_of(&name(0))).is_some_and(|peer| peer.last_message_at.is_some()),
+        "b knows a"
+    );
 }
 
 /// Pages that were not requested, late ones, of another member, and duplicates.
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use sableloom_membership::{
-    Body, Change, DropReason, Health, ListedMember, MAX_PAGE, MemberList, MemberState, Membership,
-    Message, Output, Timing, Update, decode, encode, key_of,
+    Body, Change, DropReason, Health, ListedMember, MAX_PAGE_BYTES, MemberList, MemberState,
+    Membership, Message, Output, Timing, Update, decode, encode, key_of,
 };
 use sableloom_types::Time;
 
@@ -115,7 +115,7 @@
     );
     b.receive(now, address(1), &bytes(&forged)[..20], &mut out);
     b.receive(now, address(1), &[1, 1, 1], &mut out);
-    b.receive(now, address(1), &[2; MAX_PAGE + 1], &mut out);
+    b.receive(now, address(1), &[2; MAX_PAGE_BYTES + 1], &mut out);
     for why in [
         DropReason::UnknownAddress,
         DropReason::WrongSender,
@@ -125,7 +125,7 @@
         DropReason::OtherVersion,
         DropReason::TooLong,
     ] {
-        assert_eq!(b.dropped(why), 1, "{why:?}");
+        assert_eq!(b.count_dropped(why), 1, "{why:?}");
     }
     assert_eq!((deaths(&out), b.view().version), (0, number), "none of it counted");
     b.receive(now, address(1), &bytes(&forged), &mut out);
@@ -140,7 +140,7 @@
     let mut next = member("b", 10, 3);
     let mut out = Output::default();
     next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
-    assert_eq!(next.dropped(DropReason::StaleNonce), 1);
+    assert_eq!(next.count_dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
     // Yet the sender is told the nonce of the new process.
     let answer = sent(&mut out, 1).pop().expect("an answer");
@@ -226,7 +226,11 @@
         a.view().peers.iter().filter_map(|p| Some(a.listed(p.key)?.name.clone())).collect();
     assert_eq!(names, ["b", "d"]);
     a.receive(now, address(2), &encode(&ack).0, &mut out);
-    assert_eq!(a.dropped(DropReason::UnknownAddress), 1, "where it was before is nobody's address");
+    assert_eq!(
+        a.count_dropped(DropReason::UnknownAddress),
+        1,
+        "where it was before is nobody's address"
+    );
     let c = Update {
         member: key_of("c"),
         process_incarnation: 5,
--- a/crates/sableloom/tests/fleet/direct.rs
+++ b/crates/sableloom/tests/fleet/direct.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use sableloom_membership::{Body, MAX_PAGE, Message, encode, key_of};
+use sableloom_membership::{Body, MAX_PAGE_BYTES, Message, encode, key_of};
 use sableloom_testkit::{Balancer, Peer, Site, eventually, named, ok, program, read, servers};
 
 /// A UDP port of a loopback address that nobody else uses, so that it stays free once the socket is closed.
@@ -213,7 +213,7 @@
         (&member, bytes(message("points", "b", 12_345))),
         (&member, bytes(message("points", "b", 1))[..9].to_vec()),
         (&member, other_version),
-        (&member, vec![1; MAX_PAGE + 1]),
+        (&member, vec![1; MAX_PAGE_BYTES + 1]),
     ];
     for (from, bytes) in &sent {
         from.send_to(bytes, a).expect("sent");
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -79,7 +79,7 @@
     };
     let timing = Timing {
         lease: Span(SECOND + rng.rand_range(0..3) as i64 * SECOND),
-        max_queries: [10, 1024][seed as usize % 2],
+        max_queries_per_lease: [10, 1024][seed as usize % 2],
         ..Timing::default()
     };
     trace.integer(timing.start_wait().0);
@@ -102,7 +102,7 @@
                 trace.integer(probed.len() as i64);
                 probed.iter().for_each(|key| trace.integer(i64::from(*key)));
             }
-            7 | 8 => share.heard(now, key),
+            7 | 8 => share.datagram_received(now, key),
             9..=12 => share.acknowledged(now, key, rng.rand_range(0..48) as u16),
             13..=15 => {
                 let most = [3, usize::MAX][rng.rand_range(0..2) as usize];
@@ -110,7 +110,7 @@
                     share.query_order().filter(|key| !key.is_multiple_of(3)).collect();
                 let asked = share.query_absence(now, most, wanted);
                 asked.to.iter().for_each(|key| trace.integer(i64::from(*key)));
-                integers(trace, &[asked.retry_at.0, i64::from(share.next_queried())]);
+                integers(trace, &[asked.retry_at.0, i64::from(share.next_query_key())]);
             }
             _ => {
                 let asked = Time(now.0 - rng.rand_range(0..2_500_000) as i64);
@@ -118,8 +118,11 @@
             }
         }
         record_share(trace, share.share(now), now);
-        let absent = share.absent_members(now) as i64;
-        integers(trace, &[share.next_wakeup(now).0, i64::from(share.longest_list()), absent]);
+        let absent = share.count_absent(now) as i64;
+        integers(
+            trace,
+            &[share.next_wakeup(now).0, i64::from(share.longest_list_length()), absent],
+        );
     }
 }
 
@@ -202,7 +205,7 @@
         let member_timing = MembershipTiming {
             probe_interval: Span([100, 200, 400][seed as usize % 3] * MILLISECOND),
             probe_timeout: Span([40, 80, 160][seed as usize % 3] * MILLISECOND),
-            has_local_health: !seed.is_multiple_of(9),
+            local_health_enabled: !seed.is_multiple_of(9),
             ..MembershipTiming::default()
         };
         let mut network = Self {
@@ -475,7 +478,7 @@
                 DropReason::StaleNonce,
                 DropReason::AbsenceQuery,
             ] {
-                trace.integer(members.dropped(why) as i64);
+                trace.integer(members.count_dropped(why) as i64);
             }
             record_reachability(trace, members.reachability());
             for peer in members.view().peers {
@@ -497,9 +500,9 @@
                         state,
                         confirmers as i64,
                         ends,
-                        peer.since.0,
+                        peer.health_since.0,
                         i64::from(peer.reported_by),
-                        peer.last_heard.map_or(-1, |heard| heard.0),
+                        peer.last_message_at.map_or(-1, |heard| heard.0),
                         i64::from(peer.list_length),
                         i64::from(peer.endpoints_digest),
                     ],
