--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -73,7 +73,7 @@
     let publisher = &mut settings.publisher;
     set("sessions", 1 << 20, "", &mut publisher.max_sessions);
     set("scope_services", 1 << 20, "", &mut publisher.max_scope_services);
-    set("snapshots_at_once", 1 << 20, "", &mut publisher.max_snapshots);
+    set("snapshots_at_once", 1 << 20, "", &mut publisher.max_concurrent_snapshots);
     set("queued_bytes", 1 << 30, " bytes", &mut publisher.max_queued_bytes);
     let rate = |field: &'static str, value: &mut u64| {
         if let Some(found) = table.integer(field, 1024..=1 << 40, " bytes") {
--- a/crates/distribution/src/publisher/counters.rs
+++ b/crates/distribution/src/publisher/counters.rs
@@ -14,9 +14,9 @@
     /// Of these, transactions with at least one service as a snapshot.
     pub snapshots: u64,
     /// Groups of services that exceeded one transaction and were split by service.
-    pub split: u64,
+    pub split_groups: u64,
     /// Changes that were added to a transaction while it was being sent.
-    pub absorbed: u64,
+    pub merged_changes: u64,
     /// Frames queued for sending.
     pub frames: u64,
     /// Bytes of these frames.
@@ -48,7 +48,7 @@
             CloseReason::Unacknowledged => self.unacknowledged += 1,
             CloseReason::Silent => self.silent += 1,
             CloseReason::Violation(_) | CloseReason::Malformed(_) => self.violations += 1,
-            CloseReason::Mismatch | CloseReason::Replaced => {}
+            CloseReason::Mismatch | CloseReason::StoreReplaced => {}
         }
         self.closed += 1;
     }
--- a/crates/distribution/src/publisher/flush.rs
+++ b/crates/distribution/src/publisher/flush.rs
@@ -24,7 +24,7 @@
         let max_bytes = self.options.max_transaction_bytes;
         match state.services_changed(now, services, max_bytes, &self.store) {
             ChangeEffect::None => return,
-            ChangeEffect::Absorbed => self.shared.counters.absorbed += 1,
+            ChangeEffect::Absorbed => self.shared.counters.merged_changes += 1,
             ChangeEffect::Pending => {}
         }
         self.flush(now, session, out);
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -141,7 +141,7 @@
         let mut sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         sessions.sort_unstable();
         for session in sessions {
-            self.close(now, session, CloseReason::Replaced, out);
+            self.close(now, session, CloseReason::StoreReplaced, out);
         }
     }
 
--- a/crates/distribution/src/publisher/options.rs
+++ b/crates/distribution/src/publisher/options.rs
@@ -14,7 +14,7 @@
     /// Bytes that may be sent at once after a pause. Default 8 MiB.
     pub burst_bytes: u64,
     /// Snapshot slots: sessions that may send snapshots at one time. Default 16.
-    pub max_snapshots: usize,
+    pub max_concurrent_snapshots: usize,
     /// Bytes queued for one session and not yet written, from which on no frame is added. Default 64 KiB.
     pub max_queued_bytes: usize,
     /// Unacknowledged transactions of one session. Default 32.
@@ -43,7 +43,7 @@
             max_scope_services: 4_096,
             bytes_per_second: 32 << 20,
             burst_bytes: 8 << 20,
-            max_snapshots: 16,
+            max_concurrent_snapshots: 16,
             max_queued_bytes: 64 << 10,
             max_unacknowledged: 32,
             max_transaction_bytes: 4 << 20,
--- a/crates/distribution/src/publisher/output.rs
+++ b/crates/distribution/src/publisher/output.rs
@@ -53,5 +53,5 @@
     Malformed(CodecError),
     /// The store was replaced: a log of another epoch has been read.
     #[error("another history has been read")]
-    Replaced,
+    StoreReplaced,
 }
--- a/crates/distribution/src/publisher/session/sending.rs
+++ b/crates/distribution/src/publisher/session/sending.rs
@@ -68,7 +68,7 @@
         let is_too_large = transaction.bytes > options.max_transaction_bytes
             || services.len() > options.max_transaction_services;
         if is_too_large && services.len() > 1 {
-            shared.counters.split += 1;
+            shared.counters.split_groups += 1;
             self.split_group(group, store);
             return;
         }
--- a/crates/distribution/src/publisher/shared.rs
+++ b/crates/distribution/src/publisher/shared.rs
@@ -23,7 +23,7 @@
     pub(super) fn new(options: &PublisherOptions) -> Self {
         Shared {
             bandwidth: Bandwidth::new(options),
-            snapshot_slots: SnapshotSlots::new(options.max_snapshots),
+            snapshot_slots: SnapshotSlots::new(options.max_concurrent_snapshots),
             counters: PublisherCounters::default(),
             next_transaction: 1,
         }
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -402,7 +402,7 @@
 
 #[test]
 fn snapshots_wait_for_slots_and_deltas_do_not() {
-    let options = PublisherOptions { max_snapshots: 1, ..PublisherOptions::default() };
+    let options = PublisherOptions { max_concurrent_snapshots: 1, ..PublisherOptions::default() };
     let mut machine = ControlMachine::new(StoreLimits::default(), options);
     machine.set_server("points", "a");
     machine.set_server("small", "a");
@@ -429,7 +429,7 @@
         bytes_per_second: 10_000,
         burst_bytes: 2_000,
         chunk_bytes: 500,
-        max_snapshots: 100,
+        max_concurrent_snapshots: 100,
         ..PublisherOptions::default()
     };
     let mut machine = ControlMachine::new(StoreLimits::default(), options);
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -82,7 +82,7 @@
         act(publisher, Time(self.now), &mut out);
         let status = publisher.status();
         assert!(
-            status.snapshots as usize <= self.options.max_snapshots,
+            status.snapshots as usize <= self.options.max_concurrent_snapshots,
             "more snapshots than turns"
         );
         assert!(publisher.store().log_entries() <= self.limits.log_entries, "the log has no bound");
@@ -166,7 +166,7 @@
     PublisherOptions {
         bytes_per_second: pick(4_000, 200_000),
         burst_bytes: pick(500, 20_000),
-        max_snapshots: pick(1, 3) as usize,
+        max_concurrent_snapshots: pick(1, 3) as usize,
         max_queued_bytes: pick(100, 3_000) as usize,
         max_unacknowledged: pick(1, 5) as usize,
         max_transaction_bytes: if checks_atomicity { 8_000 } else { pick(300, 4_000) as usize },
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -71,8 +71,8 @@
     sum.refused += more.refused;
     sum.transactions += more.transactions;
     sum.snapshots += more.snapshots;
-    sum.split += more.split;
-    sum.absorbed += more.absorbed;
+    sum.split_groups += more.split_groups;
+    sum.merged_changes += more.merged_changes;
     sum.acks += more.acks;
     sum.rejections += more.rejections;
     sum.mismatches += more.mismatches;
--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -431,7 +431,7 @@
         max_transaction_bytes: 4_500,
         chunk_bytes: [400, 90][seed as usize % 2],
         max_queued_bytes: 300 + rng.rand_range(0..2_000) as usize,
-        max_snapshots: 1 + rng.rand_range(0..2) as usize,
+        max_concurrent_snapshots: 1 + rng.rand_range(0..2) as usize,
         max_unacknowledged: 1 + rng.rand_range(0..3) as usize,
         ..PublisherOptions::default()
     };
--- a/crates/testkit/examples/trace_digest/distribution/record.rs
+++ b/crates/testkit/examples/trace_digest/distribution/record.rs
@@ -88,8 +88,8 @@
         counters.refused,
         counters.transactions,
         counters.snapshots,
-        counters.split,
-        counters.absorbed,
+        counters.split_groups,
+        counters.merged_changes,
         counters.frames,
         counters.bytes,
         counters.acks,
@@ -236,7 +236,7 @@
         CloseReason::Mismatch => 5,
         CloseReason::Violation(_) => 6,
         CloseReason::Malformed(error) => 10 + codec_error(error),
-        CloseReason::Replaced => 7,
+        CloseReason::StoreReplaced => 7,
     }
 }
 
