--- a/crates/discovery/src/endpoint_list.rs
+++ b/crates/discovery/src/endpoint_list.rs
@@ -47,7 +47,7 @@
             id: entry.id,
             address: entry.host_port,
             zone: entry.locality,
-            kind: entry.flavor,
+            machine_type: entry.flavor,
             cell: entry.cell,
             status: match entry.phase.as_str() {
                 "SERVING" => EndpointStatus::Live,
--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use rustc_hash::FxHashMap;
-use sableloom_types::settings::{DeploymentSettings, stable_hash, time};
+use sableloom_types::settings::{DeploymentSettings, stable_hash, time_from_ms};
 use sableloom_types::{Endpoint, EndpointStatus, ListedEndpoint, ServerId};
 
 use crate::attempt_context::DispatchAddress;
@@ -72,13 +72,13 @@
         let endpoint = Endpoint {
             id,
             // Not of the address, which differs from one balancer to the next.
-            identity: stable_hash(&known.name),
+            name_hash: stable_hash(&known.name),
             zone: index_of(&settings.zones, &entry.zone),
-            kind: index_of(&settings.machine_types, &entry.kind),
+            machine_type: index_of(&settings.machine_types, &entry.machine_type),
             cell: entry.cell,
             status: entry.status,
             weight: entry.size,
-            started: (entry.up_since_ms > 0.0).then(|| time(entry.up_since_ms)),
+            started: (entry.up_since_ms > 0.0).then(|| time_from_ms(entry.up_since_ms)),
         };
         RecordedEndpoint { endpoint, address_changed }
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sableloom_policy::Balancer;
-use sableloom_types::settings::{DeploymentSettings, span};
+use sableloom_types::settings::{DeploymentSettings, span_from_ms};
 use sableloom_types::{
     Action, AttemptResult, Endpoint, EndpointStatus, Idempotency, ListKind, ListedEndpoint,
     LoadReport, Outcome, PolicySettingsError, Request, RequestId, ServerId, Span, Time,
@@ -232,9 +232,9 @@
             return None;
         }
         let first = request.first_possible_execution()?;
-        let class = self.settings.services.get(request.class);
+        let class = self.settings.classes.get(request.class);
         let window = class.map_or(0.0, |class| class.dedup_window);
-        Some(first + duration_of(span(window)))
+        Some(first + duration_of(span_from_ms(window)))
     }
 
     fn set_timer(self: &Rc<Self>, state: &mut State, now: Time, timer: Timer) {
@@ -248,8 +248,9 @@
         let (exchange, due) = (self.clone(), self.clock.instant_of(timer.at));
         spawn_local(async move {
             sleep_until(due).await;
-            exchange
-                .with_policy(|balancer, now, actions| balancer.timer(now, timer.token, actions));
+            exchange.with_policy(|balancer, now, actions| {
+                balancer.timer_fired(now, timer.token, actions)
+            });
         });
     }
 
@@ -308,7 +309,7 @@
             server: attempt.server,
             outcome,
             latency,
-            last: request.finished.get(),
+            ends_request: request.finished.get(),
             report: attempt_outcome.report,
         };
         self.with_policy(|balancer, now, actions| balancer.attempt_ended(now, result, actions));
@@ -368,7 +369,7 @@
     /// Forgets the servers that are gone and that the policy has forgotten.
     fn forget_departed(&self) {
         let state = &mut *self.state.borrow_mut();
-        for server in state.endpoints.forget_unlisted(|server| state.balancer.knows(server)) {
+        for server in state.endpoints.forget_unlisted(|server| state.balancer.has_server(server)) {
             self.transport.forget(server);
         }
     }
@@ -386,7 +387,9 @@
     /// Makes up for the timer that was held back while the pool was idle.
     fn end_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
         match self.idle.end() {
-            Some(Timer { token, at }) if at <= now => self.balancer.timer(now, token, actions),
+            Some(Timer { token, at }) if at <= now => {
+                self.balancer.timer_fired(now, token, actions)
+            }
             Some(Timer { token, at }) => actions.push(Action::SetTimer { token, at }),
             None => {}
         }
@@ -419,7 +422,7 @@
         };
         let RequestContext { class, tenant, key, deadline } = context;
         let request = Request { id, class, tenant, key, deadline };
-        self.with_policy(|balancer, now, actions| balancer.request(now, request, actions));
+        self.with_policy(|balancer, now, actions| balancer.request_arrived(now, request, actions));
         Ok(Box::pin(ReplyFuture::new(receiver, move || self.client_disconnected(id))))
     }
 }
@@ -440,6 +443,6 @@
 
 /// The longest deadline of any class.
 pub fn longest_deadline(settings: &DeploymentSettings) -> Duration {
-    let longest = settings.services.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    duration_of(span(longest))
+    let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    duration_of(span_from_ms(longest))
 }
--- a/crates/exchange/src/idle.rs
+++ b/crates/exchange/src/idle.rs
@@ -5,7 +5,7 @@
 //! many over short times leave. So the timer is held back, and made up for before the next call of the policy.
 //! `docs/design/exchange.md`, "Idle pools", has the reasons.
 
-use sableloom_types::settings::{DeploymentSettings, RegistryMode, span};
+use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, span_from_ms};
 use sableloom_types::{Endpoint, EndpointStatus, Span, Time};
 
 /// A pool is idle once no request has been open for this many times the longest deadline of its classes. By then
@@ -41,13 +41,13 @@
 impl IdleState {
     pub(crate) fn new(settings: &DeploymentSettings, now: Time) -> Self {
         let longest =
-            settings.services.iter().map(|class| span(class.deadline).0).max().unwrap_or(0);
-        let slow_start = span(settings.safety.slow_start);
-        let overload_window = span(settings.safety.overload_window);
-        // With `Subscribe` the policy polls for its list by the timer. And the highest rate that warm servers were
+            settings.classes.iter().map(|class| span_from_ms(class.deadline).0).max().unwrap_or(0);
+        let slow_start = span_from_ms(settings.safety.slow_start);
+        let overload_window = span_from_ms(settings.safety.overload_window);
+        // With `Poll` the policy polls for its list by the timer. And the highest rate that warm servers were
         // seen to serve decays in one step as in many only if the count behind it decays sooner.
-        let allowed =
-            settings.registry_mode != RegistryMode::Subscribe && overload_window <= slow_start;
+        let allowed = settings.endpoint_list_delivery != EndpointListDelivery::Poll
+            && overload_window <= slow_start;
         let idle_after = Span(longest.saturating_mul(IDLE_AFTER_DEADLINES));
         Self {
             allowed,
--- a/crates/exchange/tests/support/mod.rs
+++ b/crates/exchange/tests/support/mod.rs
@@ -45,7 +45,7 @@
         id: format!("s-{number}").into(),
         address: SocketAddr::from(([127, 0, 0, 1 + number], port)),
         zone: "".into(),
-        kind: "".into(),
+        machine_type: "".into(),
         cell: 0,
         status,
         size: 1.0,
--- a/crates/fleet-sim/examples/decision.rs
+++ b/crates/fleet-sim/examples/decision.rs
@@ -14,9 +14,9 @@
 fn member(i: u32) -> Endpoint {
     Endpoint {
         id: ServerId(i),
-        identity: u64::from(i) * 7919,
+        name_hash: u64::from(i) * 7919,
         zone: i % 3,
-        kind: i % 3,
+        machine_type: i % 3,
         cell: 0,
         status: EndpointStatus::Live,
         weight: 1.0,
@@ -45,7 +45,7 @@
             key: None,
             deadline: now.plus(Span(600_000)),
         };
-        balancer.request(now, request, &mut out);
+        balancer.request_arrived(now, request, &mut out);
         let sent = out.iter().find_map(|a| match a {
             Action::Forward { server, .. } => Some(*server),
             _ => None,
@@ -57,7 +57,7 @@
                 server,
                 outcome: Outcome::Ok,
                 latency: Span(40_000),
-                last: true,
+                ends_request: true,
                 report: LoadReport::default(),
             };
             balancer.attempt_ended(now, answer, &mut out);
@@ -65,7 +65,7 @@
         asked += begun.elapsed().as_secs_f64() * 1e6;
         if id % 8 == 0 {
             let begun = Instant::now();
-            balancer.timer(now, 1, &mut out);
+            balancer.timer_fired(now, 1, &mut out);
             swept += begun.elapsed().as_secs_f64() * 1e6;
             sweeps += 1.0;
         }
--- a/crates/fleet-sim/src/settings.rs
+++ b/crates/fleet-sim/src/settings.rs
@@ -37,7 +37,7 @@
         balancers: case.balancers as u32,
         zone: 0,
         tick: Span(5 * MS),
-        polls: false,
+        polls_endpoint_list: false,
         limits: AttemptLimits {
             max_attempts: 4,
             hedging: true,
@@ -46,7 +46,7 @@
             retry_after: true,
             max_retry_after: Span(300 * MS),
         },
-        rules: SafetyRules {
+        safety_rules: SafetyRules {
             slow_start_initial_share: case.slow_start_initial_share,
             slow_start: Span(15 * S),
             overload_factor: 3.0,
@@ -54,7 +54,7 @@
             poll_interval: Span(10 * S),
         },
         cross_zone_price: 0.0,
-        warm_keys: false,
+        key_affinity: false,
         t_qos: None,
     }
 }
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -203,7 +203,7 @@
             Event::Arrive => self.arrive(end),
             Event::Timer { balancer, generation, token } => {
                 if self.balancers[balancer].generation == generation {
-                    self.notify(balancer, |m, now, out| m.timer(now, token, out));
+                    self.notify(balancer, |m, now, out| m.timer_fired(now, token, out));
                 }
             }
             Event::AttemptArrives(attempt) => self.attempt_arrives(attempt),
--- a/crates/fleet-sim/src/world/attempts.rs
+++ b/crates/fleet-sim/src/world/attempts.rs
@@ -180,7 +180,7 @@
                 server: ServerId(server as u32),
                 outcome,
                 latency: self.now.since(sent),
-                last: outcome == Outcome::Ok,
+                ends_request: outcome == Outcome::Ok,
                 report: LoadReport::default(),
             };
             self.notify(balancer, |m, now, out| m.attempt_ended(now, answer, out));
--- a/crates/fleet-sim/src/world/balancers.rs
+++ b/crates/fleet-sim/src/world/balancers.rs
@@ -16,9 +16,9 @@
     pub(super) fn list(&self) -> Rc<Vec<Endpoint>> {
         let member = |(i, p): (usize, &Server)| Endpoint {
             id: ServerId(i as u32),
-            identity: i as u64 * 7919,
+            name_hash: i as u64 * 7919,
             zone: p.zone,
-            kind: p.kind,
+            machine_type: p.kind,
             cell: 0,
             status: p.status,
             weight: 1.0,
--- a/crates/fleet-sim/src/world/requests.rs
+++ b/crates/fleet-sim/src/world/requests.rs
@@ -61,7 +61,7 @@
             Chooser::Sableloom => {
                 let request =
                     Request { id: RequestId(id as u64), class, tenant: 0, key: None, deadline };
-                self.notify(balancer, |m, now, out| m.request(now, request, out));
+                self.notify(balancer, |m, now, out| m.request_arrived(now, request, out));
             }
             _ => self.choose(id),
         }
--- a/crates/fleet-sim/src/world/servers.rs
+++ b/crates/fleet-sim/src/world/servers.rs
@@ -81,7 +81,7 @@
     settings: &PolicySettings,
     capacity: NodeCapacity,
 ) -> NodeProfile {
-    let rules = &settings.rules;
+    let rules = &settings.safety_rules;
     let plain = NodeProfile::of(capacity);
     NodeProfile {
         connections: case.connections.unwrap_or(usize::MAX),
--- a/crates/http1/src/front/context.rs
+++ b/crates/http1/src/front/context.rs
@@ -10,7 +10,7 @@
     Admission, Bounds, ConnectionId, KeepAlive, Phase, Release, ReleaseReason,
 };
 use sableloom_exchange::{Clock, Service};
-use sableloom_types::settings::{DeploymentSettings, span};
+use sableloom_types::settings::{DeploymentSettings, span_from_ms};
 use sableloom_types::{Span, Time};
 use tokio::sync::{Notify, Semaphore};
 
@@ -71,7 +71,7 @@
         clock: Clock,
         limits: &ClientLimits,
     ) -> Self {
-        let objectives = settings.services.iter().map(|class| class.latency_objective);
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.fold(f64::INFINITY, f64::min);
         let policy = &settings.policy_limits;
         let bounds = Bounds {
@@ -80,8 +80,12 @@
             request_timeout: REQUEST_CLOSE_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             write_timeout: WRITE_TIMEOUT,
-            max_wait: span(shortest_objective * MAX_WAIT_FRACTION_OF_OBJECTIVE),
-            max_retry_after: span(if policy.retry_after { policy.max_retry_after } else { 0.0 }),
+            max_wait: span_from_ms(shortest_objective * MAX_WAIT_FRACTION_OF_OBJECTIVE),
+            max_retry_after: span_from_ms(if policy.retry_after {
+                policy.max_retry_after
+            } else {
+                0.0
+            }),
         };
         Self {
             admission: RefCell::new(Admission::new(bounds, clock.now())),
--- a/crates/http1/src/front/dialect.rs
+++ b/crates/http1/src/front/dialect.rs
@@ -31,12 +31,12 @@
     let bad = StatusCode::BAD_REQUEST;
     let named = headers.get("x-qos").map(|v| v.to_str().map_err(|_| bad)).transpose()?;
     let in_path = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let known = |name: &str| settings.services.iter().position(|class| class.name == name);
+    let known = |name: &str| settings.classes.iter().position(|class| class.name == name);
     let has_key = headers.contains_key("idempotency-key");
     match dialect {
         Dialect::Platform => {
             let class = known(named.unwrap_or(in_path)).ok_or(bad)?;
-            let idempotency = settings.services[class].idempotency;
+            let idempotency = settings.classes[class].idempotency;
             let fits = match idempotency {
                 Idempotency::Idempotent => *method == Method::GET,
                 Idempotency::Keyed => *method == Method::POST && has_key,
@@ -58,7 +58,7 @@
                     None => (0..methods.len()).find(allows).ok_or(not_allowed)?,
                 },
             };
-            match settings.services[class].idempotency {
+            match settings.classes[class].idempotency {
                 _ if !allows(&class) => Err(not_allowed),
                 Idempotency::Keyed if !has_key => Err(bad),
                 _ => Ok(class),
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/front/request.rs
@@ -200,7 +200,7 @@
     let request = RequestContext { class, tenant, key, deadline: arrived.plus(expires) };
     let message = Message {
         id,
-        idempotency: context.settings.services[class].idempotency,
+        idempotency: context.settings.classes[class].idempotency,
         method: Bytes::copy_from_slice(parts.method.as_str().as_bytes()),
         target,
         fields: fields::end_to_end(parts.headers),
--- a/crates/http1/src/front/request_head.rs
+++ b/crates/http1/src/front/request_head.rs
@@ -74,7 +74,7 @@
     let expires_ms: i64 = match (text(headers, "x-expires-in-ms")?, &context.dialect) {
         (Some(text), _) => text.parse().map_err(|_| bad)?,
         (None, Dialect::Platform) => return Err(bad),
-        (None, Dialect::Open(_)) => context.settings.services[class].deadline as i64,
+        (None, Dialect::Open(_)) => context.settings.classes[class].deadline as i64,
     };
     if !(1..=MAX_EXPIRES_MS).contains(&expires_ms) {
         return Err(bad);
--- a/crates/http1/src/upstream/transport.rs
+++ b/crates/http1/src/upstream/transport.rs
@@ -13,7 +13,9 @@
 use sableloom_exchange::{
     Answer, AttemptConnection, AttemptContext, AttemptOutcome, LocalFuture, Transport,
 };
-use sableloom_types::settings::{DeploymentSettings, LoadReportSource, PolicyLimits, Stats};
+use sableloom_types::settings::{
+    DeploymentSettings, LoadReportSettings, LoadReportSource, PolicyLimits,
+};
 use sableloom_types::{LoadReport, ServerId};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
@@ -45,7 +47,7 @@
     idle: Rc<IdlePool>,
     budget: Rc<ConnectionBudget>,
     connect_timeout: Duration,
-    stats: Stats,
+    stats: LoadReportSettings,
     guard: Rc<ReuseGuard>,
 }
 
@@ -72,7 +74,7 @@
             idle: IdlePool::new(budget.clone(), guard.clone(), idle_timeout),
             budget,
             connect_timeout: stated(limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT_S),
-            stats: settings.stats.clone(),
+            stats: settings.load_reports.clone(),
             guard,
         })
     }
@@ -202,7 +204,7 @@
     fn load_report(&self, headers: &HeaderMap) -> LoadReport {
         let header = headers.get("endpoint-load-metrics").and_then(|h| h.to_str().ok());
         match header {
-            Some(text) if self.stats.how == LoadReportSource::Piggyback => {
+            Some(text) if self.stats.source == LoadReportSource::Piggyback => {
                 parse_load_report(&self.stats, text)
             }
             _ => LoadReport::default(),
@@ -214,7 +216,7 @@
             Some(connection) => connection,
             None => self.connect(address).await?,
         };
-        let silent = self.stats.how == LoadReportSource::Silent;
+        let silent = self.stats.source == LoadReportSource::Silent;
         let path = if silent { "/alive" } else { "/metrics/load" };
         let mut request = Request::new(Full::<Bytes>::default());
         *request.uri_mut() = Uri::from_static(path);
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -70,7 +70,7 @@
             queue: RequestQueue::new(classes),
             in_flight: InFlight::default(),
             limit: ConcurrencyLimit::new(classes),
-            slow_start: SlowStart::new(&settings.rules),
+            slow_start: SlowStart::new(&settings.safety_rules),
             admission: Admission::new(service_times.overall(), classes),
             quotas: TenantQuotas::new(&settings.tenants, target_time, now),
             polling: ListPolling::new(&settings, now),
@@ -88,7 +88,7 @@
     }
 
     /// A timer is due. Tokens that this balancer did not set are ignored.
-    pub fn timer(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
+    pub fn timer_fired(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
         if token != HOUSEKEEPING {
             return;
         }
@@ -108,7 +108,7 @@
     }
 
     /// A client's request has arrived; it is forwarded, queued or rejected.
-    pub fn request(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
+    pub fn request_arrived(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() {
             out.push(Action::Reject { request: request.id, retry_after: Span(0) });
             return;
@@ -154,7 +154,7 @@
     pub fn attempt_ended(&mut self, now: Time, result: AttemptResult, out: &mut Vec<Action>) {
         let Some(attempt) = self.requests.close_attempt(&result) else { return };
         self.learn(now, &attempt, &result);
-        if result.last || result.outcome == Outcome::Ok {
+        if result.ends_request || result.outcome == Outcome::Ok {
             self.end(result.request);
         } else {
             self.retry_or_finish(now, result.request, out);
@@ -416,7 +416,7 @@
             self.queue.set_ejected_everywhere(class, ejected);
         }
         let elapsed = now.since(self.refreshed);
-        let slow_start = self.settings.rules.slow_start;
+        let slow_start = self.settings.safety_rules.slow_start;
         self.service_times.refresh(self.servers.all_mut(), elapsed, slow_start);
         presence::refresh(self.servers.all_mut(), &self.zones, &self.slow_start, now);
         let initial_rate = self.initial_rate();
@@ -441,8 +441,8 @@
     }
 
     /// Whether a server is on the list or something of it is still open.
-    pub fn knows(&self, id: ServerId) -> bool {
-        self.servers.knows(id)
+    pub fn has_server(&self, id: ServerId) -> bool {
+        self.servers.has_server(id)
     }
 
     /// A server's requests in flight, `K_i`, and `N_i` within a time, for gauges; `None` if it is not known.
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether a server is listed, or something of it is still open.
-    pub(crate) fn knows(&self, id: ServerId) -> bool {
+    pub(crate) fn has_server(&self, id: ServerId) -> bool {
         self.by_id.contains_key(&id)
     }
 
@@ -54,7 +54,7 @@
 
     /// Whether an entry of a list says nothing: it withdraws a server that nobody knows.
     pub(crate) fn is_irrelevant(&self, endpoint: &Endpoint) -> bool {
-        endpoint.status == EndpointStatus::Gone && !self.knows(endpoint.id)
+        endpoint.status == EndpointStatus::Gone && !self.has_server(endpoint.id)
     }
 
     /// Takes over an entry of a list; see [`Server::update`].
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -24,8 +24,8 @@
 impl ListPolling {
     pub(crate) fn new(settings: &PolicySettings, now: Time) -> Self {
         Self {
-            polls: settings.polls,
-            interval: settings.rules.poll_interval,
+            polls: settings.polls_endpoint_list,
+            interval: settings.safety_rules.poll_interval,
             subscribed: false,
             next: now,
             failures: 0,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -42,14 +42,14 @@
 impl Selection<'_> {
     /// Index of the server that the request is forwarded to; `None` if none has a free slot for it.
     pub(crate) fn select(&self, request: &OpenRequest, rng: &mut Rand64) -> Option<usize> {
-        let key = request.key.filter(|_| self.settings.warm_keys);
+        let key = request.key.filter(|_| self.settings.key_affinity);
         let mut best: Option<(usize, Rank)> = None;
         for (index, server) in self.servers.iter().enumerate() {
             if !self.is_eligible(request, index, server) {
                 continue;
             }
             let score = match key {
-                Some(key) => rendezvous_score(key, server.identity),
+                Some(key) => rendezvous_score(key, server.name_hash),
                 None => rng.rand_float(),
             };
             let rank = Rank {
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -22,7 +22,7 @@
     /// When it last started, if it may still be warming up.
     pub(crate) started: Option<Time>,
     /// A hash of its name that is the same at every balancer.
-    pub(crate) identity: u64,
+    pub(crate) name_hash: u64,
     /// Slots in use.
     pub(crate) in_flight: u32,
     pub(crate) connect_failures: ConnectFailures,
@@ -41,12 +41,12 @@
         Self {
             id: endpoint.id,
             zone: endpoint.zone,
-            kind: endpoint.kind,
+            kind: endpoint.machine_type,
             cell: endpoint.cell,
             status: endpoint.status,
             weight: 1.0,
             started: None,
-            identity: endpoint.identity,
+            name_hash: endpoint.name_hash,
             in_flight: 0,
             connect_failures: ConnectFailures::none(now),
             outliers: vec![OutlierState::new(now); classes],
@@ -64,7 +64,7 @@
             self.estimate.forget_observations();
         }
         self.zone = endpoint.zone;
-        self.kind = endpoint.kind.min(MAX_KIND);
+        self.kind = endpoint.machine_type.min(MAX_KIND);
         self.cell = endpoint.cell;
         self.status = endpoint.status;
         self.started = endpoint.started;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -20,12 +20,12 @@
     let unusable =
         settings.classes.iter().position(|c| c.latency_objective.0 <= 0 || c.deadline.0 <= 0);
     if let Some(class) = unusable {
-        return Err(PolicySettingsError::BadLatencyObjective(class));
+        return Err(PolicySettingsError::NonPositiveTime(class));
     }
     settings.tick.0 = settings.tick.0.max(MIN_TICK);
     settings.balancers = settings.balancers.max(1);
     settings.limits.max_attempts = settings.limits.max_attempts.max(1);
-    let rules = &mut settings.rules;
+    let rules = &mut settings.safety_rules;
     rules.slow_start_initial_share =
         rules.slow_start_initial_share.clamp(MIN_SLOW_START_SHARE, 1.0);
     rules.poll_interval.0 = rules.poll_interval.0.max(settings.tick.0 * MIN_POLL_TICKS);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -35,7 +35,7 @@
         balancers: 1,
         zone: 0,
         tick: Span(MS),
-        polls: false,
+        polls_endpoint_list: false,
         limits: AttemptLimits {
             max_attempts: 3,
             hedging: true,
@@ -44,7 +44,7 @@
             retry_after: true,
             max_retry_after: Span(300 * MS),
         },
-        rules: SafetyRules {
+        safety_rules: SafetyRules {
             slow_start_initial_share: 0.2,
             slow_start: Span(10_000 * MS),
             overload_factor: 3.0,
@@ -52,7 +52,7 @@
             poll_interval: Span(10_000 * MS),
         },
         cross_zone_price: 0.0,
-        warm_keys: false,
+        key_affinity: false,
         t_qos: None,
     }
 }
@@ -60,9 +60,9 @@
 pub(crate) fn endpoint(id: u32, zone: u32) -> Endpoint {
     Endpoint {
         id: ServerId(id),
-        identity: u64::from(id) * 7919,
+        name_hash: u64::from(id) * 7919,
         zone,
-        kind: 0,
+        machine_type: 0,
         cell: id / 2,
         status: EndpointStatus::Live,
         weight: 1.0,
@@ -146,7 +146,7 @@
         assert!(self.requests.insert(id, tracked).is_none(), "ids are not repeated");
         let tenant = self.tenant;
         let request = Request { id: RequestId(id), class, tenant, key: Some(id % 5), deadline };
-        self.balancer.request(self.now, request, &mut self.actions);
+        self.balancer.request_arrived(self.now, request, &mut self.actions);
         self.carry_out();
     }
 
@@ -164,7 +164,7 @@
             server: t.server,
             outcome,
             latency: self.now.since(t.sent),
-            last: request.over,
+            ends_request: request.over,
             report: LoadReport::default(),
         };
         self.balancer.attempt_ended(self.now, answer, &mut self.actions);
@@ -189,7 +189,7 @@
             let (token, at) = self.timers.swap_remove(i);
             self.now = self.now.max(at);
             self.time_out();
-            self.balancer.timer(self.now, token, &mut self.actions);
+            self.balancer.timer_fired(self.now, token, &mut self.actions);
             self.carry_out();
         }
         self.now = end;
--- a/crates/policy/tests/mechanism/endpoints_and_settings.rs
+++ b/crates/policy/tests/mechanism/endpoints_and_settings.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn the_list_is_polled_again_after_the_subscription_breaks() {
-    let mut w = World::new(PolicySettings { polls: true, ..settings() });
+    let mut w = World::new(PolicySettings { polls_endpoint_list: true, ..settings() });
     let polls = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
     w.pass(Span(2000 * MS));
     assert_eq!(polls(&w), 1);
@@ -46,12 +46,9 @@
     assert_eq!(Balancer::new(none, 1, Time(0)).err(), Some(PolicySettingsError::NoClasses));
     let mut bad = settings();
     bad.classes[1].latency_objective = Span(0);
-    assert_eq!(
-        Balancer::new(bad, 1, Time(0)).err(),
-        Some(PolicySettingsError::BadLatencyObjective(1))
-    );
+    assert_eq!(Balancer::new(bad, 1, Time(0)).err(), Some(PolicySettingsError::NonPositiveTime(1)));
     let mut odd = PolicySettings { tick: Span(0), balancers: 0, ..settings() };
-    odd.rules.slow_start_initial_share = 0.0;
+    odd.safety_rules.slow_start_initial_share = 0.0;
     let mut w = World::with_servers(odd, 1);
     w.request(1, 0);
     assert!(w.server_in_flight(1).is_some());
--- a/crates/policy/tests/mechanism/selection.rs
+++ b/crates/policy/tests/mechanism/selection.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_key_stays_with_its_server_while_that_has_a_free_slot() {
-    let mut w = World::with_servers(PolicySettings { warm_keys: true, ..settings() }, 8);
+    let mut w = World::with_servers(PolicySettings { key_affinity: true, ..settings() }, 8);
     for i in 0..10 {
         w.request(i * 5, 0);
         serve(&mut w, i * 5, 20);
@@ -87,7 +87,7 @@
     // Failure: each of two kinds was quick at one class and slow at the other, and one slowness for
     // all classes made them look alike.
     let mut w = World::new(settings());
-    let list: Vec<_> = (0..4).map(|i| Endpoint { kind: i % 2, ..endpoint(i, 0) }).collect();
+    let list: Vec<_> = (0..4).map(|i| Endpoint { machine_type: i % 2, ..endpoint(i, 0) }).collect();
     w.update_list(ListKind::Restored, &list);
     let suits = |class: usize, server: ServerId| class as u32 == server.0 % 2;
     let mut suited = [0; 2];
@@ -150,7 +150,8 @@
 fn the_estimate_of_a_kind_serves_for_servers_with_few_answers() {
     // Failure: each of 300 balancers had one or two answers of an server in a whole day. All seemed
     // equal; 75 small ones got 38% of all tries, and a quarter of these failed.
-    let list: Vec<_> = (0..200).map(|i| Endpoint { kind: i % 2, ..endpoint(i, 0) }).collect();
+    let list: Vec<_> =
+        (0..200).map(|i| Endpoint { machine_type: i % 2, ..endpoint(i, 0) }).collect();
     let sends = forwards_by_server(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
     let quick: u64 = sends.iter().step_by(2).sum();
     assert!(quick > 90, "of 120, with half an answer an server: {quick}");
--- a/crates/policy/tests/safety_rules.rs
+++ b/crates/policy/tests/safety_rules.rs
@@ -145,7 +145,7 @@
             Event::Unavailable => w.update_list(ListKind::Unavailable, &[]),
             Event::StrayTimer { token } => {
                 let mut server_in_flight = vec![];
-                w.balancer.timer(w.now, token + 1000, &mut server_in_flight);
+                w.balancer.timer_fired(w.now, token + 1000, &mut server_in_flight);
                 assert!(server_in_flight.is_empty());
             }
         }
@@ -160,7 +160,7 @@
     let input = (any::<[bool; 3]>(), prop::collection::vec(events(), 1..250));
     let result = runner.run(&input, |([copies, polls, keys], events)| {
         let mut s = settings();
-        (s.limits.hedging, s.polls, s.warm_keys) = (copies, polls, keys);
+        (s.limits.hedging, s.polls_endpoint_list, s.key_affinity) = (copies, polls, keys);
         if copies {
             s.tenants = vec![TenantQuota { quota_rps: 5.0 }];
         }
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -14,7 +14,7 @@
 use sableloom_fleet::{FleetObserver, MemberSettings, RunOptions, RunningMember};
 use sableloom_membership::{ListedMember, MemberList, Timing as MembershipTiming};
 use sableloom_site_config::Fleet;
-use sableloom_types::settings::span;
+use sableloom_types::settings::span_from_ms;
 
 pub(crate) use command::{Command, run};
 
@@ -91,13 +91,13 @@
         fleet: fleet.name.clone(),
         own: fleet.own_name.clone(),
         membership: MembershipTiming {
-            probe_interval: span(fleet.probe_interval_ms),
-            probe_timeout: span(fleet.probe_timeout_ms),
+            probe_interval: span_from_ms(fleet.probe_interval_ms),
+            probe_timeout: span_from_ms(fleet.probe_timeout_ms),
             ..MembershipTiming::default()
         },
         share: ShareTiming {
-            lease: span(fleet.lease_ms),
-            query_interval: span(fleet.lease_ms / QUERIES_PER_LEASE),
+            lease: span_from_ms(fleet.lease_ms),
+            query_interval: span_from_ms(fleet.lease_ms / QUERIES_PER_LEASE),
             ..ShareTiming::default()
         },
     }
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -9,7 +9,7 @@
 use sableloom_discovery_schedule::{PollSchedule, PollTiming, ScheduleOptions};
 use sableloom_exchange::{Clock, EndpointListener, Exchange, ExchangeOptions, longest_deadline};
 use sableloom_http1::{ConnectionBudget, Dialect, Frontend, Http1Transport};
-use sableloom_types::settings::{DeploymentSettings, RegistryMode, span};
+use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, span_from_ms};
 use sableloom_types::{ListKind, PolicySettingsError};
 use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -105,10 +105,10 @@
 
 fn poll_timing(settings: &DeploymentSettings) -> PollTiming {
     PollTiming::new(&ScheduleOptions {
-        pushed: settings.registry_mode == RegistryMode::Automatic,
-        poll_interval: span(settings.safety.poll_interval),
-        drain_grace: span(settings.safety.drain_grace),
-        position: settings.position,
+        pushed: settings.endpoint_list_delivery == EndpointListDelivery::Push,
+        poll_interval: span_from_ms(settings.safety.poll_interval),
+        drain_grace: span_from_ms(settings.safety.drain_grace),
+        position: settings.balancer_index,
         balancers: settings.balancers,
     })
 }
--- a/crates/sableloom/src/serve/mirrors.rs
+++ b/crates/sableloom/src/serve/mirrors.rs
@@ -7,7 +7,7 @@
 use sableloom_site_config::{Pool, Shadow, Site};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_traffic_mirror::{MirrorOptions, MirroredPool, PreparedMirror};
-use sableloom_types::settings::{span, stable_hash};
+use sableloom_types::settings::{span_from_ms, stable_hash};
 
 use super::pools::PoolContext;
 use crate::site_file::files;
@@ -53,8 +53,8 @@
         rules: shadow.rules.clone(),
         classes: site.classes.iter().map(|c| (c.name.clone(), c.latency_objective_ms)).collect(),
         copy_timeout: Duration::from_secs_f64(shadow.timeout_ms / 1e3),
-        settle: span(shadow.settle_ms),
-        unknown_outcome_time: span(site.longest_deadline_ms()),
+        settle: span_from_ms(shadow.settle_ms),
+        unknown_outcome_time: span_from_ms(site.longest_deadline_ms()),
         dropped_headers: shadow.dropped_headers.clone(),
         records_values: shadow.records_values,
         record_file: folder.join(&shadow.record_file),
--- a/crates/sableloom/src/serve/planner.rs
+++ b/crates/sableloom/src/serve/planner.rs
@@ -206,7 +206,7 @@
         let gone = names.filter(|name| !set.contains(name)).map(Box::from);
         self.routes_removed.extend(gone);
         let set: HashSet<&str> = self.tenants.iter().map(|set| &*set.tenant).collect();
-        let names = subscribed.tenants.names(self.update.service.as_str());
+        let names = subscribed.tenants.limited_tenants(self.update.service.as_str());
         self.tenants_removed.extend(names.filter(|name| !set.contains(&***name)).cloned());
         let set: HashSet<&str> = self.servers.iter().map(|set| &*set.value.id).collect();
         let Some(feed) = &self.feed else { return Vec::new() };
--- a/crates/sableloom/src/serve/service_plan.rs
+++ b/crates/sableloom/src/serve/service_plan.rs
@@ -9,7 +9,7 @@
 use sableloom_site_config::{ClassDefaults, Pool, PoolSettings, Site};
 use sableloom_tenant_limits::Limit;
 use sableloom_types::Span;
-use sableloom_types::settings::span;
+use sableloom_types::settings::span_from_ms;
 
 use super::endpoint_feed::EndpointFeed;
 use super::pools::RunningPool;
@@ -88,5 +88,5 @@
 /// How long servers of a pool with these settings drain.
 pub(super) fn drain_of(site: &Site, settings: &PoolSettings) -> Span {
     let defaults = ClassDefaults::of(&site.classes);
-    span(Pool::new("", settings.clone(), &defaults).drain_ms)
+    span_from_ms(Pool::new("", settings.clone(), &defaults).drain_ms)
 }
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -10,7 +10,7 @@
 use sableloom_server_list::{self as server_list, Lists, Spec};
 use sableloom_site_config::{Pool, Site};
 use sableloom_toml_diagnostics::Problem;
-use sableloom_types::settings::span;
+use sableloom_types::settings::span_from_ms;
 
 /// Reads and checks a site's file, and compiles its routes.
 ///
@@ -49,7 +49,7 @@
         files: pool.files.clone(),
         zones: site.locality.zones.clone(),
         max_removed_share: pool.max_removed_share,
-        drain: span(pool.drain_ms),
+        drain: span_from_ms(pool.drain_ms),
     };
     let paths = pool.files.iter().map(|file| folder.join(file)).collect();
     Files { spec, paths, reread_interval: Duration::from_secs_f64(pool.reread_interval_ms / 1e3) }
--- a/crates/server-list/src/incremental_list.rs
+++ b/crates/server-list/src/incremental_list.rs
@@ -215,7 +215,7 @@
             id: name.clone(),
             address: server.address,
             zone: server.zone.clone(),
-            kind: Box::default(),
+            machine_type: Box::default(),
             cell: 0,
             status: if serves { EndpointStatus::Live } else { EndpointStatus::Draining },
             size: if server.weight > 0.0 { server.weight } else { 1.0 },
--- a/crates/server-list/src/tracked_server.rs
+++ b/crates/server-list/src/tracked_server.rs
@@ -25,7 +25,7 @@
             id: self.name.clone(),
             address: self.record.address,
             zone: self.record.zone.as_str().into(),
-            kind: Box::default(),
+            machine_type: Box::default(),
             cell: 0,
             status: if self.serves() { EndpointStatus::Live } else { EndpointStatus::Draining },
             size: if weight > 0.0 { weight } else { 1.0 },
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,9 @@
 
 use rustc_hash::FxHashMap;
 use sableloom_policy::Balancer;
-use sableloom_types::settings::{Stats, key_hash, span, stable_hash, time};
+use sableloom_types::settings::{
+    LoadReportSettings, key_hash, span_from_ms, stable_hash, time_from_ms,
+};
 use sableloom_types::{
     self as types, Action, AttemptResult, Endpoint, EndpointStatus, LoadReport, Outcome,
     PolicySettingsError, Request, RequestId, ServerId, Time,
@@ -32,7 +34,7 @@
     who: u64,
     balancer: Balancer,
     classes: usize,
-    stats: Stats,
+    stats: LoadReportSettings,
     servers: FxHashMap<Box<str>, ServerId>,
     server_names: Vec<Box<str>>,
     by_name: FxHashMap<Box<str>, u64>,
@@ -53,8 +55,8 @@
         let mut instance = Self {
             who: init.who,
             balancer: Balancer::new(settings.policy_settings(), init.entropy, now)?,
-            classes: settings.services.len(),
-            stats: settings.stats.clone(),
+            classes: settings.classes.len(),
+            stats: settings.load_reports.clone(),
             servers: FxHashMap::default(),
             server_names: Vec::new(),
             by_name: FxHashMap::default(),
@@ -84,13 +86,13 @@
             class: message.tier_class,
             tenant: message.party,
             key: key.map(key_hash),
-            deadline: time(message.deadline),
+            deadline: time_from_ms(message.deadline),
         };
         let name: Box<str> = message.job.as_ref().into();
         self.by_name.insert(name.clone(), self.next_request);
         self.requests.insert(self.next_request, OpenRequest { name, in_flight: 0, ended: false });
         self.next_request += 1;
-        self.balancer.request(now, request, &mut self.actions);
+        self.balancer.request_arrived(now, request, &mut self.actions);
         self.flush(out);
         Ok(())
     }
@@ -113,8 +115,8 @@
             attempt: message.go,
             server,
             outcome,
-            latency: span(message.latency),
-            last: message.last,
+            latency: span_from_ms(message.latency),
+            ends_request: message.last,
             report: self.report(message.metrics.as_ref()),
         };
         self.balancer.attempt_ended(now, answer, &mut self.actions);
@@ -145,7 +147,7 @@
 
     /// A timer is due.
     pub(crate) fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
-        self.balancer.timer(now, token, &mut self.actions);
+        self.balancer.timer_fired(now, token, &mut self.actions);
         self.flush(out);
     }
 
@@ -154,7 +156,7 @@
         let Some(&server) = self.servers.get(message.upstream.as_ref()) else { return };
         let report = self.report(message.metrics.as_ref());
         let healthy = message.rc == HEALTHY;
-        self.balancer.health_checked(server, healthy, span(message.latency), report);
+        self.balancer.health_checked(server, healthy, span_from_ms(message.latency), report);
         self.flush(out);
     }
 
@@ -189,9 +191,9 @@
         });
         Endpoint {
             id,
-            identity: stable_hash(name),
+            name_hash: stable_hash(name),
             zone: line.az,
-            kind: line.kind,
+            machine_type: line.kind,
             cell: line.pack,
             status: match line.status {
                 wire::Status::Live => EndpointStatus::Live,
@@ -199,13 +201,13 @@
                 wire::Status::Dead => EndpointStatus::Gone,
             },
             weight: line.capacity_hint,
-            started: (line.online_since > 0.0).then(|| time(line.online_since)),
+            started: (line.online_since > 0.0).then(|| time_from_ms(line.online_since)),
         }
     }
 
     fn report(&self, row: Option<&wire::Row>) -> LoadReport {
         let values = row.into_iter().flatten();
-        self.stats.report(self.stats.names.iter().map(String::as_str).zip(values.copied()))
+        self.stats.report(self.stats.values.iter().map(String::as_str).zip(values.copied()))
     }
 
     /// Writes the actions of the policy in order, each with a comma behind it.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -15,7 +15,7 @@
 use instance::Instance;
 use rustc_hash::FxHashMap;
 use sableloom_types::Time;
-use sableloom_types::settings::time;
+use sableloom_types::settings::time_from_ms;
 use wire::{Batch, BatchNumber, Event};
 
 /// The balancers that run, by their numbers on the wire.
@@ -82,7 +82,7 @@
 ) -> Result<(), AdapterError> {
     reply.extend_from_slice(format!("{{\"batch\":{},\"cmds\":[", batch.batch).as_bytes());
     let empty = reply.len();
-    let now = time(batch.ts);
+    let now = time_from_ms(batch.ts);
     for (index, event) in batch.msgs.iter().enumerate() {
         deliver(instances, now, event, reply).map_err(|error| AdapterError::Message {
             batch: batch.batch,
--- a/crates/site-config/src/shadow/settings.rs
+++ b/crates/site-config/src/shadow/settings.rs
@@ -3,7 +3,7 @@
 use sableloom_shadow::{ComparisonRules, CopyLimits, SampleBy};
 use sableloom_toml_diagnostics::{Located, Table, suggestion};
 use sableloom_types::Idempotency;
-use sableloom_types::settings::span;
+use sableloom_types::settings::span_from_ms;
 
 use super::compare::{read_header_names, read_rules};
 use crate::class::Class;
@@ -76,11 +76,11 @@
         max_in_flight: count("in_flight", 1, 10_000, 16),
         max_held_bytes: kilobytes("held_kb", 1 << 10),
         max_pair_bytes: kilobytes("each_kb", 64),
-        quiet_time: span(ms(table, "calm_ms", 0.0, 100.0)),
+        quiet_time: span_from_ms(ms(table, "calm_ms", 0.0, 100.0)),
         max_live_open: count("live_open", 0, 1_000_000, 0),
         breaker_threshold: count("trip", 1, 10_000, 8) as u32,
-        breaker_open_time: span(rest_ms),
-        max_breaker_open_time: span(max_rest_ms),
+        breaker_open_time: span_from_ms(rest_ms),
+        max_breaker_open_time: span_from_ms(max_rest_ms),
         sample_seed: 0,
         jitter_seed: 0,
     }
--- a/crates/site-config/src/site.rs
+++ b/crates/site-config/src/site.rs
@@ -4,8 +4,8 @@
 
 use sableloom_routes::{RouteTable, RouteTableError};
 use sableloom_types::settings::{
-    DeploymentSettings, FamilyInfo, LoadReportSource, PolicyLimits, Prices, RegistryMode, Safety,
-    Stats,
+    DeploymentSettings, EndpointListDelivery, LoadReportSettings, LoadReportSource, PolicyLimits,
+    Prices, SafetySettings, ServiceProperties,
 };
 
 use crate::class::{Class, ClassDefaults};
@@ -121,13 +121,13 @@
                 Some(fleet) => fleet.members.len().max(1) as u32,
                 None => self.locality.balancers,
             },
-            position: 0,
+            balancer_index: 0,
             zone: self.locality.zone,
             zones: self.locality.zones.clone(),
             machine_types: Vec::new(),
             tick: 1.0,
-            registry_mode: RegistryMode::Automatic,
-            services: self.classes.iter().map(Class::settings).collect(),
+            endpoint_list_delivery: EndpointListDelivery::Push,
+            classes: self.classes.iter().map(Class::settings).collect(),
             tenants: Vec::new(),
             policy_limits: PolicyLimits {
                 max_attempts: upstream.max_attempts,
@@ -140,7 +140,7 @@
                 retry_after: upstream.retry_after_ms > 0.0,
                 max_retry_after: upstream.retry_after_ms,
             },
-            safety: Safety {
+            safety: SafetySettings {
                 poll_interval: 0.0,
                 drain_grace: 0.0,
                 slow_start: upstream.slow_start.duration_ms,
@@ -149,8 +149,11 @@
                 overload_window: upstream.slow_start.overload_window_ms,
             },
             prices: Prices { cross_zone: self.locality.cross_zone_cost },
-            stats: Stats { how: reports.source, names: reports.values.clone() },
-            family_info: FamilyInfo::default(),
+            load_reports: LoadReportSettings {
+                source: reports.source,
+                values: reports.values.clone(),
+            },
+            service_properties: ServiceProperties::default(),
             t_qos: Some(pool.t_qos_ms),
         }
     }
--- a/crates/site-config/tests/site_config/control.rs
+++ b/crates/site-config/tests/site_config/control.rs
@@ -35,7 +35,7 @@
     assert_eq!(control.subscriber.as_str(), "balancer-17");
     assert_eq!((control.machines.len(), control.services.len()), (2, 2));
     assert!(site.pools.is_empty() && site.routes.is_empty());
-    assert_eq!(site.client_settings().services.len(), 1);
+    assert_eq!(site.client_settings().classes.len(), 1);
     let pool = "[[pool]]\nname = \"points\"\nfiles = [\"points.toml\"]\n";
     let said = problems(&format!("{GOOD}{pool}"));
     assert!(said.len() == 1 && said[0].contains("s.toml:18:1: field `pool[0]`"), "{said:?}");
--- a/crates/site-config/tests/site_config/keys.rs
+++ b/crates/site-config/tests/site_config/keys.rs
@@ -119,9 +119,9 @@
     let safety = &settings.safety;
     assert_eq!((safety.slow_start, safety.slow_start_initial_share), (31_000.0, 0.3));
     assert_eq!((safety.overload_factor, safety.overload_window), (2.5, 1600.0));
-    assert_eq!(settings.stats.how, LoadReportSource::Pull);
-    assert_eq!(settings.stats.names, texts(&["inflight", "queue", "util", "latency_ms"]));
-    let redeem = &settings.services[1];
+    assert_eq!(settings.load_reports.source, LoadReportSource::Pull);
+    assert_eq!(settings.load_reports.values, texts(&["inflight", "queue", "util", "latency_ms"]));
+    let redeem = &settings.classes[1];
     assert_eq!(redeem.name, "redeem");
     assert_eq!((redeem.latency_objective, redeem.deadline), (210.0, 900.0));
     assert_eq!(redeem.idempotency, Idempotency::Keyed);
--- a/crates/site-config/tests/site_config/site.rs
+++ b/crates/site-config/tests/site_config/site.rs
@@ -60,7 +60,7 @@
     assert_eq!(rule.paths, paths);
     let settings = site.deployment_settings(pool).policy_settings();
     assert_eq!(settings.t_qos, Some(Span(150_000)));
-    assert_eq!((settings.classes.len(), settings.polls), (2, false));
+    assert_eq!((settings.classes.len(), settings.polls_endpoint_list), (2, false));
     assert_eq!(site.hash, good(GOOD).hash);
     assert_ne!(site.hash, good(&format!("{GOOD}#")).hash);
 }
--- a/crates/tenant-limits/src/tenant_limits.rs
+++ b/crates/tenant-limits/src/tenant_limits.rs
@@ -74,7 +74,7 @@
     }
 
     /// The tenants of a service that have a limit.
-    pub fn names(&self, service: &str) -> impl Iterator<Item = &Arc<str>> {
+    pub fn limited_tenants(&self, service: &str) -> impl Iterator<Item = &Arc<str>> {
         self.services.get(service).into_iter().flat_map(FxHashMap::keys)
     }
 
--- a/crates/tenant-limits/tests/limits.rs
+++ b/crates/tenant-limits/tests/limits.rs
@@ -216,7 +216,7 @@
     assert_eq!(counts, (20..30).rev().collect::<Vec<u64>>());
     assert_eq!((&*named[0].tenant, &*named[0].service), ("t29", "points"));
     assert_eq!(limits.rejected(), (0..30).sum::<u64>());
-    assert_eq!(limits.names("points").count(), 30);
+    assert_eq!(limits.limited_tenants("points").count(), 30);
 }
 
 #[test]
--- a/crates/testkit/examples/trace_digest/policy.rs
+++ b/crates/testkit/examples/trace_digest/policy.rs
@@ -59,7 +59,7 @@
         balancers: 1 + rng.rand_range(0..5) as u32,
         zone: 0,
         tick: Span(MILLISECOND),
-        polls: seed.is_multiple_of(2),
+        polls_endpoint_list: seed.is_multiple_of(2),
         limits: AttemptLimits {
             max_attempts: 1 + rng.rand_range(0..5) as usize,
             hedging: seed % 5 == 1,
@@ -68,7 +68,7 @@
             retry_after: !seed.is_multiple_of(7),
             max_retry_after: Span(if seed % 3 == 1 { 300 * MILLISECOND } else { 0 }),
         },
-        rules: SafetyRules {
+        safety_rules: SafetyRules {
             slow_start_initial_share: 0.2,
             slow_start: Span(3 * SECOND),
             overload_factor: 3.0,
@@ -76,7 +76,7 @@
             poll_interval: Span(SECOND),
         },
         cross_zone_price: if seed % 3 == 2 { 0.02 } else { 0.0 },
-        warm_keys: seed % 6 == 3,
+        key_affinity: seed % 6 == 3,
         t_qos: (seed % 5 == 4).then_some(Span(80 * MILLISECOND)),
     }
 }
@@ -173,7 +173,7 @@
                 trace.integer(i64::from(gauge.max_in_flight));
                 trace.float(gauge.admission_limit);
             }
-            trace.integer(i64::from(self.policy.knows(ServerId(id))));
+            trace.integer(i64::from(self.policy.has_server(ServerId(id))));
         }
     }
 
@@ -189,7 +189,7 @@
             key: Some(self.rng.rand_range(0..40)),
             deadline: self.now.plus(Span(wait)),
         };
-        self.policy.request(self.now, request, &mut self.actions);
+        self.policy.request_arrived(self.now, request, &mut self.actions);
         self.record(trace);
     }
 
@@ -216,9 +216,9 @@
         let started = self.chance(250).then_some(self.now);
         Endpoint {
             id: ServerId(id),
-            identity: u64::from(id) * 7919,
+            name_hash: u64::from(id) * 7919,
             zone: id % 3,
-            kind: id % 2,
+            machine_type: id % 2,
             cell: id / 4,
             status,
             weight: [0.0, 1.0, 1.5, 2.0][id as usize % 4],
@@ -247,7 +247,7 @@
             self.timers.iter().filter(|(_, at)| *at <= now).map(|(token, _)| *token).collect();
         self.timers.retain(|(_, at)| *at > now);
         for token in due {
-            self.policy.timer(self.now, token, &mut self.actions);
+            self.policy.timer_fired(self.now, token, &mut self.actions);
             self.record(trace);
         }
     }
@@ -267,7 +267,7 @@
                 server: attempt.server,
                 outcome: attempt.outcome,
                 latency: now.since(attempt.sent),
-                last: attempt.outcome == Outcome::Ok,
+                ends_request: attempt.outcome == Outcome::Ok,
                 report: LoadReport::default(),
             };
             self.policy.attempt_ended(now, result, &mut self.actions);
--- a/crates/types/src/attempt.rs
+++ b/crates/types/src/attempt.rs
@@ -44,7 +44,7 @@
     /// How long it took.
     pub latency: Span,
     /// The request is over with this attempt, whatever its outcome.
-    pub last: bool,
+    pub ends_request: bool,
     /// What the server reported of its load.
     pub report: LoadReport,
 }
@@ -53,11 +53,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Requests in progress.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests queued at the server.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Utilisation of its cores, 0 to 1.
-    pub util: Option<f64>,
+    pub utilisation: Option<f64>,
     /// Recent service time, without time in the server's queue.
-    pub service: Option<Span>,
+    pub service_time: Option<Span>,
 }
--- a/crates/types/src/endpoint.rs
+++ b/crates/types/src/endpoint.rs
@@ -25,11 +25,11 @@
     /// The caller's handle.
     pub id: ServerId,
     /// A hash of its name that is the same at every balancer.
-    pub identity: u64,
+    pub name_hash: u64,
     /// Its zone, by index.
     pub zone: u32,
     /// Its machine kind, by index.
-    pub kind: u32,
+    pub machine_type: u32,
     /// Its cell.
     pub cell: u32,
     /// Its state.
@@ -50,7 +50,7 @@
     /// Its zone, named as in the settings.
     pub zone: Box<str>,
     /// Its machine kind, named as in the settings.
-    pub kind: Box<str>,
+    pub machine_type: Box<str>,
     /// Its cell.
     pub cell: u32,
     /// Its state.
--- a/crates/types/src/policy_settings.rs
+++ b/crates/types/src/policy_settings.rs
@@ -74,15 +74,15 @@
     /// The shortest time between two deliveries of events.
     pub tick: Span,
     /// The endpoint list comes only when it is polled.
-    pub polls: bool,
+    pub polls_endpoint_list: bool,
     /// What the deployment permits for attempts.
     pub limits: AttemptLimits,
     /// Limits on the load of servers that warm up.
-    pub rules: SafetyRules,
+    pub safety_rules: SafetyRules,
     /// Price of an attempt that crosses zones, as a share of a request's weight.
     pub cross_zone_price: f64,
     /// A server that has served a key lately serves it again with less work.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// T_QoS, the time within which requests are to be answered; the mean latency objective if `None`.
     pub t_qos: Option<Span>,
 }
@@ -95,5 +95,5 @@
     NoClasses,
     /// No answer can meet a latency objective or deadline of zero.
     #[error("class {0} has an aim or deadline that is not above zero")]
-    BadLatencyObjective(usize),
+    NonPositiveTime(usize),
 }
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -10,13 +10,13 @@
 };
 
 /// Milliseconds rounded to whole microseconds; 0 for anything that is not a number.
-pub fn span(ms: f64) -> Span {
+pub fn span_from_ms(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
 }
 
 /// A clock reading in milliseconds as a time.
-pub fn time(ms: f64) -> Time {
-    Time(span(ms).0)
+pub fn time_from_ms(ms: f64) -> Time {
+    Time(span_from_ms(ms).0)
 }
 
 /// Offset basis of the 64-bit FNV-1a hash.
@@ -46,8 +46,8 @@
     /// Balancers in the fleet.
     pub balancers: u32,
     /// Number of this balancer among them, from 0.
-    #[serde(default)]
-    pub position: u32,
+    #[serde(default, rename = "Position")]
+    pub balancer_index: u32,
     /// Zone of this balancer, by index.
     #[serde(default)]
     pub zone: u32,
@@ -60,25 +60,27 @@
     /// How often events are delivered at most, in milliseconds.
     pub tick: f64,
     /// How the endpoint list is delivered.
-    pub registry_mode: RegistryMode,
+    #[serde(rename = "RegistryMode")]
+    pub endpoint_list_delivery: EndpointListDelivery,
     /// Classes of requests.
-    pub services: Vec<ClassSettings>,
+    #[serde(rename = "Services")]
+    pub classes: Vec<ClassSettings>,
     /// Tenants; may be empty.
     #[serde(default)]
     pub tenants: Vec<TenantSettings>,
     /// What the deployment permits.
     pub policy_limits: PolicyLimits,
     /// Limits on servers that warm up and on the age of the endpoint list.
-    pub safety: Safety,
+    pub safety: SafetySettings,
     /// Prices of the deployment.
     #[serde(default)]
     pub prices: Prices,
     /// Load reports.
-    #[serde(default)]
-    pub stats: Stats,
+    #[serde(default, rename = "Stats")]
+    pub load_reports: LoadReportSettings,
     /// Properties of this kind of service.
-    #[serde(default)]
-    pub family_info: FamilyInfo,
+    #[serde(default, rename = "FamilyInfo")]
+    pub service_properties: ServiceProperties,
     /// T_QoS in milliseconds, where an operator sets it.
     #[serde(skip)]
     pub t_qos: Option<f64>,
@@ -86,12 +88,13 @@
 
 /// How the endpoint list is delivered.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(rename_all = "lowercase")]
-pub enum RegistryMode {
+pub enum EndpointListDelivery {
     /// Changes are pushed.
-    Automatic,
+    #[serde(rename = "automatic")]
+    Push,
     /// Changes come only when polled.
-    Subscribe,
+    #[serde(rename = "subscribe")]
+    Poll,
 }
 
 /// A class of requests; times in milliseconds.
@@ -170,7 +173,7 @@
 /// Limits on servers that warm up and on the age of the endpoint list; times in milliseconds.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Safety {
+pub struct SafetySettings {
     /// The longest silence towards discovery after which a change counts as notified.
     #[serde(default, rename = "AskEvery")]
     pub poll_interval: f64,
@@ -202,11 +205,13 @@
 /// How servers report their load.
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Stats {
+pub struct LoadReportSettings {
     /// How load reports are delivered.
-    pub how: LoadReportSource,
+    #[serde(rename = "How")]
+    pub source: LoadReportSource,
     /// The values they carry, in order.
-    pub names: Vec<String>,
+    #[serde(rename = "Names")]
+    pub values: Vec<String>,
 }
 
 /// How load reports are delivered.
@@ -223,18 +228,18 @@
     Silent,
 }
 
-impl Stats {
+impl LoadReportSettings {
     /// The load report of these named values; names that the settings do not list are ignored.
     pub fn report<'a>(&self, values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, value) in
-            values.filter(|(name, _)| self.names.iter().any(|listed| listed == name))
+            values.filter(|(name, _)| self.values.iter().any(|listed| listed == name))
         {
             match name {
-                "inflight" => report.inflight = Some(value),
-                "queue" => report.queue = Some(value),
-                "util" => report.util = Some(value),
-                "latency_ms" => report.service = Some(span(value)),
+                "inflight" => report.in_flight = Some(value),
+                "queue" => report.queued = Some(value),
+                "util" => report.utilisation = Some(value),
+                "latency_ms" => report.service_time = Some(span_from_ms(value)),
                 _ => {}
             }
         }
@@ -245,49 +250,50 @@
 /// Properties of this kind of service.
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct FamilyInfo {
+pub struct ServiceProperties {
     /// A server that has served a key lately serves it again with less work.
-    pub warm_keys: bool,
+    #[serde(rename = "WarmKeys")]
+    pub key_affinity: bool,
 }
 
 impl DeploymentSettings {
     /// The settings of the policy that follow from these.
     pub fn policy_settings(&self) -> PolicySettings {
         let class = |class: &ClassSettings| RequestClass {
-            latency_objective: span(class.latency_objective),
-            deadline: span(class.deadline),
+            latency_objective: span_from_ms(class.latency_objective),
+            deadline: span_from_ms(class.deadline),
             priority_weight: class.priority_weight,
             late_priority_weight: class.late_priority_weight,
             idempotency: class.idempotency,
             dedup_scope: class.dedup_scope,
-            dedup_window: span(class.dedup_window),
+            dedup_window: span_from_ms(class.dedup_window),
         };
         let limits = &self.policy_limits;
         PolicySettings {
-            classes: self.services.iter().map(class).collect(),
+            classes: self.classes.iter().map(class).collect(),
             tenants: self.tenants.iter().map(|t| TenantQuota { quota_rps: t.quota_rps }).collect(),
             balancers: self.balancers,
             zone: self.zone,
-            tick: span(self.tick),
-            polls: self.registry_mode == RegistryMode::Subscribe,
+            tick: span_from_ms(self.tick),
+            polls_endpoint_list: self.endpoint_list_delivery == EndpointListDelivery::Poll,
             limits: AttemptLimits {
                 max_attempts: limits.max_attempts,
                 hedging: limits.hedging,
                 cancel: limits.cancelling,
                 health_checks: limits.health_checks,
                 retry_after: limits.retry_after,
-                max_retry_after: span(limits.max_retry_after),
+                max_retry_after: span_from_ms(limits.max_retry_after),
             },
-            rules: SafetyRules {
+            safety_rules: SafetyRules {
                 slow_start_initial_share: self.safety.slow_start_initial_share,
-                slow_start: span(self.safety.slow_start),
+                slow_start: span_from_ms(self.safety.slow_start),
                 overload_factor: self.safety.overload_factor,
-                overload_window: span(self.safety.overload_window),
-                poll_interval: span(self.safety.poll_interval),
+                overload_window: span_from_ms(self.safety.overload_window),
+                poll_interval: span_from_ms(self.safety.poll_interval),
             },
             cross_zone_price: self.prices.cross_zone,
-            warm_keys: self.family_info.warm_keys,
-            t_qos: self.t_qos.map(span),
+            key_affinity: self.service_properties.key_affinity,
+            t_qos: self.t_qos.map(span_from_ms),
         }
     }
 }
--- a/crates/types/tests/settings_keys.rs
+++ b/crates/types/tests/settings_keys.rs
@@ -1,7 +1,7 @@
 //! Every key of the settings JSON, each with a value that is not its default, arrives in the field that it
 //! names. Guards against a renamed field whose key changes with it: a key with a default is then lost silently.
 
-use sableloom_types::settings::{DeploymentSettings, LoadReportSource, RegistryMode};
+use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, LoadReportSource};
 use sableloom_types::{DedupScope, Idempotency};
 use sableloom_types::{DedupScope as PolicyGroup, Idempotency as PolicyIdempotency, Span};
 use serde_json::json;
@@ -43,17 +43,17 @@
 #[test]
 fn every_key_of_the_deployment_arrives_in_its_field() {
     let settings = every_key();
-    assert_eq!((settings.balancers, settings.position, settings.zone), (7, 3, 1));
+    assert_eq!((settings.balancers, settings.balancer_index, settings.zone), (7, 3, 1));
     assert_eq!(settings.zones, ["east", "west"]);
     assert_eq!(settings.machine_types, ["small", "large"]);
     assert_eq!(settings.tick, 2.5);
-    assert_eq!(settings.registry_mode, RegistryMode::Subscribe);
+    assert_eq!(settings.endpoint_list_delivery, EndpointListDelivery::Poll);
 }
 
 #[test]
 fn every_key_of_a_class_arrives_in_its_field() {
     let settings = every_key();
-    let [balance, redeem, transfer] = &settings.services[..] else { panic!("three classes") };
+    let [balance, redeem, transfer] = &settings.classes[..] else { panic!("three classes") };
     assert_eq!(
         (&balance.name[..], &redeem.name[..], &transfer.name[..]),
         ("balance", "redeem", "transfer")
@@ -100,16 +100,16 @@
     assert_eq!((safety.slow_start, safety.slow_start_initial_share), (15_003.0, 0.35));
     assert_eq!((safety.overload_factor, safety.overload_window), (2.5, 2004.0));
     assert_eq!(settings.prices.cross_zone, 0.02);
-    assert_eq!(settings.stats.how, LoadReportSource::Pull);
-    assert_eq!(settings.stats.names, ["inflight", "latency_ms"]);
-    assert!(settings.family_info.warm_keys);
+    assert_eq!(settings.load_reports.source, LoadReportSource::Pull);
+    assert_eq!(settings.load_reports.values, ["inflight", "latency_ms"]);
+    assert!(settings.service_properties.key_affinity);
 }
 
 #[test]
 fn every_key_that_the_policy_needs_reaches_its_settings() {
     let settings = every_key().policy_settings();
     assert_eq!((settings.balancers, settings.zone, settings.tick), (7, 1, Span(2500)));
-    assert!(settings.polls);
+    assert!(settings.polls_endpoint_list);
     let [balance, redeem, transfer] = &settings.classes[..] else { panic!("three classes") };
     assert_eq!(
         (balance.latency_objective, redeem.latency_objective, transfer.latency_objective),
@@ -145,11 +145,11 @@
     assert_eq!(limits.max_attempts, 5);
     assert!(limits.hedging && limits.cancel && limits.health_checks && limits.retry_after);
     assert_eq!(limits.max_retry_after, Span(1_001_000));
-    let rules = &settings.rules;
+    let rules = &settings.safety_rules;
     assert_eq!((rules.slow_start_initial_share, rules.slow_start), (0.35, Span(15_003_000)));
     assert_eq!((rules.overload_factor, rules.overload_window), (2.5, Span(2_004_000)));
     assert_eq!(rules.poll_interval, Span(10_001_000));
     assert_eq!(settings.cross_zone_price, 0.02);
-    assert!(settings.warm_keys);
+    assert!(settings.key_affinity);
     assert_eq!(settings.t_qos, None);
 }
