--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -19,7 +19,7 @@
 //! use sableloom_types::{Span, Time};
 //!
 //! let options = ScheduleOptions {
-//!     pushed: false,
+//!     local_agent: false,
 //!     poll_interval: Span(10_000_000),
 //!     drain_grace: Span(1_000_000),
 //!     position: 0,
--- a/crates/discovery-schedule/src/poll_timing.rs
+++ b/crates/discovery-schedule/src/poll_timing.rs
@@ -38,7 +38,7 @@
 pub struct ScheduleOptions {
     /// Whether an agent on this machine has the list, which answers at once and at no cost; else one service has it for
     /// all balancers, which handles new polls one after the other.
-    pub pushed: bool,
+    pub local_agent: bool,
     /// The longest time between polls, where discovery has to be polled.
     pub poll_interval: Span,
     /// For how long after the notification of a drain a request to the server may still begin; zero if not stated.
@@ -91,7 +91,7 @@
     pub fn new(options: &ScheduleOptions) -> Self {
         let stated = options.drain_grace;
         let drain_grace = if stated.0 > 0 { stated } else { DEFAULT_DRAIN_GRACE };
-        match options.pushed {
+        match options.local_agent {
             true => Self::of_agent(drain_grace),
             false => Self::of_service(options, drain_grace),
         }
--- a/crates/discovery-schedule/tests/simulation/main.rs
+++ b/crates/discovery-schedule/tests/simulation/main.rs
@@ -68,7 +68,7 @@
 fn earlier_timing(options: &ScheduleOptions) -> PollTiming {
     let timing = PollTiming::new(options);
     let slack = Span(1500 * MS);
-    let backoff = Span(if options.pushed { 250 * MS } else { S });
+    let backoff = Span(if options.local_agent { 250 * MS } else { S });
     let wait = Span(10 * S);
     PollTiming {
         wait,
--- a/crates/discovery-schedule/tests/simulation/plan.rs
+++ b/crates/discovery-schedule/tests/simulation/plan.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Plan {
-    pub(crate) pushed: bool,
+    pub(crate) local_agent: bool,
     pub(crate) balancers: usize,
     /// How long the service handles one new poll, and how long a poll may be queued there.
     pub(crate) poll_time: i64,
@@ -33,13 +33,13 @@
 impl Plan {
     pub(crate) fn random(rng: &mut Rand64) -> Self {
         let mut below = |n: i64| rng.rand_range(0..n as u64) as i64;
-        let pushed = below(3) == 0;
+        let local_agent = below(3) == 0;
         let balancers = [1, 3, 6, 20, 60][below(5) as usize];
         // The service handles a poll of each in a fifth to six tenths of the poll interval. With up to seven tenths ten of
         // 40,000 schedules were late, by 0.04 to 0.4 s, one by 1.6 s.
         let all_polls = (2 + below(5)) * S;
         let mut plan = Self {
-            pushed,
+            local_agent,
             balancers,
             poll_time: all_polls / balancers.max(6) as i64,
             failure_counts: all_polls <= 6 * S,
--- a/crates/discovery-schedule/tests/simulation/world.rs
+++ b/crates/discovery-schedule/tests/simulation/world.rs
@@ -107,7 +107,7 @@
     ) -> Self {
         let nodes = (0..plan.balancers).map(|i| {
             let options = ScheduleOptions {
-                pushed: plan.pushed,
+                local_agent: plan.local_agent,
                 poll_interval: Span(POLL_INTERVAL),
                 drain_grace: Span(GRACE),
                 position: i as u32,
@@ -233,13 +233,13 @@
         self.queue_event(deadline, Event::Deadline(i, number));
         let continues = now - self.nodes[i].last_answer <= CONTINUES_WITHIN.0;
         if self.plan.is_down_at(now) {
-            if self.plan.pushed {
+            if self.plan.local_agent {
                 // An agent is silent while it is down, and never answers the polls of that time.
                 self.nodes[i].in_flight.last_mut().expect("just sent").silent = true;
             } else {
                 self.queue_event(now + NETWORK_DELAY, Event::Rejected(i, number));
             }
-        } else if self.plan.pushed || continues {
+        } else if self.plan.local_agent || continues {
             self.queue_event(now + NETWORK_DELAY, Event::Turn(i, number));
         } else if self.free_at - now > self.plan.max_queue_time {
             self.queue_event(now + NETWORK_DELAY, Event::Rejected(i, number));
@@ -401,10 +401,10 @@
         // Where lists are pushed: as soon as the agent has it, a silent poll apart; where discovery is polled, a poll
         // interval after the change, and counted anew when discovery is back.
         let available = plan.available_at(drain);
-        let mut notified = if plan.pushed { available } else { available + POLL_INTERVAL };
+        let mut notified = if plan.local_agent { available } else { available + POLL_INTERVAL };
         let hides =
             |silence: &&i64| (**silence..**silence + NOTIFIED_AFTER_SILENCE).contains(&drain);
-        if plan.pushed
+        if plan.local_agent
             && let Some(silence) = plan.silences.iter().find(hides)
         {
             notified = notified.max(silence + NOTIFIED_AFTER_SILENCE);
--- a/crates/discovery-schedule/tests/timing.rs
+++ b/crates/discovery-schedule/tests/timing.rs
@@ -10,14 +10,14 @@
 
 /// Options with times in milliseconds.
 fn options(
-    pushed: bool,
+    local_agent: bool,
     poll_interval_ms: i64,
     drain_grace_ms: i64,
     position: u32,
     balancers: u32,
 ) -> ScheduleOptions {
     ScheduleOptions {
-        pushed,
+        local_agent,
         poll_interval: Span(poll_interval_ms * 1000),
         drain_grace: Span(drain_grace_ms * 1000),
         position,
--- a/crates/discovery/tests/polling/main.rs
+++ b/crates/discovery/tests/polling/main.rs
@@ -63,7 +63,7 @@
 /// A balancer that polls what it reaches by `dial`, from this time of the clock on.
 fn balancer(dial: Dial, pushed: bool, position: u32, balancers: u32, started: i64) -> Balancer {
     let options = ScheduleOptions {
-        pushed,
+        local_agent: pushed,
         poll_interval: Span(10_000_000),
         drain_grace: Span(GRACE.as_micros() as i64),
         position,
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -105,7 +105,7 @@
 
 fn poll_timing(settings: &DeploymentSettings) -> PollTiming {
     PollTiming::new(&ScheduleOptions {
-        pushed: settings.registry_mode == RegistryMode::Automatic,
+        local_agent: settings.registry_mode == RegistryMode::Automatic,
         poll_interval: span(settings.safety.poll_interval),
         drain_grace: span(settings.safety.drain_grace),
         position: settings.position,
