--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Takes over the position of a control machine. Reports an error if the position is behind the latest one that is
+    /// Takes over the position of a control machine. Returns an error if the position is behind the latest one that is
     /// known or diverges from it.
     pub(super) fn advance_position(
         &mut self,
