--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -12,7 +12,7 @@
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
 /// A request with less than this share of the usual timeout left is a retry that its client's deadline cuts short:
 /// the rest is for the way to the balancer.
-const FIRST_TRY_FRACTION_OF_TIMEOUT: f64 = 0.9;
+const MIN_FIRST_TRY_FRACTION_OF_TIMEOUT: f64 = 0.9;
 /// One request moves the usual timeout of its class by this share of the class's deadline.
 const TIMEOUT_STEP_FRACTION_OF_DEADLINE: f64 = 0.002;
 /// Smallest rate that a wait is divided by; keeps a quotient finite.
@@ -28,7 +28,7 @@
     /// By class: the share of that wait that it may use.
     priority_shares: Vec<f64>,
     /// By class: the time that its requests usually have left when they come.
-    usual_timeouts: Vec<Span>,
+    median_timeouts: Vec<Span>,
 }
 
 impl Admission {
@@ -38,7 +38,7 @@
             rate: 0.0,
             tolerable_wait: service_time,
             priority_shares: vec![1.0; classes],
-            usual_timeouts: vec![Span(0); classes],
+            median_timeouts: vec![Span(0); classes],
         }
     }
 
@@ -84,8 +84,8 @@
     }
 
     /// The time that requests of a class usually have left when they come; zero before the first.
-    pub(crate) fn usual_timeout(&self, class: usize) -> Span {
-        self.usual_timeouts[class]
+    pub(crate) fn median_timeout(&self, class: usize) -> Span {
+        self.median_timeouts[class]
     }
 
     /// Whether an answer would miss the latency objective that counts from the client's first try. A retry is
@@ -99,22 +99,23 @@
         class_mean: f64,
     ) -> bool {
         let left = request.deadline.since(now);
-        let usual = self.observe_timeout(request.class, left, class.deadline);
-        let waited = class.deadline.as_micros_f64() - left.as_micros_f64();
-        let is_retry = left.as_micros_f64() < usual.as_micros_f64() * FIRST_TRY_FRACTION_OF_TIMEOUT;
-        is_retry && waited + class_mean > class.latency_objective.as_micros_f64()
+        let median = self.observe_timeout(request.class, left, class.deadline);
+        let elapsed = class.deadline.as_micros_f64() - left.as_micros_f64();
+        let is_retry =
+            left.as_micros_f64() < median.as_micros_f64() * MIN_FIRST_TRY_FRACTION_OF_TIMEOUT;
+        is_retry && elapsed + class_mean > class.latency_objective.as_micros_f64()
     }
 
     /// Moves the usual timeout towards one request's: to the median, as most come with the same. Failure: by the
     /// longest, last tries that wait to the very end made first tries look like retries.
     fn observe_timeout(&mut self, class: usize, left: Span, deadline: Span) -> Span {
-        let usual = &mut self.usual_timeouts[class];
+        let median = &mut self.median_timeouts[class];
         let step = (deadline.as_micros_f64() * TIMEOUT_STEP_FRACTION_OF_DEADLINE).max(1.0) as i64;
-        usual.0 = match usual.0 {
+        median.0 = match median.0 {
             0 => left.0,
             known => known + step * (left.0 - known).signum(),
         };
-        *usual
+        *median
     }
 
     /// Follows the capacity of the servers, and the latency of the classes.
@@ -127,13 +128,14 @@
         let tightest = classes.iter().enumerate().map(tolerable).fold(f64::MAX, f64::min);
         self.tolerable_wait = tightest.max(0.0);
         for (index, share) in self.priority_shares.iter_mut().enumerate() {
-            *share = MIN_PRIORITY_SHARE + (1.0 - MIN_PRIORITY_SHARE) * rank(index, classes, times);
+            *share = MIN_PRIORITY_SHARE
+                + (1.0 - MIN_PRIORITY_SHARE) * priority_rank(index, classes, times);
         }
     }
 }
 
 /// Where a class stands among all by its weight for its work: 0 for the least, 1 for the most.
-fn rank(class: usize, classes: &[RequestClass], times: &ServiceTimes) -> f64 {
+fn priority_rank(class: usize, classes: &[RequestClass], times: &ServiceTimes) -> f64 {
     if classes.len() == 1 {
         return 1.0;
     }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -14,7 +14,6 @@
 use crate::in_flight::InFlight;
 use crate::list_polling::ListPolling;
 use crate::outlier::ZoneOutliers;
-use crate::presence;
 use crate::queue::RequestQueue;
 use crate::request::{Attempt, AttemptState, EndedAttempt, OpenRequest, OpenRequests};
 use crate::retry::RetryRules;
@@ -24,9 +23,10 @@
 use crate::settings;
 use crate::slow_start::{self, SlowStart};
 use crate::tenant_quota::TenantQuotas;
+use crate::usable_share;
 
 /// Token of the housekeeping timer.
-const HOUSEKEEPING: u64 = 1;
+const HOUSEKEEPING_TIMER: u64 = 1;
 /// The decisions of one balancer for one pool of servers. Times that are passed in must not go back.
 #[derive(Debug)]
 pub struct Balancer {
@@ -44,7 +44,7 @@
     quotas: TenantQuotas,
     polling: ListPolling,
     /// When the estimates were last brought up to date.
-    refreshed: Time,
+    last_refresh: Time,
 }
 
 impl Balancer {
@@ -74,7 +74,7 @@
             admission: Admission::new(service_times.overall(), classes),
             quotas: TenantQuotas::new(&settings.tenants, target_time, now),
             polling: ListPolling::new(&settings, now),
-            refreshed: now,
+            last_refresh: now,
             service_times,
             settings,
         })
@@ -89,7 +89,7 @@
 
     /// A timer is due. Tokens that this balancer did not set are ignored.
     pub fn timer_fired(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
-        if token != HOUSEKEEPING {
+        if token != HOUSEKEEPING_TIMER {
             return;
         }
         self.in_flight.release_abandoned(now, self.servers.all_mut());
@@ -104,7 +104,7 @@
 
     fn set_timer(&self, now: Time, out: &mut Vec<Action>) {
         let at = now.plus(settings::housekeeping_interval(&self.settings));
-        out.push(Action::SetTimer { token: HOUSEKEEPING, at });
+        out.push(Action::SetTimer { token: HOUSEKEEPING_TIMER, at });
     }
 
     /// A client's request has arrived; it is forwarded, queued or rejected.
@@ -121,15 +121,15 @@
         self.requests.insert(request.id, OpenRequest::new(&request, &deadlines));
         let within_quota = self.quotas.is_within(now, request.tenant, self.settings.balancers);
         let class = &self.settings.classes[request.class];
-        let misses = self.admission.cannot_meet_objective(now, &request, class, class_mean);
-        let in_vain =
-            deadlines.is_too_late(now) && !self.is_worth_a_trial(now, &request, &deadlines);
-        if !self.admits(request.class, within_quota && !misses) || in_vain {
+        let misses_objective =
+            self.admission.cannot_meet_objective(now, &request, class, class_mean);
+        let too_late = deadlines.is_too_late(now) && !self.may_probe(now, &request, &deadlines);
+        if !self.admits(request.class, within_quota && !misses_objective) || too_late {
             self.reject(request.id, out);
             return;
         }
         if within_quota {
-            self.quotas.admitted(request.tenant);
+            self.quotas.record_admitted(request.tenant);
         }
         self.enqueue(request.id);
         self.dispatch(now, out);
@@ -138,11 +138,12 @@
     /// Whether a request that seems to come too late for its objective is tried all the same: one of a class at a
     /// time, where none of the class has time enough, or no answer would ever show otherwise. Failure: after answers
     /// slower than its objective a class was rejected for good, by idle servers.
-    fn is_worth_a_trial(&self, now: Time, request: &Request, deadlines: &Deadlines) -> bool {
+    fn may_probe(&self, now: Time, request: &Request, deadlines: &Deadlines) -> bool {
         let class = request.class;
         let objective = self.settings.classes[class].latency_objective;
-        let usually = objective.min(self.admission.usual_timeout(class));
-        deadlines.rests_on_latency_alone(now, usually) && !self.requests.has_class_in_flight(class)
+        let usual_time = objective.min(self.admission.median_timeout(class));
+        deadlines.is_late_by_estimate_only(now, usual_time)
+            && !self.requests.has_class_in_flight(class)
     }
 
     fn admits(&self, class: usize, full_share: bool) -> bool {
@@ -153,7 +154,7 @@
     /// An attempt has ended.
     pub fn attempt_ended(&mut self, now: Time, result: AttemptResult, out: &mut Vec<Action>) {
         let Some(attempt) = self.requests.close_attempt(&result) else { return };
-        self.learn(now, &attempt, &result);
+        self.record_result(now, &attempt, &result);
         if result.ends_request || result.outcome == Outcome::Ok {
             self.end(result.request);
         } else {
@@ -163,11 +164,11 @@
     }
 
     /// Takes the result of an attempt into every estimate, and frees its slot.
-    fn learn(&mut self, now: Time, attempt: &EndedAttempt, result: &AttemptResult) {
+    fn record_result(&mut self, now: Time, attempt: &EndedAttempt, result: &AttemptResult) {
         let latency = result.latency.as_micros_f64();
         match result.outcome {
-            Outcome::Timeout => self.learn_timeout(attempt, latency),
-            Outcome::Ok => self.learn_served(now, attempt, latency),
+            Outcome::Timeout => self.record_timeout(attempt, latency),
+            Outcome::Ok => self.record_served(now, attempt, latency),
             _ => {}
         }
         let &EndedAttempt { class, server: index, sent } = attempt;
@@ -186,23 +187,23 @@
 
     /// A timeout lowers the limit too, unless its server stands out: one that hangs tells of itself. Failure: once
     /// all is overloaded nothing answers, and a limit that only answers move stays.
-    fn learn_timeout(&mut self, attempt: &EndedAttempt, latency: f64) {
+    fn record_timeout(&mut self, attempt: &EndedAttempt, latency: f64) {
         let server = &self.servers.all()[attempt.server];
         if !self.service_times.is_typical(server) {
             return;
         }
-        let kind = server.kind;
+        let machine_type = server.machine_type;
         self.adjust_limit(attempt.class, latency);
-        self.service_times.observe_timeout(attempt.class, kind, latency);
-        self.slow_start.know_kinds(self.service_times.kinds());
+        self.service_times.observe_timeout(attempt.class, machine_type, latency);
+        self.slow_start.ensure_machine_types(self.service_times.machine_types());
     }
 
-    fn learn_served(&mut self, now: Time, attempt: &EndedAttempt, latency: f64) {
-        let kind = self.servers.all()[attempt.server].kind;
-        self.service_times.observe_served(attempt.class, kind, latency);
-        self.slow_start.know_kinds(self.service_times.kinds());
+    fn record_served(&mut self, now: Time, attempt: &EndedAttempt, latency: f64) {
+        let machine_type = self.servers.all()[attempt.server].machine_type;
+        self.service_times.observe_served(attempt.class, machine_type, latency);
+        self.slow_start.ensure_machine_types(self.service_times.machine_types());
         self.adjust_limit(attempt.class, latency);
-        self.slow_start.served(now, &self.servers.all()[attempt.server]);
+        self.slow_start.record_served(now, &self.servers.all()[attempt.server]);
         if !self.service_times.is_settled() {
             // The first answers move too much for sums of the last housekeeping.
             self.refresh_capacity();
@@ -276,7 +277,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.ended = true;
         if std::mem::take(&mut request.queued) {
-            self.queue.left(request.class);
+            self.queue.request_left(request.class);
         }
         if !request.in_flight() {
             self.requests.remove(id);
@@ -356,15 +357,15 @@
     fn forward(&mut self, now: Time, id: RequestId, index: usize, out: &mut Vec<Action>) {
         let initial_rate = self.initial_rate();
         let server = &mut self.servers.all_mut()[index];
-        self.slow_start.forwarded(now, server, initial_rate);
+        self.slow_start.record_forwarded(now, server, initial_rate);
         let Some(request) = self.requests.get_mut(id) else { return };
         request.queued = false;
-        self.queue.left(request.class);
+        self.queue.request_left(request.class);
         request.attempts.push(Attempt { server: index, sent: now, state: AttemptState::InFlight });
         self.in_flight.begin(server);
         server.outliers[request.class].attempt_began();
         self.zones.attempt_began(server.zone, now);
-        let timeout = request.valuable_until.since(now);
+        let timeout = request.answer_deadline.since(now);
         out.push(Action::Forward { request: id, server: server.id, timeout });
     }
 
@@ -385,9 +386,9 @@
         out: &mut Vec<Action>,
     ) {
         match kind {
-            ListKind::Unavailable => return self.polling.failed(now, &mut self.rng),
+            ListKind::Unavailable => return self.polling.poll_failed(now, &mut self.rng),
             ListKind::Restored => {}
-            ListKind::Update | ListKind::Full => self.polling.listed(),
+            ListKind::Update | ListKind::Full => self.polling.list_received(),
         }
         let before = self.slow_start.warm_weights(now, self.servers.all());
         if kind != ListKind::Update {
@@ -406,22 +407,22 @@
         self.refresh(now);
         self.dispatch(now, out);
         let requests = &self.requests;
-        self.servers.forget_gone(|server| requests.any_tried(server));
+        self.servers.remove_gone(|server| requests.any_tried(server));
     }
 
     /// Brings up to date what is summed over all servers.
     fn refresh(&mut self, now: Time) {
         for class in 0..self.settings.classes.len() {
-            let ejected = self.servers.eject_everywhere(class, now);
+            let ejected = self.servers.is_ejected_everywhere(class, now);
             self.queue.set_ejected_everywhere(class, ejected);
         }
-        let elapsed = now.since(self.refreshed);
+        let elapsed = now.since(self.last_refresh);
         let slow_start = self.settings.safety_rules.slow_start;
         self.service_times.refresh(self.servers.all_mut(), elapsed, slow_start);
-        presence::refresh(self.servers.all_mut(), &self.zones, &self.slow_start, now);
+        usable_share::refresh(self.servers.all_mut(), &self.zones, &self.slow_start, now);
         let initial_rate = self.initial_rate();
         self.slow_start.refresh(now, elapsed, self.servers.all_mut(), initial_rate);
-        self.refreshed = now;
+        self.last_refresh = now;
         self.refresh_capacity();
     }
 
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -37,7 +37,7 @@
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     /// Servers that can be used; one that warms up counts by its share.
-    presence: f64,
+    usable_servers: f64,
     /// Sum of the speeds of all live servers.
     speed_sum: f64,
     /// By class: smoothed latency over its objective.
@@ -73,7 +73,7 @@
 
     /// This balancer's share of a limit that is stated for each server over all balancers.
     fn own_share(&self, per_server: f64, balancers: u32) -> f64 {
-        self.presence * per_server / f64::from(balancers)
+        self.usable_servers * per_server / f64::from(balancers)
     }
 
     /// The servers are shared by another number of balancers from now on. A share that grows is no more than an
@@ -110,16 +110,16 @@
     /// Follows the servers that can be used now.
     pub(crate) fn refresh(&mut self, servers: &[Server], balancers: u32) {
         let live = || servers.iter().filter(|server| server.is_live());
-        let presence: f64 = live().map(|server| server.presence).sum();
-        if self.presence > 0.0 && presence > 0.0 {
+        let usable_servers: f64 = live().map(|server| server.usable_share).sum();
+        if self.usable_servers > 0.0 && usable_servers > 0.0 {
             // Failure: a fleet that doubled kept its old limit, and rejected beside idle servers.
-            self.limit *= presence / self.presence;
+            self.limit *= usable_servers / self.usable_servers;
         }
-        if presence > 0.0 {
-            self.presence = presence;
+        if usable_servers > 0.0 {
+            self.usable_servers = usable_servers;
         }
         if self.limit == 0.0 {
-            self.limit = self.own_share(INITIAL_LIMIT, balancers).max(presence.min(1.0));
+            self.limit = self.own_share(INITIAL_LIMIT, balancers).max(usable_servers.min(1.0));
         }
         self.speed_sum = live().map(Server::speed).sum();
     }
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadlines {
     /// When an answer stops having any weight; attempts time out then.
-    pub(crate) valuable_until: Time,
+    pub(crate) answer_deadline: Time,
     /// When the request must be abandoned if it is still queued.
     pub(crate) queue_deadline: Time,
     /// The last moment at which a rejection is still of use.
     rejection_time: Time,
     /// The mean latency of the class; zero before any answer of it.
-    shortest: Span,
+    mean_latency: Span,
 }
 
 impl Deadlines {
@@ -31,19 +31,19 @@
     ) -> Self {
         let class = &settings.classes[request.class];
         let objective = request.deadline.min(now.plus(class.latency_objective));
-        let has_late_weight = class.late_priority_weight > 0.0;
+        let late_answer_has_weight = class.late_priority_weight > 0.0;
         let interval = settings::housekeeping_interval(settings).0;
         let rejection_time = Time(objective.0 - REJECTION_LEAD_IN_INTERVALS * interval);
         // Also where a late answer keeps some weight a request is queued only while its objective can be met: else,
         // in lasting overload, the whole queue is served late. Failure: retries with what was left of their first
         // try's time were forwarded too late; a sixth of all timed out.
-        let shortest = Span::from_micros_f64(class_mean);
-        let latest = objective.0 - shortest.0;
+        let mean_latency = Span::from_micros_f64(class_mean);
+        let latest = objective.0 - mean_latency.0;
         Self {
-            valuable_until: if has_late_weight { request.deadline } else { objective },
+            answer_deadline: if late_answer_has_weight { request.deadline } else { objective },
             queue_deadline: Time(rejection_time.0.min(latest)),
             rejection_time,
-            shortest,
+            mean_latency,
         }
     }
 
@@ -53,8 +53,8 @@
     }
 
     /// Whether requests of the class come too late only because of the latency of earlier answers, which takes as
-    /// long as they `usually` have.
-    pub(crate) fn rests_on_latency_alone(&self, now: Time, usually: Span) -> bool {
-        now < self.rejection_time && self.shortest >= usually
+    /// long as the `usual_time` that they have.
+    pub(crate) fn is_late_by_estimate_only(&self, now: Time, usual_time: Span) -> bool {
+        now < self.rejection_time && self.mean_latency >= usual_time
     }
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -32,9 +32,9 @@
     }
 
     /// Whether there are live servers, and all of them are ejected for a class.
-    pub(crate) fn eject_everywhere(&self, class: usize, now: Time) -> bool {
+    pub(crate) fn is_ejected_everywhere(&self, class: usize, now: Time) -> bool {
         let mut live = self.live().peekable();
-        live.peek().is_some() && live.all(|server| server.outliers[class].ejects(now))
+        live.peek().is_some() && live.all(|server| server.outliers[class].is_ejected(now))
     }
 
     /// A server by its id, while it is known.
@@ -87,7 +87,7 @@
     /// Forgets servers that are gone. Failure: where servers are replaced all day, each call looked at every one
     /// that had ever been. One that has an attempt in flight, may still work on one, or was tried by a request that
     /// is still open stays known until a later list.
-    pub(crate) fn forget_gone(&mut self, was_tried: impl Fn(usize) -> bool) {
+    pub(crate) fn remove_gone(&mut self, was_tried: impl Fn(usize) -> bool) {
         let (servers, vacant) = (&mut self.servers, &mut self.vacant);
         self.by_id.retain(|_, &mut index| {
             let server = &mut servers[index];
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -22,7 +22,7 @@
 //! | `deadlines` | until when a request is worth queueing |
 //! | `retry` | whether a request may be forwarded again, and whether it may be rejected |
 //! | `outlier` | consecutive failures by server, class and zone; ejection |
-//! | `presence` | how much of each server can be used |
+//! | `usable_share` | how much of each server can be used |
 //! | `slow_start` | the tokens of a server that warms up |
 //! | `tenant_quota` | whether a tenant is within its quota |
 //! | `request` | the state of open requests and of their attempts |
@@ -60,7 +60,6 @@
 mod list_polling;
 mod mean;
 mod outlier;
-mod presence;
 mod queue;
 mod request;
 mod retry;
@@ -72,6 +71,7 @@
 mod slow_start;
 mod tenant_quota;
 mod token_bucket;
+mod usable_share;
 
 pub use balancer::Balancer;
 pub use capacity::ServerGauge;
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -6,7 +6,7 @@
 /// Longest random wait before the first poll, as a share of the poll interval: fleets restart together.
 const JITTER_FRACTION_OF_INTERVAL: f64 = 0.05;
 /// A poll without an answer is repeated after this share of the poll interval.
-const REPEAT_FRACTION_OF_INTERVAL: f64 = 0.5;
+const RETRY_FRACTION_OF_INTERVAL: f64 = 0.5;
 /// Most doublings of the wait after polls that failed.
 const MAX_DOUBLINGS: i32 = 3;
 
@@ -17,7 +17,7 @@
     polls: bool,
     interval: Span,
     subscribed: bool,
-    next: Time,
+    next_poll: Time,
     failures: i32,
 }
 
@@ -27,38 +27,39 @@
             polls: settings.polls_endpoint_list,
             interval: settings.safety_rules.poll_interval,
             subscribed: false,
-            next: now,
+            next_poll: now,
             failures: 0,
         }
     }
 
     /// Draws the time of the first poll.
     pub(crate) fn start(&mut self, now: Time, rng: &mut Rand64) {
-        self.next = now.plus(self.jitter(rng, JITTER_FRACTION_OF_INTERVAL));
+        self.next_poll = now.plus(self.jitter(rng, JITTER_FRACTION_OF_INTERVAL));
     }
 
     /// A list has come over the subscription.
-    pub(crate) fn listed(&mut self) {
+    pub(crate) fn list_received(&mut self) {
         self.subscribed = true;
         self.failures = 0;
     }
 
     /// A poll failed or the subscription broke: the next poll is due after a random backoff.
-    pub(crate) fn failed(&mut self, now: Time, rng: &mut Rand64) {
+    pub(crate) fn poll_failed(&mut self, now: Time, rng: &mut Rand64) {
         self.subscribed = false;
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
         let backoff = JITTER_FRACTION_OF_INTERVAL * f64::from(1 << self.failures);
-        self.next = now.plus(self.jitter(rng, backoff));
+        self.next_poll = now.plus(self.jitter(rng, backoff));
     }
 
     /// Whether a poll is due; then the time of its repetition is drawn.
     pub(crate) fn is_due(&mut self, now: Time, rng: &mut Rand64) -> bool {
-        if !self.polls || self.subscribed || now < self.next {
+        if !self.polls || self.subscribed || now < self.next_poll {
             return false;
         }
         let interval = self.interval.as_micros_f64();
-        let repetition = Span::from_micros_f64(interval * REPEAT_FRACTION_OF_INTERVAL);
-        self.next = now.plus(repetition).plus(self.jitter(rng, JITTER_FRACTION_OF_INTERVAL));
+        let retry_interval = Span::from_micros_f64(interval * RETRY_FRACTION_OF_INTERVAL);
+        self.next_poll =
+            now.plus(retry_interval).plus(self.jitter(rng, JITTER_FRACTION_OF_INTERVAL));
         true
     }
 
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether it is ejected or on trial.
-    pub(crate) fn ejects(&self, now: Time) -> bool {
+    pub(crate) fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until || self.has_failed_repeatedly()
     }
 
@@ -58,9 +58,9 @@
     }
 
     /// Counts a failure of an attempt sent at `sent`. The first `tolerated` failures in a row eject nothing.
-    fn failed(&mut self, now: Time, sent: Time, service_time: f64, tolerated: u32) {
-        let began_before_ejection = self.has_failed_repeatedly() && sent < self.ejected_until;
-        if now < self.ejected_until || began_before_ejection {
+    fn record_failure(&mut self, now: Time, sent: Time, service_time: f64, tolerated: u32) {
+        let sent_before_ejection_ended = self.has_failed_repeatedly() && sent < self.ejected_until;
+        if now < self.ejected_until || sent_before_ejection_ended {
             return; // The same fault, already counted.
         }
         if self.consecutive_failures >= tolerated {
@@ -71,7 +71,7 @@
             (self.consecutive_failures + 1).min(CONSECUTIVE_FAILURES + MAX_DOUBLINGS);
     }
 
-    fn succeeded(&mut self) {
+    fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
@@ -86,11 +86,11 @@
     ) {
         self.in_flight -= 1;
         match outcome {
-            Outcome::Rejected => self.failed(now, sent, service_time, 0),
+            Outcome::Rejected => self.record_failure(now, sent, service_time, 0),
             Outcome::Error | Outcome::Reset | Outcome::Timeout => {
-                self.failed(now, sent, service_time, CONSECUTIVE_FAILURES - 1);
+                self.record_failure(now, sent, service_time, CONSECUTIVE_FAILURES - 1);
             }
-            Outcome::Ok => self.succeeded(),
+            Outcome::Ok => self.record_success(),
             Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Superseded => {}
         }
     }
@@ -107,7 +107,7 @@
 }
 
 impl ConnectFailures {
-    pub(crate) fn none(now: Time) -> Self {
+    pub(crate) fn new(now: Time) -> Self {
         Self { consecutive: 0, ejected_until: now }
     }
 
@@ -124,13 +124,13 @@
     /// Counts the outcome of an attempt at the server.
     pub(crate) fn attempt_ended(&mut self, outcome: Outcome, now: Time, service_time: f64) {
         match outcome {
-            Outcome::ConnectFailed => self.failed(now, service_time),
+            Outcome::ConnectFailed => self.record_failure(now, service_time),
             Outcome::Ok => self.consecutive = 0,
             _ => {}
         }
     }
 
-    fn failed(&mut self, now: Time, service_time: f64) {
+    fn record_failure(&mut self, now: Time, service_time: f64) {
         if now < self.ejected_until {
             return; // It began before the ejection: the same fault, already counted.
         }
@@ -153,7 +153,7 @@
     }
 
     /// Whether connections to the zone have failed so often that it seems cut off.
-    pub(crate) fn seems_cut_off(&self, zone: u32) -> bool {
+    pub(crate) fn seems_unreachable(&self, zone: u32) -> bool {
         self.zones.get(&zone).is_some_and(OutlierState::has_failed_repeatedly)
     }
 
@@ -176,9 +176,9 @@
         state.in_flight = state.in_flight.saturating_sub(1);
         match outcome {
             Outcome::ConnectFailed => {
-                state.failed(now, sent, service_time, CONSECUTIVE_FAILURES - 1)
+                state.record_failure(now, sent, service_time, CONSECUTIVE_FAILURES - 1)
             }
-            Outcome::Ok | Outcome::Error | Outcome::Rejected => state.succeeded(),
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => state.record_success(),
             _ => {}
         }
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -49,22 +49,22 @@
     /// Adds a new request at the tail.
     pub(crate) fn push(&mut self, id: RequestId, class: usize) {
         self.order.push_back(id);
-        self.count(class);
+        self.count_queued(class);
     }
 
     /// Adds a request that is to be retried at the head.
     pub(crate) fn push_retry(&mut self, id: RequestId, class: usize) {
         self.order.push_front(id);
-        self.count(class);
+        self.count_queued(class);
     }
 
-    fn count(&mut self, class: usize) {
+    fn count_queued(&mut self, class: usize) {
         self.queued += 1;
         self.classes[class].queued += 1;
     }
 
     /// Counts a request of this class that is no longer queued.
-    pub(crate) fn left(&mut self, class: usize) {
+    pub(crate) fn request_left(&mut self, class: usize) {
         self.queued -= 1;
         self.classes[class].queued -= 1;
     }
@@ -78,9 +78,9 @@
     /// server is ejected. Failure: one class that was rejected everywhere filled the queue, and the others were
     /// rejected beside idle servers.
     pub(crate) fn competing_with(&self, class: usize) -> usize {
-        let idle =
+        let not_competing =
             |(index, queue): &(usize, &ClassQueue)| *index != class && queue.ejected_everywhere;
-        let others = self.classes.iter().enumerate().filter(idle);
+        let others = self.classes.iter().enumerate().filter(not_competing);
         self.queued - others.map(|(_, queue)| queue.queued).sum::<usize>()
     }
 }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -33,7 +33,7 @@
     /// When the client stops waiting.
     pub(crate) deadline: Time,
     /// When an answer stops having any weight; attempts time out then.
-    pub(crate) valuable_until: Time,
+    pub(crate) answer_deadline: Time,
     /// When it must be abandoned if it is still queued.
     pub(crate) queue_deadline: Time,
     pub(crate) queued: bool,
@@ -49,7 +49,7 @@
             class: request.class,
             key: request.key,
             deadline: request.deadline,
-            valuable_until: deadlines.valuable_until,
+            answer_deadline: deadlines.answer_deadline,
             queue_deadline: deadlines.queue_deadline,
             queued: false,
             ended: false,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -81,7 +81,7 @@
     /// it has raise the cost. All balancers that observe the same speeds send a key to the same server, and a hot one
     /// gives way as its server slows.
     fn cost(&self, class: usize, server: &Server, score: f64) -> f64 {
-        let class_slowness = self.capacity.service_times.class_slowness(class, server.kind);
+        let class_slowness = self.capacity.service_times.class_slowness(class, server.machine_type);
         let slowness = server.estimate.slowness() * class_slowness / server.weight;
         let crosses_zones = server.zone != self.settings.zone;
         let is_priced = self.settings.cross_zone_price > 0.0 && crosses_zones;
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -7,14 +7,14 @@
 use crate::token_bucket::TokenBucket;
 
 /// Highest machine kind that is distinguished; guards against a table that grows with a wrong index.
-const MAX_KIND: u32 = 255;
+const MAX_MACHINE_TYPE: u32 = 255;
 
 /// A server of the endpoint list, with what was observed of it.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) id: ServerId,
     pub(crate) zone: u32,
-    pub(crate) kind: u32,
+    pub(crate) machine_type: u32,
     pub(crate) cell: u32,
     pub(crate) status: EndpointStatus,
     /// Relative size.
@@ -30,7 +30,7 @@
     pub(crate) outliers: Vec<OutlierState>,
     pub(crate) estimate: ServiceTimeEstimate,
     /// Share of its capacity that can be used now, 0 to 1.
-    pub(crate) presence: f64,
+    pub(crate) usable_share: f64,
     /// Requests that it may still get while it warms up.
     pub(crate) slow_start_tokens: TokenBucket,
 }
@@ -41,18 +41,18 @@
         Self {
             id: endpoint.id,
             zone: endpoint.zone,
-            kind: endpoint.machine_type,
+            machine_type: endpoint.machine_type,
             cell: endpoint.cell,
             status: endpoint.status,
             weight: 1.0,
             started: None,
             name_hash: endpoint.name_hash,
             in_flight: 0,
-            connect_failures: ConnectFailures::none(now),
+            connect_failures: ConnectFailures::new(now),
             outliers: vec![OutlierState::new(now); classes],
             estimate: ServiceTimeEstimate::UNKNOWN,
-            presence: 0.0,
-            slow_start_tokens: TokenBucket::holding(0.0, now),
+            usable_share: 0.0,
+            slow_start_tokens: TokenBucket::with_tokens(0.0, now),
         }
     }
 
@@ -60,16 +60,16 @@
     /// former answers tell nothing.
     pub(crate) fn update(&mut self, endpoint: &Endpoint, initial_tokens: f64, now: Time) {
         if self.started != endpoint.started && endpoint.started.is_some() {
-            self.slow_start_tokens = TokenBucket::holding(initial_tokens, now);
-            self.estimate.forget_observations();
+            self.slow_start_tokens = TokenBucket::with_tokens(initial_tokens, now);
+            self.estimate.discard_observations();
         }
         self.zone = endpoint.zone;
-        self.kind = endpoint.machine_type.min(MAX_KIND);
+        self.machine_type = endpoint.machine_type.min(MAX_MACHINE_TYPE);
         self.cell = endpoint.cell;
         self.status = endpoint.status;
         self.started = endpoint.started;
-        let usable = endpoint.weight > 0.0 && endpoint.weight.is_finite();
-        self.weight = if usable { endpoint.weight } else { 1.0 };
+        let is_valid = endpoint.weight > 0.0 && endpoint.weight.is_finite();
+        self.weight = if is_valid { endpoint.weight } else { 1.0 };
     }
 
     /// Whether the list has it take requests.
@@ -79,6 +79,6 @@
 
     /// Its present speed over that of the mean server.
     pub(crate) fn speed(&self) -> f64 {
-        self.presence * self.weight / self.estimate.slowness()
+        self.usable_share * self.weight / self.estimate.slowness()
     }
 }
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -20,7 +20,7 @@
 /// A timeout shows only that the answer would have taken longer: it counts as this many times as long.
 const TIMEOUT_LATENCY_FACTOR: f64 = 2.0;
 /// A server this many times slower than its kind is suspect: its timeouts tell of itself alone.
-const SUSPECT_SLOWNESS: f64 = 2.0;
+const MAX_TYPICAL_SLOWNESS: f64 = 2.0;
 /// Weight of a new answer by which the unloaded latency rises again: what was once quick and no longer is
 /// counts for about a thousand answers.
 const UNLOADED_GAIN: f64 = 0.001;
@@ -31,7 +31,7 @@
 
 /// What the servers of one machine kind showed.
 #[derive(Debug)]
-struct KindEstimate {
+struct MachineTypeEstimate {
     /// Mean slowness over all requests.
     slowness: Mean,
     /// By class: how much slower than over all requests.
@@ -42,7 +42,7 @@
     prior_answers: f64,
 }
 
-impl KindEstimate {
+impl MachineTypeEstimate {
     fn unknown(classes: usize) -> Self {
         Self {
             slowness: Mean::assumed(1.0),
@@ -75,7 +75,7 @@
     /// until enough answers make a mean.
     unloaded: Vec<f64>,
     /// By machine kind.
-    kinds: Vec<KindEstimate>,
+    machine_types: Vec<MachineTypeEstimate>,
     /// Mean round trip of the servers that have shown theirs.
     round_trip: f64,
 }
@@ -87,7 +87,7 @@
             overall: Mean::assumed(target * INITIAL_FRACTION_OF_TARGET),
             classes: vec![Mean::default(); classes],
             unloaded: vec![0.0; classes],
-            kinds: Vec::new(),
+            machine_types: Vec::new(),
             round_trip: 0.0,
         }
     }
@@ -103,8 +103,8 @@
     }
 
     /// Machine kinds that have shown anything.
-    pub(crate) fn kinds(&self) -> usize {
-        self.kinds.len()
+    pub(crate) fn machine_types(&self) -> usize {
+        self.machine_types.len()
     }
 
     /// Mean latency of a class; zero before any answer of it.
@@ -129,24 +129,27 @@
 
     /// How much slower than at other work the servers of this kind are at this class. Failure: of two classes each
     /// quick on another kind, either was sent where the other was quick.
-    pub(crate) fn class_slowness(&self, class: usize, kind: u32) -> f64 {
-        self.kinds.get(kind as usize).map_or(1.0, |k| k.classes[class].value)
+    pub(crate) fn class_slowness(&self, class: usize, machine_type: u32) -> f64 {
+        self.machine_types
+            .get(machine_type as usize)
+            .map_or(1.0, |estimate| estimate.classes[class].value)
     }
 
     /// Whether a timeout of this server may tell of all servers: it is not much slower than its kind.
     pub(crate) fn is_typical(&self, server: &Server) -> bool {
-        server.estimate.slowness() <= self.prior(server.kind).slowness * SUSPECT_SLOWNESS
+        server.estimate.slowness()
+            <= self.prior(server.machine_type).slowness * MAX_TYPICAL_SLOWNESS
     }
 
     /// Takes in a timeout of a typical server, after this long.
-    pub(crate) fn observe_timeout(&mut self, class: usize, kind: u32, latency: f64) {
-        self.observe_kind(class, kind, latency * TIMEOUT_LATENCY_FACTOR);
+    pub(crate) fn observe_timeout(&mut self, class: usize, machine_type: u32, latency: f64) {
+        self.observe_machine_type(class, machine_type, latency * TIMEOUT_LATENCY_FACTOR);
     }
 
     /// Takes in the latency of a served request.
-    pub(crate) fn observe_served(&mut self, class: usize, kind: u32, latency: f64) {
+    pub(crate) fn observe_served(&mut self, class: usize, machine_type: u32, latency: f64) {
         self.observe_class(class, latency);
-        self.observe_kind(class, kind, latency);
+        self.observe_machine_type(class, machine_type, latency);
     }
 
     /// Takes the end of an attempt into the estimate of its server.
@@ -157,12 +160,14 @@
         outcome: Outcome,
         latency: f64,
     ) {
-        let mean = self.mean_or_overall(class) * self.class_slowness(class, server.kind);
-        let prior = self.prior(server.kind);
+        let mean = self.mean_or_overall(class) * self.class_slowness(class, server.machine_type);
+        let prior = self.prior(server.machine_type);
         let noise = server.estimate.observe(outcome, latency, mean);
         server.estimate.shrink(prior);
-        if let (Some(noise), Some(kind)) = (noise, self.kinds.get_mut(server.kind as usize)) {
-            kind.noise.update(noise, 0.0);
+        if let (Some(noise), Some(estimate)) =
+            (noise, self.machine_types.get_mut(server.machine_type as usize))
+        {
+            estimate.noise.update(noise, 0.0);
         }
     }
 
@@ -179,14 +184,14 @@
         }
     }
 
-    fn observe_kind(&mut self, class: usize, kind: u32, latency: f64) {
+    fn observe_machine_type(&mut self, class: usize, machine_type: u32, latency: f64) {
         let slowness = (latency / self.mean_or_overall(class)).min(MAX_SLOWNESS);
         let classes = self.classes.len();
-        let known = self.kinds.len().max(kind as usize + 1);
-        self.kinds.resize_with(known, || KindEstimate::unknown(classes));
-        let kind = &mut self.kinds[kind as usize];
-        kind.slowness.update(slowness, MAX_PRIOR_ANSWERS);
-        kind.classes[class].update(slowness / kind.slowness.value, MAX_PRIOR_ANSWERS);
+        let len = self.machine_types.len().max(machine_type as usize + 1);
+        self.machine_types.resize_with(len, || MachineTypeEstimate::unknown(classes));
+        let estimate = &mut self.machine_types[machine_type as usize];
+        estimate.slowness.update(slowness, MAX_PRIOR_ANSWERS);
+        estimate.classes[class].update(slowness / estimate.slowness.value, MAX_PRIOR_ANSWERS);
     }
 
     /// Mean latency of a class, or of all classes before any answer of it.
@@ -195,36 +200,36 @@
         if mean > 0.0 { mean } else { self.overall.value }
     }
 
-    fn prior(&self, kind: u32) -> Prior {
+    fn prior(&self, machine_type: u32) -> Prior {
         let unknown = Prior { slowness: 1.0, answers: MAX_PRIOR_ANSWERS };
-        self.kinds.get(kind as usize).map_or(unknown, KindEstimate::prior)
+        self.machine_types.get(machine_type as usize).map_or(unknown, MachineTypeEstimate::prior)
     }
 
     /// Brings what is known of each server together with what is known of its kind. Observations fade over the
     /// time of a slow start: what a server was that long ago tells little of what it is.
     pub(crate) fn refresh(&mut self, servers: &mut [Server], elapsed: Span, slow_start: Span) {
         let remaining = (-elapsed.as_micros_f64() / slow_start.as_micros_f64().max(1.0)).exp();
-        let mut spreads = vec![Spread::default(); self.kinds.len()];
+        let mut spreads = vec![Spread::default(); self.machine_types.len()];
         for server in servers.iter_mut() {
-            server.estimate.fade(remaining);
-            let own = server.estimate.own();
-            let kind = self.kinds.get(server.kind as usize);
-            if let Some(kind) = kind.filter(|_| own.count >= MIN_ANSWERS_FOR_SPREAD) {
-                let spread = &mut spreads[server.kind as usize];
-                let deviation = own.value - kind.slowness.value;
-                spread.sum += deviation.powi(2) - kind.noise.value / own.count;
+            server.estimate.decay(remaining);
+            let own = server.estimate.own_mean();
+            let estimate = self.machine_types.get(server.machine_type as usize);
+            if let Some(estimate) = estimate.filter(|_| own.count >= MIN_ANSWERS_FOR_SPREAD) {
+                let spread = &mut spreads[server.machine_type as usize];
+                let deviation = own.value - estimate.slowness.value;
+                spread.sum += deviation.powi(2) - estimate.noise.value / own.count;
                 spread.servers += 1.0;
             }
         }
-        for (kind, spread) in self.kinds.iter_mut().zip(spreads) {
+        for (estimate, spread) in self.machine_types.iter_mut().zip(spreads) {
             let credible = match spread.servers > 0.0 {
-                true => kind.noise.value / (spread.sum / spread.servers).max(MIN_VARIANCE),
+                true => estimate.noise.value / (spread.sum / spread.servers).max(MIN_VARIANCE),
                 false => f64::MAX,
             };
-            kind.prior_answers = credible.clamp(MIN_PRIOR_ANSWERS, MAX_PRIOR_ANSWERS);
+            estimate.prior_answers = credible.clamp(MIN_PRIOR_ANSWERS, MAX_PRIOR_ANSWERS);
         }
         for server in servers {
-            let prior = self.prior(server.kind);
+            let prior = self.prior(server.machine_type);
             server.estimate.shrink(prior);
         }
     }
--- a/crates/policy/src/service_time_estimate.rs
+++ b/crates/policy/src/service_time_estimate.rs
@@ -24,13 +24,13 @@
     /// shrinkage towards the server's kind.
     slowness: f64,
     /// The same from its own answers alone.
-    own: Mean,
+    own_mean: Mean,
 }
 
 impl ServiceTimeEstimate {
     /// Before any answer.
     pub(crate) const UNKNOWN: Self =
-        Self { round_trip: None, slowness: 1.0, own: Mean::assumed(1.0) };
+        Self { round_trip: None, slowness: 1.0, own_mean: Mean::assumed(1.0) };
 
     /// The shortest round trip that was observed.
     pub(crate) fn round_trip(&self) -> Option<f64> {
@@ -38,13 +38,13 @@
     }
 
     /// The mean of its own answers.
-    pub(crate) fn own(&self) -> Mean {
-        self.own
+    pub(crate) fn own_mean(&self) -> Mean {
+        self.own_mean
     }
 
     /// Lets its own answers count for this share of what they did.
-    pub(crate) fn fade(&mut self, remaining: f64) {
-        self.own.count *= remaining;
+    pub(crate) fn decay(&mut self, remaining: f64) {
+        self.own_mean.count *= remaining;
     }
 
     /// Slowness, 1 for the mean of all servers.
@@ -53,8 +53,8 @@
     }
 
     /// Lets the next answers replace what was observed; the round trip stays.
-    pub(crate) fn forget_observations(&mut self) {
-        self.own.count = 0.0;
+    pub(crate) fn discard_observations(&mut self) {
+        self.own_mean.count = 0.0;
     }
 
     /// Takes in the end of an attempt, where `mean` is the mean latency of its class at the server's kind.
@@ -69,10 +69,10 @@
             Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(MIN_FAILURE_SLOWNESS),
             _ => return None,
         };
-        let deviation = service.min(MAX_SLOWNESS) - self.own.value;
-        let before = self.own.count;
-        self.own.count = (before + 1.0).min(MAX_OWN_ANSWERS);
-        self.own.value += deviation / self.own.count;
+        let deviation = service.min(MAX_SLOWNESS) - self.own_mean.value;
+        let before = self.own_mean.count;
+        self.own_mean.count = (before + 1.0).min(MAX_OWN_ANSWERS);
+        self.own_mean.value += deviation / self.own_mean.count;
         let shows_noise = outcome == Outcome::Ok && before >= 1.0;
         // The mean of so few answers is off by chance as well.
         shows_noise.then_some(deviation * deviation * before / (before + 1.0))
@@ -80,8 +80,9 @@
 
     /// Draws the server's own mean towards that of its kind.
     pub(crate) fn shrink(&mut self, prior: Prior) {
-        self.slowness = (prior.slowness * prior.answers + self.own.value * self.own.count)
-            / (prior.answers + self.own.count);
+        self.slowness = (prior.slowness * prior.answers
+            + self.own_mean.value * self.own_mean.count)
+            / (prior.answers + self.own_mean.count);
     }
 }
 
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -14,7 +14,7 @@
 
 /// Answers of warm servers of one machine kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct KindRate {
+struct MachineTypeRate {
     /// Decaying count of answers.
     served: f64,
     /// The highest rate lately, in answers a microsecond per unit of weight.
@@ -29,7 +29,7 @@
     /// The time over which answers are counted.
     window: Span,
     /// By machine kind.
-    kinds: Vec<KindRate>,
+    machine_types: Vec<MachineTypeRate>,
     /// The highest rate of all kinds together lately.
     overall_peak: f64,
 }
@@ -46,7 +46,7 @@
             initial_share: rules.slow_start_initial_share,
             duration: rules.slow_start,
             window: rules.overload_window,
-            kinds: Vec::new(),
+            machine_types: Vec::new(),
             overall_peak: 0.0,
         }
     }
@@ -79,35 +79,36 @@
 
     /// Answers a microsecond that one warm server like this one was seen to give.
     fn warm_rate(&self, server: &Server, initial_rate: f64) -> f64 {
-        let of_kind = self.kinds.get(server.kind as usize).map_or(0.0, |kind| kind.peak);
-        let rate = if of_kind > 0.0 { of_kind } else { self.overall_peak };
+        let of_type =
+            self.machine_types.get(server.machine_type as usize).map_or(0.0, |rate| rate.peak);
+        let rate = if of_type > 0.0 { of_type } else { self.overall_peak };
         if rate > 0.0 { rate * server.weight } else { initial_rate }
     }
 
     /// Counts a request that was forwarded to a server.
-    pub(crate) fn forwarded(&self, now: Time, server: &mut Server, initial_rate: f64) {
+    pub(crate) fn record_forwarded(&self, now: Time, server: &mut Server, initial_rate: f64) {
         if let Some(tokens) = self.tokens(now, server, initial_rate) {
-            server.slow_start_tokens = TokenBucket::holding(tokens - 1.0, now);
+            server.slow_start_tokens = TokenBucket::with_tokens(tokens - 1.0, now);
         }
     }
 
     /// Makes room for this many machine kinds.
-    pub(crate) fn know_kinds(&mut self, kinds: usize) {
-        self.kinds.resize(self.kinds.len().max(kinds), KindRate::default());
+    pub(crate) fn ensure_machine_types(&mut self, count: usize) {
+        self.machine_types.resize(self.machine_types.len().max(count), MachineTypeRate::default());
     }
 
     /// Counts an answer of a warm server. Answers count and not requests: in a storm of rejections the requests of
     /// all balancers add up to a multiple of what any server can do.
-    pub(crate) fn served(&mut self, now: Time, server: &Server) {
+    pub(crate) fn record_served(&mut self, now: Time, server: &Server) {
         let warm = self.is_warm(now, server);
-        self.kinds[server.kind as usize].served += f64::from(u8::from(warm));
+        self.machine_types[server.machine_type as usize].served += f64::from(u8::from(warm));
     }
 
     /// Weight of the warm servers, by machine kind.
     pub(crate) fn warm_weights(&self, now: Time, servers: &[Server]) -> Vec<f64> {
-        let mut weights = vec![0.0; self.kinds.len()];
+        let mut weights = vec![0.0; self.machine_types.len()];
         for server in servers.iter().filter(|server| server.is_live()) {
-            if let Some(weight) = weights.get_mut(server.kind as usize) {
+            if let Some(weight) = weights.get_mut(server.machine_type as usize) {
                 *weight += if self.is_warm(now, server) { server.weight } else { 0.0 };
             }
         }
@@ -122,10 +123,10 @@
         let after = self.warm_weights(now, servers);
         let growth = |before: f64, after: f64| if before > 0.0 { after / before } else { 1.0 };
         self.overall_peak /= growth(before.iter().sum(), after.iter().sum()).max(1.0);
-        for (kind, (before, after)) in self.kinds.iter_mut().zip(before.iter().zip(after)) {
+        for (rate, (before, after)) in self.machine_types.iter_mut().zip(before.iter().zip(after)) {
             let growth = growth(*before, after);
-            kind.served *= growth.min(1.0);
-            kind.peak /= growth.max(1.0);
+            rate.served *= growth.min(1.0);
+            rate.peak /= growth.max(1.0);
         }
     }
 
@@ -141,7 +142,7 @@
             // Only by rates that stand. Failure: refilled by sums that were still half made, the first servers of
             // the list had the whole fleet's rate, and were overloaded.
             if let Some(tokens) = self.tokens(now, server, initial_rate) {
-                server.slow_start_tokens = TokenBucket::holding(tokens, now);
+                server.slow_start_tokens = TokenBucket::with_tokens(tokens, now);
             }
         }
         let elapsed = elapsed.as_micros_f64();
@@ -149,17 +150,17 @@
         let window = self.window.as_micros_f64().max(1.0);
         let memory = self.duration.as_micros_f64().max(1.0);
         let remaining = (-elapsed / window).exp();
-        self.kinds.iter_mut().for_each(|kind| kind.served *= remaining);
+        self.machine_types.iter_mut().for_each(|rate| rate.served *= remaining);
         // A peak that fades. Failure: when the warm servers slowed, the cold ones, which did not, were held back
         // with them.
         let update = |peak: &mut f64, served: f64, weight: f64| {
             let seen = if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
             *peak = (*peak * (-elapsed / memory).exp()).max(seen);
         };
-        let served = self.kinds.iter().map(|kind| kind.served).sum();
+        let served = self.machine_types.iter().map(|rate| rate.served).sum();
         update(&mut self.overall_peak, served, weights.iter().sum());
-        for (kind, weight) in self.kinds.iter_mut().zip(weights) {
-            update(&mut kind.peak, kind.served, weight);
+        for (rate, weight) in self.machine_types.iter_mut().zip(weights) {
+            update(&mut rate.peak, rate.served, weight);
         }
     }
 }
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -22,7 +22,7 @@
 impl TenantQuotas {
     pub(crate) fn new(tenants: &[TenantQuota], target_time: f64, now: Time) -> Self {
         Self {
-            buckets: vec![TokenBucket::holding(1.0, now); tenants.len()],
+            buckets: vec![TokenBucket::with_tokens(1.0, now); tenants.len()],
             rates: tenants.iter().map(|tenant| tenant.quota_rps).collect(),
             target_time,
         }
@@ -34,12 +34,12 @@
         let Some(bucket) = self.buckets.get_mut(tenant) else { return true };
         let rate = self.rates[tenant] / MICROS_PER_SECOND / f64::from(balancers);
         let capacity = (rate * self.target_time * BURST_IN_TARGET_TIMES).max(1.0);
-        *bucket = TokenBucket::holding(bucket.available(now, rate, capacity), now);
-        bucket.left() >= 1.0
+        *bucket = TokenBucket::with_tokens(bucket.available(now, rate, capacity), now);
+        bucket.tokens() >= 1.0
     }
 
     /// Counts a request that was admitted within the quota.
-    pub(crate) fn admitted(&mut self, tenant: usize) {
+    pub(crate) fn record_admitted(&mut self, tenant: usize) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.take();
         }
--- a/crates/policy/src/presence.rs
+++ b/crates/policy/src/usable_share.rs
@@ -16,16 +16,17 @@
     now: Time,
 ) {
     for server in servers.iter_mut() {
-        let reachable = server.connect_failures.is_reachable() && !zones.seems_cut_off(server.zone);
-        server.presence = match server.is_live() && reachable {
+        let reachable =
+            server.connect_failures.is_reachable() && !zones.seems_unreachable(server.zone);
+        server.usable_share = match server.is_live() && reachable {
             true => slow_start.share(now, server).unwrap_or(1.0),
             false => 0.0,
         };
     }
-    if servers.iter().all(|server| server.presence == 0.0) {
+    if servers.iter().all(|server| server.usable_share == 0.0) {
         // Nothing tells one from another, and the sum of N must not be zero.
         for server in servers {
-            server.presence = f64::from(u8::from(server.is_live()));
+            server.usable_share = f64::from(u8::from(server.is_live()));
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -82,7 +82,7 @@
     pub class: usize,
     pub deadline: Time,
     pub attempts: Vec<TrackedAttempt>,
-    pub over: bool,
+    pub finished: bool,
 }
 
 pub(crate) struct World {
@@ -114,7 +114,7 @@
             actions: vec![],
         };
         world.balancer.start(now, &mut world.actions);
-        world.carry_out();
+        world.apply_actions();
         world
     }
 
@@ -133,7 +133,7 @@
             self.endpoints.extend(list.iter().map(|m| (m.id.0, *m)));
         }
         self.balancer.update_endpoints(self.now, kind, list, &mut self.actions);
-        self.carry_out();
+        self.apply_actions();
     }
 
     pub(crate) fn request(&mut self, id: u64, class: usize) {
@@ -142,45 +142,45 @@
     }
 
     pub(crate) fn request_until(&mut self, id: u64, class: usize, deadline: Time) {
-        let tracked = TrackedRequest { class, deadline, attempts: vec![], over: false };
+        let tracked = TrackedRequest { class, deadline, attempts: vec![], finished: false };
         assert!(self.requests.insert(id, tracked).is_none(), "ids are not repeated");
         let tenant = self.tenant;
         let request = Request { id: RequestId(id), class, tenant, key: Some(id % 5), deadline };
         self.balancer.request_arrived(self.now, request, &mut self.actions);
-        self.carry_out();
+        self.apply_actions();
     }
 
     /// Ends an attempt that is in flight; does nothing if it is not.
-    pub(crate) fn outcome(&mut self, id: u64, attempt: usize, outcome: Outcome) {
+    pub(crate) fn end_attempt(&mut self, id: u64, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(t) = request.attempts.get_mut(attempt).filter(|t| t.ended.is_none()) else {
             return;
         };
         t.ended = Some(outcome);
-        request.over |= outcome == Outcome::Ok;
-        let answer = AttemptResult {
+        request.finished |= outcome == Outcome::Ok;
+        let result = AttemptResult {
             request: RequestId(id),
             attempt,
             server: t.server,
             outcome,
             latency: self.now.since(t.sent),
-            ends_request: request.over,
+            ends_request: request.finished,
             report: LoadReport::default(),
         };
-        self.balancer.attempt_ended(self.now, answer, &mut self.actions);
-        self.carry_out();
+        self.balancer.attempt_ended(self.now, result, &mut self.actions);
+        self.apply_actions();
     }
 
     pub(crate) fn client_gone(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.over = true;
+            request.finished = true;
         }
         self.balancer.client_gone(self.now, RequestId(id), &mut self.actions);
-        self.carry_out();
+        self.apply_actions();
     }
 
     /// Lets time pass and fires timers; attempts time out at the deadline of their request.
-    pub(crate) fn pass(&mut self, span: Span) {
+    pub(crate) fn advance(&mut self, span: Span) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1) {
             if self.timers[i].1 > end {
@@ -188,26 +188,26 @@
             }
             let (token, at) = self.timers.swap_remove(i);
             self.now = self.now.max(at);
-            self.time_out();
+            self.time_out_attempts();
             self.balancer.timer_fired(self.now, token, &mut self.actions);
-            self.carry_out();
+            self.apply_actions();
         }
         self.now = end;
-        self.time_out();
+        self.time_out_attempts();
     }
 
-    fn time_out(&mut self) {
+    fn time_out_attempts(&mut self) {
         let due = |a: &TrackedRequest| a.deadline <= self.now;
         let late: Vec<u64> =
             self.requests.iter().filter(|(_, request)| due(request)).map(|(id, _)| *id).collect();
         for id in late {
             for attempt in 0..self.requests[&id].attempts.len() {
-                self.outcome(id, attempt, Outcome::Timeout);
+                self.end_attempt(id, attempt, Outcome::Timeout);
             }
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             self.log.push(action);
             match action {
@@ -216,14 +216,18 @@
                 }
                 Action::Reject { request, .. } => {
                     let class = &self.settings.classes[self.requests[&request.0].class];
-                    let ran = self.requests[&request.0].attempts.iter().any(may_have_run);
-                    let harmless = class.idempotency == Idempotency::Idempotent
+                    let may_have_executed_before =
+                        self.requests[&request.0].attempts.iter().any(may_have_executed);
+                    let is_repeatable = class.idempotency == Idempotency::Idempotent
                         || (class.idempotency == Idempotency::Keyed
                             && class.dedup_scope == DedupScope::All);
-                    assert!(harmless || !ran, "rejected {request:?} that may have run");
-                    self.end(request.0);
+                    assert!(
+                        is_repeatable || !may_have_executed_before,
+                        "rejected {request:?} that may have run"
+                    );
+                    self.record_final_answer(request.0);
                 }
-                Action::Fail { request } => self.end(request.0),
+                Action::Fail { request } => self.record_final_answer(request.0),
                 Action::SetTimer { token, at } => self.timers.push((token, at)),
                 Action::Cancel { request, attempt } => {
                     assert!(
@@ -236,15 +240,15 @@
         }
     }
 
-    fn end(&mut self, id: u64) {
+    fn record_final_answer(&mut self, id: u64) {
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.over, "a second final answer for {id}");
-        request.over = true;
+        assert!(!request.finished, "a second final answer for {id}");
+        request.finished = true;
     }
 
     fn check_forward(&mut self, id: u64, server: ServerId, timeout: Span) {
         let request = &self.requests[&id];
-        assert!(!request.over, "sent {id} after its end");
+        assert!(!request.finished, "sent {id} after its end");
         assert!(self.now < request.deadline && timeout.0 > 0);
         assert!(self.now.plus(timeout) <= request.deadline, "timeout past the client's");
         assert_eq!(
@@ -257,18 +261,18 @@
             assert!(request.attempts.iter().all(|t| t.ended.is_some()), "two copies out");
         }
         let class = &self.settings.classes[request.class];
-        for before in request.attempts.iter().filter(|t| may_have_run(t)) {
-            let same = match class.dedup_scope {
+        for before in request.attempts.iter().filter(|t| may_have_executed(t)) {
+            let in_dedup_scope = match class.dedup_scope {
                 DedupScope::All => true,
                 DedupScope::Zone => self.zone(before.server) == self.zone(server),
                 DedupScope::Cell => {
                     self.endpoints[&before.server.0].cell == self.endpoints[&server.0].cell
                 }
             };
-            let kept = self.now.since(before.sent) < class.dedup_window;
+            let in_dedup_window = self.now.since(before.sent) < class.dedup_window;
             let allowed = match class.idempotency {
                 Idempotency::Idempotent => true,
-                Idempotency::Keyed => same && kept,
+                Idempotency::Keyed => in_dedup_scope && in_dedup_window,
                 Idempotency::NonIdempotent => false,
             };
             assert!(allowed, "effect of {id} may happen twice");
@@ -281,7 +285,7 @@
         self.endpoints[&id.0].zone
     }
 
-    pub(crate) fn server_in_flight(&self, id: u64) -> Option<ServerId> {
+    pub(crate) fn in_flight_server(&self, id: u64) -> Option<ServerId> {
         self.requests[&id].attempts.iter().rev().find(|t| t.ended.is_none()).map(|t| t.server)
     }
 
@@ -299,6 +303,6 @@
     }
 }
 
-fn may_have_run(t: &TrackedAttempt) -> bool {
+fn may_have_executed(t: &TrackedAttempt) -> bool {
     !t.ended.is_some_and(Outcome::not_executed)
 }
--- a/crates/policy/tests/mechanism/concurrency.rs
+++ b/crates/policy/tests/request_path/concurrency.rs
@@ -6,11 +6,11 @@
 use crate::{serve, serve_together};
 
 #[test]
-fn k_and_n_follow_the_formulas() {
+fn n_is_within_the_bounds_that_k_sets() {
     let mut w = World::with_servers(settings(), 1);
     for id in 0..200 {
         w.request(id, 0);
-        if w.server_in_flight(id).is_none() {
+        if w.in_flight_server(id).is_none() {
             continue;
         }
         serve(&mut w, id, 50);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_slots_of_a_hung_server_stay_taken() {
+fn the_slots_of_timed_out_attempts_stay_in_use_for_a_while() {
     // Failure: slots freed by timeouts piled unseen work on an server that still ran it.
     let mut w = World::with_servers(settings(), 1);
     let k = u64::from(w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight);
@@ -39,12 +39,12 @@
         w.request(id, 0);
     }
     for id in 0..k {
-        w.pass(Span(10 * MS));
-        w.outcome(id, 0, Outcome::Timeout);
+        w.advance(Span(10 * MS));
+        w.end_attempt(id, 0, Outcome::Timeout);
     }
-    let server_in_flight = w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().in_flight;
-    assert!(server_in_flight > 0, "a timed-out attempt may still run");
-    w.pass(Span(2000 * MS));
+    let in_flight = w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().in_flight;
+    assert!(in_flight > 0, "a timed-out attempt may still run");
+    w.advance(Span(2000 * MS));
     assert_eq!(w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().in_flight, 0);
 }
 
@@ -53,15 +53,15 @@
     // Failure: a fleet that doubled kept its old limit, and rejected beside idle servers.
     let mut w = World::with_servers(settings(), 2);
     (0..100).for_each(|id| w.request(id, 0));
-    let server_in_flight =
-        |w: &World| w.requests.keys().filter(|&&id| w.server_in_flight(id).is_some()).count();
-    let before = server_in_flight(&w);
+    let count_in_flight =
+        |w: &World| w.requests.keys().filter(|&&id| w.in_flight_server(id).is_some()).count();
+    let before = count_in_flight(&w);
     w.update_list(ListKind::Update, &[endpoint(2, 0), endpoint(3, 1)]);
     (100..200).for_each(|id| w.request(id, 0));
     assert!(
-        before < 100 && server_in_flight(&w) >= 2 * before,
+        before < 100 && count_in_flight(&w) >= 2 * before,
         "{} out after {before}",
-        server_in_flight(&w)
+        count_in_flight(&w)
     );
 }
 
@@ -75,8 +75,8 @@
         let target = w.forwards_to(0) + answers;
         while w.forwards_to(0) < target {
             (0..20).for_each(|i| w.request(id + i, 0));
-            w.pass(Span(2 * MS));
-            (id.saturating_sub(200)..id + 20).for_each(|i| w.outcome(i, 0, Outcome::Ok));
+            w.advance(Span(2 * MS));
+            (id.saturating_sub(200)..id + 20).for_each(|i| w.end_attempt(i, 0, Outcome::Ok));
             id += 20;
         }
         f64::from(w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight)
@@ -89,10 +89,10 @@
 }
 
 #[test]
-fn work_that_is_slow_without_load_does_not_lower_the_limit() {
+fn a_class_that_is_slow_without_load_does_not_lower_the_limit() {
     // Failure: a class that takes over half its latency objective even alone kept the limit at their floor, and
     // half of it was rejected beside idle cores.
-    let out_after = |latencies: &[i64]| {
+    let in_flight_after = |latencies: &[i64]| {
         let mut w = World::with_servers(settings(), 2);
         let mut id = 0;
         for &ms in latencies.iter().flat_map(|ms| std::iter::repeat_n(ms, 60)) {
@@ -100,11 +100,14 @@
             id += 20;
         }
         (id..id + 100).for_each(|i| w.request(i, 0));
-        (id..id + 100).filter(|&i| w.server_in_flight(i).is_some()).count()
+        (id..id + 100).filter(|&i| w.in_flight_server(i).is_some()).count()
     };
-    let (alone, crowded) = (out_after(&[120]), out_after(&[20, 120]));
-    assert_eq!(crowded, 12, "six limit an server, the floor, once waiting shows");
-    assert!(alone > crowded, "{alone} out where nothing shows waiting, {crowded} where it does");
+    let (uncontended, contended) = (in_flight_after(&[120]), in_flight_after(&[20, 120]));
+    assert_eq!(contended, 12, "six limit an server, the floor, once waiting shows");
+    assert!(
+        uncontended > contended,
+        "{uncontended} out where nothing shows waiting, {contended} where it does"
+    );
 }
 
 #[test]
@@ -117,41 +120,41 @@
     let k = |w: &World| w.balancer.server_gauge(ServerId(0), Span(MS)).unwrap().max_in_flight;
     let before = k(&w);
     w.request(300, 0);
-    w.pass(Span(95 * MS));
-    w.outcome(300, 0, Outcome::Rejected);
-    w.pass(Span(400 * MS));
+    w.advance(Span(95 * MS));
+    w.end_attempt(300, 0, Outcome::Rejected);
+    w.advance(Span(400 * MS));
     assert!(k(&w) <= before + 1, "{} after {before}", k(&w));
 }
 
 #[test]
-fn the_limit_follows_the_capacity_that_is_present() {
+fn the_limit_follows_the_usable_capacity() {
     // Failure: when most of a fleet was new and cold, the limit meant for all went to the rest, which
     // then answered hardly anything in time.
-    let out_with = |cold: u32| {
+    let in_flight_with = |cold: u32| {
         let mut w = World::with_servers(PolicySettings { balancers: 40, ..settings() }, 100);
         let new = |i| Endpoint { started: Some(w.now), ..endpoint(i, i % 2) };
         let list: Vec<_> = (0..cold).map(new).collect();
         w.update_list(ListKind::Update, &list);
         (0..200).for_each(|id| w.request(id, 0));
-        (0..200).filter(|&id| w.server_in_flight(id).is_some_and(|server| server.0 >= cold)).count()
+        (0..200).filter(|&id| w.in_flight_server(id).is_some_and(|server| server.0 >= cold)).count()
     };
-    let (all, with_most_young) = (out_with(0), out_with(80));
+    let (all, with_most_cold) = (in_flight_with(0), in_flight_with(80));
     // A fifth is warm, and the rest has a fifth of what it will have.
-    assert!(with_most_young * 100 <= all * 40, "{with_most_young} at the warm, of {all} before");
-    assert!(with_most_young * 100 >= all * 15, "{with_most_young} at the warm, of {all} before");
+    assert!(with_most_cold * 100 <= all * 40, "{with_most_cold} at the warm, of {all} before");
+    assert!(with_most_cold * 100 >= all * 15, "{with_most_cold} at the warm, of {all} before");
 }
 
 /// Sent and not rejected of a flood at once.
 fn in_flight_of_flood(w: &mut World, ids: std::ops::Range<u64>) -> usize {
     ids.clone().for_each(|id| w.request(id, 0));
-    let server_in_flight = ids.clone().filter(|id| w.server_in_flight(*id).is_some()).count();
-    w.pass(Span(50 * MS));
-    ids.for_each(|id| w.outcome(id, 0, Outcome::Ok));
-    server_in_flight
+    let in_flight = ids.clone().filter(|id| w.in_flight_server(*id).is_some()).count();
+    w.advance(Span(50 * MS));
+    ids.for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
+    in_flight
 }
 
 #[test]
-fn a_limit_share_shrinks_at_once_and_grows_to_an_initial_one() {
+fn more_balancers_lower_the_limit_at_once_and_fewer_raise_it_to_the_initial_one() {
     let mut w = World::with_servers(PolicySettings { balancers: 4, ..settings() }, 16);
     let quarter = in_flight_of_flood(&mut w, 0..400);
     w.balancer.set_balancers(16);
@@ -167,10 +170,10 @@
     w.update_list(ListKind::Restored, &list);
     w.balancer.set_balancers(4);
     // N is reckoned anew at the next sweep.
-    w.pass(Span(20 * MS));
-    let told = in_flight_of_flood(&mut w, 0..400);
-    assert!(told <= quarter + 16 && told * 2 > quarter, "{told} of {quarter}");
+    w.advance(Span(20 * MS));
+    let in_flight = in_flight_of_flood(&mut w, 0..400);
+    assert!(in_flight <= quarter + 16 && in_flight * 2 > quarter, "{in_flight} of {quarter}");
     // A number of none is taken for one.
     w.balancer.set_balancers(0);
-    assert!(in_flight_of_flood(&mut w, 400..800) >= told);
+    assert!(in_flight_of_flood(&mut w, 400..800) >= in_flight);
 }
--- a/crates/policy/tests/mechanism/endpoints_and_settings.rs
+++ b/crates/policy/tests/request_path/endpoints_and_settings.rs
@@ -11,16 +11,16 @@
 fn with_an_empty_list_requests_are_queued_until_a_server_is_listed() {
     let mut w = World::new(settings());
     w.request(1, 2);
-    assert!(w.server_in_flight(1).is_none() && !w.rejected(1));
+    assert!(w.in_flight_server(1).is_none() && !w.rejected(1));
     w.update_list(ListKind::Full, &[endpoint(0, 0)]);
-    assert_eq!(w.server_in_flight(1), Some(ServerId(0)));
+    assert_eq!(w.in_flight_server(1), Some(ServerId(0)));
 }
 
 #[test]
 fn with_an_empty_list_a_request_is_rejected_before_its_objective() {
     let mut w = World::new(settings());
     w.request(1, 2);
-    w.pass(Span(200 * MS));
+    w.advance(Span(200 * MS));
     assert!(w.rejected(1), "rejected before the latency objective is lost");
 }
 
@@ -28,15 +28,15 @@
 fn the_list_is_polled_again_after_the_subscription_breaks() {
     let mut w = World::new(PolicySettings { polls_endpoint_list: true, ..settings() });
     let polls = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
-    w.pass(Span(2000 * MS));
+    w.advance(Span(2000 * MS));
     assert_eq!(polls(&w), 1);
     w.update_list(ListKind::Full, &[endpoint(0, 0)]);
-    w.pass(Span(30_000 * MS));
+    w.advance(Span(30_000 * MS));
     assert_eq!(polls(&w), 1, "a subscription stands");
     w.update_list(ListKind::Unavailable, &[]);
-    w.pass(Span(3000 * MS));
+    w.advance(Span(3000 * MS));
     assert_eq!(polls(&w), 2);
-    w.pass(Span(10_000 * MS));
+    w.advance(Span(10_000 * MS));
     assert!(polls(&w) > 2, "silence is asked again within AskEvery");
 }
 
@@ -51,5 +51,5 @@
     odd.safety_rules.slow_start_initial_share = 0.0;
     let mut w = World::with_servers(odd, 1);
     w.request(1, 0);
-    assert!(w.server_in_flight(1).is_some());
+    assert!(w.in_flight_server(1).is_some());
 }
--- a/crates/policy/tests/mechanism/main.rs
+++ b/crates/policy/tests/request_path/main.rs
@@ -13,15 +13,15 @@
 use sableloom_types::{Outcome, Span};
 
 fn serve(w: &mut World, id: u64, ms: i64) {
-    w.pass(Span(ms * MS));
-    w.outcome(id, 0, Outcome::Ok);
+    w.advance(Span(ms * MS));
+    w.end_attempt(id, 0, Outcome::Ok);
 }
 
 /// These requests all come at once and are all answered together after so long.
 fn serve_together(w: &mut World, ids: std::ops::Range<u64>, ms: i64) {
     ids.clone().for_each(|id| w.request(id, 0));
-    w.pass(Span(ms * MS));
-    ids.for_each(|id| w.outcome(id, 0, Outcome::Ok));
+    w.advance(Span(ms * MS));
+    ids.for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
 }
 
 /// How many of two hundred requests that come at once with so long to wait are not rejected.
--- a/crates/policy/tests/mechanism/queue.rs
+++ b/crates/policy/tests/request_path/queue.rs
@@ -13,20 +13,20 @@
     for id in 0..k + 2 {
         w.request(id, 0);
     }
-    assert!((0..k).all(|id| w.server_in_flight(id).is_some()), "K_i requests are out");
+    assert!((0..k).all(|id| w.in_flight_server(id).is_some()), "K_i requests are out");
     assert_eq!(
-        (w.server_in_flight(k), w.server_in_flight(k + 1)),
+        (w.in_flight_server(k), w.in_flight_server(k + 1)),
         (None, None),
         "the rest is held"
     );
-    w.pass(Span(10 * MS));
-    w.outcome(0, 0, Outcome::Ok);
-    assert!(w.server_in_flight(k).is_some(), "the head of the queue goes first");
-    let check_forward = |a: &Action| match a {
+    w.advance(Span(10 * MS));
+    w.end_attempt(0, 0, Outcome::Ok);
+    assert!(w.in_flight_server(k).is_some(), "the head of the queue goes first");
+    let forwarded_id = |a: &Action| match a {
         Action::Forward { request, .. } => Some(request.0),
         _ => None,
     };
-    let order: Vec<u64> = w.log.iter().filter_map(check_forward).collect();
+    let order: Vec<u64> = w.log.iter().filter_map(forwarded_id).collect();
     assert!(order.is_sorted(), "first come, first served: {order:?}");
 }
 
@@ -51,9 +51,9 @@
     for id in 0..300 {
         w.request(id, 0);
     }
-    w.pass(Span(20 * MS));
+    w.advance(Span(20 * MS));
     for id in 0..4 {
-        w.outcome(id, 0, Outcome::Ok);
+        w.end_attempt(id, 0, Outcome::Ok);
     }
     w.request(1000, 2);
     assert!(!w.rejected(1000));
@@ -70,7 +70,7 @@
     }
     w.request_until(100, 0, w.now.plus(Span(45 * MS)));
     assert_eq!(
-        (w.requests[&100].attempts.len(), w.requests[&100].over),
+        (w.requests[&100].attempts.len(), w.requests[&100].finished),
         (0, true),
         "rejected while early"
     );
@@ -85,21 +85,25 @@
     let tenants = vec![quota(5.0), quota(1000.0)];
     let classes = vec![common::class(Idempotency::Idempotent)];
     let mut w = World::with_servers(PolicySettings { tenants, classes, ..settings() }, 2);
-    w.pass(Span(500 * MS));
-    let held = |w: &World, ids: std::ops::Range<u64>| ids.filter(|id| !w.requests[id].over).count();
+    w.advance(Span(500 * MS));
+    let unanswered =
+        |w: &World, ids: std::ops::Range<u64>| ids.filter(|id| !w.requests[id].finished).count();
     (0..100).for_each(|id| w.request(id, 0));
-    let past = held(&w, 0..100);
+    let over_quota = unanswered(&w, 0..100);
     w.tenant = 1;
     (100..200).for_each(|id| w.request(id, 0));
-    let inside = held(&w, 100..200);
-    assert!(past > 0 && inside >= past, "{inside} inside the quota beside {past} past it");
+    let within_quota = unanswered(&w, 100..200);
+    assert!(
+        over_quota > 0 && within_quota >= over_quota,
+        "{within_quota} inside the quota beside {over_quota} past it"
+    );
     (w.tenant, w.now) = (0, w.now.plus(Span(20 * MS)));
     for _ in 0..20 {
-        (0..200).for_each(|id| w.outcome(id, 0, Outcome::Ok));
+        (0..200).for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
     }
-    w.pass(Span(1000 * MS));
+    w.advance(Span(1000 * MS));
     (200..300).for_each(|id| w.request(id, 0));
-    assert!(held(&w, 200..300) > 0, "a quota comes back with time");
+    assert!(unanswered(&w, 200..300) > 0, "a quota comes back with time");
 }
 
 #[test]
@@ -113,9 +117,9 @@
         }
         admitted_of_flood(&mut w, left_ms)
     };
-    let (first_tries, on_their_way, late) = (admitted(600), admitted(570), admitted(300));
+    let (first_tries, slightly_delayed, late) = (admitted(600), admitted(570), admitted(300));
     assert!(first_tries < 200, "there is no overload");
-    assert_eq!(on_their_way, first_tries, "time spent on the way is no repeat");
+    assert_eq!(slightly_delayed, first_tries, "time spent on the way is no repeat");
     assert!(late > 0 && late * 2 < first_tries, "{late} late ones admitted, {first_tries} others");
 }
 
@@ -131,9 +135,9 @@
         }
         admitted_of_flood(&mut w, 400)
     };
-    let (some, none) = (admitted(5), admitted(1000));
-    assert!(none < 200, "there is no overload");
-    assert_eq!(some, none);
+    let (some_longer, none_longer) = (admitted(5), admitted(1000));
+    assert!(none_longer < 200, "there is no overload");
+    assert_eq!(some_longer, none_longer);
 }
 
 #[test]
@@ -142,8 +146,8 @@
     let mut w = World::with_servers(settings(), 4);
     for id in 0..40 {
         w.request(id, 0);
-        (0..3).for_each(|i| w.outcome(id, i, Outcome::ConnectFailed));
-        w.pass(Span(10 * MS));
+        (0..3).for_each(|i| w.end_attempt(id, i, Outcome::ConnectFailed));
+        w.advance(Span(10 * MS));
     }
     (1000..1500).for_each(|id| w.request(id, 0));
     let rejected = (1000..1500).filter(|&id| w.rejected(id)).count();
--- a/crates/policy/tests/mechanism/selection.rs
+++ b/crates/policy/tests/request_path/selection.rs
@@ -11,13 +11,13 @@
     let mut w = World::with_servers(settings(), 4);
     for id in 0..400 {
         w.request(id, 0);
-        let Some(server) = w.server_in_flight(id) else { continue };
+        let Some(server) = w.in_flight_server(id) else { continue };
         let ms = if server.0 == 0 { 1 } else { 20 };
-        w.pass(Span(ms * MS));
-        w.outcome(id, 0, if server.0 == 0 { Outcome::Error } else { Outcome::Ok });
-        if w.server_in_flight(id).is_some() {
-            w.pass(Span(20 * MS));
-            w.outcome(id, 1, Outcome::Ok);
+        w.advance(Span(ms * MS));
+        w.end_attempt(id, 0, if server.0 == 0 { Outcome::Error } else { Outcome::Ok });
+        if w.in_flight_server(id).is_some() {
+            w.advance(Span(20 * MS));
+            w.end_attempt(id, 1, Outcome::Ok);
         }
     }
     assert!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_key_stays_with_its_server_while_that_has_a_free_slot() {
+fn a_key_is_forwarded_to_one_server_while_that_has_a_free_slot() {
     let mut w = World::with_servers(PolicySettings { key_affinity: true, ..settings() }, 8);
     for i in 0..10 {
         w.request(i * 5, 0);
@@ -40,67 +40,70 @@
 }
 
 #[test]
-fn an_unreachable_server_is_tried_less_and_less_often() {
+fn an_unreachable_server_is_tried_with_growing_pauses() {
     // Failure: after a zone was lost its servers, still listed, drew a third of all attempts.
     let mut w = World::with_servers(settings(), 2);
-    let mut tries_at = [0; 2];
+    let mut forwards_by_half = [0; 2];
     for id in 0..400 {
         let before = w.forwards_to(0);
         w.request(id, 0);
         for attempt in 0..3 {
-            match w.server_in_flight(id) {
-                Some(ServerId(0)) => w.outcome(id, attempt, Outcome::ConnectFailed),
+            match w.in_flight_server(id) {
+                Some(ServerId(0)) => w.end_attempt(id, attempt, Outcome::ConnectFailed),
                 Some(_) => {
-                    w.pass(Span(10 * MS));
-                    w.outcome(id, attempt, Outcome::Ok);
+                    w.advance(Span(10 * MS));
+                    w.end_attempt(id, attempt, Outcome::Ok);
                 }
                 None => {}
             }
         }
-        tries_at[usize::from(id >= 200)] += w.forwards_to(0) - before;
+        forwards_by_half[usize::from(id >= 200)] += w.forwards_to(0) - before;
     }
-    assert!(tries_at[0] > 1, "it is tried again");
-    assert!(tries_at[1] < tries_at[0] && tries_at[1] <= 12, "{tries_at:?}");
+    assert!(forwards_by_half[0] > 1, "it is tried again");
+    assert!(
+        forwards_by_half[1] < forwards_by_half[0] && forwards_by_half[1] <= 12,
+        "{forwards_by_half:?}"
+    );
 }
 
 #[test]
 fn an_overloaded_zone_spills_into_an_idle_one() {
     // Failure: with near servers always first, a zone with more clients than servers was
     // overrun while others idled.
-    let far_sends = |near_ms: i64| {
+    let forwards_with_local_latency = |local_ms: i64| {
         let mut w = World::with_servers(PolicySettings { cross_zone_price: 0.1, ..settings() }, 4);
         for id in 0..600 {
             w.request(id, 0);
-            let Some(ServerId(server)) = w.server_in_flight(id) else { continue };
-            serve(&mut w, id, if server % 2 == 0 { near_ms } else { 5 });
+            let Some(ServerId(server)) = w.in_flight_server(id) else { continue };
+            serve(&mut w, id, if server % 2 == 0 { local_ms } else { 5 });
         }
         (w.forwards_to(0) + w.forwards_to(2), w.forwards_to(1) + w.forwards_to(3))
     };
-    let (near, far) = far_sends(5);
-    assert!(far * 20 < near, "crossing has a price: {far} against {near}");
-    let (near_slow, far_slow) = far_sends(60);
-    assert!(far_slow > 5 * far, "a slow zone spills: {far_slow} of {near_slow}, before {far}");
+    let (local, remote) = forwards_with_local_latency(5);
+    assert!(remote * 20 < local, "crossing has a price: {remote} against {local}");
+    let (slow_local, spilled) = forwards_with_local_latency(60);
+    assert!(spilled > 5 * remote, "a slow zone spills: {spilled} of {slow_local}, before {remote}");
 }
 
 #[test]
-fn a_class_goes_to_the_kind_of_server_that_is_quick_at_it() {
+fn a_class_is_forwarded_to_the_machine_type_that_serves_it_quickly() {
     // Failure: each of two kinds was quick at one class and slow at the other, and one slowness for
     // all classes made them look alike.
     let mut w = World::new(settings());
     let list: Vec<_> = (0..4).map(|i| Endpoint { machine_type: i % 2, ..endpoint(i, 0) }).collect();
     w.update_list(ListKind::Restored, &list);
-    let suits = |class: usize, server: ServerId| class as u32 == server.0 % 2;
-    let mut suited = [0; 2];
+    let is_quick_at = |class: usize, server: ServerId| class as u32 == server.0 % 2;
+    let mut forwards_to_quick = [0; 2];
     for id in 0..800 {
         let class = (id / 2 % 2) as usize;
         w.request(id, class);
         let server = w.requests[&id].attempts[0].server;
         if id >= 400 {
-            suited[class] += i32::from(suits(class, server));
+            forwards_to_quick[class] += i32::from(is_quick_at(class, server));
         }
-        serve(&mut w, id, if suits(class, server) { 10 } else { 40 });
+        serve(&mut w, id, if is_quick_at(class, server) { 10 } else { 40 });
     }
-    assert!(suited.iter().all(|&n| n > 140), "of 200 each: {suited:?}");
+    assert!(forwards_to_quick.iter().all(|&n| n > 140), "of 200 each: {forwards_to_quick:?}");
 }
 
 #[test]
@@ -111,13 +114,13 @@
         for id in 0..400 {
             let class = (id % 2) as usize;
             w.request(id, class);
-            w.pass(Span(5 * MS));
-            if w.server_in_flight(id).is_some() {
+            w.advance(Span(5 * MS));
+            if w.in_flight_server(id).is_some() {
                 if class == 0 {
-                    w.outcome(id, 0, outcome);
+                    w.end_attempt(id, 0, outcome);
                     failed += 1;
                 } else {
-                    w.outcome(id, 0, Outcome::Ok);
+                    w.end_attempt(id, 0, Outcome::Ok);
                     served += 1;
                 }
             }
@@ -136,40 +139,41 @@
 ) -> Vec<u64> {
     let mut w = World::new(settings());
     w.update_list(ListKind::Restored, list);
-    let mut sends = vec![0; list.len()];
+    let mut forwards = vec![0; list.len()];
     for id in 0..requests {
         w.request(id, 0);
         let server = w.requests[&id].attempts[0].server.0;
-        sends[server as usize] += u64::from(id + counted >= requests);
+        forwards[server as usize] += u64::from(id + counted >= requests);
         serve(&mut w, id, ms(server));
     }
-    sends
+    forwards
 }
 
 #[test]
-fn the_estimate_of_a_kind_serves_for_servers_with_few_answers() {
+fn servers_with_few_answers_use_the_estimate_of_their_machine_type() {
     // Failure: each of 300 balancers had one or two answers of an server in a whole day. All seemed
     // equal; 75 small ones got 38% of all tries, and a quarter of these failed.
     let list: Vec<_> =
         (0..200).map(|i| Endpoint { machine_type: i % 2, ..endpoint(i, 0) }).collect();
-    let sends = forwards_by_server(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
-    let quick: u64 = sends.iter().step_by(2).sum();
+    let forwards =
+        forwards_by_server(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
+    let quick: u64 = forwards.iter().step_by(2).sum();
     assert!(quick > 90, "of 120, with half an answer an server: {quick}");
 }
 
 /// Tries at the twenty servers of a zone, of forty requests that come while none there answers and
 /// the twenty of another zone do.
-fn attempts_in_a_lost_zone() -> usize {
+fn attempts_in_an_unreachable_zone() -> usize {
     let mut w = World::with_servers(settings(), 40);
     let mut attempts = 0;
     for id in 0..40 {
         w.request(id, 0);
         for attempt in 0..3 {
             match w.requests[&id].attempts.get(attempt).map(|t| t.server.0 % 2) {
-                Some(1) => w.outcome(id, attempt, Outcome::ConnectFailed),
+                Some(1) => w.end_attempt(id, attempt, Outcome::ConnectFailed),
                 Some(_) => {
-                    w.pass(Span(10 * MS));
-                    w.outcome(id, attempt, Outcome::Ok);
+                    w.advance(Span(10 * MS));
+                    w.end_attempt(id, attempt, Outcome::Ok);
                 }
                 None => {}
             }
@@ -183,7 +187,7 @@
 fn an_unreachable_zone_is_selected_last() {
     // Failure: each balancer learnt it for each server by itself, and a fifth of the attempts of the
     // fleet waited for connections that never came.
-    let attempts = attempts_in_a_lost_zone();
+    let attempts = attempts_in_an_unreachable_zone();
     assert!((1..10).contains(&attempts), "{attempts} tries at twenty lost servers");
 }
 
@@ -191,22 +195,22 @@
 fn a_zone_that_answers_again_is_selected_again() {
     // Does harm where a suspicion outlives its cause: one request at a time would go there for ever.
     let mut w = World::with_servers(settings(), 4);
-    let lost =
-        |w: &World, id| w.server_in_flight(id).is_some_and(|server: ServerId| server.0 % 2 == 1);
+    let in_lost_zone =
+        |w: &World, id| w.in_flight_server(id).is_some_and(|server: ServerId| server.0 % 2 == 1);
     for id in 0..8 {
         w.request(id, 0);
         for attempt in 0..3 {
-            let outcome = if lost(&w, id) { Outcome::ConnectFailed } else { Outcome::Ok };
-            w.outcome(id, attempt, outcome);
+            let outcome = if in_lost_zone(&w, id) { Outcome::ConnectFailed } else { Outcome::Ok };
+            w.end_attempt(id, attempt, outcome);
         }
     }
-    let mut there = 0;
+    let mut forwards_to_zone = 0;
     for round in 0..50 {
         let ids = 100 + round * 8..108 + round * 8;
         ids.clone().for_each(|id| w.request(id, 0));
-        there += ids.clone().filter(|&id| round >= 25 && lost(&w, id)).count();
-        w.pass(Span(20 * MS));
-        ids.for_each(|id| w.outcome(id, 0, Outcome::Ok));
+        forwards_to_zone += ids.clone().filter(|&id| round >= 25 && in_lost_zone(&w, id)).count();
+        w.advance(Span(20 * MS));
+        ids.for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
     }
-    assert!(there > 60, "{there} of 200 in the zone that was lost");
+    assert!(forwards_to_zone > 60, "{forwards_to_zone} of 200 in the zone that was lost");
 }
--- a/crates/policy/tests/mechanism/slow_start.rs
+++ b/crates/policy/tests/request_path/slow_start.rs
@@ -34,7 +34,7 @@
     let mut served = 0;
     for id in 0..400 {
         w.request(id, 0);
-        served += usize::from(w.server_in_flight(id).is_some());
+        served += usize::from(w.in_flight_server(id).is_some());
         serve(&mut w, id, 10);
     }
     assert!(served > 20, "only {served} of 400 were sent");
@@ -46,28 +46,28 @@
     // Failure: after growth the old servers slowed, and the pace of the new ones fell with them.
     let mut w = World::with_servers(settings(), 2);
     let mut id = 0;
-    let mut young_sends = |w: &mut World, rounds: i64, warm_every: i64| {
+    let mut forwards_to_cold = |w: &mut World, rounds: i64, warm_every: i64| {
         let before = w.forwards_to(2);
         for round in 0..rounds {
             for _ in 0..4 {
                 w.request(id, 0);
                 id += 1;
             }
-            w.pass(Span(20 * MS));
-            for old in id.saturating_sub(40)..id {
-                let warm = w.server_in_flight(old).is_some_and(|s| s.0 < 2);
+            w.advance(Span(20 * MS));
+            for earlier in id.saturating_sub(40)..id {
+                let warm = w.in_flight_server(earlier).is_some_and(|s| s.0 < 2);
                 if !warm || round % warm_every == 0 {
-                    w.outcome(old, 0, Outcome::Ok);
+                    w.end_attempt(earlier, 0, Outcome::Ok);
                 }
             }
         }
         w.forwards_to(2) - before
     };
-    young_sends(&mut w, 100, 1);
+    forwards_to_cold(&mut w, 100, 1);
     w.update_list(ListKind::Update, &[Endpoint { started: Some(w.now), ..endpoint(2, 0) }]);
-    let quick = young_sends(&mut w, 100, 1);
-    young_sends(&mut w, 100, 25);
-    let slow = young_sends(&mut w, 100, 25);
+    let quick = forwards_to_cold(&mut w, 100, 1);
+    forwards_to_cold(&mut w, 100, 25);
+    let slow = forwards_to_cold(&mut w, 100, 25);
     assert!(quick > 5 && slow >= quick, "{slow} sends after {quick}");
 }
 
@@ -102,8 +102,8 @@
 #[test]
 fn an_update_of_a_stale_list_does_not_overload_cold_servers() {
     // Failure: the rate of the few servers on a stale list paced the cold of the whole fleet.
-    let (stale, usual) = (forwards_after_restart(39, 2, 40), forwards_after_restart(39, 40, 40));
-    assert!(usual > 0 && stale > 0 && stale <= 2 * usual, "{stale} sends against {usual}");
+    let (stale, current) = (forwards_after_restart(39, 2, 40), forwards_after_restart(39, 40, 40));
+    assert!(current > 0 && stale > 0 && stale <= 2 * current, "{stale} sends against {current}");
 }
 
 #[test]
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -7,23 +7,23 @@
 use sableloom_types::{Outcome, Span};
 
 /// Requests that are rejected of so many, 100 ms apart and each answered within 1 ms if it is sent.
-fn rejected_of(w: &mut World, ids: std::ops::Range<u64>) -> usize {
+fn count_rejected(w: &mut World, ids: std::ops::Range<u64>) -> usize {
     let mut rejected = 0;
     for id in ids {
-        w.pass(Span(100 * MS));
+        w.advance(Span(100 * MS));
         w.request(id, 0);
         if w.rejected(id) {
             rejected += 1;
         } else {
-            answer(w, id, 1);
+            answer_after(w, id, 1);
         }
     }
     rejected
 }
 
-fn answer(w: &mut World, id: u64, ms: i64) {
-    w.pass(Span(ms * MS));
-    w.outcome(id, 0, Outcome::Ok);
+fn answer_after(w: &mut World, id: u64, ms: i64) {
+    w.advance(Span(ms * MS));
+    w.end_attempt(id, 0, Outcome::Ok);
 }
 
 #[test]
@@ -31,24 +31,24 @@
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
     // The latency objective is 200 ms.
-    answer(&mut w, 0, 300);
-    assert_eq!(rejected_of(&mut w, 1..1000), 0, "of 999, while servers answer within 1 ms");
+    answer_after(&mut w, 0, 300);
+    assert_eq!(count_rejected(&mut w, 1..1000), 0, "of 999, while servers answer within 1 ms");
 }
 
 #[test]
 fn slow_answers_for_a_while_do_not_reject_all_later_requests() {
     let mut w = World::with_servers(settings(), 4);
-    assert_eq!(rejected_of(&mut w, 0..200), 0);
+    assert_eq!(count_rejected(&mut w, 0..200), 0);
     for id in 2000..2100 {
-        w.pass(Span(10 * MS));
+        w.advance(Span(10 * MS));
         w.request(id, 0);
         if !w.rejected(id) {
-            answer(&mut w, id, 300);
+            answer_after(&mut w, id, 300);
         }
     }
     // The first of them may be rejected: nothing tells yet that servers are quick again.
-    rejected_of(&mut w, 3000..3100);
-    assert_eq!(rejected_of(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
+    count_rejected(&mut w, 3000..3100);
+    assert_eq!(count_rejected(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
 }
 
 #[test]
@@ -56,15 +56,15 @@
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
     // Quicker than the latency objective, and slower than what later clients wait for.
-    answer(&mut w, 0, 100);
+    answer_after(&mut w, 0, 100);
     let mut rejected = Vec::new();
     for id in 1..2000 {
-        w.pass(Span(100 * MS));
+        w.advance(Span(100 * MS));
         w.request_until(id, 0, w.now.plus(Span(90 * MS)));
         if w.rejected(id) {
             rejected.push(id);
         } else {
-            answer(&mut w, id, 1);
+            answer_after(&mut w, id, 1);
         }
     }
     // It takes some requests to tell that this is what they usually bring.
--- a/crates/tenant-limits/src/tenant_limits.rs
+++ b/crates/tenant-limits/src/tenant_limits.rs
@@ -86,8 +86,8 @@
         tenant: &str,
         share: LimitShare,
     ) -> LimitDecision {
-        let limited = self.services.get_mut(service).and_then(|tenants| tenants.get_mut(tenant));
-        let Some(tenant) = limited else { return LimitDecision::Unlimited };
+        let tenant = self.services.get_mut(service).and_then(|tenants| tenants.get_mut(tenant));
+        let Some(tenant) = tenant else { return LimitDecision::Unlimited };
         match tenant.meter.check(now, share) {
             Ok(()) => LimitDecision::Within,
             Err(after) => {
@@ -123,9 +123,11 @@
         rejected.sort_unstable_by(|(a, a_service, a_name), (b, b_service, b_name)| {
             b.cmp(a).then_with(|| (a_service, a_name).cmp(&(b_service, b_name)))
         });
-        let named = rejected.into_iter().take(max).map(|(count, service, tenant)| {
-            TenantRejections { service: service.clone(), tenant: tenant.clone(), count }
+        let top = rejected.into_iter().take(max).map(|(count, service, tenant)| TenantRejections {
+            service: service.clone(),
+            tenant: tenant.clone(),
+            count,
         });
-        named.collect()
+        top.collect()
     }
 }
--- a/crates/tenant-limits/tests/limits.rs
+++ b/crates/tenant-limits/tests/limits.rs
@@ -15,7 +15,7 @@
     Limit::new(rate, burst).expect("a limit")
 }
 
-fn of(rate: f64, burst: u32) -> TenantLimits {
+fn limits_of(rate: f64, burst: u32) -> TenantLimits {
     let mut limits = TenantLimits::default();
     limits.set(Time(START), "points", &"t".into(), limit(rate, burst));
     limits
@@ -26,13 +26,13 @@
 }
 
 /// How many of so many requests at one time are within.
-fn within(limits: &mut TenantLimits, at: i64, share: LimitShare, requests: usize) -> usize {
+fn count_within(limits: &mut TenantLimits, at: i64, share: LimitShare, requests: usize) -> usize {
     (0..requests).filter(|_| check(limits, at, share) == LimitDecision::Within).count()
 }
 
 /// The definition, over all requests that were let pass: of any `n` in a row the last comes no earlier than `n - 1`
 /// intervals after the first, but for the tolerance.
-fn reference(passed: &[i64], at: i64, interval: i64, tolerance: i64) -> i64 {
+fn earliest_by_definition(passed: &[i64], at: i64, interval: i64, tolerance: i64) -> i64 {
     let earliest = |(index, first): (usize, &i64)| {
         first + (passed.len() - index) as i64 * interval - tolerance
     };
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn random_schedules_are_decided_as_by_the_naive_reference() {
+fn decisions_on_random_schedules_match_the_definition() {
     let mut all = (0, 0);
     for seed in 0..300 {
         let mut random = Rand64::new(seed);
@@ -51,7 +51,7 @@
         let interval = SECOND / rate * balancers;
         let tolerance = ((burst / balancers).max(1) - 1) * interval;
         let share = LimitShare::new(1.0 / balancers as f64);
-        let mut limits = of(rate as f64, burst as u32);
+        let mut limits = limits_of(rate as f64, burst as u32);
         let (mut at, mut passed, mut rejected) = (0, Vec::new(), 0);
         for step in 0..600 {
             // Bursts, requests at about the rate, and pauses in which the burst comes back.
@@ -60,7 +60,7 @@
                 5..9 => random.rand_range(0..2 * interval as u64) as i64,
                 _ => random.rand_range(0..10 * interval as u64) as i64,
             };
-            let earliest = reference(&passed, at, interval, tolerance);
+            let earliest = earliest_by_definition(&passed, at, interval, tolerance);
             let expected = match earliest <= at {
                 true => LimitDecision::Within,
                 false => LimitDecision::Over(Span(earliest - at)),
@@ -89,13 +89,14 @@
             (0..random.rand_range(1..12)).map(|_| 0.01 + random.rand_float()).collect();
         let sum: f64 = weights.iter().sum();
         let shares: Vec<f64> = weights.iter().map(|weight| weight / sum).collect();
-        let mut balancers: Vec<TenantLimits> = shares.iter().map(|_| of(rate, burst)).collect();
+        let mut balancers: Vec<TenantLimits> =
+            shares.iter().map(|_| limits_of(rate, burst)).collect();
         let (mut at, mut passed) = (0, 0);
         // Many more than the limit come, at balancers at random.
         for _ in 0..20_000 {
             at += random.rand_range(0..(0.2 * SECOND as f64 / rate) as u64 + 1) as i64;
-            let which = random.rand_range(0..shares.len() as u64) as usize;
-            let decision = check(&mut balancers[which], at, LimitShare::new(shares[which]));
+            let balancer = random.rand_range(0..shares.len() as u64) as usize;
+            let decision = check(&mut balancers[balancer], at, LimitShare::new(shares[balancer]));
             passed += u64::from(decision == LimitDecision::Within);
         }
         let bursts: f64 = shares.iter().map(|share| (share * burst as f64).floor().max(1.0)).sum();
@@ -106,33 +107,33 @@
 }
 
 #[test]
-fn the_retry_time_is_when_one_more_is_within_and_rejected_requests_are_not_counted() {
-    let mut limits = of(10.0, 3);
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 3), 3);
+fn the_retry_time_is_exact_and_rejected_requests_are_not_counted() {
+    let mut limits = limits_of(10.0, 3);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 3), 3);
     for _ in 0..1_000 {
         assert_eq!(check(&mut limits, 40_000, LimitShare::ALL), LimitDecision::Over(Span(60_000)));
     }
     assert_eq!(check(&mut limits, 99_999, LimitShare::ALL), LimitDecision::Over(Span(1)));
     assert_eq!(check(&mut limits, 100_000, LimitShare::ALL), LimitDecision::Within);
     // After a long time the burst is complete again, and no larger than that.
-    assert_eq!(within(&mut limits, 100 * SECOND, LimitShare::ALL, 10), 3);
+    assert_eq!(count_within(&mut limits, 100 * SECOND, LimitShare::ALL, 10), 3);
 }
 
 #[test]
 fn a_changed_limit_keeps_the_requests_that_are_used_up_to_the_new_burst() {
-    let mut limits = of(10.0, 10);
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 20), 10);
+    let mut limits = limits_of(10.0, 10);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 20), 10);
     // Ten are used of a hundred now.
     limits.set(Time(START), "points", &"t".into(), limit(100.0, 100));
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 200), 90);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 200), 90);
     // A hundred are used, bounded by the new burst of two: the tenant is rejected for one request's time and no more.
     limits.set(Time(START), "points", &"t".into(), limit(1.0, 2));
     assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Over(Span(SECOND)));
     assert_eq!(check(&mut limits, SECOND, LimitShare::ALL), LimitDecision::Within);
     // The same limit once more changes nothing, also where a share is below one request.
     let small = LimitShare::new(0.01);
-    let mut limits = of(10.0, 10);
-    assert_eq!(within(&mut limits, 0, small, 5), 1);
+    let mut limits = limits_of(10.0, 10);
+    assert_eq!(count_within(&mut limits, 0, small, 5), 1);
     let before = check(&mut limits, 0, small);
     limits.set(Time(START), "points", &"t".into(), limit(10.0, 10));
     assert_eq!(check(&mut limits, 0, small), before);
@@ -141,35 +142,35 @@
 
 #[test]
 fn a_changed_share_keeps_the_fraction_of_the_burst_that_is_used() {
-    let mut limits = of(10.0, 100);
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 50), 50);
+    let mut limits = limits_of(10.0, 100);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 50), 50);
     // Half of its burst was used: of the half that it has now, half is left.
-    assert_eq!(within(&mut limits, 0, LimitShare::new(0.5), 100), 25);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::new(0.5), 100), 25);
     // Used up at one half, it is used up at the complete share: other balancers have had the other half.
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 100), 0);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 100), 0);
     assert_eq!(check(&mut limits, SECOND / 10, LimitShare::ALL), LimitDecision::Within);
 }
 
 #[test]
-fn a_tiny_share_lets_one_at_a_time_pass_and_no_share_none() {
-    let mut limits = of(1.0, 1);
+fn a_tiny_share_allows_one_request_per_interval_and_a_zero_share_none() {
+    let mut limits = limits_of(1.0, 1);
     let tiny = LimitShare::new(1.0 / 7_600.0);
-    assert_eq!(within(&mut limits, 0, tiny, 10), 1);
+    assert_eq!(count_within(&mut limits, 0, tiny, 10), 1);
     assert_eq!(check(&mut limits, 7_599 * SECOND, tiny), LimitDecision::Over(Span(SECOND)));
     assert_eq!(check(&mut limits, 7_600 * SECOND, tiny), LimitDecision::Within);
     // With a share of nothing no request passes, and none is counted.
-    let mut limits = of(1_000_000.0, 1_000_000);
+    let mut limits = limits_of(1_000_000.0, 1_000_000);
     for share in [LimitShare::NONE, LimitShare::new(-1.0), LimitShare::new(f64::NAN)] {
         assert_eq!(check(&mut limits, 0, share), LimitDecision::Over(Span(SECOND)));
     }
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 10), 10);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 10), 10);
     assert_eq!(LimitShare::new(2.0), LimitShare::ALL);
 }
 
 #[test]
-fn a_clock_that_was_set_back_rejects_no_tenant_for_longer_than_a_burst_takes() {
-    let mut limits = of(10.0, 5);
-    assert_eq!(within(&mut limits, 3_600 * SECOND, LimitShare::ALL, 5), 5);
+fn a_clock_that_is_set_back_rejects_no_tenant_for_longer_than_a_used_up_burst() {
+    let mut limits = limits_of(10.0, 5);
+    assert_eq!(count_within(&mut limits, 3_600 * SECOND, LimitShare::ALL, 5), 5);
     assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Over(Span(SECOND / 10)));
     assert_eq!(check(&mut limits, SECOND / 10, LimitShare::ALL), LimitDecision::Within);
     for extreme in [i64::MIN, -1, i64::MAX / 2] {
@@ -178,10 +179,10 @@
 }
 
 #[test]
-fn a_removed_limit_is_forgotten_and_a_request_without_a_limit_allocates_nothing() {
-    let mut limits = of(1.0, 1);
+fn a_removed_limit_no_longer_applies_and_a_request_without_a_limit_allocates_nothing() {
+    let mut limits = limits_of(1.0, 1);
     limits.set(Time(START), "partners", &"t".into(), limit(1.0, 1));
-    assert_eq!(within(&mut limits, 0, LimitShare::ALL, 4), 1);
+    assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 4), 1);
     limits.remove("points", "t");
     assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Unlimited);
     assert_eq!((limits.len(), limits.rejected()), (1, 3));
@@ -211,16 +212,16 @@
         limits.set(Time(START), "points", &tenant, limit(1.0, 1));
         (0..=name).for_each(|_| _ = limits.check(Time(START), "points", &tenant, LimitShare::ALL));
     }
-    let named = limits.most_rejected(10);
-    let counts: Vec<u64> = named.iter().map(|rejections| rejections.count).collect();
+    let top = limits.most_rejected(10);
+    let counts: Vec<u64> = top.iter().map(|rejections| rejections.count).collect();
     assert_eq!(counts, (20..30).rev().collect::<Vec<u64>>());
-    assert_eq!((&*named[0].tenant, &*named[0].service), ("t29", "points"));
+    assert_eq!((&*top[0].tenant, &*top[0].service), ("t29", "points"));
     assert_eq!(limits.rejected(), (0..30).sum::<u64>());
     assert_eq!(limits.limited_tenants("points").count(), 30);
 }
 
 #[test]
-fn values_that_are_no_limit_are_rejected() {
+fn a_rate_or_burst_that_is_not_positive_and_finite_is_rejected() {
     for rate in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         assert!(Limit::new(rate, 1).is_err(), "{rate}");
     }
--- a/crates/types/tests/settings_keys.rs
+++ b/crates/types/tests/settings_keys.rs
@@ -2,8 +2,7 @@
 //! names. Guards against a renamed field whose key changes with it: a key with a default is then lost silently.
 
 use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, LoadReportSource};
-use sableloom_types::{DedupScope, Idempotency};
-use sableloom_types::{DedupScope as PolicyGroup, Idempotency as PolicyIdempotency, Span};
+use sableloom_types::{DedupScope, Idempotency, Span};
 use serde_json::json;
 
 fn every_key() -> DeploymentSettings {
@@ -129,11 +128,11 @@
     );
     assert_eq!(
         (balance.idempotency, redeem.idempotency, transfer.idempotency),
-        (PolicyIdempotency::Idempotent, PolicyIdempotency::Keyed, PolicyIdempotency::NonIdempotent)
+        (Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent)
     );
     assert_eq!(
         (balance.dedup_scope, redeem.dedup_scope, transfer.dedup_scope),
-        (PolicyGroup::Zone, PolicyGroup::Cell, PolicyGroup::All)
+        (DedupScope::Zone, DedupScope::Cell, DedupScope::All)
     );
     assert_eq!(
         (balance.dedup_window, redeem.dedup_window, transfer.dedup_window),
