--- a/crates/types/src/action.rs
+++ b/crates/types/src/action.rs
@@ -1,4 +1,4 @@
-//! What the policy asks its caller to do.
+//! The actions that the policy returns to its caller.
 
 use crate::{RequestId, ServerId, Span, Time};
 
@@ -11,14 +11,14 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Timeout of the attempt.
+        /// The time after which the attempt times out.
         timeout: Span,
     },
     /// Reject the request: it was not executed, so the client may safely repeat it.
     Reject {
         /// The request.
         request: RequestId,
-        /// When to come back (Retry-After); zero for no advice.
+        /// The delay before a retry that the client is advised of (Retry-After); zero for no advice.
         retry_after: Span,
     },
     /// Fail the request: it may have been executed.
@@ -26,7 +26,7 @@
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
         /// The request.
         request: RequestId,
@@ -35,7 +35,7 @@
     },
     /// Call the policy's timer at or after this time.
     SetTimer {
-        /// To be passed back.
+        /// The token to pass to the policy when the timer fires.
         token: u64,
         /// When the timer is due.
         at: Time,
@@ -45,6 +45,6 @@
         /// The server.
         server: ServerId,
     },
-    /// Open the standing subscription to the endpoint list.
+    /// Open the subscription to the endpoint list, where the list has to be polled.
     Subscribe,
 }
--- a/crates/types/src/attempt.rs
+++ b/crates/types/src/attempt.rs
@@ -1,30 +1,30 @@
-//! How an attempt ended, and what the server reported of its load.
+//! The result of an attempt, and the load that the server reported with it.
 
 use crate::{RequestId, ServerId, Span};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server served the request.
     Ok,
-    /// Answered with an error; may have been executed.
+    /// The server answered with an error; the request may have been executed.
     Error,
-    /// Rejected by the server before execution.
+    /// The server rejected the request before executing it.
     Rejected,
-    /// No answer within the timeout; may have been executed.
+    /// No answer arrived within the timeout; the request may have been executed.
     Timeout,
-    /// No connection came up; not executed.
+    /// No connection was established; the request was not executed.
     ConnectFailed,
-    /// The connection broke; may have been executed.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled by this balancer; may have been executed.
+    /// This balancer cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// Superseded before it was issued; not executed.
+    /// The attempt was superseded before it was issued; the request was not executed.
     Superseded,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt was never executed.
+    /// Whether this outcome proves that the attempt did not execute the request.
     pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Superseded)
     }
@@ -41,23 +41,23 @@
     pub server: ServerId,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// The time from the forwarding of the attempt to its end.
     pub latency: Span,
-    /// The request is over with this attempt, whatever its outcome.
+    /// Whether the request is finished with this attempt, whatever the outcome.
     pub ends_request: bool,
-    /// What the server reported of its load.
+    /// The load that the server reported.
     pub report: LoadReport,
 }
 
-/// A server's load report; a value that it does not contain is `None`.
+/// A server's load report; a value that the report does not contain is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests in progress.
+    /// Requests in progress at the server.
     pub in_flight: Option<f64>,
     /// Requests queued at the server.
     pub queued: Option<f64>,
-    /// Utilisation of its cores, 0 to 1.
+    /// Utilisation of the server's cores, 0 to 1.
     pub utilisation: Option<f64>,
-    /// Recent service time, without time in the server's queue.
+    /// Recent service time, without the time in the server's queue.
     pub service_time: Option<Span>,
 }
--- a/crates/types/src/endpoint.rs
+++ b/crates/types/src/endpoint.rs
@@ -11,11 +11,11 @@
 /// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes requests.
+    /// The server takes requests.
     Live,
-    /// Finishes the requests that it has; gets no new ones.
+    /// The server finishes the requests that it has and gets no new ones.
     Draining,
-    /// Withdrawn from the list.
+    /// The server is no longer on the list.
     Gone,
 }
 
@@ -24,52 +24,52 @@
 pub struct Endpoint {
     /// The caller's handle.
     pub id: ServerId,
-    /// A hash of its name that is the same at every balancer.
+    /// A hash of the server's name that is the same at every balancer.
     pub name_hash: u64,
-    /// Its zone, by index.
+    /// The zone, by index in the settings.
     pub zone: u32,
-    /// Its machine kind, by index.
+    /// The machine type, by index in the settings.
     pub machine_type: u32,
-    /// Its cell.
+    /// The cell within the zone.
     pub cell: u32,
-    /// Its state.
+    /// The state in the list.
     pub status: EndpointStatus,
-    /// Relative size; 1 where unknown.
+    /// The relative size; 1 where unknown.
     pub weight: f64,
-    /// When it last started, if it may still be warming up.
+    /// When the server last started, if it may still be warming up.
     pub started: Option<Time>,
 }
 
 /// An endpoint as a source lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name, the same for as long as it is the same machine.
+    /// The name, which stays the same as long as the machine is the same.
     pub id: Box<str>,
-    /// Its network address.
+    /// The network address.
     pub address: SocketAddr,
-    /// Its zone, named as in the settings.
+    /// The name of the zone, as in the settings.
     pub zone: Box<str>,
-    /// Its machine kind, named as in the settings.
+    /// The name of the machine type, as in the settings.
     pub machine_type: Box<str>,
-    /// Its cell.
+    /// The cell within the zone.
     pub cell: u32,
-    /// Its state.
+    /// The state in the list.
     pub status: EndpointStatus,
-    /// Its relative size.
+    /// The relative size.
     pub size: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// When the server last started, in Unix milliseconds; 0 if it started long ago.
     pub up_since_ms: f64,
 }
 
 /// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed endpoints only.
+    /// The endpoints that changed, and no others.
     Update,
     /// The full list.
     Full,
     /// The full list as last cached, possibly out of date.
     Restored,
-    /// No list: a poll failed or the subscription broke.
+    /// No list, because a poll failed or the subscription broke.
     Unavailable,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary that every crate of sableloom shares: time, identifiers, requests, endpoints, the outcome of an
-//! attempt, the actions of the policy and the settings of a deployment.
+//! The types that all crates of sableloom share: times, identifiers, requests, endpoints, the outcome of an attempt,
+//! the actions of the policy and the settings of a deployment.
 //!
-//! Plain data only. This crate never does I/O, reads no clock and takes no decision; decisions live in crates of
-//! their own, which depend on this one.
+//! This crate contains plain data. It does no I/O, reads no clock and makes no decisions; the crates that make them
+//! depend on this one.
 //!
 //! ```
 //! use sableloom_types::{Span, Time};
--- a/crates/types/src/policy_settings.rs
+++ b/crates/types/src/policy_settings.rs
@@ -1,99 +1,100 @@
-//! The settings of the policy, in the units of this crate.
+//! The settings of the policy, with times as [`Span`]s.
 
 use crate::{DedupScope, Idempotency, Span};
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective: an answer within this time has the full weight.
+    /// The latency objective: an answer within this time has the full weight.
     pub latency_objective: Span,
-    /// The longest that a client waits.
+    /// The longest time that a client waits for the answer.
     pub deadline: Span,
-    /// Priority weight of one request.
+    /// The weight of one request; where capacity is short, classes with more weight for their work have priority.
     pub priority_weight: f64,
-    /// Share of the weight, 0 to 1, that an answer after the latency objective still has.
+    /// The share of the weight, 0 to 1, that an answer after the latency objective still has.
     pub late_priority_weight: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// Which servers drop repeats of a keyed request.
+    /// The servers that drop repeats of each other's keyed requests.
     pub dedup_scope: DedupScope,
-    /// For how long they do, from the start of the first attempt that may have been executed.
+    /// How long servers drop repeats, from the start of the first attempt that may have been executed.
     pub dedup_window: Span,
 }
 
 /// A tenant's quota.
 #[derive(Clone, Debug)]
 pub struct TenantQuota {
-    /// Requests a second within its quota, over all balancers.
+    /// The quota in requests a second, over all balancers.
     pub quota_rps: f64,
 }
 
-/// What the deployment permits for attempts.
+/// Limits and permissions of the deployment for attempts.
 #[derive(Clone, Debug)]
 pub struct AttemptLimits {
-    /// Most attempts of one request.
+    /// The largest number of attempts for one request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be in flight at once (hedging).
+    /// Whether two attempts of a request may be in flight at once (hedging).
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be sent health checks.
+    /// Whether health checks may be sent to servers.
     pub health_checks: bool,
-    /// Clients are given Retry-After advice.
+    /// Whether rejected clients are given Retry-After advice.
     pub retry_after: bool,
-    /// The longest Retry-After that a client heeds.
+    /// The longest Retry-After that clients follow; 0 for no limit.
     pub max_retry_after: Span,
 }
 
-/// Limits on the load of servers that warm up, and the freshness of the endpoint list.
+/// Limits on the load of servers that warm up, and on the age of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct SafetyRules {
-    /// A server starts with this share of its capacity or more, 0 to 1.
+    /// The share of its capacity, 0 to 1, that a server has at least when it starts.
     pub slow_start_initial_share: f64,
-    /// A server has its full capacity after this time at the latest.
+    /// The time after its start at which a server has its full capacity at the latest.
     pub slow_start: Span,
-    /// A server is overloaded when it gets more than this many times its present capacity,
+    /// A server is overloaded when it gets more than this many times its present capacity for
+    /// [`overload_window`](Self::overload_window).
     pub overload_factor: f64,
-    /// for this long.
+    /// How long a load above [`overload_factor`](Self::overload_factor) lasts before it overloads the server.
     pub overload_window: Span,
-    /// Where the list is polled: the longest silence after which a change counts as notified.
+    /// Where the list is polled, the longest time between polls; a change counts as notified after it.
     pub poll_interval: Span,
 }
 
 /// The settings that a policy is created with.
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
-    /// Request classes, by index.
+    /// The request classes; [`Request::class`](crate::Request::class) is an index into them.
     pub classes: Vec<RequestClass>,
-    /// Tenants, by index; may be empty.
+    /// The tenants; [`Request::tenant`](crate::Request::tenant) is an index into them. May be empty.
     pub tenants: Vec<TenantQuota>,
-    /// Balancers in the fleet, this one included.
+    /// The number of balancers in the fleet, this one included.
     pub balancers: u32,
-    /// Zone of this balancer, by index.
+    /// The zone of this balancer, by index.
     pub zone: u32,
     /// The shortest time between two deliveries of events.
     pub tick: Span,
-    /// The endpoint list comes only when it is polled.
+    /// Whether the endpoint list has to be polled.
     pub polls_endpoint_list: bool,
-    /// What the deployment permits for attempts.
+    /// Limits and permissions for attempts.
     pub limits: AttemptLimits,
-    /// Limits on the load of servers that warm up.
+    /// Limits on the load of servers that warm up, and on the age of the endpoint list.
     pub safety_rules: SafetyRules,
-    /// Price of an attempt that crosses zones, as a share of a request's weight.
+    /// The price of an attempt that crosses zones, as a share of a request's weight.
     pub cross_zone_price: f64,
-    /// A server that has served a key lately serves it again with less work.
+    /// Whether requests with the same key prefer the same server, which serves a recent key with less work.
     pub key_affinity: bool,
-    /// T_QoS, the time within which requests are to be answered; the mean latency objective if `None`.
+    /// T_QoS, the target time for answers; the mean latency objective of the classes if `None`.
     pub t_qos: Option<Span>,
 }
 
 /// Why a policy could not be created from its settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicySettingsError {
-    /// Without a class no request could be judged.
-    #[error("settings name no request class")]
+    /// The settings contain no class, so that no request can be admitted.
+    #[error("settings contain no request class; at least one is required")]
     NoClasses,
-    /// No answer can meet a latency objective or deadline of zero.
-    #[error("class {0} has an aim or deadline that is not above zero")]
+    /// The class with this index has a latency objective or deadline of zero or less, which no answer can meet.
+    #[error("class {0}: latency objective and deadline must be above zero")]
     NonPositiveTime(usize),
 }
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,51 +1,51 @@
-//! A client's request as the policy sees it, and what a repeat of it may do.
+//! A client's request as the policy sees it, and whether it may be executed more than once.
 
 use serde::Deserialize;
 
 use crate::Time;
 
-/// The caller's handle for a request; never reused while the request or one of its attempts is open.
+/// The caller's handle for a request. The caller does not reuse it while the request or one of its attempts is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Whether a request may be executed more than once. The names in the settings JSON are `retryable`, `dedup`
-/// and `fragile`.
+/// Whether a request may be executed more than once. The settings JSON has `retryable`, `dedup` and `fragile` for the
+/// variants.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated freely.
+    /// The request may be executed any number of times.
     #[serde(rename = "retryable")]
     Idempotent,
-    /// Carries an idempotency key: the servers within one [`DedupScope`] drop repeats for a while.
+    /// The request carries an idempotency key, by which the servers within one [`DedupScope`] drop repeats for a while.
     #[serde(rename = "dedup")]
     Keyed,
-    /// Must never be executed twice.
+    /// The request must not be executed twice.
     #[serde(rename = "fragile")]
     NonIdempotent,
 }
 
-/// Which servers recognise each other's repeats of a keyed request.
+/// The servers that drop repeats of each other's keyed requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// The caller's handle.
+    /// The caller's handle for the request.
     pub id: RequestId,
-    /// Its class, by index in the settings.
+    /// The class, by index in the settings.
     pub class: usize,
-    /// Its tenant, by index in the settings.
+    /// The tenant, by index in the settings.
     pub tenant: usize,
-    /// Hash of its routing key, if it has one.
+    /// A hash of the routing key, if the request has one.
     pub key: Option<u64>,
     /// When the client stops waiting for the answer.
     pub deadline: Time,
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of a deployment, a JSON object that the platform hands to both programs, and the values and
-//! hashes that are derived from it. The keys are part of the deployment protocol: a field that has another name
-//! states its key in a `serde(rename)`.
+//! The settings of a deployment, a JSON object that the platform passes to both programs, and the values and hashes
+//! that are derived from it. The keys are part of the deployment protocol, so a field with another name states its key
+//! in a `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,28 +9,28 @@
     Span, TenantQuota, Time,
 };
 
-/// Milliseconds rounded to whole microseconds; 0 for anything that is not a number.
+/// Converts milliseconds to a span, rounded to whole microseconds. NaN gives 0, and values out of range are clamped.
 pub fn span_from_ms(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
 }
 
-/// A clock reading in milliseconds as a time.
+/// Converts a clock reading in milliseconds to a time, as [`span_from_ms`] does.
 pub fn time_from_ms(ms: f64) -> Time {
     Time(span_from_ms(ms).0)
 }
 
-/// Offset basis of the 64-bit FNV-1a hash.
+/// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Prime of the 64-bit FNV-1a hash.
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// FNV-1a hash of a text: the same at every balancer and in every build.
+/// The 64-bit FNV-1a hash of a text, which is the same at every balancer and in every build.
 pub fn stable_hash(text: &str) -> u64 {
     text.bytes()
         .fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// Hash of a routing key; a key of hexadecimal digits is its own hash.
+/// The hash of a routing key. A key of up to 16 hexadecimal digits is taken as the number that it denotes.
 pub fn key_hash(key: &str) -> u64 {
     u64::from_str_radix(key, 16).unwrap_or_else(|_| stable_hash(key))
 }
@@ -39,49 +39,49 @@
     1.0
 }
 
-/// The settings object. Unknown keys are ignored.
+/// The settings of a deployment. Unknown keys are ignored.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct DeploymentSettings {
-    /// Balancers in the fleet.
+    /// The number of balancers in the fleet.
     pub balancers: u32,
-    /// Number of this balancer among them, from 0.
+    /// The index of this balancer in the fleet, from 0.
     #[serde(default, rename = "Position")]
     pub balancer_index: u32,
-    /// Zone of this balancer, by index.
+    /// The zone of this balancer, by index in [`zones`](Self::zones).
     #[serde(default)]
     pub zone: u32,
-    /// Names of the zones.
+    /// The names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Names of the machine kinds.
+    /// The names of the machine types.
     #[serde(default)]
     pub machine_types: Vec<String>,
-    /// How often events are delivered at most, in milliseconds.
+    /// The shortest time between two deliveries of events, in milliseconds.
     pub tick: f64,
     /// How the endpoint list is delivered.
     #[serde(rename = "RegistryMode")]
     pub endpoint_list_delivery: EndpointListDelivery,
-    /// Classes of requests.
+    /// The classes of requests.
     #[serde(rename = "Services")]
     pub classes: Vec<ClassSettings>,
-    /// Tenants; may be empty.
+    /// The tenants; may be empty.
     #[serde(default)]
     pub tenants: Vec<TenantSettings>,
-    /// What the deployment permits.
+    /// Limits and permissions of the deployment.
     pub policy_limits: PolicyLimits,
     /// Limits on servers that warm up and on the age of the endpoint list.
     pub safety: SafetySettings,
     /// Prices of the deployment.
     #[serde(default)]
     pub prices: Prices,
-    /// Load reports.
+    /// How servers report their load.
     #[serde(default, rename = "Stats")]
     pub load_reports: LoadReportSettings,
-    /// Properties of this kind of service.
+    /// Properties of the service that the servers run.
     #[serde(default, rename = "FamilyInfo")]
     pub service_properties: ServiceProperties,
-    /// T_QoS in milliseconds, where an operator sets it.
+    /// T_QoS, the target time for answers, in milliseconds. It is not part of the JSON; a site sets it.
     #[serde(skip)]
     pub t_qos: Option<f64>,
 }
@@ -89,10 +89,10 @@
 /// How the endpoint list is delivered.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub enum EndpointListDelivery {
-    /// Changes are pushed.
+    /// The source pushes changes without being polled.
     #[serde(rename = "automatic")]
     Push,
-    /// Changes come only when polled.
+    /// The balancer polls for changes.
     #[serde(rename = "subscribe")]
     Poll,
 }
@@ -101,27 +101,27 @@
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassSettings {
-    /// Its name on sockets.
+    /// The name by which requests on sockets state the class.
     #[serde(default)]
     pub name: String,
-    /// Latency objective: an answer within this time has the full weight.
+    /// The latency objective: an answer within this time has the full weight.
     #[serde(rename = "Aim")]
     pub latency_objective: f64,
-    /// The longest a client waits.
+    /// The longest time that a client waits for the answer.
     pub deadline: f64,
     /// Whether a request may be executed more than once.
     #[serde(rename = "Effect")]
     pub idempotency: Idempotency,
-    /// Which servers drop repeats of a keyed request.
+    /// The servers that drop repeats of each other's keyed requests.
     #[serde(default, rename = "Group")]
     pub dedup_scope: DedupScope,
-    /// Priority weight of one request.
+    /// The weight of one request; where capacity is short, classes with more weight for their work have priority.
     #[serde(default = "default_priority_weight", rename = "Importance")]
     pub priority_weight: f64,
-    /// Share of the weight, 0 to 1, that an answer after the latency objective still has.
+    /// The share of the weight, 0 to 1, that an answer after the latency objective still has.
     #[serde(default, rename = "LateValue")]
     pub late_priority_weight: f64,
-    /// For how long they drop repeats.
+    /// How long servers drop repeats, from the start of the first attempt that may have been executed.
     #[serde(default, rename = "Window")]
     pub dedup_window: f64,
 }
@@ -130,42 +130,42 @@
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TenantSettings {
-    /// Its name on sockets.
+    /// The name by which requests on sockets state the tenant.
     #[serde(default)]
     pub name: String,
-    /// Requests a second within its quota, over all balancers.
+    /// The quota in requests a second, over all balancers.
     #[serde(default)]
     pub quota_rps: f64,
 }
 
-/// What the deployment permits; times in milliseconds, 0 where not stated.
+/// Limits and permissions of the deployment; times in milliseconds, 0 where not stated.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PolicyLimits {
-    /// Most attempts of one request.
+    /// The largest number of attempts for one request.
     pub max_attempts: usize,
-    /// Most open requests of one balancer; 0 where not stated.
+    /// The largest number of open requests at one balancer; 0 where not stated.
     #[serde(default)]
     pub max_open: usize,
-    /// Time after which a connection attempt has failed.
+    /// The timeout of a connection attempt.
     #[serde(default)]
     pub connect_timeout: f64,
-    /// Time after which servers close idle connections.
+    /// The time after which servers close idle connections.
     #[serde(default)]
     pub keepalive: f64,
-    /// Two attempts of a request may be in flight at once (hedging).
+    /// Whether two attempts of a request may be in flight at once (hedging).
     #[serde(default, rename = "SecondCopies")]
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     #[serde(default)]
     pub cancelling: bool,
-    /// Servers may be sent health checks.
+    /// Whether health checks may be sent to servers.
     #[serde(default, rename = "Probes")]
     pub health_checks: bool,
-    /// Clients are given Retry-After advice.
+    /// Whether rejected clients are given Retry-After advice.
     #[serde(default)]
     pub retry_after: bool,
-    /// The longest Retry-After that a client heeds.
+    /// The longest Retry-After that clients follow.
     #[serde(default)]
     pub max_retry_after: f64,
 }
@@ -174,22 +174,23 @@
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SafetySettings {
-    /// The longest silence towards discovery after which a change counts as notified.
+    /// The longest time without a poll of discovery; a change counts as notified after it.
     #[serde(default, rename = "AskEvery")]
     pub poll_interval: f64,
-    /// How long after the notification of a drain an attempt may still begin; 0 where not stated.
+    /// How long after the notification of a drain an attempt at the server may still begin; 0 where not stated.
     #[serde(default)]
     pub drain_grace: f64,
-    /// A server has its full capacity after this time at the latest.
+    /// The time after its start at which a server has its full capacity at the latest.
     #[serde(rename = "Cold")]
     pub slow_start: f64,
-    /// A server starts with this share of its capacity or more, 0 to 1.
+    /// The share of its capacity, 0 to 1, that a server has at least when it starts.
     #[serde(rename = "ColdFrom")]
     pub slow_start_initial_share: f64,
-    /// A server is overloaded when it gets more than this many times its present capacity,
+    /// A server is overloaded when it gets more than this many times its present capacity for
+    /// [`overload_window`](Self::overload_window).
     #[serde(rename = "FallMultiple")]
     pub overload_factor: f64,
-    /// for this long.
+    /// How long a load above [`overload_factor`](Self::overload_factor) lasts before it overloads the server.
     #[serde(rename = "TipAfter")]
     pub overload_window: f64,
 }
@@ -198,7 +199,7 @@
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Prices {
-    /// Price of an attempt that crosses zones, as a share of a request's weight.
+    /// The price of an attempt that crosses zones, as a share of a request's weight.
     pub cross_zone: f64,
 }
 
@@ -206,30 +207,30 @@
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct LoadReportSettings {
-    /// How load reports are delivered.
+    /// The messages that carry load reports.
     #[serde(rename = "How")]
     pub source: LoadReportSource,
-    /// The values they carry, in order.
+    /// The names of the values that a report contains, in order.
     #[serde(rename = "Names")]
     pub values: Vec<String>,
 }
 
-/// How load reports are delivered.
+/// The messages that carry load reports. Any unknown name in the JSON stands for [`Silent`](Self::Silent).
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum LoadReportSource {
-    /// With answers and health checks.
+    /// Answers to requests and to health checks carry reports.
     Piggyback,
-    /// With health checks only.
+    /// Only answers to health checks carry reports.
     Pull,
-    /// Not at all.
+    /// Servers report no load.
     #[default]
     #[serde(other)]
     Silent,
 }
 
 impl LoadReportSettings {
-    /// The load report of these named values; names that the settings do not list are ignored.
+    /// Builds the load report from named values. Names that [`values`](Self::values) does not list are ignored.
     pub fn report<'a>(&self, values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, value) in
@@ -247,17 +248,17 @@
     }
 }
 
-/// Properties of this kind of service.
+/// Properties of the service that the servers run.
 #[derive(Clone, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ServiceProperties {
-    /// A server that has served a key lately serves it again with less work.
+    /// Whether a server that has served a key recently serves it again with less work.
     #[serde(rename = "WarmKeys")]
     pub key_affinity: bool,
 }
 
 impl DeploymentSettings {
-    /// The settings of the policy that follow from these.
+    /// Converts the settings that the policy needs to its units.
     pub fn policy_settings(&self) -> PolicySettings {
         let class = |class: &ClassSettings| RequestClass {
             latency_objective: span_from_ms(class.latency_objective),
--- a/crates/types/tests/settings_keys.rs
+++ b/crates/types/tests/settings_keys.rs
@@ -1,5 +1,5 @@
-//! Every key of the settings JSON, each with a value that is not its default, arrives in the field that it
-//! names. Guards against a renamed field whose key changes with it: a key with a default is then lost silently.
+//! Each key of the settings JSON sets its field. The tests give every key a value other than the default, since a key
+//! that a renamed field no longer accepts is ignored without an error if the field has a default.
 
 use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, LoadReportSource};
 use sableloom_types::{DedupScope, Idempotency, Span};
