--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,38 +1,38 @@
-//! Admission: a request is rejected at once when queued plus in flight reach the sum of `N_i`.
+//! Admission: a request is rejected immediately when the requests queued and in flight reach the sum of `N_i`.
 
 use sableloom_types::{AttemptLimits, Request, RequestClass, Span, Time};
 
 use crate::service_time::ServiceTimes;
 
-/// Share of its latency objective that queueing and service may take; the rest is for the spread of service times.
+/// The share of its latency objective that queueing and service may take. The rest is for the spread of service times.
 const OBJECTIVE_FRACTION_FOR_SERVICE: f64 = 0.7;
-/// Share of the tolerable wait that the class of the least weight for its work may use.
+/// The share of the tolerable wait that the class with the least weight for its work may use.
 const MIN_PRIORITY_SHARE: f64 = 0.2;
-/// A rejected client is advised to come back no sooner than after this share of the mean service time.
+/// The shortest Retry-After, as a share of the mean service time.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
-/// A request with less than this share of the usual timeout left is a retry that its client's deadline cuts short:
-/// the rest is for the way to the balancer.
+/// A request whose time left is less than this share of the median timeout counts as a retry of its client, whose
+/// deadline runs from the first try. The rest allows for the way from the client to the balancer.
 const MIN_FIRST_TRY_FRACTION_OF_TIMEOUT: f64 = 0.9;
-/// One request moves the usual timeout of its class by this share of the class's deadline.
+/// The step by which one request moves the median timeout of its class, as a share of the class's deadline.
 const TIMEOUT_STEP_FRACTION_OF_DEADLINE: f64 = 0.002;
-/// Smallest rate that a wait is divided by; keeps a quotient finite.
+/// The smallest rate, per microsecond, that a number of requests is divided by; it keeps the quotient finite.
 const MIN_RATE: f64 = 1e-9;
 
 /// The limits of admission; times in microseconds.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    /// Sum of `N_i` per microsecond.
+    /// The sum of `N_i` per microsecond of T_QoS.
     rate: f64,
-    /// The longest wait that every class can tolerate.
+    /// The longest wait that all classes tolerate.
     tolerable_wait: f64,
-    /// By class: the share of that wait that it may use.
+    /// By class: the share of the tolerable wait that it may use.
     priority_shares: Vec<f64>,
-    /// By class: the time that its requests usually have left when they come.
+    /// By class: an estimate of the median time that its requests have left when they arrive.
     median_timeouts: Vec<Span>,
 }
 
 impl Admission {
-    /// Before any answer; `service_time` is the assumed one.
+    /// Creates the limits before any answer; `service_time` is the assumed mean.
     pub(crate) fn new(service_time: f64, classes: usize) -> Self {
         Self {
             rate: 0.0,
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Whether a request of a class is admitted beside this many queued or in flight. T_QoS is one for all classes,
-    /// the wait that even the tightest can tolerate, or long objectives would fill the queue and starve short ones.
+    /// Whether a request of a class is admitted while `open` requests are queued or in flight. T_QoS is the same for
+    /// all classes, from the wait that the class with the tightest objective tolerates. Otherwise requests with long
+    /// objectives would fill the queue and starve those with short ones.
     pub(crate) fn admits(
         &self,
         class: usize,
@@ -52,21 +53,22 @@
         open: usize,
     ) -> bool {
         let limit = self.limit(class, service_time, full_share);
-        // Without a list there is no N to sum: requests are queued until a server is listed or their time is up.
+        // Without a list the sum of N is zero: requests are queued until a server is listed or their deadline passes.
         limit == 0.0 || (open as f64) < limit.max(1.0)
     }
 
-    /// Sum of `N_i` for a class; for its full priority share, or the smallest.
+    /// The sum of `N_i` for a class, with its full priority share or with the smallest.
     fn limit(&self, class: usize, service_time: f64, full_share: bool) -> f64 {
-        // Failure: a tenant beyond its quota, worth little there, took the slots of the others.
+        // With the full share, a tenant over its quota took the slots of the others, although its requests have little
+        // weight there.
         let reduction = if full_share { 1.0 } else { MIN_PRIORITY_SHARE };
         let share = self.priority_shares[class] * reduction;
         self.rate * (service_time + self.tolerable_wait * share)
     }
 
-    /// When a rejected request is worth repeating: once what is ahead of it beyond the limit of its class has been
-    /// served, and no sooner than one service takes. Guards against retries that meet the queue that rejected them;
-    /// does harm where the queue empties at once, as they come late.
+    /// The delay before a retry that a rejected client is advised of: until the open requests above the limit of the
+    /// class are served, and [`MIN_RETRY_AFTER_FRACTION`] of a service time at least. A retry that comes earlier meets
+    /// the queue that rejected it. Where the queue empties sooner than expected, the retry comes later than necessary.
     pub(crate) fn retry_after(
         &self,
         class: usize,
@@ -83,14 +85,14 @@
         if limits.max_retry_after.0 > 0 { wait.min(limits.max_retry_after) } else { wait }
     }
 
-    /// The time that requests of a class usually have left when they come; zero before the first.
+    /// The median time that requests of a class have left when they arrive; zero before the first request.
     pub(crate) fn median_timeout(&self, class: usize) -> Span {
         self.median_timeouts[class]
     }
 
-    /// Whether an answer would miss the latency objective that counts from the client's first try. A retry is
-    /// recognised by less time left than a first try has. Failure: in overload, retries past their objective took
-    /// the slots, and most of what was served came late.
+    /// Whether an answer would miss the latency objective, which counts from the client's first try. A retry is
+    /// recognised by having less time left than a first try. Without this rule, in overload, retries past their
+    /// objective took the slots, and most answers came late.
     pub(crate) fn cannot_meet_objective(
         &mut self,
         now: Time,
@@ -106,8 +108,9 @@
         is_retry && elapsed + class_mean > class.latency_objective.as_micros_f64()
     }
 
-    /// Moves the usual timeout towards one request's: to the median, as most come with the same. Failure: by the
-    /// longest, last tries that wait to the very end made first tries look like retries.
+    /// Moves the median timeout of a class by one step towards the time that a request has left, and returns it. The
+    /// median is used because most requests have the same timeout. With the longest timeout instead, clients that wait
+    /// longer at their last try made all first tries look like retries.
     fn observe_timeout(&mut self, class: usize, left: Span, deadline: Span) -> Span {
         let median = &mut self.median_timeouts[class];
         let step = (deadline.as_micros_f64() * TIMEOUT_STEP_FRACTION_OF_DEADLINE).max(1.0) as i64;
@@ -118,7 +121,7 @@
         *median
     }
 
-    /// Follows the capacity of the servers, and the latency of the classes.
+    /// Updates the limits with `rate`, the sum of `N_i` per microsecond, and with the latency of the classes.
     pub(crate) fn refresh(&mut self, rate: f64, classes: &[RequestClass], times: &ServiceTimes) {
         self.rate = rate;
         let tolerable = |(index, class): (usize, &RequestClass)| {
@@ -134,7 +137,7 @@
     }
 }
 
-/// Where a class stands among all by its weight for its work: 0 for the least, 1 for the most.
+/// The rank of a class by its weight divided by its mean latency: 0 for the lowest, 1 for the highest.
 fn priority_rank(class: usize, classes: &[RequestClass], times: &ServiceTimes) -> f64 {
     if classes.len() == 1 {
         return 1.0;
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The facade of the policy: takes in what happened, asks the parts in order, and returns the actions.
+//! The facade of the policy: it receives events, calls the parts in order and returns the actions.
 
 use oorandom::Rand64;
 use sableloom_types::{
@@ -25,9 +25,11 @@
 use crate::tenant_quota::TenantQuotas;
 use crate::usable_share;
 
-/// Token of the housekeeping timer.
+/// The token of the housekeeping timer.
 const HOUSEKEEPING_TIMER: u64 = 1;
-/// The decisions of one balancer for one pool of servers. Times that are passed in must not go back.
+
+/// Makes the decisions of one balancer for one pool of servers. The times that are passed to its methods must not
+/// decrease.
 #[derive(Debug)]
 pub struct Balancer {
     settings: PolicySettings,
@@ -43,16 +45,17 @@
     admission: Admission,
     quotas: TenantQuotas,
     polling: ListPolling,
-    /// When the estimates were last brought up to date.
+    /// When the estimates were last refreshed.
     last_refresh: Time,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else yet; the seed decides what is drawn by chance.
+    /// Creates a balancer without servers and requests. The seed determines its random choices.
     ///
     /// # Errors
     ///
-    /// If the settings name no class, or a class whose latency objective or deadline is not above zero.
+    /// [`PolicySettingsError`] if the settings contain no class, or a class whose latency objective or deadline is not
+    /// above zero.
     pub fn new(
         settings: PolicySettings,
         seed: u64,
@@ -80,14 +83,14 @@
         })
     }
 
-    /// Sets the first timer and, where the list must be polled, the time of the first poll. To be called once, right
-    /// after [`Balancer::new`].
+    /// Sets the first timer and, where the list has to be polled, the time of the first poll. The caller calls this
+    /// once, right after [`Balancer::new`].
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         self.polling.start(now, &mut self.rng);
         self.set_timer(now, out);
     }
 
-    /// A timer is due. Tokens that this balancer did not set are ignored.
+    /// Handles a timer that is due. Tokens that this balancer did not set are ignored.
     pub fn timer_fired(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
         if token != HOUSEKEEPING_TIMER {
             return;
@@ -107,7 +110,8 @@
         out.push(Action::SetTimer { token: HOUSEKEEPING_TIMER, at });
     }
 
-    /// A client's request has arrived; it is forwarded, queued or rejected.
+    /// Handles the arrival of a client's request, which is forwarded, queued or rejected. A request of an unknown class
+    /// is rejected, and one whose id is already open is ignored.
     pub fn request_arrived(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() {
             out.push(Action::Reject { request: request.id, retry_after: Span(0) });
@@ -135,9 +139,10 @@
         self.dispatch(now, out);
     }
 
-    /// Whether a request that seems to come too late for its objective is tried all the same: one of a class at a
-    /// time, where none of the class has time enough, or no answer would ever show otherwise. Failure: after answers
-    /// slower than its objective a class was rejected for good, by idle servers.
+    /// Whether a request that seems too late for its objective is admitted as a probe. If the latency of earlier
+    /// answers makes every request of the class too late, one request of the class at a time is admitted, since the
+    /// estimate changes only with new answers. Without probes, a class whose answers were slower than its objective for
+    /// a while was rejected forever, although the servers were idle.
     fn may_probe(&self, now: Time, request: &Request, deadlines: &Deadlines) -> bool {
         let class = request.class;
         let objective = self.settings.classes[class].latency_objective;
@@ -151,7 +156,7 @@
         self.admission.admits(class, self.service_times.overall(), full_share, open)
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt. A result for an unknown attempt, or a second result for one, is ignored.
     pub fn attempt_ended(&mut self, now: Time, result: AttemptResult, out: &mut Vec<Action>) {
         let Some(attempt) = self.requests.close_attempt(&result) else { return };
         self.record_result(now, &attempt, &result);
@@ -163,7 +168,7 @@
         self.dispatch(now, out);
     }
 
-    /// Takes the result of an attempt into every estimate, and frees its slot.
+    /// Updates all estimates with the result of an attempt, and frees its slot.
     fn record_result(&mut self, now: Time, attempt: &EndedAttempt, result: &AttemptResult) {
         let latency = result.latency.as_micros_f64();
         match result.outcome {
@@ -185,8 +190,9 @@
         }
     }
 
-    /// A timeout lowers the limit too, unless its server stands out: one that hangs tells of itself. Failure: once
-    /// all is overloaded nothing answers, and a limit that only answers move stays.
+    /// Lowers the concurrency limit after a timeout, unless the server is an outlier: its timeouts say nothing about
+    /// the others. Once all servers are overloaded there are no answers, so a limit that only answers adjust would stay
+    /// too high.
     fn record_timeout(&mut self, attempt: &EndedAttempt, latency: f64) {
         let server = &self.servers.all()[attempt.server];
         if !self.service_times.is_typical(server) {
@@ -205,7 +211,7 @@
         self.adjust_limit(attempt.class, latency);
         self.slow_start.record_served(now, &self.servers.all()[attempt.server]);
         if !self.service_times.is_settled() {
-            // The first answers move too much for sums of the last housekeeping.
+            // The first answers change the estimates too much to keep the sums until the next housekeeping.
             self.refresh_capacity();
         }
     }
@@ -221,7 +227,7 @@
         self.limit.adjust(&sample, self.settings.balancers);
     }
 
-    /// After an attempt that did not serve the request: queues it for a retry, or answers it.
+    /// Queues a request for a retry after an attempt that did not serve it, or answers it.
     fn retry_or_finish(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.ended {
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Answers a request that is not served: with a rejection where it may safely be repeated.
+    /// Answers a request that is not served: rejects it if its client may safely repeat it, else fails it.
     fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if self.retry_rules().may_reject(request) {
@@ -262,17 +268,17 @@
         self.end(id);
     }
 
-    /// The client no longer waits; no answer is due.
+    /// Handles a client that no longer waits: its request gets no answer.
     pub fn client_gone(&mut self, _now: Time, id: RequestId, _out: &mut Vec<Action>) {
         self.end(id);
     }
 
-    /// The answer has begun to stream to the client: no other attempt may answer.
+    /// Handles the start of an answer that is streamed to the client: no other attempt may answer the request.
     pub fn stream_started(&mut self, _now: Time, id: RequestId, _out: &mut Vec<Action>) {
         self.end(id);
     }
 
-    /// Notes that a request has its final answer; it is forgotten once no attempt of it is in flight.
+    /// Marks a request as finished, and removes it once none of its attempts is in flight.
     fn end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.ended = true;
@@ -284,7 +290,7 @@
         }
     }
 
-    /// Answers requests that were queued for too long.
+    /// Answers the queued requests whose queue deadline has passed.
     fn abandon_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |request: &OpenRequest| request.queued && now >= request.queue_deadline;
         let is_overdue = |id: &RequestId| self.requests.get(*id).is_some_and(overdue);
@@ -306,7 +312,7 @@
         self.queue.push_retry(id, request.class);
     }
 
-    /// First come, first served, while some server has a free slot. A class that no server takes does not hold up
+    /// Forwards queued requests in order while a server has a free slot. A class that no server takes does not block
     /// the classes behind it.
     fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut position = 0;
@@ -329,7 +335,7 @@
                 self.forward(now, id, server, out);
                 continue;
             }
-            // A retry may merely be bound to other servers: it blocks nothing.
+            // A retry may be restricted to servers that are busy, while new requests of its class are not.
             blocked[class] |= !is_retry;
             if blocked.iter().all(|blocked| *blocked) {
                 break;
@@ -377,7 +383,7 @@
         slow_start::initial_rate(self.settings.balancers, self.service_times.overall())
     }
 
-    /// The endpoint list, or a change to it.
+    /// Applies an endpoint list or a change to it, and forwards queued requests to the new servers.
     pub fn update_endpoints(
         &mut self,
         now: Time,
@@ -399,7 +405,8 @@
             if self.servers.is_irrelevant(endpoint) {
                 continue;
             }
-            // Spread over all balancers: a random part of the first request's token is there at once.
+            // A server that has just started begins with a random part of its first token, so that the first requests
+            // of all balancers do not reach it at the same time.
             let initial_tokens = self.rng.rand_float();
             self.servers.update(endpoint, classes, initial_tokens, now);
         }
@@ -410,7 +417,7 @@
         self.servers.remove_gone(|server| requests.any_tried(server));
     }
 
-    /// Brings up to date what is summed over all servers.
+    /// Refreshes the estimates and sums over all servers.
     fn refresh(&mut self, now: Time) {
         for class in 0..self.settings.classes.len() {
             let ejected = self.servers.is_ejected_everywhere(class, now);
@@ -435,24 +442,25 @@
         self.admission.refresh(rate, &self.settings.classes, &self.service_times);
     }
 
-    /// The servers are shared by this many balancers from now on.
+    /// Sets the number of balancers that share the servers; 0 counts as 1.
     pub fn set_balancers(&mut self, balancers: u32) {
         let before = std::mem::replace(&mut self.settings.balancers, balancers.max(1));
         self.limit.set_balancers(before, self.settings.balancers);
     }
 
-    /// Whether a server is on the list or something of it is still open.
+    /// Whether a server is on the list, or an open request or attempt still refers to it.
     pub fn has_server(&self, id: ServerId) -> bool {
         self.servers.has_server(id)
     }
 
-    /// A server's requests in flight, `K_i`, and `N_i` within a time, for gauges; `None` if it is not known.
+    /// The requests in flight at a server, its `K_i`, and its `N_i` with `time` for T_QoS, for gauges; `None` if the
+    /// server is unknown.
     pub fn server_gauge(&self, id: ServerId, time: Span) -> Option<ServerGauge> {
         let capacity = Capacity { service_times: &self.service_times, limit: &self.limit };
         self.servers.by_id(id).map(|server: &Server| capacity.gauge(server, time))
     }
 
-    /// A health check was answered. The policy draws no conclusion from it so far.
+    /// Handles the answer to a health check. The policy does not use it yet.
     pub fn health_checked(
         &mut self,
         _server: ServerId,
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -1,28 +1,28 @@
-//! The times up to which a request is worth queueing and answering.
+//! The deadlines of a request: until when it may be queued, and until when an answer has any weight.
 
 use sableloom_types::{PolicySettings, Request, Span, Time};
 
 use crate::settings;
 
-/// A queued request is rejected this many housekeeping intervals before its objective, while a rejection is still
-/// of use to its client.
+/// The number of housekeeping intervals before its latency objective at which a queued request is rejected, while the
+/// rejection is still of use to its client.
 const REJECTION_LEAD_IN_INTERVALS: i64 = 2;
 
-/// The times that follow from the arrival of a request, its class, and the mean latency of its class.
+/// The deadlines that follow from the arrival of a request, its class and the mean latency of its class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadlines {
-    /// When an answer stops having any weight; attempts time out then.
+    /// When an answer no longer has any weight; attempts time out then.
     pub(crate) answer_deadline: Time,
-    /// When the request must be abandoned if it is still queued.
+    /// When the request is answered without an attempt if it is still queued.
     pub(crate) queue_deadline: Time,
-    /// The last moment at which a rejection is still of use.
+    /// The last time at which a rejection is still of use to the client.
     rejection_time: Time,
-    /// The mean latency of the class; zero before any answer of it.
+    /// The mean latency of the class; zero before its first answer.
     mean_latency: Span,
 }
 
 impl Deadlines {
-    /// The deadlines of a request that arrives now; `class_mean` is in microseconds.
+    /// The deadlines of a request that arrives now; `class_mean`, the mean latency of its class, is in microseconds.
     pub(crate) fn new(
         now: Time,
         request: &Request,
@@ -34,9 +34,9 @@
         let late_answer_has_weight = class.late_priority_weight > 0.0;
         let interval = settings::housekeeping_interval(settings).0;
         let rejection_time = Time(objective.0 - REJECTION_LEAD_IN_INTERVALS * interval);
-        // Also where a late answer keeps some weight a request is queued only while its objective can be met: else,
-        // in lasting overload, the whole queue is served late. Failure: retries with what was left of their first
-        // try's time were forwarded too late; a sixth of all timed out.
+        // A request is queued only while its objective can be met, even if a late answer keeps some weight; otherwise
+        // the whole queue would be served late in lasting overload. Without this, retries that had the rest of the time
+        // of their first try were forwarded too late, and a sixth of all attempts timed out.
         let mean_latency = Span::from_micros_f64(class_mean);
         let latest = objective.0 - mean_latency.0;
         Self {
@@ -52,8 +52,8 @@
         now >= self.queue_deadline
     }
 
-    /// Whether requests of the class come too late only because of the latency of earlier answers, which takes as
-    /// long as the `usual_time` that they have.
+    /// Whether the request is too late only by the mean latency of earlier answers, and the mean is so long that
+    /// requests that have the `usual_time` left are too late as well.
     pub(crate) fn is_late_by_estimate_only(&self, now: Time, usual_time: Span) -> bool {
         now < self.rejection_time && self.mean_latency >= usual_time
     }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list in force, each under an index that stays the same while it is known.
+//! The servers of the current endpoint list, each with an index that stays the same while the server is known.
 
 use rustc_hash::FxHashMap;
 use sableloom_types::{Endpoint, EndpointStatus, ServerId, Time};
@@ -6,58 +6,58 @@
 use crate::server::Server;
 use crate::service_time_estimate::ServiceTimeEstimate;
 
-/// Servers by index. Indices of servers that were forgotten are used again.
+/// The servers by index. The indices of removed servers are reused.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
     servers: Vec<Server>,
     by_id: FxHashMap<ServerId, usize>,
-    /// Indices of servers that were forgotten, in descending order.
+    /// The indices of removed servers, in descending order.
     vacant: Vec<usize>,
 }
 
 impl ServerTable {
-    /// All servers by index, also those that are gone or forgotten.
+    /// All servers by index, including those that are gone or removed.
     pub(crate) fn all(&self) -> &[Server] {
         &self.servers
     }
 
-    /// The same, to be changed.
+    /// All servers by index, mutable.
     pub(crate) fn all_mut(&mut self) -> &mut [Server] {
         &mut self.servers
     }
 
-    /// Servers that the list has take requests.
+    /// The servers that are live in the list.
     pub(crate) fn live(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter().filter(|server| server.is_live())
     }
 
-    /// Whether there are live servers, and all of them are ejected for a class.
+    /// Whether there are live servers and all of them are ejected for a class.
     pub(crate) fn is_ejected_everywhere(&self, class: usize, now: Time) -> bool {
         let mut live = self.live().peekable();
         live.peek().is_some() && live.all(|server| server.outliers[class].is_ejected(now))
     }
 
-    /// A server by its id, while it is known.
+    /// The server with this id; `None` if it is unknown.
     pub(crate) fn by_id(&self, id: ServerId) -> Option<&Server> {
         Some(&self.servers[*self.by_id.get(&id)?])
     }
 
-    /// Whether a server is listed, or something of it is still open.
+    /// Whether a server is on the list, or an open request or attempt still refers to it.
     pub(crate) fn has_server(&self, id: ServerId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// Withdraws every server, before a full list.
+    /// Marks every server as gone, before a full list is applied.
     pub(crate) fn withdraw_all(&mut self) {
         self.servers.iter_mut().for_each(|server| server.status = EndpointStatus::Gone);
     }
 
-    /// Whether an entry of a list says nothing: it withdraws a server that nobody knows.
+    /// Whether an entry of a list has no effect, since it withdraws an unknown server.
     pub(crate) fn is_irrelevant(&self, endpoint: &Endpoint) -> bool {
         endpoint.status == EndpointStatus::Gone && !self.has_server(endpoint.id)
     }
 
-    /// Takes over an entry of a list; see [`Server::update`].
+    /// Applies an entry of a list; see [`Server::update`].
     pub(crate) fn update(
         &mut self,
         endpoint: &Endpoint,
@@ -84,9 +84,9 @@
         index
     }
 
-    /// Forgets servers that are gone. Failure: where servers are replaced all day, each call looked at every one
-    /// that had ever been. One that has an attempt in flight, may still work on one, or was tried by a request that
-    /// is still open stays known until a later list.
+    /// Removes the servers that are gone. Otherwise, where servers are replaced all the time, each call would iterate
+    /// over all that were ever listed. A server that may still be executing an attempt, or that an open request has
+    /// tried, is kept until a later list.
     pub(crate) fn remove_gone(&mut self, was_tried: impl Fn(usize) -> bool) {
         let (servers, vacant) = (&mut self.servers, &mut self.vacant);
         self.by_id.retain(|_, &mut index| {
@@ -99,7 +99,7 @@
             vacant.push(index);
             false
         });
-        // The order of a hash map must not decide which index is used next.
+        // Sorting makes the next index independent of the order of the hash map.
         vacant.sort_unstable_by(|a, b| b.cmp(a));
     }
 }
--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -1,19 +1,19 @@
-//! The slots in use. An attempt that timed out keeps its slot until its server may have finished it.
+//! The slots in use. An attempt that timed out keeps its slot for a while, since its server may still execute it.
 
 use sableloom_types::{Span, Time};
 
 use crate::server::Server;
 
-/// A timed-out attempt keeps its slot for this many times its timeout: the server may still work on it, and a slot
-/// that is freed at once piles unseen work on the server.
+/// How long a timed-out attempt keeps its slot, in timeouts. The server may still execute it, and if the slot were
+/// freed at once, the server would get more work than its slots allow.
 const ABANDONED_SLOT_TIMEOUTS: f64 = 1.0;
 
-/// A timed-out attempt that may still be running.
+/// A timed-out attempt that its server may still execute.
 #[derive(Clone, Copy, Debug)]
 struct AbandonedAttempt {
-    /// When its slot is free again.
+    /// When its slot is freed.
     until: Time,
-    /// Index of its server.
+    /// The index of its server.
     server: usize,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl InFlight {
-    /// Slots in use at all servers together.
+    /// The number of slots in use at all servers together.
     pub(crate) fn total(&self) -> usize {
         self.total
     }
@@ -42,13 +42,13 @@
         server.in_flight -= 1;
     }
 
-    /// Keeps the slot of an attempt that timed out after `latency` microseconds.
+    /// Keeps the slot of an attempt that timed out after `latency` microseconds, for [`ABANDONED_SLOT_TIMEOUTS`].
     pub(crate) fn abandon(&mut self, now: Time, server: usize, latency: f64) {
         let kept = Span::from_micros_f64(latency * ABANDONED_SLOT_TIMEOUTS);
         self.abandoned.push(AbandonedAttempt { until: now.plus(kept), server });
     }
 
-    /// Frees the slots of timed-out attempts that their servers have had time to finish.
+    /// Frees the slots of the timed-out attempts that have kept them long enough.
     pub(crate) fn release_abandoned(&mut self, now: Time, servers: &mut [Server]) {
         let total = &mut self.total;
         self.abandoned.retain(|attempt| {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,36 +1,39 @@
-//! The decisions on the path of a request: which server it is forwarded to, whether it is retried, whether it is
-//! rejected. No I/O, no clock, no threads.
+//! The decisions on the path of a request: which server it is forwarded to, whether it is retried and whether it is
+//! rejected. The crate does no I/O, reads no clock and starts no threads.
 //!
-//! Requests wait in a first-come queue until a server has a free slot. A server `i` with round-trip time `2*TP_i`
-//! and service time `TS_i` gets at most `K_i = 2*TP_i/TS_i + 1` requests at once, and a request is rejected at
-//! once when queued plus in flight reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)` (Ould Deye et al.). Around
-//! that stand the limits that the paper leaves open: a concurrency limit that adapts to latency, outlier
+//! Requests wait in a first-in, first-out queue until a server has a free slot. A server `i` with round-trip time
+//! `2*TP_i` and service time `TS_i` gets at most `K_i = 2*TP_i/TS_i + 1` requests at once. A request is rejected
+//! immediately when the requests queued and in flight reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)` (Ould Deye et
+//! al.). This crate adds the limits that the paper leaves open: a concurrency limit that adapts to latency, outlier
 //! detection, slow start, tenant quotas and the rules on retries.
 //!
-//! [`Balancer`] is the facade: its caller tells it what happened, and carries out the [`sableloom_types::Action`]s
-//! that it returns, in order. It orders the parts and holds no rule of its own; each part is a module that owns
+//! [`Balancer`] is the facade: its caller reports events to it, and carries out the [`sableloom_types::Action`]s that
+//! it returns, in order. It calls the parts in order and contains no rule of its own. Each part is a module that owns
 //! its state:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `queue` | who is next; which classes are held up |
+//! | `queue` | the order of requests; which classes no server takes |
 //! | `selection` | the server, among those with a free slot |
 //! | `capacity` | `K_i` and `N_i` of a server |
-//! | `service_time`, `service_time_estimate` | the estimates of `TP_i` and `TS_i` by server, machine kind and class |
-//! | `concurrency_limit` | the adaptive limit, raised and lowered by the latency of answers |
-//! | `admission` | the limit on queued plus in flight, priority shares, Retry-After |
+//! | `service_time`, `service_time_estimate` | the estimates of `TP_i` and `TS_i` by server, machine type and class |
+//! | `concurrency_limit` | the limit on requests in flight, which the latency of answers raises and lowers |
+//! | `admission` | the limit on requests queued and in flight, priority shares, Retry-After |
 //! | `deadlines` | until when a request is worth queueing |
 //! | `retry` | whether a request may be forwarded again, and whether it may be rejected |
 //! | `outlier` | consecutive failures by server, class and zone; ejection |
-//! | `usable_share` | how much of each server can be used |
-//! | `slow_start` | the tokens of a server that warms up |
+//! | `usable_share` | the share of its capacity that each server can serve with now |
+//! | `slow_start` | when a server that warms up may get a request |
 //! | `tenant_quota` | whether a tenant is within its quota |
 //! | `request` | the state of open requests and of their attempts |
-//! | `in_flight` | the slots in use, also by attempts that timed out |
+//! | `in_flight` | the slots in use, including those of attempts that timed out |
 //! | `endpoints`, `list_polling` | the servers of the list in force; when the list is polled |
 //!
-//! Invariants: a request gets one final answer; a request that is not idempotent is forwarded again only while
-//! every earlier attempt provably was not executed; the same events, times and seed give the same actions.
+//! Invariants:
+//!
+//! - a request gets one final answer;
+//! - a request that is not idempotent is forwarded again only if no earlier attempt can have been executed;
+//! - the same events, times and seed give the same actions.
 //!
 //! ```
 //! use sableloom_policy::Balancer;
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -1,19 +1,20 @@
-//! When the endpoint list is polled, where it does not come by itself.
+//! The times at which the endpoint list is polled, where its source does not push it.
 
 use oorandom::Rand64;
 use sableloom_types::{PolicySettings, Span, Time};
 
-/// Longest random wait before the first poll, as a share of the poll interval: fleets restart together.
+/// The longest random wait before the first poll, as a share of the poll interval. It spreads the polls of a fleet
+/// whose balancers start together.
 const JITTER_FRACTION_OF_INTERVAL: f64 = 0.05;
-/// A poll without an answer is repeated after this share of the poll interval.
+/// The time after which a poll without an answer is repeated, as a share of the poll interval.
 const RETRY_FRACTION_OF_INTERVAL: f64 = 0.5;
-/// Most doublings of the wait after polls that failed.
+/// The largest number of doublings of the backoff after failed polls.
 const MAX_DOUBLINGS: i32 = 3;
 
-/// The state of the subscription to the list.
+/// The state of the subscription to the endpoint list.
 #[derive(Debug)]
 pub(crate) struct ListPolling {
-    /// Whether the list must be polled at all.
+    /// Whether the list has to be polled.
     polls: bool,
     interval: Span,
     subscribed: bool,
@@ -32,18 +33,18 @@
         }
     }
 
-    /// Draws the time of the first poll.
+    /// Draws the time of the first poll at random.
     pub(crate) fn start(&mut self, now: Time, rng: &mut Rand64) {
         self.next_poll = now.plus(self.jitter(rng, JITTER_FRACTION_OF_INTERVAL));
     }
 
-    /// A list has come over the subscription.
+    /// Records that a list has arrived over the subscription.
     pub(crate) fn list_received(&mut self) {
         self.subscribed = true;
         self.failures = 0;
     }
 
-    /// A poll failed or the subscription broke: the next poll is due after a random backoff.
+    /// Records that a poll failed or the subscription broke. The next poll is due after a random backoff.
     pub(crate) fn poll_failed(&mut self, now: Time, rng: &mut Rand64) {
         self.subscribed = false;
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
@@ -51,7 +52,7 @@
         self.next_poll = now.plus(self.jitter(rng, backoff));
     }
 
-    /// Whether a poll is due; then the time of its repetition is drawn.
+    /// Whether a poll is due. If so, draws the time at which it is repeated unless a list arrives.
     pub(crate) fn is_due(&mut self, now: Time, rng: &mut Rand64) -> bool {
         if !self.polls || self.subscribed || now < self.next_poll {
             return false;
@@ -63,7 +64,7 @@
         true
     }
 
-    /// A random span of up to this share of the poll interval.
+    /// A random span of up to `fraction` of the poll interval.
     fn jitter(&self, rng: &mut Rand64, fraction: f64) -> Span {
         Span::from_micros_f64(rng.rand_float() * fraction * self.interval.as_micros_f64())
     }
--- a/crates/policy/src/mean.rs
+++ b/crates/policy/src/mean.rs
@@ -1,9 +1,9 @@
-//! A running mean that first averages and then forgets.
+//! A running mean that averages the first observations and is an exponential moving average after that.
 
-/// Weight of a new observation once many have been taken in: about the last fifty count.
+/// The smallest weight of a new observation: about the last fifty observations count.
 const MIN_GAIN: f64 = 0.02;
 
-/// A mean and the number of observations behind it.
+/// A mean and the number of observations that it rests on.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     pub(crate) value: f64,
@@ -11,18 +11,18 @@
 }
 
 impl Mean {
-    /// A value that no observation supports yet.
+    /// A mean that is assumed before any observation.
     pub(crate) const fn assumed(value: f64) -> Self {
         Self { value, count: 0.0 }
     }
 
-    /// Takes in an observation. The assumed value counts as `prior` observations.
+    /// Adds an observation. The assumed value counts as `prior` observations.
     pub(crate) fn update(&mut self, observation: f64, prior: f64) {
         self.count += 1.0;
         self.value += (observation - self.value) * (1.0 / (prior + self.count)).max(MIN_GAIN);
     }
 
-    /// Whether single observations no longer move it much.
+    /// Whether there are enough observations that a single one changes the mean little.
     pub(crate) fn is_settled(&self) -> bool {
         self.count * MIN_GAIN >= 1.0
     }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,33 +1,33 @@
-//! Outlier detection: consecutive failures eject a server for a class, a server that can't be reached for all
-//! classes, and a zone whose connections fail.
+//! Outlier detection: consecutive failures of a class eject a server for that class, failed connections eject a server
+//! for all classes, and consecutive failed connections in a zone eject the zone.
 
 use rustc_hash::FxHashMap;
 use sableloom_types::{Outcome, Span, Time};
 
-/// Consecutive failures of one class at one server after which the server is ejected for the class, and tried
-/// with one request at a time until one is served.
+/// The number of consecutive failures of one class at one server after which the server is ejected for the class, and
+/// then probed with one request at a time until one is served.
 const CONSECUTIVE_FAILURES: u32 = 2;
-/// Ejection time after the first failure that counts, as a share of the mean service time; each further one
+/// The ejection time after the first failure that counts, as a share of the mean service time. Each further failure
 /// doubles it.
 const EJECTION_FRACTION_OF_SERVICE_TIME: f64 = 0.5;
-/// Most doublings of the ejection time: some thirty service times between two trials of a dead server.
+/// The largest number of doublings of the ejection time: a dead server is probed about every thirty service times.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Ejection time in a row of failures, for a mean service time in microseconds.
+/// The ejection time after this many doublings, for a mean service time in microseconds.
 fn ejection_time(service_time: f64, doublings: u32) -> Span {
     let factor = f64::from(1 << doublings);
     Span::from_micros_f64(service_time * EJECTION_FRACTION_OF_SERVICE_TIME * factor)
 }
 
-/// How a server fares with one class, or the connections to a zone.
+/// The consecutive failures of one class at a server, or of the connections to a zone.
 ///
-/// Guards against a server that is useless for some of the work only: a part of it fails, rejects or hangs.
-/// Failure: six servers of ten rejected one class after 95 ms; all classes paused there, as many came again, and
-/// half of that class's attempts ended there. Does harm where failures come in a row by chance: the server stands
+/// Ejection is by class, since a server may fail, reject or delay only some of the work. When six servers of ten
+/// rejected one class after 95 ms, all classes paused at these servers, then as many requests were forwarded there
+/// again, and half of the attempts of that class ended there. Failures that are consecutive by chance leave the server
 /// idle for one ejection time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutlierState {
-    /// Failures in a row, but for those of attempts that began before the ejection.
+    /// The number of consecutive failures, without those of attempts that were sent before the ejection ended.
     consecutive_failures: u32,
     ejected_until: Time,
     in_flight: u32,
@@ -38,12 +38,12 @@
         Self { consecutive_failures: 0, ejected_until: now, in_flight: 0 }
     }
 
-    /// Whether an attempt may begin: it is not ejected, or it is due for a trial with one request.
+    /// Whether an attempt may begin: there is no ejection, or a probe is due and no attempt is in flight.
     pub(crate) fn permits(&self, now: Time) -> bool {
         now >= self.ejected_until && (!self.has_failed_repeatedly() || self.in_flight == 0)
     }
 
-    /// Whether it is ejected or on trial.
+    /// Whether it is ejected, or probed after an ejection.
     pub(crate) fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until || self.has_failed_repeatedly()
     }
@@ -57,11 +57,11 @@
         self.in_flight += 1;
     }
 
-    /// Counts a failure of an attempt sent at `sent`. The first `tolerated` failures in a row eject nothing.
+    /// Counts a failure of an attempt sent at `sent`. The first `tolerated` consecutive failures cause no ejection.
     fn record_failure(&mut self, now: Time, sent: Time, service_time: f64, tolerated: u32) {
         let sent_before_ejection_ended = self.has_failed_repeatedly() && sent < self.ejected_until;
         if now < self.ejected_until || sent_before_ejection_ended {
-            return; // The same fault, already counted.
+            return; // The fault that led to the ejection is already counted.
         }
         if self.consecutive_failures >= tolerated {
             let doublings = (self.consecutive_failures - tolerated).min(MAX_DOUBLINGS);
@@ -75,8 +75,8 @@
         self.consecutive_failures = 0;
     }
 
-    /// Counts the end of an attempt of the class at the server. A rejection ejects at once, an error only when
-    /// it is not the first in a row.
+    /// Counts the end of an attempt of the class at the server. A rejection ejects at once, an error only after another
+    /// failure.
     pub(crate) fn class_attempt_ended(
         &mut self,
         outcome: Outcome,
@@ -96,10 +96,10 @@
     }
 }
 
-/// Connections to one server that failed in a row.
+/// The consecutive failed connections to one server.
 ///
-/// Failure: the servers of a lost zone, long still on the list, were tried again every few milliseconds by every
-/// balancer, and most attempts of the fleet ended there.
+/// Without ejection, the servers of an unreachable zone, which stay on the list for long, were tried every few
+/// milliseconds by every balancer, and most attempts of the fleet ended there.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectFailures {
     consecutive: u32,
@@ -111,12 +111,12 @@
         Self { consecutive: 0, ejected_until: now }
     }
 
-    /// Whether a connection may be tried.
+    /// Whether a connection may be attempted.
     pub(crate) fn permits(&self, now: Time) -> bool {
         now >= self.ejected_until
     }
 
-    /// Whether the last connection came up, as far as is known.
+    /// Whether no connection has failed since the last request that was served.
     pub(crate) fn is_reachable(&self) -> bool {
         self.consecutive == 0
     }
@@ -132,15 +132,15 @@
 
     fn record_failure(&mut self, now: Time, service_time: f64) {
         if now < self.ejected_until {
-            return; // It began before the ejection: the same fault, already counted.
+            return; // The attempt began before the ejection, and the fault is already counted.
         }
         self.ejected_until = now.plus(ejection_time(service_time, self.consecutive));
         self.consecutive = (self.consecutive + 1).min(MAX_DOUBLINGS);
     }
 }
 
-/// How connections to each zone fare. Failure: each balancer learnt by itself for each server of a zone that was
-/// cut off, and a fifth of all attempts waited for connections.
+/// The consecutive failed connections to each zone. When only servers were ejected, each balancer had to detect every
+/// server of an unreachable zone separately, and a fifth of all attempts waited for connections.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneOutliers {
     zones: FxHashMap<u32, OutlierState>,
@@ -152,7 +152,7 @@
         self.zones.get(&zone).is_none_or(|state| state.permits(now))
     }
 
-    /// Whether connections to the zone have failed so often that it seems cut off.
+    /// Whether so many consecutive connections to the zone have failed that it seems unreachable.
     pub(crate) fn seems_unreachable(&self, zone: u32) -> bool {
         self.zones.get(&zone).is_some_and(OutlierState::has_failed_repeatedly)
     }
@@ -162,7 +162,7 @@
         self.zones.entry(zone).or_insert(OutlierState::new(now)).attempt_began();
     }
 
-    /// Counts the end of an attempt in the zone; any answer proves that the zone can be reached.
+    /// Counts the end of an attempt in the zone. Any answer shows that the zone can be reached.
     pub(crate) fn attempt_ended(
         &mut self,
         zone: u32,
@@ -172,7 +172,7 @@
         service_time: f64,
     ) {
         let state = self.zones.entry(zone).or_insert(OutlierState::new(now));
-        // A list that moved the server to another zone leaves one zone with too many and one with too few.
+        // If a list moves a server to another zone, the count of one zone becomes too high, that of the other too low.
         state.in_flight = state.in_flight.saturating_sub(1);
         match outcome {
             Outcome::ConnectFailed => {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,19 +1,19 @@
-//! The first-come queue of requests that wait for a free slot.
+//! The first-in, first-out queue of requests that wait for a free slot.
 
 use std::collections::VecDeque;
 
 use sableloom_types::RequestId;
 
-/// What is queued of one class.
+/// The queued requests of one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassQueue {
     queued: usize,
-    /// Every live server is ejected for the class.
+    /// Whether every live server is ejected for the class.
     ejected_everywhere: bool,
 }
 
-/// Requests in the order of their arrival; one that is retried goes to the head. Requests that have left the queue
-/// may still have an entry, which [`Self::remove_at`] removes when dispatch meets it.
+/// Requests in the order of their arrival; a request that is retried goes to the head. A request that has left the
+/// queue may still have an entry, which dispatch removes with [`Self::remove_at`] when it reaches it.
 #[derive(Debug)]
 pub(crate) struct RequestQueue {
     order: VecDeque<RequestId>,
@@ -26,12 +26,12 @@
         Self { order: VecDeque::new(), queued: 0, classes: vec![ClassQueue::default(); classes] }
     }
 
-    /// Requests that are queued.
+    /// The number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.queued
     }
 
-    /// Entries from the head, also those of requests that have left.
+    /// The entries from the head, including those of requests that have left.
     pub(crate) fn entries(&self) -> impl Iterator<Item = RequestId> {
         self.order.iter().copied()
     }
@@ -63,20 +63,20 @@
         self.classes[class].queued += 1;
     }
 
-    /// Counts a request of this class that is no longer queued.
+    /// Records that a request of this class is no longer queued.
     pub(crate) fn request_left(&mut self, class: usize) {
         self.queued -= 1;
         self.classes[class].queued -= 1;
     }
 
-    /// Notes whether every live server is ejected for a class.
+    /// Sets whether every live server is ejected for a class.
     pub(crate) fn set_ejected_everywhere(&mut self, class: usize, ejected: bool) {
         self.classes[class].ejected_everywhere = ejected;
     }
 
-    /// Queued requests that compete with those of this class: all but the ones of other classes for which every
-    /// server is ejected. Failure: one class that was rejected everywhere filled the queue, and the others were
-    /// rejected beside idle servers.
+    /// The number of queued requests that compete with those of this class: all but the requests of other classes for
+    /// which every server is ejected. When those counted as well, a class that all servers rejected filled the queue,
+    /// and the other classes were rejected although servers were idle.
     pub(crate) fn competing_with(&self, class: usize) -> usize {
         let not_competing =
             |(index, queue): &(usize, &ClassQueue)| *index != class && queue.ejected_everywhere;
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,25 +1,25 @@
-//! State of open requests and of their attempts.
+//! The state of open requests and of their attempts.
 
 use rustc_hash::FxHashMap;
 use sableloom_types::{AttemptResult, Request, RequestId, Time};
 
 use crate::deadlines::Deadlines;
 
-/// What is known of whether an attempt was executed.
+/// Whether an attempt has ended and whether it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// No result yet.
+    /// The attempt has no result yet.
     InFlight,
-    /// Provably not executed.
+    /// The attempt ended and provably was not executed.
     NotExecuted,
-    /// Ended, and may have been executed.
+    /// The attempt ended and may have been executed.
     MayHaveExecuted,
 }
 
-/// One forwarding of a request to a server.
+/// One attempt of a request at a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// Index of the server.
+    /// The index of the server.
     pub(crate) server: usize,
     pub(crate) sent: Time,
     pub(crate) state: AttemptState,
@@ -30,20 +30,20 @@
 pub(crate) struct OpenRequest {
     pub(crate) class: usize,
     pub(crate) key: Option<u64>,
-    /// When the client stops waiting.
+    /// When the client stops waiting for the answer.
     pub(crate) deadline: Time,
-    /// When an answer stops having any weight; attempts time out then.
+    /// When an answer no longer has any weight; attempts time out then.
     pub(crate) answer_deadline: Time,
-    /// When it must be abandoned if it is still queued.
+    /// When the request is answered without an attempt if it is still queued.
     pub(crate) queue_deadline: Time,
     pub(crate) queued: bool,
-    /// Its final answer is given or its client has left.
+    /// Whether the final answer was given or the client no longer waits.
     pub(crate) ended: bool,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl OpenRequest {
-    /// A request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub(crate) fn new(request: &Request, deadlines: &Deadlines) -> Self {
         Self {
             class: request.class,
@@ -57,32 +57,32 @@
         }
     }
 
-    /// Whether an attempt of it is in flight.
+    /// Whether an attempt of the request is in flight.
     pub(crate) fn in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether every attempt of it provably was not executed.
+    /// Whether every attempt has ended and provably was not executed.
     pub(crate) fn never_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::NotExecuted)
     }
 
-    /// Whether an attempt of it went to this server.
+    /// Whether an attempt was sent to this server.
     pub(crate) fn tried(&self, server: usize) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
 }
 
-/// An attempt whose result has come.
+/// An attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) class: usize,
-    /// Index of its server.
+    /// The index of the server.
     pub(crate) server: usize,
     pub(crate) sent: Time,
 }
 
-/// The open requests by their ids.
+/// The open requests by id.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequests {
     by_id: FxHashMap<RequestId, OpenRequest>,
@@ -114,12 +114,12 @@
         self.by_id.values().any(|request| request.class == class && request.in_flight())
     }
 
-    /// Whether a request that is open was forwarded to this server.
+    /// Whether an open request was forwarded to this server.
     pub(crate) fn any_tried(&self, server: usize) -> bool {
         self.by_id.values().any(|request| request.tried(server))
     }
 
-    /// Notes the result of an attempt; `None` if the attempt is unknown or has ended before.
+    /// Records the result of an attempt. Returns `None` if the attempt is unknown or has already ended.
     pub(crate) fn close_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let request = self.by_id.get_mut(&result.request)?;
         let attempt = request.attempts.get_mut(result.attempt)?;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,12 +1,12 @@
-//! The two places that say whether a request may be forwarded, for the first time or again, and whether it may be
-//! rejected. Both hold the rule that an effect happens once.
+//! The rules on whether a request may be forwarded, for the first time or again, and whether it may be rejected. Both
+//! ensure that the effect of a request that is not idempotent happens at most once.
 
 use sableloom_types::{AttemptLimits, DedupScope, Idempotency, PolicySettings, RequestClass, Time};
 
 use crate::request::{AttemptState, OpenRequest};
 use crate::server::Server;
 
-/// What the rules on retries depend on.
+/// The rules on retries and the state that they depend on.
 #[derive(Clone, Copy)]
 pub(crate) struct RetryRules<'a> {
     limits: &'a AttemptLimits,
@@ -15,13 +15,13 @@
 }
 
 impl<'a> RetryRules<'a> {
-    /// The rules of these settings for these servers.
+    /// The rules for these settings and these servers.
     pub(crate) fn new(settings: &'a PolicySettings, servers: &'a [Server]) -> Self {
         Self { limits: &settings.limits, classes: &settings.classes, servers }
     }
 
-    /// Whether a request may be forwarded to this server now. A keyed request may only go where its earlier
-    /// attempts that may have been executed are recognised, while they are.
+    /// Whether a request may be forwarded to this server now. A keyed request may be forwarded only to a server that
+    /// recognises it as a repeat of all earlier attempts that may have been executed.
     pub(crate) fn may_forward(&self, now: Time, request: &OpenRequest, server: usize) -> bool {
         let spent = request.attempts.len() >= self.limits.max_attempts;
         if request.ended || now >= request.deadline || spent {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether two servers drop each other's repeats.
+    /// Whether two servers drop repeats of each other's requests.
     fn share_dedup(&self, scope: DedupScope, one: usize, other: usize) -> bool {
         let (one, other) = (&self.servers[one], &self.servers[other]);
         match scope {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether a request may be rejected: its client may then repeat it.
+    /// Whether a request may be rejected, after which its client may repeat it.
     pub(crate) fn may_reject(&self, request: &OpenRequest) -> bool {
         let class = &self.classes[request.class];
         match class.idempotency {
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,4 +1,4 @@
-//! Selection of a server: among those with a free slot, the one that would answer soonest; equals by chance.
+//! Selection of a server: among those with a free slot, the one expected to answer soonest; ties are broken at random.
 
 use oorandom::Rand64;
 use sableloom_types::{PolicySettings, Time};
@@ -10,23 +10,23 @@
 use crate::server::Server;
 use crate::slow_start::SlowStart;
 
-/// A server of a remote zone costs this many times a local one where crossing zones has a price. Failure: with
-/// local ones always first, a zone with more clients than servers was overrun while others were idle.
+/// The factor on the cost of a server in a remote zone, where crossing zones has a price. When local servers always
+/// came first instead, a zone with more clients than servers was overloaded while other zones were idle.
 const REMOTE_ZONE_COST: f64 = 100.0;
-/// Smallest score of the rendezvous hash; keeps its logarithm finite.
+/// The smallest score of the rendezvous hash; it keeps the logarithm finite.
 const MIN_SCORE: f64 = 1e-12;
 
-/// How little a server is wanted; the least is selected. The order of the fields is the order of comparison.
+/// The rank of a server for a request; the lowest is selected. Fields are compared in their order.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
-    /// Connections to its zone fail.
+    /// Whether connections to the zone fail.
     zone_ejected: bool,
-    /// An attempt of the request already failed there.
+    /// Whether an attempt of the request already failed at the server.
     tried: bool,
     cost: f64,
 }
 
-/// What a selection depends on.
+/// The state that a selection depends on.
 pub(crate) struct Selection<'a> {
     pub(crate) now: Time,
     pub(crate) settings: &'a PolicySettings,
@@ -34,13 +34,13 @@
     pub(crate) zones: &'a ZoneOutliers,
     pub(crate) capacity: Capacity<'a>,
     pub(crate) slow_start: &'a SlowStart,
-    /// Rate of a server that warms up while nothing is known.
+    /// The rate of requests to a server that warms up while no warm server has answered, in requests a microsecond.
     pub(crate) initial_rate: f64,
     pub(crate) retry_rules: RetryRules<'a>,
 }
 
 impl Selection<'_> {
-    /// Index of the server that the request is forwarded to; `None` if none has a free slot for it.
+    /// The index of the server that the request is forwarded to; `None` if no server has a free slot for it.
     pub(crate) fn select(&self, request: &OpenRequest, rng: &mut Rand64) -> Option<usize> {
         let key = request.key.filter(|_| self.settings.key_affinity);
         let mut best: Option<(usize, Rank)> = None;
@@ -77,9 +77,9 @@
             && self.slow_start.permits(self.now, server, self.initial_rate)
     }
 
-    /// Weighted rendezvous hashing: the key, or chance, draws each server's score; its slowness and the requests that
-    /// it has raise the cost. All balancers that observe the same speeds send a key to the same server, and a hot one
-    /// gives way as its server slows.
+    /// The cost of a server by weighted rendezvous hashing. The key, or chance if there is none, determines the score
+    /// of each server; the server's slowness and its requests in flight raise the cost. All balancers that observe the
+    /// same speeds send a key to the same server, and a frequent key moves to other servers as that one slows down.
     fn cost(&self, class: usize, server: &Server, score: f64) -> f64 {
         let class_slowness = self.capacity.service_times.class_slowness(class, server.machine_type);
         let slowness = server.estimate.slowness() * class_slowness / server.weight;
@@ -91,7 +91,7 @@
     }
 }
 
-/// A number in [0, 1) that a key and a server have in common at every balancer.
+/// The score of a server for a key, in [0, 1), which is the same at every balancer.
 fn rendezvous_score(key: u64, identity: u64) -> f64 {
     let mut hash = (key ^ identity.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,4 +1,4 @@
-//! What the policy keeps of one server.
+//! The state that the policy keeps for one server.
 
 use sableloom_types::{Endpoint, EndpointStatus, ServerId, Time};
 
@@ -6,10 +6,10 @@
 use crate::service_time_estimate::ServiceTimeEstimate;
 use crate::token_bucket::TokenBucket;
 
-/// Highest machine kind that is distinguished; guards against a table that grows with a wrong index.
+/// The highest machine type that is distinguished. It bounds the tables by machine type if a list has a wrong index.
 const MAX_MACHINE_TYPE: u32 = 255;
 
-/// A server of the endpoint list, with what was observed of it.
+/// A server of the endpoint list, and the observations of it.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) id: ServerId,
@@ -17,26 +17,26 @@
     pub(crate) machine_type: u32,
     pub(crate) cell: u32,
     pub(crate) status: EndpointStatus,
-    /// Relative size.
+    /// The relative size.
     pub(crate) weight: f64,
-    /// When it last started, if it may still be warming up.
+    /// When the server last started, if it may still be warming up.
     pub(crate) started: Option<Time>,
-    /// A hash of its name that is the same at every balancer.
+    /// A hash of the server's name that is the same at every balancer.
     pub(crate) name_hash: u64,
-    /// Slots in use.
+    /// The number of slots in use.
     pub(crate) in_flight: u32,
     pub(crate) connect_failures: ConnectFailures,
-    /// By class.
+    /// By class: the consecutive failures and the ejection.
     pub(crate) outliers: Vec<OutlierState>,
     pub(crate) estimate: ServiceTimeEstimate,
-    /// Share of its capacity that can be used now, 0 to 1.
+    /// The share of its capacity that the server can serve with now, 0 to 1.
     pub(crate) usable_share: f64,
-    /// Requests that it may still get while it warms up.
+    /// The requests that the server may get while it warms up.
     pub(crate) slow_start_tokens: TokenBucket,
 }
 
 impl Server {
-    /// A server that was just listed and of which nothing has been observed.
+    /// Creates the state of a server that was just listed, without observations.
     pub(crate) fn new(endpoint: &Endpoint, classes: usize, now: Time) -> Self {
         Self {
             id: endpoint.id,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Takes over what the list says. A server that has started anew begins with `initial_tokens`, and its
-    /// former answers tell nothing.
+    /// Applies an entry of the list. A server that has restarted begins with `initial_tokens`, and the observations
+    /// from before the restart are discarded.
     pub(crate) fn update(&mut self, endpoint: &Endpoint, initial_tokens: f64, now: Time) {
         if self.started != endpoint.started && endpoint.started.is_some() {
             self.slow_start_tokens = TokenBucket::with_tokens(initial_tokens, now);
@@ -72,12 +72,12 @@
         self.weight = if is_valid { endpoint.weight } else { 1.0 };
     }
 
-    /// Whether the list has it take requests.
+    /// Whether the server takes requests according to the list.
     pub(crate) fn is_live(&self) -> bool {
         self.status == EndpointStatus::Live
     }
 
-    /// Its present speed over that of the mean server.
+    /// The present speed of the server, relative to the mean of all servers.
     pub(crate) fn speed(&self) -> f64 {
         self.usable_share * self.weight / self.estimate.slowness()
     }
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -1,9 +1,9 @@
-//! Estimates of the round-trip time `2*TP` and the service time `TS` by server, machine kind and class.
+//! Estimates of the round-trip time `2*TP` and the service time `TS` by server, machine type and class.
 //!
-//! Service times are kept as slowness: latency over the mean of all servers for the same class. A server's own
-//! mean is drawn towards that of its kind, the more so the fewer answers it rests on (Buhlmann's credibility, the
-//! variance within servers over that between them). Failure: with one or two answers of a server a day, a quarter
-//! of the attempts at the smallest servers failed.
+//! Service times are kept as slowness: latency divided by the mean of all servers for the same class. A server's own
+//! mean is shrunk towards that of its machine type, the more so the fewer answers it rests on (Buhlmann's credibility:
+//! the variance within servers divided by that between them). Without shrinkage, where a balancer had one or two
+//! answers of a server a day, a quarter of the attempts at the smallest servers failed.
 
 use sableloom_types::{Outcome, Span};
 
@@ -11,34 +11,36 @@
 use crate::server::Server;
 use crate::service_time_estimate::{MAX_SLOWNESS, Prior};
 
-/// What is known of a kind, or of all servers, counts as this many answers of the level below it at most.
+/// The largest number of answers that the mean of a machine type, or of all servers, counts for at the level below it.
 const MAX_PRIOR_ANSWERS: f64 = 4.0;
-/// And as this many at least, however far the servers of a kind differ.
+/// The smallest number of answers that the mean of a machine type counts for, however far its servers differ.
 const MIN_PRIOR_ANSWERS: f64 = 0.5;
-/// Answers from which a server's own mean shows how far the servers of its kind differ.
+/// The number of answers from which a server's own mean counts for the variance between the servers of its machine
+/// type.
 const MIN_ANSWERS_FOR_SPREAD: f64 = 4.0;
-/// A timeout shows only that the answer would have taken longer: it counts as this many times as long.
+/// The factor on the latency of a timeout, which shows only that the answer would have taken longer.
 const TIMEOUT_LATENCY_FACTOR: f64 = 2.0;
-/// A server this many times slower than its kind is suspect: its timeouts tell of itself alone.
+/// The largest slowness, relative to the machine type, of a server whose timeouts count for its machine type. The
+/// timeouts of a slower server say nothing about the others.
 const MAX_TYPICAL_SLOWNESS: f64 = 2.0;
-/// Weight of a new answer by which the unloaded latency rises again: what was once quick and no longer is
-/// counts for about a thousand answers.
+/// The weight of a new answer by which the unloaded latency rises: a latency that is no longer reached counts for about
+/// a thousand answers.
 const UNLOADED_GAIN: f64 = 0.001;
-/// Service time before any answer of any server, as a share of T_QoS.
+/// The service time that is assumed before any answer, as a share of T_QoS.
 const INITIAL_FRACTION_OF_TARGET: f64 = 0.25;
-/// Smallest variance between the servers of a kind; keeps a quotient finite.
+/// The smallest variance between the servers of a machine type; it keeps the quotient finite.
 const MIN_VARIANCE: f64 = 1e-9;
 
-/// What the servers of one machine kind showed.
+/// The estimates from the answers of one machine type.
 #[derive(Debug)]
 struct MachineTypeEstimate {
-    /// Mean slowness over all requests.
+    /// The mean slowness over all requests.
     slowness: Mean,
-    /// By class: how much slower than over all requests.
+    /// By class: the slowness relative to that over all requests.
     classes: Vec<Mean>,
-    /// Variance of single answers of one server.
+    /// The variance of single answers of one server.
     noise: Mean,
-    /// How many answers of one server the kind counts for.
+    /// The number of answers of one server that the mean of the machine type counts for.
     prior_answers: f64,
 }
 
@@ -57,31 +59,33 @@
     }
 }
 
-/// How far the servers of a kind lie from its mean: a sum of squares without the noise, and its summands.
+/// The spread of the servers of a machine type around its mean, corrected for the noise of single answers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Spread {
+    /// The sum of the squared deviations, less the part that noise explains.
     sum: f64,
+    /// The number of servers in the sum.
     servers: f64,
 }
 
 /// The estimates over all servers; times in microseconds.
 #[derive(Debug)]
 pub(crate) struct ServiceTimes {
-    /// `TS`: mean latency of all classes.
+    /// `TS`: the mean latency of all classes.
     overall: Mean,
-    /// By class: mean latency.
+    /// By class: the mean latency.
     classes: Vec<Mean>,
-    /// By class: the least that the mean has been, which is what a request takes when it waits for no other; zero
-    /// until enough answers make a mean.
+    /// By class: the recent minimum of the mean latency, which is the latency of a request that waits for no other;
+    /// zero until the mean has settled.
     unloaded: Vec<f64>,
-    /// By machine kind.
+    /// The estimates by machine type.
     machine_types: Vec<MachineTypeEstimate>,
-    /// Mean round trip of the servers that have shown theirs.
+    /// The mean round trip of the servers whose round trip was observed.
     round_trip: f64,
 }
 
 impl ServiceTimes {
-    /// Before any answer; `target` is T_QoS in microseconds.
+    /// Creates the estimates before any answer; `target` is T_QoS in microseconds.
     pub(crate) fn new(target: f64, classes: usize) -> Self {
         Self {
             overall: Mean::assumed(target * INITIAL_FRACTION_OF_TARGET),
@@ -92,27 +96,27 @@
         }
     }
 
-    /// Mean service time over all servers and classes.
+    /// The mean service time over all servers and classes.
     pub(crate) fn overall(&self) -> f64 {
         self.overall.value
     }
 
-    /// Whether single answers no longer move the mean service time much.
+    /// Whether there are enough answers that a single one changes the mean service time little.
     pub(crate) fn is_settled(&self) -> bool {
         self.overall.is_settled()
     }
 
-    /// Machine kinds that have shown anything.
+    /// The number of machine types with an estimate.
     pub(crate) fn machine_types(&self) -> usize {
         self.machine_types.len()
     }
 
-    /// Mean latency of a class; zero before any answer of it.
+    /// The mean latency of a class; zero before its first answer.
     pub(crate) fn class_mean(&self, class: usize) -> f64 {
         self.classes[class].value
     }
 
-    /// Latency of a class when it waits for no other; zero until enough answers have come.
+    /// The latency of a class without load; zero until the mean of the class has settled.
     pub(crate) fn unloaded(&self, class: usize) -> f64 {
         self.unloaded[class]
     }
@@ -127,32 +131,32 @@
         server.estimate.round_trip().unwrap_or(self.round_trip)
     }
 
-    /// How much slower than at other work the servers of this kind are at this class. Failure: of two classes each
-    /// quick on another kind, either was sent where the other was quick.
+    /// The slowness of a machine type at a class, relative to its slowness over all requests. Without it, where each of
+    /// two machine types was quick at one class, each class was also sent to the type that was quick at the other.
     pub(crate) fn class_slowness(&self, class: usize, machine_type: u32) -> f64 {
         self.machine_types
             .get(machine_type as usize)
             .map_or(1.0, |estimate| estimate.classes[class].value)
     }
 
-    /// Whether a timeout of this server may tell of all servers: it is not much slower than its kind.
+    /// Whether a timeout of this server counts for all servers, since it is not much slower than its machine type.
     pub(crate) fn is_typical(&self, server: &Server) -> bool {
         server.estimate.slowness()
             <= self.prior(server.machine_type).slowness * MAX_TYPICAL_SLOWNESS
     }
 
-    /// Takes in a timeout of a typical server, after this long.
+    /// Adds a timeout of a typical server after `latency`.
     pub(crate) fn observe_timeout(&mut self, class: usize, machine_type: u32, latency: f64) {
         self.observe_machine_type(class, machine_type, latency * TIMEOUT_LATENCY_FACTOR);
     }
 
-    /// Takes in the latency of a served request.
+    /// Adds the latency of a served request to the estimates of its class and machine type.
     pub(crate) fn observe_served(&mut self, class: usize, machine_type: u32, latency: f64) {
         self.observe_class(class, latency);
         self.observe_machine_type(class, machine_type, latency);
     }
 
-    /// Takes the end of an attempt into the estimate of its server.
+    /// Adds the end of an attempt to the estimate of its server.
     pub(crate) fn observe_server(
         &mut self,
         server: &mut Server,
@@ -194,7 +198,7 @@
         estimate.classes[class].update(slowness / estimate.slowness.value, MAX_PRIOR_ANSWERS);
     }
 
-    /// Mean latency of a class, or of all classes before any answer of it.
+    /// The mean latency of a class, or of all classes before the first answer of the class.
     fn mean_or_overall(&self, class: usize) -> f64 {
         let mean = self.classes[class].value;
         if mean > 0.0 { mean } else { self.overall.value }
@@ -205,8 +209,8 @@
         self.machine_types.get(machine_type as usize).map_or(unknown, MachineTypeEstimate::prior)
     }
 
-    /// Brings what is known of each server together with what is known of its kind. Observations fade over the
-    /// time of a slow start: what a server was that long ago tells little of what it is.
+    /// Combines the estimate of each server with that of its machine type. The weight of observations decays over the
+    /// duration of a slow start, since older ones say little about the present speed of a server.
     pub(crate) fn refresh(&mut self, servers: &mut [Server], elapsed: Span, slow_start: Span) {
         let remaining = (-elapsed.as_micros_f64() / slow_start.as_micros_f64().max(1.0)).exp();
         let mut spreads = vec![Spread::default(); self.machine_types.len()];
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Brings the mean round trip up to date.
+    /// Refreshes the mean round trip.
     pub(crate) fn refresh_round_trip(&mut self, servers: &[Server]) {
         let observed = || servers.iter().filter_map(|server| server.estimate.round_trip());
         if observed().next().is_some() {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,18 +1,23 @@
-//! Checks of the settings, and the times that follow from them.
+//! The checks of the settings, and the times that are derived from them.
 
 use sableloom_types::{PolicySettings, PolicySettingsError, Span};
 
-/// Period of the housekeeping timer as a share of the shortest latency objective: queued requests are rejected
-/// close to their limit.
+/// The period of the housekeeping timer, as a share of the shortest latency objective. It is short enough that queued
+/// requests are rejected close to their deadline.
 const HOUSEKEEPING_FRACTION_OF_OBJECTIVE: f64 = 1.0 / 32.0;
-/// Shortest tick in microseconds. Guards against a tick of zero, which would stop the clock.
+/// The shortest tick in microseconds. With a tick of zero, the housekeeping timer could be due again at once, and time
+/// would not advance.
 const MIN_TICK: i64 = 100;
-/// Smallest share of its capacity that a server starts with. Guards against zero, which would leave it cold.
+/// The smallest share of its capacity that a server starts with. Zero would leave the server cold.
 const MIN_SLOW_START_SHARE: f64 = 0.01;
-/// Shortest time between two polls of the endpoint list, in ticks.
+/// The shortest time between two polls of the endpoint list, in ticks.
 const MIN_POLL_TICKS: i64 = 10;
 
-/// The settings with safe values where a stated one would stop the balancer.
+/// Replaces values that would stop the balancer by safe ones.
+///
+/// # Errors
+///
+/// [`PolicySettingsError`] if there is no class, or a class whose latency objective or deadline is not above zero.
 pub(crate) fn checked(mut settings: PolicySettings) -> Result<PolicySettings, PolicySettingsError> {
     if settings.classes.is_empty() {
         return Err(PolicySettingsError::NoClasses);
@@ -32,7 +37,7 @@
     Ok(settings)
 }
 
-/// T_QoS in microseconds: one target for all classes, as stated or the mean of their latency objectives.
+/// T_QoS in microseconds, the same for all classes: as stated, or the mean of their latency objectives.
 pub(crate) fn target_time(settings: &PolicySettings) -> f64 {
     if let Some(stated) = settings.t_qos.filter(|target| target.0 > 0) {
         return stated.as_micros_f64();
@@ -41,7 +46,7 @@
     sum / settings.classes.len() as f64
 }
 
-/// Period of the housekeeping timer.
+/// The period of the housekeeping timer.
 pub(crate) fn housekeeping_interval(settings: &PolicySettings) -> Span {
     let shortest = settings.classes.iter().map(|c| c.latency_objective.0).min().unwrap_or(0);
     let interval = (shortest as f64 * HOUSEKEEPING_FRACTION_OF_OBJECTIVE) as i64;
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -1,19 +1,19 @@
-//! Tenant quotas: this balancer's share of the requests that a tenant may send over all balancers.
+//! Tenant quotas: the share of this balancer in the requests that a tenant may send over all balancers.
 
 use sableloom_types::{TenantQuota, Time};
 
 use crate::token_bucket::TokenBucket;
 
-/// Requests within its quota that a tenant may save up, as this many times T_QoS of its rate.
+/// The burst of a tenant within its quota: the requests of this many times T_QoS at its rate.
 const BURST_IN_TARGET_TIMES: f64 = 4.0;
-/// Microseconds in a second.
+/// The number of microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// One token bucket a tenant.
+/// One token bucket for each tenant.
 #[derive(Debug)]
 pub(crate) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
-    /// By tenant, in requests a second over all balancers.
+    /// By tenant: the quota in requests a second, over all balancers.
     rates: Vec<f64>,
     /// T_QoS in microseconds.
     target_time: f64,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether a tenant has sent this balancer no more than its share of the quota, rejected requests apart. A
-    /// tenant that the settings don't name has no quota.
+    /// Whether one more request of a tenant is within this balancer's share of its quota. Rejected requests do not count.
+    /// A tenant that is not in the settings has no quota and is always within.
     pub(crate) fn is_within(&mut self, now: Time, tenant: usize, balancers: u32) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else { return true };
         let rate = self.rates[tenant] / MICROS_PER_SECOND / f64::from(balancers);
@@ -38,7 +38,7 @@
         bucket.tokens() >= 1.0
     }
 
-    /// Counts a request that was admitted within the quota.
+    /// Takes a token for a request that was admitted within the quota.
     pub(crate) fn record_admitted(&mut self, tenant: usize) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.take();
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A token bucket that is refilled when it is read.
+//! A token bucket whose refill is computed when it is read.
 
 use sableloom_types::Time;
 
-/// Tokens that were left at a time; they grow at a rate that the caller states.
+/// The number of tokens at one time. The caller states the rate of the refill since then.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -10,17 +10,17 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds this many tokens at this time.
+    /// Creates a bucket that contains this many tokens at the time `updated`.
     pub(crate) fn with_tokens(tokens: f64, updated: Time) -> Self {
         Self { tokens, updated }
     }
 
-    /// The tokens that it holds by `now`, `capacity` at most; `rate` is in tokens a microsecond.
+    /// The tokens that the bucket contains at `now`, `capacity` at most; `rate` is in tokens a microsecond.
     pub(crate) fn available(&self, now: Time, rate: f64, capacity: f64) -> f64 {
         (self.tokens + now.since(self.updated).as_micros_f64().max(0.0) * rate).min(capacity)
     }
 
-    /// Tokens left when it was last refilled.
+    /// The tokens at the time of the last update.
     pub(crate) fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/crates/policy/src/usable_share.rs
+++ b/crates/policy/src/usable_share.rs
@@ -1,4 +1,4 @@
-//! How much of each server can be used now.
+//! The share of its capacity that each server can serve with now.
 
 use sableloom_types::Time;
 
@@ -6,9 +6,9 @@
 use crate::server::Server;
 use crate::slow_start::SlowStart;
 
-/// Brings the presence of every server up to date: one that warms up counts by its share, one that can't be reached
-/// not at all. Failure: when most servers were new or gone, the limit meant for all went to what was left, which
-/// then answered hardly anything in time.
+/// Refreshes the usable share of every server: a server that warms up counts by its share, and one that cannot be
+/// reached does not count. Otherwise, when most servers are new or unreachable, the remaining ones would get the limit
+/// that is meant for all; they then answered hardly any request in time.
 pub(crate) fn refresh(
     servers: &mut [Server],
     zones: &ZoneOutliers,
@@ -24,7 +24,7 @@
         };
     }
     if servers.iter().all(|server| server.usable_share == 0.0) {
-        // Nothing tells one from another, and the sum of N must not be zero.
+        // If no server seems reachable, all live ones count in full, since the sum of N must not be zero.
         for server in servers {
             server.usable_share = f64::from(u8::from(server.is_live()));
         }
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -1,5 +1,5 @@
-//! Requests after a time in which answers were slower than the latency objective: a balancer that rejects all of them learns of no
-//! quicker answer, and rejects for good.
+//! Requests after a time in which answers were slower than the latency objective: a balancer that rejects all of them
+//! learns of no quicker answer, and rejects for good.
 
 mod common;
 
