--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Drives one balancer, and checks every action against the safety rules.
-#![allow(dead_code, reason = "each test file uses what it needs of it")]
+//! A driver for one balancer, which checks every action against the rules on final answers, deadlines, draining
+//! servers, attempts and repeats.
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::collections::BTreeMap;
 
@@ -10,8 +11,10 @@
     ServerId, Span, Time,
 };
 
+/// Microseconds in a millisecond.
 pub(crate) const MS: i64 = 1000;
 
+/// A class with a latency objective of 200 ms and a deadline of 600 ms.
 pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: Span(200 * MS),
@@ -24,6 +27,7 @@
     }
 }
 
+/// Settings of one balancer with an idempotent, a keyed and a non-idempotent class, in this order.
 pub(crate) fn settings() -> PolicySettings {
     PolicySettings {
         classes: vec![
@@ -57,6 +61,7 @@
     }
 }
 
+/// A live, warm server; two servers share a cell.
 pub(crate) fn endpoint(id: u32, zone: u32) -> Endpoint {
     Endpoint {
         id: ServerId(id),
@@ -70,21 +75,26 @@
     }
 }
 
+/// An attempt as the driver observed it.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedAttempt {
     pub server: ServerId,
     pub sent: Time,
+    /// `None` while the attempt is in flight.
     pub ended: Option<Outcome>,
 }
 
+/// A request as the driver observed it.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedRequest {
     pub class: usize,
     pub deadline: Time,
     pub attempts: Vec<TrackedAttempt>,
+    /// Whether the request has its final answer or its client no longer waits.
     pub finished: bool,
 }
 
+/// A balancer with its clock, servers and clients.
 pub(crate) struct World {
     pub settings: PolicySettings,
     pub balancer: Balancer,
@@ -92,8 +102,9 @@
     pub endpoints: BTreeMap<u32, Endpoint>,
     pub requests: BTreeMap<u64, TrackedRequest>,
     pub timers: Vec<(u64, Time)>,
+    /// All actions that the balancer has returned.
     pub log: Vec<Action>,
-    /// Tenant of the requests to come.
+    /// The tenant of the following requests.
     pub tenant: usize,
     actions: Vec<Action>,
 }
@@ -101,7 +112,7 @@
 impl World {
     pub(crate) fn new(settings: PolicySettings) -> Self {
         let now = Time(1_000_000 * MS);
-        let balancer = Balancer::new(settings.clone(), 7, now).expect("settings are sound");
+        let balancer = Balancer::new(settings.clone(), 7, now).expect("valid settings");
         let mut world = Self {
             settings,
             balancer,
@@ -118,6 +129,7 @@
         world
     }
 
+    /// A balancer with `n` servers, alternating between zones 0 and 1.
     pub(crate) fn with_servers(settings: PolicySettings, n: u32) -> Self {
         let mut world = Self::new(settings);
         let list: Vec<_> = (0..n).map(|i| endpoint(i, i % 2)).collect();
@@ -136,6 +148,7 @@
         self.apply_actions();
     }
 
+    /// Sends a request with the deadline of its class.
     pub(crate) fn request(&mut self, id: u64, class: usize) {
         let wait = self.settings.classes[class].deadline;
         self.request_until(id, class, self.now.plus(wait));
@@ -143,7 +156,7 @@
 
     pub(crate) fn request_until(&mut self, id: u64, class: usize, deadline: Time) {
         let tracked = TrackedRequest { class, deadline, attempts: vec![], finished: false };
-        assert!(self.requests.insert(id, tracked).is_none(), "ids are not repeated");
+        assert!(self.requests.insert(id, tracked).is_none(), "request ids are unique");
         let tenant = self.tenant;
         let request = Request { id: RequestId(id), class, tenant, key: Some(id % 5), deadline };
         self.balancer.request_arrived(self.now, request, &mut self.actions);
@@ -179,7 +192,7 @@
         self.apply_actions();
     }
 
-    /// Lets time pass and fires timers; attempts time out at the deadline of their request.
+    /// Advances the clock and fires timers; attempts time out at the deadline of their request.
     pub(crate) fn advance(&mut self, span: Span) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1) {
@@ -223,7 +236,7 @@
                             && class.dedup_scope == DedupScope::All);
                     assert!(
                         is_repeatable || !may_have_executed_before,
-                        "rejected {request:?} that may have run"
+                        "rejected {request:?}, which may have been executed"
                     );
                     self.record_final_answer(request.0);
                 }
@@ -232,7 +245,7 @@
                 Action::Cancel { request, attempt } => {
                     assert!(
                         attempt < self.requests[&request.0].attempts.len(),
-                        "cancels what was sent"
+                        "cancelled an attempt that was not sent"
                     );
                 }
                 Action::CheckHealth { .. } | Action::Subscribe => {}
@@ -241,24 +254,30 @@
     }
 
     fn record_final_answer(&mut self, id: u64) {
-        let request = self.requests.get_mut(&id).expect("a known request");
+        let request = self.requests.get_mut(&id).expect("the request is known");
         assert!(!request.finished, "a second final answer for {id}");
         request.finished = true;
     }
 
     fn check_forward(&mut self, id: u64, server: ServerId, timeout: Span) {
         let request = &self.requests[&id];
-        assert!(!request.finished, "sent {id} after its end");
+        assert!(!request.finished, "forwarded {id} after its final answer");
         assert!(self.now < request.deadline && timeout.0 > 0);
-        assert!(self.now.plus(timeout) <= request.deadline, "timeout past the client's");
+        assert!(
+            self.now.plus(timeout) <= request.deadline,
+            "the timeout ends after the client's deadline"
+        );
         assert_eq!(
             self.endpoints[&server.0].status,
             EndpointStatus::Live,
-            "sent to a drained server"
+            "forwarded to a server that is not live"
         );
         assert!(request.attempts.len() < self.settings.limits.max_attempts);
         if !self.settings.limits.hedging {
-            assert!(request.attempts.iter().all(|t| t.ended.is_some()), "two copies out");
+            assert!(
+                request.attempts.iter().all(|t| t.ended.is_some()),
+                "two attempts in flight without hedging"
+            );
         }
         let class = &self.settings.classes[request.class];
         for before in request.attempts.iter().filter(|t| may_have_executed(t)) {
@@ -275,16 +294,17 @@
                 Idempotency::Keyed => in_dedup_scope && in_dedup_window,
                 Idempotency::NonIdempotent => false,
             };
-            assert!(allowed, "effect of {id} may happen twice");
+            assert!(allowed, "{id} may be executed twice");
         }
         let attempt = TrackedAttempt { server, sent: self.now, ended: None };
-        self.requests.get_mut(&id).expect("known").attempts.push(attempt);
+        self.requests.get_mut(&id).expect("the request is known").attempts.push(attempt);
     }
 
     fn zone(&self, id: ServerId) -> u32 {
         self.endpoints[&id.0].zone
     }
 
+    /// The server of the latest attempt that is in flight.
     pub(crate) fn in_flight_server(&self, id: u64) -> Option<ServerId> {
         self.requests[&id].attempts.iter().rev().find(|t| t.ended.is_none()).map(|t| t.server)
     }
@@ -297,6 +317,7 @@
         self.log.contains(&Action::Fail { request: RequestId(id) })
     }
 
+    /// The number of attempts that were forwarded to a server.
     pub(crate) fn forwards_to(&self, server: u32) -> usize {
         let to = |a: &&Action| matches!(a, Action::Forward { server: s, .. } if s.0 == server);
         self.log.iter().filter(to).count()
--- a/crates/policy/tests/request_path/endpoints_and_settings.rs
+++ b/crates/policy/tests/request_path/endpoints_and_settings.rs
@@ -1,4 +1,4 @@
-//! What the decisions start from: lists of servers that are empty or missing, and settings that make no sense.
+//! Decisions with an endpoint list that is empty or missing, and with settings that are unusable.
 
 use sableloom_policy::Balancer;
 use sableloom_types::{
@@ -21,7 +21,7 @@
     let mut w = World::new(settings());
     w.request(1, 2);
     w.advance(Span(200 * MS));
-    assert!(w.rejected(1), "rejected before the latency objective is lost");
+    assert!(w.rejected(1), "rejected before the latency objective has passed");
 }
 
 #[test]
@@ -32,12 +32,12 @@
     assert_eq!(polls(&w), 1);
     w.update_list(ListKind::Full, &[endpoint(0, 0)]);
     w.advance(Span(30_000 * MS));
-    assert_eq!(polls(&w), 1, "a subscription stands");
+    assert_eq!(polls(&w), 1, "no poll while the subscription is open");
     w.update_list(ListKind::Unavailable, &[]);
     w.advance(Span(3000 * MS));
     assert_eq!(polls(&w), 2);
     w.advance(Span(10_000 * MS));
-    assert!(polls(&w) > 2, "silence is asked again within AskEvery");
+    assert!(polls(&w) > 2, "a poll without an answer is repeated within the poll interval");
 }
 
 #[test]
--- a/crates/policy/tests/request_path/queue.rs
+++ b/crates/policy/tests/request_path/queue.rs
@@ -1,4 +1,4 @@
-//! What is held, in which order, and what is rejected at once.
+//! Which requests are queued, in which order, and which are rejected immediately.
 
 use sableloom_types::{Action, Idempotency, Outcome, PolicySettings, ServerId, Span, TenantQuota};
 
@@ -13,21 +13,21 @@
     for id in 0..k + 2 {
         w.request(id, 0);
     }
-    assert!((0..k).all(|id| w.in_flight_server(id).is_some()), "K_i requests are out");
+    assert!((0..k).all(|id| w.in_flight_server(id).is_some()), "K_i requests are in flight");
     assert_eq!(
         (w.in_flight_server(k), w.in_flight_server(k + 1)),
         (None, None),
-        "the rest is held"
+        "the others are queued"
     );
     w.advance(Span(10 * MS));
     w.end_attempt(0, 0, Outcome::Ok);
-    assert!(w.in_flight_server(k).is_some(), "the head of the queue goes first");
+    assert!(w.in_flight_server(k).is_some(), "the head of the queue is forwarded first");
     let forwarded_id = |a: &Action| match a {
         Action::Forward { request, .. } => Some(request.0),
         _ => None,
     };
     let order: Vec<u64> = w.log.iter().filter_map(forwarded_id).collect();
-    assert!(order.is_sorted(), "first come, first served: {order:?}");
+    assert!(order.is_sorted(), "forwarded in order of arrival: {order:?}");
 }
 
 #[test]
@@ -43,7 +43,8 @@
 
 #[test]
 fn a_class_with_a_long_latency_objective_does_not_starve_a_short_one() {
-    // Failure: the queue filled with requests of long latency objectives until no short one could be held.
+    // Guards against a queue that fills with requests of long latency objectives, so that none with a short one fits
+    // in.
     let mut s = settings();
     s.classes[0].latency_objective = Span(2000 * MS);
     s.classes[0].deadline = Span(4000 * MS);
@@ -61,8 +62,8 @@
 
 #[test]
 fn a_request_with_too_little_time_left_is_rejected() {
-    // Failure: retries came with what was left of their first try's time, waited, and were sent
-    // too late to be answered: a sixth of all attempts timed out, evenly over the servers.
+    // Guards against retries that have the rest of the time of their first try, are queued, and are forwarded too late
+    // to be answered: a sixth of all attempts timed out, evenly over the servers.
     let mut w = World::with_servers(settings(), 1);
     for id in 0..40 {
         w.request(id, 0);
@@ -72,15 +73,16 @@
     assert_eq!(
         (w.requests[&100].attempts.len(), w.requests[&100].finished),
         (0, true),
-        "rejected while early"
+        "rejected immediately"
     );
     w.request_until(101, 0, w.now.plus(Span(90 * MS)));
-    assert_eq!(w.requests[&101].attempts.len(), 1, "there is time for this one");
+    assert_eq!(w.requests[&101].attempts.len(), 1, "forwarded, since there is time for an answer");
 }
 
 #[test]
 fn a_tenant_beyond_its_quota_leaves_capacity_for_the_others() {
-    // Failure: in overload a tenant past its quota, worth little there, took the slots of the others.
+    // Guards against a tenant over its quota that takes the slots of the others in overload, although its requests have
+    // little weight there.
     let quota = |quota_rps| TenantQuota { quota_rps };
     let tenants = vec![quota(5.0), quota(1000.0)];
     let classes = vec![common::class(Idempotency::Idempotent)];
@@ -95,7 +97,7 @@
     let within_quota = unanswered(&w, 100..200);
     assert!(
         over_quota > 0 && within_quota >= over_quota,
-        "{within_quota} inside the quota beside {over_quota} past it"
+        "{within_quota} open within the quota, {over_quota} over it"
     );
     (w.tenant, w.now) = (0, w.now.plus(Span(20 * MS)));
     for _ in 0..20 {
@@ -103,12 +105,12 @@
     }
     w.advance(Span(1000 * MS));
     (200..300).for_each(|id| w.request(id, 0));
-    assert!(unanswered(&w, 200..300) > 0, "a quota comes back with time");
+    assert!(unanswered(&w, 200..300) > 0, "the quota is refilled with time");
 }
 
 #[test]
 fn retries_past_the_objective_of_their_first_try_get_the_smallest_share() {
-    // Failure: in overload, retries past their latency objective took the slots; most answers came late.
+    // Guards against retries past their latency objective that take the slots in overload: most answers came late.
     let admitted = |left_ms: i64| {
         let mut w = World::with_servers(settings(), 4);
         for id in 0..200 {
@@ -118,14 +120,20 @@
         admitted_of_flood(&mut w, left_ms)
     };
     let (first_tries, slightly_delayed, late) = (admitted(600), admitted(570), admitted(300));
-    assert!(first_tries < 200, "there is no overload");
-    assert_eq!(slightly_delayed, first_tries, "time spent on the way is no repeat");
-    assert!(late > 0 && late * 2 < first_tries, "{late} late ones admitted, {first_tries} others");
+    assert!(first_tries < 200, "the flood must exceed the limit");
+    assert_eq!(
+        slightly_delayed, first_tries,
+        "time spent on the way to the balancer does not make a request a retry"
+    );
+    assert!(
+        late > 0 && late * 2 < first_tries,
+        "{late} retries admitted, {first_tries} first tries"
+    );
 }
 
 #[test]
 fn retries_with_a_long_timeout_do_not_make_first_tries_look_late() {
-    // Failure: by the longest wait seen, all others looked like retries past their latency objective.
+    // Guards against a comparison with the longest timeout, by which all other requests look like late retries.
     let admitted = |longer_every: u64| {
         let mut w = World::with_servers(settings(), 4);
         for id in 0..200 {
@@ -136,13 +144,13 @@
         admitted_of_flood(&mut w, 400)
     };
     let (some_longer, none_longer) = (admitted(5), admitted(1000));
-    assert!(none_longer < 200, "there is no overload");
+    assert!(none_longer < 200, "the flood must exceed the limit");
     assert_eq!(some_longer, none_longer);
 }
 
 #[test]
 fn excess_requests_are_rejected_where_no_server_can_be_reached() {
-    // Failure: with no server counted as there, N was zero, and all that came was held.
+    // Guards against a sum of N that is zero because no server counts as usable: all requests were queued.
     let mut w = World::with_servers(settings(), 4);
     for id in 0..40 {
         w.request(id, 0);
@@ -151,5 +159,5 @@
     }
     (1000..1500).for_each(|id| w.request(id, 0));
     let rejected = (1000..1500).filter(|&id| w.rejected(id)).count();
-    assert!(rejected > 300, "{rejected} of 500 rejected at once");
+    assert!(rejected > 300, "{rejected} of 500 rejected immediately");
 }
--- a/crates/policy/tests/request_path/selection.rs
+++ b/crates/policy/tests/request_path/selection.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to: latency, failures, keys, kinds and zones.
+//! The server that a request is forwarded to, by latency, failures, keys, machine types and zones.
 
 use sableloom_types::{Endpoint, ListKind, Outcome, PolicySettings, ServerId, Span};
 
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_server_that_fails_quickly_is_not_preferred() {
-    // Failure: an server that fails fast looked fast, and drew the traffic.
+    // Guards against a server that fails quickly, looks fast for that reason and gets most requests.
     let mut w = World::with_servers(settings(), 4);
     for id in 0..400 {
         w.request(id, 0);
@@ -22,7 +22,7 @@
     }
     assert!(
         w.forwards_to(0) * 8 < w.forwards_to(1),
-        "{} against {}",
+        "{} attempts at the failing server, {} at another",
         w.forwards_to(0),
         w.forwards_to(1)
     );
@@ -41,7 +41,7 @@
 
 #[test]
 fn an_unreachable_server_is_tried_with_growing_pauses() {
-    // Failure: after a zone was lost its servers, still listed, drew a third of all attempts.
+    // Guards against the servers of an unreachable zone, which stay on the list and got a third of all attempts.
     let mut w = World::with_servers(settings(), 2);
     let mut forwards_by_half = [0; 2];
     for id in 0..400 {
@@ -59,7 +59,7 @@
         }
         forwards_by_half[usize::from(id >= 200)] += w.forwards_to(0) - before;
     }
-    assert!(forwards_by_half[0] > 1, "it is tried again");
+    assert!(forwards_by_half[0] > 1, "the server is tried more than once");
     assert!(
         forwards_by_half[1] < forwards_by_half[0] && forwards_by_half[1] <= 12,
         "{forwards_by_half:?}"
@@ -68,8 +68,8 @@
 
 #[test]
 fn an_overloaded_zone_spills_into_an_idle_one() {
-    // Failure: with near servers always first, a zone with more clients than servers was
-    // overrun while others idled.
+    // Guards against a strict preference for local servers: a zone with more clients than servers was overloaded while
+    // others were idle.
     let forwards_with_local_latency = |local_ms: i64| {
         let mut w = World::with_servers(PolicySettings { cross_zone_price: 0.1, ..settings() }, 4);
         for id in 0..600 {
@@ -80,15 +80,21 @@
         (w.forwards_to(0) + w.forwards_to(2), w.forwards_to(1) + w.forwards_to(3))
     };
     let (local, remote) = forwards_with_local_latency(5);
-    assert!(remote * 20 < local, "crossing has a price: {remote} against {local}");
+    assert!(
+        remote * 20 < local,
+        "crossing zones has a price: {remote} remote attempts, {local} local ones"
+    );
     let (slow_local, spilled) = forwards_with_local_latency(60);
-    assert!(spilled > 5 * remote, "a slow zone spills: {spilled} of {slow_local}, before {remote}");
+    assert!(
+        spilled > 5 * remote,
+        "a slow zone spills over: {spilled} remote attempts, {slow_local} local, {remote} remote before"
+    );
 }
 
 #[test]
 fn a_class_is_forwarded_to_the_machine_type_that_serves_it_quickly() {
-    // Failure: each of two kinds was quick at one class and slow at the other, and one slowness for
-    // all classes made them look alike.
+    // Guards against one slowness for all classes: two machine types that are each quick at one class and slow at the
+    // other looked alike.
     let mut w = World::new(settings());
     let list: Vec<_> = (0..4).map(|i| Endpoint { machine_type: i % 2, ..endpoint(i, 0) }).collect();
     w.update_list(ListKind::Restored, &list);
@@ -103,7 +109,10 @@
         }
         serve(&mut w, id, if is_quick_at(class, server) { 10 } else { 40 });
     }
-    assert!(forwards_to_quick.iter().all(|&n| n > 140), "of 200 each: {forwards_to_quick:?}");
+    assert!(
+        forwards_to_quick.iter().all(|&n| n > 140),
+        "forwarded to the quick type, of 200 for each class: {forwards_to_quick:?}"
+    );
 }
 
 #[test]
@@ -125,12 +134,12 @@
                 }
             }
         }
-        assert!(served > 190, "{outcome:?}: the other class goes on: {served}");
-        assert!(failed < 60, "{outcome:?}: {failed} of 200 ended there");
+        assert!(served > 190, "{outcome:?}: {served} of the other class were served");
+        assert!(failed < 60, "{outcome:?}: {failed} of 200 attempts failed there");
     }
 }
 
-/// How the last of these requests were spread over servers, which each take so long.
+/// The number of forwards to each server among the last `counted` of `requests` requests, where each server takes `ms`.
 fn forwards_by_server(
     list: &[Endpoint],
     requests: u64,
@@ -151,18 +160,18 @@
 
 #[test]
 fn servers_with_few_answers_use_the_estimate_of_their_machine_type() {
-    // Failure: each of 300 balancers had one or two answers of an server in a whole day. All seemed
-    // equal; 75 small ones got 38% of all tries, and a quarter of these failed.
+    // Guards against estimates by server alone: each of 300 balancers had one or two answers of a server in a whole
+    // day, so that all servers seemed equal. 75 small ones got 38% of all attempts, and a quarter of these failed.
     let list: Vec<_> =
         (0..200).map(|i| Endpoint { machine_type: i % 2, ..endpoint(i, 0) }).collect();
     let forwards =
         forwards_by_server(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
     let quick: u64 = forwards.iter().step_by(2).sum();
-    assert!(quick > 90, "of 120, with half an answer an server: {quick}");
+    assert!(quick > 90, "{quick} of 120 at the quick type, with half an answer for each server");
 }
 
-/// Tries at the twenty servers of a zone, of forty requests that come while none there answers and
-/// the twenty of another zone do.
+/// The number of attempts at the twenty servers of an unreachable zone, for forty requests, while the twenty servers of
+/// another zone answer.
 fn attempts_in_an_unreachable_zone() -> usize {
     let mut w = World::with_servers(settings(), 40);
     let mut attempts = 0;
@@ -185,15 +194,15 @@
 
 #[test]
 fn an_unreachable_zone_is_selected_last() {
-    // Failure: each balancer learnt it for each server by itself, and a fifth of the attempts of the
-    // fleet waited for connections that never came.
+    // Guards against ejection by server alone: each balancer had to detect every server of the zone separately, and a
+    // fifth of the attempts of the fleet waited for connections that were never established.
     let attempts = attempts_in_an_unreachable_zone();
-    assert!((1..10).contains(&attempts), "{attempts} tries at twenty lost servers");
+    assert!((1..10).contains(&attempts), "{attempts} attempts at twenty unreachable servers");
 }
 
 #[test]
 fn a_zone_that_answers_again_is_selected_again() {
-    // Does harm where a suspicion outlives its cause: one request at a time would go there for ever.
+    // Guards against an ejection that outlasts its cause: the zone would get one request at a time forever.
     let mut w = World::with_servers(settings(), 4);
     let in_lost_zone =
         |w: &World, id| w.in_flight_server(id).is_some_and(|server: ServerId| server.0 % 2 == 1);
@@ -212,5 +221,8 @@
         w.advance(Span(20 * MS));
         ids.for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
     }
-    assert!(forwards_to_zone > 60, "{forwards_to_zone} of 200 in the zone that was lost");
+    assert!(
+        forwards_to_zone > 60,
+        "{forwards_to_zone} of 200 forwarded to the zone after it recovered"
+    );
 }
--- a/crates/policy/tests/request_path/slow_start.rs
+++ b/crates/policy/tests/request_path/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started: how fast they get work.
+//! The rate at which servers that have just started get requests.
 
 use sableloom_types::{Endpoint, ListKind, Outcome, Span};
 
@@ -20,13 +20,13 @@
     }
     let (cold, warm) =
         (w.forwards_to(9), (w.forwards_to(0) + w.forwards_to(1) + w.forwards_to(2)) / 6);
-    assert!(cold > 0, "it must get some work");
-    assert!(cold * 2 < warm, "{cold} sends while a warm one had {warm}");
+    assert!(cold > 0, "the cold server must get requests");
+    assert!(cold * 2 < warm, "{cold} forwards to the cold server, {warm} to a warm one");
 }
 
 #[test]
 fn a_fleet_in_which_every_server_warms_up_gets_requests() {
-    // Failure: the pace came from warm servers alone, and there was none.
+    // Guards against a rate that comes from warm servers alone: without any, no server got a request.
     let mut w = World::new(settings());
     let cold = |i| Endpoint { started: Some(w.now), ..endpoint(i, 0) };
     let list: Vec<_> = (0..4).map(cold).collect();
@@ -37,13 +37,14 @@
         served += usize::from(w.in_flight_server(id).is_some());
         serve(&mut w, id, 10);
     }
-    assert!(served > 20, "only {served} of 400 were sent");
-    assert!(served < 300, "{served} sends in 4 s would push a cold fleet over");
+    assert!(served > 20, "only {served} of 400 were forwarded");
+    assert!(served < 300, "{served} forwards in 4 s would overload a cold fleet");
 }
 
 #[test]
 fn servers_that_warm_up_are_not_held_back_when_the_warm_ones_slow_down() {
-    // Failure: after growth the old servers slowed, and the pace of the new ones fell with them.
+    // Guards against a rate that follows the present one of the warm servers: after a fleet grew, the old servers
+    // slowed down, and the rate of the new ones fell with them.
     let mut w = World::with_servers(settings(), 2);
     let mut id = 0;
     let mut forwards_to_cold = |w: &mut World, rounds: i64, warm_every: i64| {
@@ -68,11 +69,14 @@
     let quick = forwards_to_cold(&mut w, 100, 1);
     forwards_to_cold(&mut w, 100, 25);
     let slow = forwards_to_cold(&mut w, 100, 25);
-    assert!(quick > 5 && slow >= quick, "{slow} sends after {quick}");
+    assert!(
+        quick > 5 && slow >= quick,
+        "{slow} forwards, {quick} before the warm servers slowed down"
+    );
 }
 
-/// Sends to server `cold`, which restarts in a fleet of `n`, in the two seconds after a list
-/// of all `n` tells of it; until then the balancer knew the first `known` alone.
+/// The number of forwards to the server `cold`, which restarts in a fleet of `n`, in the two seconds after a list of
+/// all `n` reports the restart. Before that list, the balancer knows only the first `known` servers.
 fn forwards_after_restart(cold: u32, known: u32, n: u32) -> usize {
     let mut w = World::with_servers(settings(), known);
     let mut id = 0;
@@ -94,21 +98,28 @@
 
 #[test]
 fn the_first_cold_server_of_a_list_gets_no_more_than_the_last() {
-    // Failure: it earned its sends by sums still half made, had the whole fleet's rate, fell over.
+    // Guards against tokens that are refilled by incomplete sums: the first server of the list got the rate of the
+    // whole fleet and was overloaded.
     let (first, last) = (forwards_after_restart(0, 20, 20), forwards_after_restart(19, 20, 20));
-    assert!(last > 0 && first > 0 && first <= 2 * last, "{first} sends against {last}");
+    assert!(
+        last > 0 && first > 0 && first <= 2 * last,
+        "{first} forwards to the first server, {last} to the last"
+    );
 }
 
 #[test]
 fn an_update_of_a_stale_list_does_not_overload_cold_servers() {
-    // Failure: the rate of the few servers on a stale list paced the cold of the whole fleet.
+    // Guards against a rate of the few servers of a stale list that is applied to the cold ones of the whole fleet.
     let (stale, current) = (forwards_after_restart(39, 2, 40), forwards_after_restart(39, 40, 40));
-    assert!(current > 0 && stale > 0 && stale <= 2 * current, "{stale} sends against {current}");
+    assert!(
+        current > 0 && stale > 0 && stale <= 2 * current,
+        "{stale} forwards after a stale list, {current} after a current one"
+    );
 }
 
 #[test]
 fn a_fleet_that_restarts_but_for_one_server_is_not_overloaded() {
-    // Failure: what many servers had served was taken for the rate of the one still warm.
+    // Guards against the rate of many servers being taken for that of the one that is still warm.
     let mut w = World::with_servers(settings(), 40);
     let mut id = 0;
     let mut run = |w: &mut World, rounds: u32| {
@@ -124,7 +135,8 @@
     let cold = |i| Endpoint { started: (i > 0).then_some(w.now), ..endpoint(i, i % 2) };
     let list: Vec<_> = (0..40).map(cold).collect();
     w.update_list(ListKind::Full, &list);
-    // At a fifth of the capacity, twice that for chance; before it is known what one can serve.
+    // The cold servers have a fifth of their capacity; twice that allows for chance. The rate of a warm server is not
+    // known yet.
     let cold = run(&mut w, 5);
-    assert!(cold > 0 && cold <= 2 * warm / 5, "{cold} sends in 0.1 s, {warm} when warm");
+    assert!(cold > 0 && cold <= 2 * warm / 5, "{cold} forwards in 0.1 s, {warm} when warm");
 }
--- a/crates/policy/tests/safety_rules.rs
+++ b/crates/policy/tests/safety_rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, over the table of effects and over random orders of events.
+//! The rules that [`World`] checks, for every combination of idempotency and outcome and for random orders of events.
 
 mod common;
 
@@ -7,18 +7,19 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use sableloom_types::{Endpoint, EndpointStatus, ListKind, Outcome, Span, TenantQuota};
 
+// The indices of the classes in [`settings`].
 const IDEMPOTENT: usize = 0;
 const KEYED: usize = 1;
 const NON_IDEMPOTENT: usize = 2;
 
-/// What becomes of a request whose first attempt ended this way: sent again, rejected or failed.
+/// What the balancer does with a request whose first attempt ended with `outcome`: retry, reject or fail it.
 fn next_step_after(class: usize, outcome: Outcome) -> &'static str {
     let mut w = World::with_servers(settings(), 4);
     w.request(1, class);
     w.advance(Span(5 * MS));
     w.end_attempt(1, 0, outcome);
     match (w.in_flight_server(1).is_some(), w.rejected(1), w.failed(1)) {
-        (true, false, false) => "again",
+        (true, false, false) => "retried",
         (false, true, false) => "rejected",
         (false, false, true) => "failed",
         other => panic!("{other:?}"),
@@ -30,12 +31,12 @@
     let may_have_executed = [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled];
     let not_executed = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Superseded];
     for o in not_executed.into_iter().chain(may_have_executed) {
-        assert_eq!(next_step_after(IDEMPOTENT, o), "again", "{o:?}");
-        assert_eq!(next_step_after(KEYED, o), "again", "{o:?}");
+        assert_eq!(next_step_after(IDEMPOTENT, o), "retried", "{o:?}");
+        assert_eq!(next_step_after(KEYED, o), "retried", "{o:?}");
     }
     not_executed
         .iter()
-        .for_each(|o| assert_eq!(next_step_after(NON_IDEMPOTENT, *o), "again", "{o:?}"));
+        .for_each(|o| assert_eq!(next_step_after(NON_IDEMPOTENT, *o), "retried", "{o:?}"));
     may_have_executed
         .iter()
         .for_each(|o| assert_eq!(next_step_after(NON_IDEMPOTENT, *o), "failed", "{o:?}"));
@@ -50,7 +51,7 @@
     let other = endpoint(1 - first.0, 1 - first.0);
     w.update_list(ListKind::Full, &[other]);
     w.end_attempt(1, 0, Outcome::Error);
-    assert!(w.failed(1), "no live server would drop the repeat");
+    assert!(w.failed(1), "no live server drops repeats of the first attempt");
 }
 
 #[test]
@@ -170,7 +171,7 @@
         }
         let mut w = World::with_servers(s, 4);
         apply_events(&mut w, events);
-        // Whatever happened, every client has one answer once its time is up.
+        // Every client that still waits has its final answer by its deadline.
         w.advance(Span(2000 * MS));
         let unanswered: Vec<_> =
             w.requests.iter().filter(|(_, request)| !request.finished).map(|(id, _)| id).collect();
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -1,12 +1,12 @@
-//! Requests after a time in which answers were slower than the latency objective: a balancer that rejects all of them
-//! learns of no quicker answer, and rejects for good.
+//! Requests after a time in which answers were slower than the latency objective. Guards against a balancer that
+//! rejects all of them: it gets no quicker answer, and so rejects them forever.
 
 mod common;
 
 use common::{MS, World, settings};
 use sableloom_types::{Outcome, Span};
 
-/// Requests that are rejected of so many, 100 ms apart and each answered within 1 ms if it is sent.
+/// Sends these requests 100 ms apart, answers each forwarded one after 1 ms, and returns how many are rejected.
 fn count_rejected(w: &mut World, ids: std::ops::Range<u64>) -> usize {
     let mut rejected = 0;
     for id in ids {
@@ -21,6 +21,7 @@
     rejected
 }
 
+/// Lets the first attempt of a request succeed after `ms` milliseconds.
 fn answer_after(w: &mut World, id: u64, ms: i64) {
     w.advance(Span(ms * MS));
     w.end_attempt(id, 0, Outcome::Ok);
@@ -46,7 +47,7 @@
             answer_after(&mut w, id, 300);
         }
     }
-    // The first of them may be rejected: nothing tells yet that servers are quick again.
+    // The first of them may be rejected, since no answer has shown yet that the servers are quick again.
     count_rejected(&mut w, 3000..3100);
     assert_eq!(count_rejected(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
 }
@@ -55,7 +56,7 @@
 fn a_slow_answer_does_not_reject_for_good_requests_with_less_time_than_the_objective() {
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
-    // Quicker than the latency objective, and slower than what later clients wait for.
+    // The answer meets the latency objective, but takes longer than the later clients wait.
     answer_after(&mut w, 0, 100);
     let mut rejected = Vec::new();
     for id in 1..2000 {
@@ -67,6 +68,6 @@
             answer_after(&mut w, id, 1);
         }
     }
-    // It takes some requests to tell that this is what they usually bring.
+    // The estimate of the median timeout takes some requests to reach the new timeout.
     assert!(rejected.iter().all(|id| *id < 1000), "{:?} of 2,000", rejected.last());
 }
