--- a/crates/tenant-limits/examples/costs.rs
+++ b/crates/tenant-limits/examples/costs.rs
@@ -1,5 +1,5 @@
-//! What limits take at a balancer, as lines of JSON. Bytes are those that the allocator was asked for and are exact;
-//! times are of this machine.
+//! Prints the memory of the limits at a balancer and the time of a check, as lines of JSON. The bytes are those
+//! requested from the allocator and are exact; the times depend on the machine.
 //!
 //! `cargo run --release -p sableloom-tenant-limits --example costs`
 
@@ -10,14 +10,15 @@
 use sableloom_tenant_limits::{Limit, LimitShare, TenantLimits};
 use sableloom_types::Time;
 
-/// Tenants of a service.
+/// The number of tenants with a limit, for each service.
 const TENANTS: usize = 324;
+/// The number of checks that are timed.
 const REQUESTS: usize = 2_000_000;
 
 fn main() {
     let names: Vec<Arc<str>> =
         (0..TENANTS).map(|index| format!("customer-{index:06}").into()).collect();
-    let limit = Limit::new(20.0, 20).expect("a limit");
+    let limit = Limit::new(20.0, 20).expect("valid limit");
     for services in [5, 25] {
         let services: Vec<String> =
             (0..services).map(|index| format!("service-{index:04}")).collect();
--- a/crates/tenant-limits/src/tenant_limits.rs
+++ b/crates/tenant-limits/src/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of a balancer's services, by service and tenant.
+//! The limits at a balancer, by service and tenant.
 
 use std::sync::Arc;
 
@@ -8,36 +8,37 @@
 use crate::limit::{Limit, LimitShare};
 use crate::meter::Meter;
 
-/// The decision on a request.
+/// The decision on a request of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitDecision {
-    /// Its tenant has no limit here.
+    /// The tenant has no limit for the service.
     Unlimited,
-    /// It is within its tenant's limit, and is counted.
+    /// The request is within the tenant's limit and is counted.
     Within,
-    /// It is over the limit, and is not counted. A request after this time would be within, if none came before it.
+    /// The request is over the limit and is not counted. A request after this time would be within the limit, if none
+    /// arrives before it.
     Over(Span),
 }
 
-/// How many requests of one tenant were rejected since its limit was set.
+/// The rejections of one tenant since its limit was set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantRejections {
     /// The service.
     pub service: Arc<str>,
     /// The tenant.
     pub tenant: Arc<str>,
-    /// How many.
+    /// The number of rejected requests.
     pub count: u64,
 }
 
-/// A tenant with a limit.
+/// The limit and the rejections of one tenant.
 #[derive(Debug)]
 struct Tenant {
     meter: Meter,
     rejected: u64,
 }
 
-/// The limits of a balancer's services, and what is used of them.
+/// The limits at a balancer by service and tenant, and how much of them is used.
 #[derive(Debug, Default)]
 pub struct TenantLimits {
     services: FxHashMap<Arc<str>, FxHashMap<Arc<str>, Tenant>>,
@@ -46,7 +47,8 @@
 }
 
 impl TenantLimits {
-    /// Sets a tenant's limit. A tenant that had a limit keeps what it has used, in requests, up to the new burst.
+    /// Sets a tenant's limit. A tenant that already has one keeps the number of requests it has used, up to the new
+    /// burst.
     pub fn set(&mut self, now: Time, service: &str, tenant: &Arc<str>, limit: Limit) {
         if !self.services.contains_key(service) {
             self.services.insert(service.into(), FxHashMap::default());
@@ -59,7 +61,7 @@
         self.len += 1;
     }
 
-    /// Removes a tenant's limit, and what is known of the tenant.
+    /// Removes a tenant's limit, with its use and its rejections. Does nothing if the tenant has none.
     pub fn remove(&mut self, service: &str, tenant: &str) {
         let Some(tenants) = self.services.get_mut(service) else { return };
         self.len -= usize::from(tenants.remove(tenant).is_some());
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Removes all limits of a service.
+    /// Removes the limits of all tenants of a service.
     pub fn remove_service(&mut self, service: &str) {
         self.len -= self.services.remove(service).map_or(0, |tenants| tenants.len());
     }
@@ -78,7 +80,7 @@
         self.services.get(service).into_iter().flat_map(FxHashMap::keys)
     }
 
-    /// Checks a request of a tenant against this balancer's share of its limit.
+    /// Decides on a request of a tenant by this balancer's share of the tenant's limit, and counts it if it is within.
     pub fn check(
         &mut self,
         now: Time,
@@ -98,23 +100,23 @@
         }
     }
 
-    /// How many limits there are.
+    /// The number of limits.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there is none.
+    /// Whether there are no limits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Requests rejected since the start, also those of tenants whose limit was removed.
+    /// The number of requests rejected since the start, including those of tenants whose limit was removed.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// The tenants with the most rejections, at most `max` of them, the most rejected first. The work grows with the number
-    /// of limits.
+    /// The tenants with the most rejections, in descending order and at most `max` of them. The cost grows with the
+    /// number of limits.
     pub fn most_rejected(&self, max: usize) -> Vec<TenantRejections> {
         let tenants = self.services.iter().flat_map(|(service, tenants)| {
             tenants.iter().map(move |(name, tenant)| (tenant.rejected, service, name))
--- a/crates/tenant-limits/tests/limits.rs
+++ b/crates/tenant-limits/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants: seeded random schedules against a naive reference, and the cases in which limits and shares
-//! change. A failure names its seed.
+//! Limits of tenants: decisions on seeded random schedules against the definition of the algorithm, and changes of
+//! limits and shares. A failure reports its seed.
 
 use std::sync::Arc;
 
@@ -7,12 +7,13 @@
 use sableloom_tenant_limits::{Limit, LimitDecision, LimitShare, TenantLimits};
 use sableloom_types::{Span, Time};
 
+/// Microseconds in a second.
 const SECOND: i64 = 1_000_000;
-/// Times here are as large as those of a clock that counts from 1970.
+/// The start of the tests in microseconds, as large as on a clock that counts from 1970.
 const START: i64 = 1_800_000_000 * SECOND;
 
 fn limit(rate: f64, burst: u32) -> Limit {
-    Limit::new(rate, burst).expect("a limit")
+    Limit::new(rate, burst).expect("valid limit")
 }
 
 fn limits_of(rate: f64, burst: u32) -> TenantLimits {
@@ -25,13 +26,13 @@
     limits.check(Time(START + at), "points", "t", share)
 }
 
-/// How many of so many requests at one time are within.
+/// Checks `requests` requests at one time, and returns how many are within the limit.
 fn count_within(limits: &mut TenantLimits, at: i64, share: LimitShare, requests: usize) -> usize {
     (0..requests).filter(|_| check(limits, at, share) == LimitDecision::Within).count()
 }
 
-/// The definition, over all requests that were let pass: of any `n` in a row the last comes no earlier than `n - 1`
-/// intervals after the first, but for the tolerance.
+/// The earliest time at which the definition admits a request after those that `passed`: of any `n` consecutive
+/// requests, the last arrives no earlier than `n - 1` intervals after the first, less the tolerance.
 fn earliest_by_definition(passed: &[i64], at: i64, interval: i64, tolerance: i64) -> i64 {
     let earliest = |(index, first): (usize, &i64)| {
         first + (passed.len() - index) as i64 * interval - tolerance
@@ -44,7 +45,7 @@
     let mut all = (0, 0);
     for seed in 0..300 {
         let mut random = Rand64::new(seed);
-        // Rates at which the interval is a whole number, so that the reference needs no rounding.
+        // At these rates the interval is a whole number, so that the definition needs no rounding.
         let balancers = [1, 2, 5][random.rand_range(0..3) as usize];
         let rate = [1, 4, 20, 100, 1000][random.rand_range(0..5) as usize];
         let burst = random.rand_range(1..40) as i64;
@@ -54,7 +55,7 @@
         let mut limits = limits_of(rate as f64, burst as u32);
         let (mut at, mut passed, mut rejected) = (0, Vec::new(), 0);
         for step in 0..600 {
-            // Bursts, requests at about the rate, and pauses in which the burst comes back.
+            // The schedule has bursts, requests at about the rate, and pauses in which the burst is replenished.
             at += match random.rand_range(0..10) {
                 0..5 => 0,
                 5..9 => random.rand_range(0..2 * interval as u64) as i64,
@@ -75,8 +76,8 @@
         assert_eq!(limits.rejected(), rejected, "seed {seed}");
         all = (all.0 + passed.len(), all.1 + rejected);
     }
-    // Both decisions happen often, otherwise little would have been compared.
-    assert!(all.0 > 50_000 && all.1 > 50_000, "{all:?} passed, refused");
+    // Both decisions have to be frequent for the comparison to be thorough.
+    assert!(all.0 > 50_000 && all.1 > 50_000, "{all:?} passed, rejected");
 }
 
 #[test]
@@ -92,7 +93,7 @@
         let mut balancers: Vec<TenantLimits> =
             shares.iter().map(|_| limits_of(rate, burst)).collect();
         let (mut at, mut passed) = (0, 0);
-        // Many more than the limit come, at balancers at random.
+        // Many more requests than the limit arrive, each at a random balancer.
         for _ in 0..20_000 {
             at += random.rand_range(0..(0.2 * SECOND as f64 / rate) as u64 + 1) as i64;
             let balancer = random.rand_range(0..shares.len() as u64) as usize;
@@ -115,7 +116,7 @@
     }
     assert_eq!(check(&mut limits, 99_999, LimitShare::ALL), LimitDecision::Over(Span(1)));
     assert_eq!(check(&mut limits, 100_000, LimitShare::ALL), LimitDecision::Within);
-    // After a long time the burst is complete again, and no larger than that.
+    // After a long time the whole burst is available again, and no more than that.
     assert_eq!(count_within(&mut limits, 100 * SECOND, LimitShare::ALL, 10), 3);
 }
 
@@ -123,14 +124,14 @@
 fn a_changed_limit_keeps_the_requests_that_are_used_up_to_the_new_burst() {
     let mut limits = limits_of(10.0, 10);
     assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 20), 10);
-    // Ten are used of a hundred now.
+    // Ten of a hundred are used now.
     limits.set(Time(START), "points", &"t".into(), limit(100.0, 100));
     assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 200), 90);
-    // A hundred are used, bounded by the new burst of two: the tenant is rejected for one request's time and no more.
+    // A hundred are used, which the new burst of two bounds: the tenant is rejected for the interval of one request.
     limits.set(Time(START), "points", &"t".into(), limit(1.0, 2));
     assert_eq!(check(&mut limits, 0, LimitShare::ALL), LimitDecision::Over(Span(SECOND)));
     assert_eq!(check(&mut limits, SECOND, LimitShare::ALL), LimitDecision::Within);
-    // The same limit once more changes nothing, also where a share is below one request.
+    // Setting the same limit again changes nothing, even if the share is less than one request.
     let small = LimitShare::new(0.01);
     let mut limits = limits_of(10.0, 10);
     assert_eq!(count_within(&mut limits, 0, small, 5), 1);
@@ -144,9 +145,10 @@
 fn a_changed_share_keeps_the_fraction_of_the_burst_that_is_used() {
     let mut limits = limits_of(10.0, 100);
     assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 50), 50);
-    // Half of its burst was used: of the half that it has now, half is left.
+    // Half of the burst is used: half of the present share of it is left.
     assert_eq!(count_within(&mut limits, 0, LimitShare::new(0.5), 100), 25);
-    // Used up at one half, it is used up at the complete share: other balancers have had the other half.
+    // A burst that is used up at half the share is used up at the full share, since the other half was that of other
+    // balancers.
     assert_eq!(count_within(&mut limits, 0, LimitShare::ALL, 100), 0);
     assert_eq!(check(&mut limits, SECOND / 10, LimitShare::ALL), LimitDecision::Within);
 }
@@ -158,7 +160,7 @@
     assert_eq!(count_within(&mut limits, 0, tiny, 10), 1);
     assert_eq!(check(&mut limits, 7_599 * SECOND, tiny), LimitDecision::Over(Span(SECOND)));
     assert_eq!(check(&mut limits, 7_600 * SECOND, tiny), LimitDecision::Within);
-    // With a share of nothing no request passes, and none is counted.
+    // With a share of zero no request passes, and none is counted.
     let mut limits = limits_of(1_000_000.0, 1_000_000);
     for share in [LimitShare::NONE, LimitShare::new(-1.0), LimitShare::new(f64::NAN)] {
         assert_eq!(check(&mut limits, 0, share), LimitDecision::Over(Span(SECOND)));
