--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -103,7 +103,7 @@
         error: CodecError,
         out: &mut Vec<PublisherOutput>,
     ) {
-        if let CodecError::Version(_) = error {
+        if let CodecError::UnsupportedVersion(_) = error {
             let refusal = Refusal::Version { expected: PROTOCOL_VERSION };
             self.reply(now, session, &PublisherMessage::Refused(refusal), out);
         }
@@ -141,7 +141,7 @@
         let mut sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         sessions.sort_unstable();
         for session in sessions {
-            self.close(now, session, CloseReason::Replaced, out);
+            self.close(now, session, CloseReason::StoreReplaced, out);
         }
     }
 
--- a/crates/sableloom/src/platform.rs
+++ b/crates/sableloom/src/platform.rs
@@ -105,7 +105,7 @@
 
 fn poll_timing(settings: &DeploymentSettings) -> PollTiming {
     PollTiming::new(&ScheduleOptions {
-        pushed: settings.endpoint_list_delivery == EndpointListDelivery::Push,
+        local_agent: settings.endpoint_list_delivery == EndpointListDelivery::Push,
         poll_interval: span_from_ms(settings.safety.poll_interval),
         drain_grace: span_from_ms(settings.safety.drain_grace),
         position: settings.balancer_index,
