--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -152,7 +152,7 @@
         let now = self.clock.now();
         state.expire_share(now);
         let mut actions = Vec::new();
-        state.end_idle(now, &mut actions);
+        state.run_deferred_timer(now, &mut actions);
         call(&mut state.balancer, now, &mut actions);
         for action in actions {
             self.apply_action(&mut state, now, action);
@@ -242,7 +242,7 @@
             return;
         }
         let any_open = !state.requests.is_empty();
-        if state.idle.hold_back(now, any_open, timer) {
+        if state.idle.defer_timer_if_idle(now, any_open, timer) {
             return;
         }
         let (exchange, due) = (self.clone(), self.clock.instant_of(timer.at));
@@ -384,8 +384,8 @@
     }
 
     /// Makes up for the timer that was held back while the pool was idle.
-    fn end_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
-        match self.idle.end() {
+    fn run_deferred_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        match self.idle.take_deferred_timer() {
             Some(Timer { token, at }) if at <= now => self.balancer.timer(now, token, actions),
             Some(Timer { token, at }) => actions.push(Action::SetTimer { token, at }),
             None => {}
@@ -395,7 +395,7 @@
     /// Removes a request that is finished and has no attempt in flight.
     fn remove_if_done(&mut self, now: Time, id: RequestId) {
         if self.requests.remove_if_done(id) {
-            self.idle.requests_changed(now);
+            self.idle.record_request_change(now);
         }
     }
 }
@@ -414,7 +414,7 @@
             let mut state = self.state.borrow_mut();
             let limit = self.settings.policy_limits.max_open;
             let id = state.requests.open(&context, message, sender, limit)?;
-            state.idle.requests_changed(self.clock.now());
+            state.idle.record_request_change(self.clock.now());
             id
         };
         let RequestContext { class, tenant, key, deadline } = context;
--- a/crates/exchange/src/idle.rs
+++ b/crates/exchange/src/idle.rs
@@ -33,9 +33,9 @@
     /// When a request was last opened or removed.
     last_request: Time,
     /// When the last server of the list has ended its slow start.
-    warm_from: Time,
+    slow_starts_end: Time,
     /// The timer that is held back while the pool is idle.
-    held_timer: Option<Timer>,
+    deferred_timer: Option<Timer>,
 }
 
 impl IdleState {
@@ -54,40 +54,41 @@
             idle_after,
             slow_start,
             last_request: now,
-            warm_from: now,
-            held_timer: None,
+            slow_starts_end: now,
+            deferred_timer: None,
         }
     }
 
     /// A request was opened or removed.
-    pub(crate) fn requests_changed(&mut self, now: Time) {
+    pub(crate) fn record_request_change(&mut self, now: Time) {
         self.last_request = now;
     }
 
     /// The endpoint list, or a part of it, has changed.
     pub(crate) fn endpoints_updated(&mut self, full: bool, endpoints: &[Endpoint]) {
         let listed = endpoints.iter().filter(|server| server.status != EndpointStatus::Gone);
-        let warm_from =
+        let slow_starts_end =
             listed.filter_map(|server| Some(server.started?.plus(self.slow_start))).max();
         // After a full list of servers that have long ended their slow start there is nothing to wait for.
-        let before = (!full).then_some(self.warm_from);
-        self.warm_from = before.into_iter().chain(warm_from).max().unwrap_or(Time(i64::MIN));
+        let before = (!full).then_some(self.slow_starts_end);
+        self.slow_starts_end =
+            before.into_iter().chain(slow_starts_end).max().unwrap_or(Time(i64::MIN));
     }
 
     /// Holds the timer back if the pool may be idle now; whether it did.
-    pub(crate) fn hold_back(&mut self, now: Time, any_open: bool, timer: Timer) -> bool {
+    pub(crate) fn defer_timer_if_idle(&mut self, now: Time, any_open: bool, timer: Timer) -> bool {
         let unused = !any_open && now >= self.last_request.plus(self.idle_after);
-        let idle = self.allowed && unused && now >= self.warm_from;
-        self.held_timer = idle.then_some(timer);
+        let idle = self.allowed && unused && now >= self.slow_starts_end;
+        self.deferred_timer = idle.then_some(timer);
         idle
     }
 
     /// Ends the idle time: the timer that was held back.
-    pub(crate) fn end(&mut self) -> Option<Timer> {
-        self.held_timer.take()
+    pub(crate) fn take_deferred_timer(&mut self) -> Option<Timer> {
+        self.deferred_timer.take()
     }
 
     pub(crate) fn is_idle(&self) -> bool {
-        self.held_timer.is_some()
+        self.deferred_timer.is_some()
     }
 }
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -27,7 +27,7 @@
 const DEADLINE_MS: u64 = 400;
 const SLOW_START_MS: u64 = 20_000;
 /// Longer than a pool takes to become idle, its last timer included.
-const IDLE_TIME: Duration = Duration::from_millis(3 * DEADLINE_MS);
+const TIME_TO_IDLE: Duration = Duration::from_millis(3 * DEADLINE_MS);
 
 /// Answers each attempt, a server of a higher number later, and records the server and the time.
 #[derive(Default)]
@@ -45,8 +45,8 @@
                 return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             }
             context.set_connection(Rc::new(WrittenConnection));
-            let since = self.epoch.map_or(Duration::ZERO, |epoch| epoch.elapsed());
-            self.started.borrow_mut().push((context.server, since));
+            let started_at = self.epoch.map_or(Duration::ZERO, |epoch| epoch.elapsed());
+            self.started.borrow_mut().push((context.server, started_at));
             if self.silent {
                 std::future::pending::<()>().await;
             }
@@ -96,9 +96,9 @@
     (0..n).map(|i| endpoint(i, PORT, EndpointStatus::Live, 0.0)).collect()
 }
 
-fn start(clock: Clock, registry: &str, servers: &Rc<CountingTransport>) -> Rc<Exchange> {
+fn start(clock: Clock, registry: &str, transport: &Rc<CountingTransport>) -> Rc<Exchange> {
     let settings = Rc::new(settings(registry));
-    let (transport, source) = (servers.clone(), Rc::new(SilentSource));
+    let (transport, source) = (transport.clone(), Rc::new(SilentSource));
     Exchange::start(ExchangeOptions { settings, seed: 1, clock, transport, source })
         .expect("an exchange")
 }
@@ -130,11 +130,11 @@
 #[test]
 fn three_hundred_idle_pools_have_no_timer_and_no_task() {
     run_simulated(async {
-        let (clock, servers) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
-        let pools: Vec<_> = (0..300).map(|_| start(clock, "automatic", &servers)).collect();
+        let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
+        let pools: Vec<_> = (0..300).map(|_| start(clock, "automatic", &transport)).collect();
         pools.iter().for_each(|pool| report_full_list(pool, warm_servers(20)));
         assert!(pools.iter().all(|pool| !pool.is_idle()), "the timers of all run at first");
-        sleep(IDLE_TIME).await;
+        sleep(TIME_TO_IDLE).await;
         assert!(pools.iter().all(|pool| pool.is_idle()));
         assert_eq!(Handle::current().metrics().num_alive_tasks(), 0);
         // A request to one of them: it alone resumes.
@@ -143,7 +143,7 @@
         sleep(Duration::from_millis(DEADLINE_MS)).await;
         assert!(!pools[7].is_idle(), "its timers run for two deadlines after its last answer");
         assert_eq!(pools.iter().filter(|pool| !pool.is_idle()).count(), 1);
-        sleep(IDLE_TIME).await;
+        sleep(TIME_TO_IDLE).await;
         assert!(pools[7].is_idle());
         // An endpoint list alone is applied, and the pool is idle again at once.
         report_full_list(&pools[3], warm_servers(5));
@@ -154,19 +154,19 @@
 #[test]
 fn a_pool_is_not_idle_while_a_server_is_in_slow_start() {
     run_simulated(async {
-        let (clock, servers) =
+        let (clock, transport) =
             (Clock::anchored_at(1_000_000_000), Rc::new(CountingTransport::default()));
-        let pool = start(clock, "automatic", &servers);
+        let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(3));
-        sleep(IDLE_TIME).await;
+        sleep(TIME_TO_IDLE).await;
         assert!(pool.is_idle());
         let mut list = warm_servers(3);
         list.push(endpoint(3, PORT, EndpointStatus::Live, clock.now().0 as f64 / 1000.0));
         report_full_list(&pool, list);
         assert!(!pool.is_idle());
-        sleep(Duration::from_millis(SLOW_START_MS) - IDLE_TIME).await;
+        sleep(Duration::from_millis(SLOW_START_MS) - TIME_TO_IDLE).await;
         assert!(!pool.is_idle());
-        sleep(2 * IDLE_TIME).await;
+        sleep(2 * TIME_TO_IDLE).await;
         assert!(pool.is_idle());
         // A server that leaves during its slow start, or an empty list, leaves nothing to wait for.
         let mut list = warm_servers(3);
@@ -174,17 +174,17 @@
         report_full_list(&pool, list);
         assert!(!pool.is_idle());
         report_full_list(&pool, Vec::new());
-        sleep(IDLE_TIME).await;
+        sleep(TIME_TO_IDLE).await;
         assert!(pool.is_idle());
     });
 }
 
 #[test]
-fn a_pool_with_an_open_request_is_not_idle_however_long_that_waits() {
+fn a_pool_with_an_open_request_is_not_idle_however_long_the_request_waits() {
     run_simulated(async {
         let clock = Clock::anchored_at(0);
-        let servers = Rc::new(CountingTransport { silent: true, ..CountingTransport::default() });
-        let pool = start(clock, "automatic", &servers);
+        let transport = Rc::new(CountingTransport { silent: true, ..CountingTransport::default() });
+        let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(1));
         let waiting = spawn_local(send_with_deadline(&pool, clock, 1, 10 * DEADLINE_MS));
         for _ in 0..99 {
@@ -192,7 +192,7 @@
             assert!(!pool.is_idle());
         }
         assert!(!matches!(waiting.await.expect("an answer"), Reply::Served(_)));
-        sleep(IDLE_TIME).await;
+        sleep(TIME_TO_IDLE).await;
         assert!(pool.is_idle());
     });
 }
@@ -203,7 +203,7 @@
         let pool =
             start(Clock::anchored_at(0), "subscribe", &Rc::new(CountingTransport::default()));
         report_full_list(&pool, warm_servers(3));
-        sleep(20 * IDLE_TIME).await;
+        sleep(20 * TIME_TO_IDLE).await;
         assert!(!pool.is_idle());
     });
 }
@@ -211,10 +211,10 @@
 #[test]
 fn a_server_that_drains_while_its_pool_is_idle_gets_no_request() {
     run_simulated(async {
-        let (clock, servers) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
-        let pool = start(clock, "automatic", &servers);
+        let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
+        let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(2));
-        sleep(IDLE_TIME).await;
+        sleep(TIME_TO_IDLE).await;
         assert!(pool.is_idle());
         let list = vec![
             endpoint(0, PORT, EndpointStatus::Draining, 0.0),
@@ -224,7 +224,7 @@
         for id in 0..40 {
             assert!(matches!(send(&pool, clock, id).await, Reply::Served(_)));
         }
-        assert!(servers.started.borrow().iter().all(|(server, _)| *server == ServerId(1)));
+        assert!(transport.started.borrow().iter().all(|(server, _)| *server == ServerId(1)));
     });
 }
 
@@ -232,17 +232,17 @@
 type Burst = (Vec<Reply>, Vec<(ServerId, Duration)>);
 
 /// The result of a burst after busy seconds and a time without requests, in which a share of the servers may expire and
-/// be replaced. A pool that is `kept_awake` has its sums brought up to date every millisecond.
-fn burst_after(idle: Duration, share_expires: bool, kept_awake: bool) -> Burst {
+/// be replaced. A pool that is `refreshed` has its sums brought up to date every millisecond.
+fn run_burst(idle: Duration, share_expires: bool, refreshed: bool) -> Burst {
     let outcome = Rc::new(RefCell::new(Burst::default()));
     let result = outcome.clone();
     run_simulated(async move {
         let clock = Clock::anchored_at(0);
-        let servers = Rc::new(CountingTransport {
+        let transport = Rc::new(CountingTransport {
             epoch: Some(Instant::now()),
             ..CountingTransport::default()
         });
-        let pool = start(clock, "automatic", &servers);
+        let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(4));
         for id in 0..10_000 {
             sleep(Duration::from_millis(1)).await;
@@ -257,46 +257,46 @@
                 pool.set_balancers(2, None);
             }
             sleep(Duration::from_millis(1)).await;
-            if kept_awake {
+            if refreshed {
                 // An update without an endpoint: the policy refreshes its sums and changes nothing else.
                 pool.clone().endpoints_updated(ListKind::Update, Vec::new());
             }
         }
         assert!(pool.is_idle());
-        servers.started.borrow_mut().clear();
+        transport.started.borrow_mut().clear();
         let burst = (0..400).map(|id| spawn_local(send(&pool, clock, 20_000 + id)));
         let mut replies = Vec::new();
         for waiting in burst.collect::<Vec<_>>() {
             replies.push(waiting.await.expect("an answer"));
         }
-        *result.borrow_mut() = (replies, servers.started.borrow().clone());
+        *result.borrow_mut() = (replies, transport.started.borrow().clone());
     });
     outcome.take()
 }
 
 /// A short description of what differs between two bursts.
-fn difference(a: &Burst, b: &Burst) -> String {
+fn describe_difference(a: &Burst, b: &Burst) -> String {
     let served = |burst: &Burst| burst.0.iter().filter(|r| matches!(r, Reply::Served(_))).count();
     let first = a.1.iter().zip(&b.1).position(|(a, b)| a != b);
     format!("{} and {} served, attempts differ from {first:?} on", served(a), served(b))
 }
 
 #[test]
-fn after_an_idle_time_all_is_decided_as_if_the_timers_had_run() {
+fn decisions_after_an_idle_period_equal_those_of_a_pool_whose_timers_ran() {
     let idle = Duration::from_millis(3 * SLOW_START_MS);
-    let (after_idle, awake) = (burst_after(idle, false, false), burst_after(idle, false, true));
+    let (after_idle, refreshed) = (run_burst(idle, false, false), run_burst(idle, false, true));
     assert!(after_idle.0.contains(&Reply::Served(Answer::default())));
     assert!(
         after_idle.0.iter().any(|reply| matches!(reply, Reply::Rejected(_))),
         "the burst exceeds the capacity"
     );
-    assert!(after_idle == awake, "{}", difference(&after_idle, &awake));
+    assert!(after_idle == refreshed, "{}", describe_difference(&after_idle, &refreshed));
 }
 
 #[test]
-fn a_share_that_expires_while_the_pool_is_idle_has_expired() {
+fn a_share_that_expires_while_the_pool_is_idle_has_expired_for_the_next_request() {
     let idle = Duration::from_millis(3 * SLOW_START_MS);
-    let (after_idle, awake) = (burst_after(idle, true, false), burst_after(idle, true, true));
-    assert!(after_idle == awake, "{}", difference(&after_idle, &awake));
-    assert!(after_idle != burst_after(idle, false, false));
+    let (after_idle, refreshed) = (run_burst(idle, true, false), run_burst(idle, true, true));
+    assert!(after_idle == refreshed, "{}", describe_difference(&after_idle, &refreshed));
+    assert!(after_idle != run_burst(idle, false, false));
 }
--- a/crates/exchange/tests/simulation/main.rs
+++ b/crates/exchange/tests/simulation/main.rs
@@ -23,14 +23,14 @@
 
 const SEEDS: u64 = 3000;
 /// The ways in which an attempt can go, and the idle pools.
-const PATHS: usize = 12;
+const PATH_COUNT: usize = 12;
 
 #[test]
-fn no_schedule_breaks_a_rule() {
+fn no_seeded_schedule_violates_an_invariant() {
     // The transport panics on purpose: that is not to fill the log.
     std::panic::set_hook(Box::new(|_| ()));
-    let one = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
-    let seeds = one.map_or(0..SEEDS, |seed: u64| seed..seed + 1);
+    let single_seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
+    let seeds = single_seed.map_or(0..SEEDS, |seed: u64| seed..seed + 1);
     let mut paths = BTreeMap::new();
     let mut failed = Vec::new();
     for seed in seeds {
@@ -50,5 +50,8 @@
     }
     let _ = std::panic::take_hook();
     assert!(failed.is_empty(), "{} schedules, the first: {}", failed.len(), failed[0]);
-    assert!(one.is_some() || paths.len() == PATHS, "every path of an attempt was taken: {paths:?}");
+    assert!(
+        single_seed.is_some() || paths.len() == PATH_COUNT,
+        "every path of an attempt was taken: {paths:?}"
+    );
 }
--- a/crates/exchange/tests/simulation/schedule.rs
+++ b/crates/exchange/tests/simulation/schedule.rs
@@ -59,8 +59,8 @@
 }
 
 /// A server that has moved this many times.
-fn server(number: u64, moves: u16, status: EndpointStatus) -> ListedEndpoint {
-    endpoint(number as u8, 9000 + moves, status, 0.0)
+fn server(number: u64, address_changes: u16, status: EndpointStatus) -> ListedEndpoint {
+    endpoint(number as u8, 9000 + address_changes, status, 0.0)
 }
 
 pub(crate) async fn run(seed: u64, world: Rc<World>) {
@@ -72,13 +72,13 @@
             schedule.let_pool_become_idle().await;
         }
         if schedule.random_below(12) == 0 {
-            schedule.change_a_server();
+            schedule.change_random_server();
         }
         clients.push(schedule.send_request(number));
     }
     for client in clients {
         if let Err(e) = client.await {
-            schedule.world.violation(format!("a client: {e}"));
+            schedule.world.record_violation(format!("a client: {e}"));
         }
     }
     // What is still in flight ends; nothing of it may show later.
@@ -92,8 +92,8 @@
     world: Rc<World>,
     exchange: Rc<Exchange>,
     servers: u64,
-    moves: u16,
-    idle_times: usize,
+    address_changes: u16,
+    idle_periods: usize,
 }
 
 impl Schedule {
@@ -109,7 +109,8 @@
         };
         let exchange = Exchange::start(options).expect("an exchange");
         let servers = 1 + rng.rand_range(0..4);
-        let schedule = Self { rng, clock, world, exchange, servers, moves: 0, idle_times: 0 };
+        let schedule =
+            Self { rng, clock, world, exchange, servers, address_changes: 0, idle_periods: 0 };
         let list = (0..servers).map(|number| server(number, 0, EndpointStatus::Live)).collect();
         schedule.report_list(ListKind::Full, list);
         schedule
@@ -120,7 +121,7 @@
     }
 
     /// One in `n`: a time in milliseconds below `max_ms`.
-    fn time_one_in(&mut self, n: u64, max_ms: u64) -> Option<Duration> {
+    fn random_time_one_in(&mut self, n: u64, max_ms: u64) -> Option<Duration> {
         (self.random_below(n) == 0).then(|| Duration::from_millis(self.random_below(max_ms)))
     }
 
@@ -137,15 +138,15 @@
 
     async fn let_pool_become_idle(&mut self) {
         sleep(Duration::from_millis(3 * DEADLINE_MS as u64)).await;
-        self.idle_times += usize::from(self.exchange.is_idle());
+        self.idle_periods += usize::from(self.exchange.is_idle());
     }
 
-    fn change_a_server(&mut self) {
+    fn change_random_server(&mut self) {
         let statuses = [EndpointStatus::Live, EndpointStatus::Draining, EndpointStatus::Gone];
         let status = statuses[self.random_below(3) as usize];
-        self.moves += u16::from(self.random_below(3) == 0);
+        self.address_changes += u16::from(self.random_below(3) == 0);
         let number = self.random_below(self.servers);
-        self.report_list(ListKind::Update, vec![server(number, self.moves, status)]);
+        self.report_list(ListKind::Update, vec![server(number, self.address_changes, status)]);
     }
 
     fn send_request(&mut self, number: u64) -> JoinHandle<()> {
@@ -157,9 +158,9 @@
         let message = message(id.clone(), idempotency, Some(weak));
         let deadline = self.clock.now().plus(Span(DEADLINE_MS * 1000));
         let context = RequestContext { class, tenant: 0, key: None, deadline };
-        let drops_wait = self.time_one_in(8, 150);
+        let drop_reply_after = self.random_time_one_in(8, 150);
         // Some clients disconnect behind bytes that no front reads past: the wait goes on.
-        if let Some(after) = self.time_one_in(8, 150) {
+        if let Some(after) = self.random_time_one_in(8, 150) {
             let client = client.clone();
             spawn_local(async move {
                 sleep(after).await;
@@ -170,7 +171,7 @@
         spawn_local(async move {
             let (sent, _connected) = (Instant::now(), client);
             let wait = exchange.call(context, message).expect("a new id");
-            if let Some(after) = drops_wait {
+            if let Some(after) = drop_reply_after {
                 let _ = timeout(after, wait).await;
                 return;
             }
@@ -180,18 +181,20 @@
     }
 
     fn check_end(&self) {
-        if self.idle_times > 0 {
-            *self.world.paths.borrow_mut().entry("idle").or_default() += self.idle_times;
+        if self.idle_periods > 0 {
+            *self.world.paths.borrow_mut().entry("idle").or_default() += self.idle_periods;
         }
         if !self.exchange.is_idle() {
-            self.world.violation("the pool is not idle at the end".into());
+            self.world.record_violation("the pool is not idle at the end".into());
         }
         if self.exchange.open_requests() > 0 {
-            self.world.violation(format!("{} are still open", self.exchange.open_requests()));
+            self.world
+                .record_violation(format!("{} are still open", self.exchange.open_requests()));
         }
         for (id, times) in self.world.executions.borrow().iter().filter(|(_, times)| **times > 1) {
             if id.starts_with(b"redeem") {
-                self.world.violation(format!("{id:?} is not idempotent, executed {times} times"));
+                self.world
+                    .record_violation(format!("{id:?} is not idempotent, executed {times} times"));
             }
         }
     }
@@ -207,17 +210,17 @@
     let executions = world.executions.borrow().get(id).copied().unwrap_or(0);
     // Its deadline, and a tick of the policy's clock.
     if latency > Duration::from_millis(DEADLINE_MS as u64 + 20) {
-        world.violation(format!("{id:?} was answered after {latency:?}"));
+        world.record_violation(format!("{id:?} was answered after {latency:?}"));
     }
     match reply {
         Reply::Served(answer) if answer.body != *id => {
-            world.violation(format!("{id:?} got the answer of {:?}", answer.body));
+            world.record_violation(format!("{id:?} got the answer of {:?}", answer.body));
         }
         Reply::Served(_) if executions == 0 => {
-            world.violation(format!("{id:?} was never executed"));
+            world.record_violation(format!("{id:?} was never executed"));
         }
         Reply::Rejected(_) if idempotency == Idempotency::NonIdempotent && executions > 0 => {
-            world.violation(format!("{id:?} was executed {executions} times and rejected"));
+            world.record_violation(format!("{id:?} was executed {executions} times and rejected"));
         }
         _ => {}
     }
--- a/crates/exchange/tests/simulation/transport.rs
+++ b/crates/exchange/tests/simulation/transport.rs
@@ -90,11 +90,12 @@
         }
         let id = &context.message.id;
         if context.message.client_is_gone() {
-            self.world.violation(format!("{id:?} started for a client that had disconnected"));
+            self.world
+                .record_violation(format!("{id:?} started for a client that had disconnected"));
         }
         if !self.world.live_servers.borrow().values().any(|at| *at == context.address) {
             let (address, server) = (context.address, context.server);
-            self.world.violation(format!("{id:?} started at {address} of {server:?}"));
+            self.world.record_violation(format!("{id:?} started at {address} of {server:?}"));
         }
         let connection = Rc::new(SimulatedConnection { fully_written: Cell::new(false) });
         context.set_connection(connection.clone());
@@ -125,7 +126,7 @@
         let first = *self.world.first_execution.borrow_mut().entry(id.clone()).or_insert(now);
         if now > first + Duration::from_millis(DEDUP_WINDOW_MS) {
             let after = now - first;
-            self.world.violation(format!("{id:?} was executed again after {after:?}"));
+            self.world.record_violation(format!("{id:?} was executed again after {after:?}"));
         }
         if now > first {
             self.world.count_path("retried within its window");
--- a/crates/exchange/tests/simulation/world.rs
+++ b/crates/exchange/tests/simulation/world.rs
@@ -25,7 +25,7 @@
         *self.paths.borrow_mut().entry(path).or_default() += 1;
     }
 
-    pub(crate) fn violation(&self, what: String) {
+    pub(crate) fn record_violation(&self, what: String) {
         self.violations.borrow_mut().push(what);
     }
 }
