--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -17,17 +17,17 @@
 /// The least number of slots to which a lack of descriptors lowers the limit.
 const MIN_LIMIT: usize = 8;
 /// A lack of descriptors takes one in this many of the slots in use.
-const SHED_ONE_IN: usize = 16;
+const SHED_DIVISOR: usize = 16;
 /// While others are closing, a new connection has this long to send something: as long as closing takes.
 const NEW_CONNECTION_GRACE: Span = Span(500_000);
 /// The least Retry-After of a rejected client.
 const MIN_RETRY_AFTER: Span = Span(50_000);
 /// Time constant with which observations decay, in seconds: long enough to know rare kinds, short enough that a new
 /// crowd is known within some seconds.
-const MEMORY_S: f64 = 10.0;
+const OBSERVATION_DECAY_S: f64 = 10.0;
 /// A close that is announced with an answer crosses no request; one on an idle connection may. So the connection that
 /// is being answered is closed if its value is at most this many times the least.
-const PREFER_ANSWERED: f64 = 1.25;
+const MAX_ANSWERED_VALUE_RATIO: f64 = 1.25;
 /// The weight of one busy time in its mean.
 const BUSY_TIME_GAIN: f64 = 0.05;
 
@@ -76,7 +76,7 @@
     /// Starts with no connections.
     pub fn new(bounds: Bounds, now: Time) -> Self {
         let mut estimates = HazardEstimates::default();
-        estimates.iter_mut().for_each(|estimate| estimate.estimate_value(std::iter::empty()));
+        estimates.iter_mut().for_each(|estimate| estimate.update_values(std::iter::empty()));
         Self {
             limit: bounds.max_connections,
             bounds,
@@ -190,7 +190,7 @@
         let own_value = self.estimates[kind as usize].value(0);
         let evictable = self.table.evictable();
         match evictable.least_valuable(now, &self.estimates, &WaitKind::IDLE) {
-            Some(least) if own_value > least.value * PREFER_ANSWERED => {
+            Some(least) if own_value > least.value * MAX_ANSWERED_VALUE_RATIO => {
                 self.close_started(now, least.id, false);
                 KeepAlive::CloseOther(least.id)
             }
@@ -256,7 +256,7 @@
     /// make room.
     pub fn out_of_descriptors(&mut self, now: Time) -> Vec<Release> {
         let connections = self.table.len();
-        let fewer = connections - (connections / SHED_ONE_IN).max(1).min(connections);
+        let fewer = connections - (connections / SHED_DIVISOR).max(1).min(connections);
         self.limit = self.limit.min(fewer.max(MIN_LIMIT));
         let mut releases = Vec::new();
         let any_closing =
@@ -291,9 +291,9 @@
         self.last_tick = now;
         self.headroom.update(passed_s);
         for (kind, estimate) in WaitKind::ALL.iter().zip(&mut self.estimates) {
-            estimate.decay((-passed_s / MEMORY_S).exp());
+            estimate.decay((-passed_s / OBSERVATION_DECAY_S).exp());
             let waiting = self.table.evictable().waiting(*kind);
-            estimate.estimate_value(waiting.iter().map(|(since, _)| now.since(*since)));
+            estimate.update_values(waiting.iter().map(|(since, _)| now.since(*since)));
         }
         self.limit = (self.limit + 1).min(self.bounds.max_connections);
         let mut releases: Vec<_> = self
--- a/crates/admission/src/connection.rs
+++ b/crates/admission/src/connection.rs
@@ -16,21 +16,22 @@
     /// For the rest of a request.
     Reading,
     /// For the next request after its first answer.
-    IdleOnce,
+    IdleAfterFirstAnswer,
     /// For the next request after a later answer.
-    IdleAgain,
+    IdleAfterLaterAnswer,
 }
 
 impl WaitKind {
     /// All kinds, in the order of their numbers.
-    pub(crate) const ALL: [Self; 4] = [Self::New, Self::Reading, Self::IdleOnce, Self::IdleAgain];
+    pub(crate) const ALL: [Self; 4] =
+        [Self::New, Self::Reading, Self::IdleAfterFirstAnswer, Self::IdleAfterLaterAnswer];
 
     /// The kinds of idle connections.
-    pub(crate) const IDLE: [Self; 2] = [Self::IdleOnce, Self::IdleAgain];
+    pub(crate) const IDLE: [Self; 2] = [Self::IdleAfterFirstAnswer, Self::IdleAfterLaterAnswer];
 
     /// The kind of an idle connection that was given this many answers.
     pub(crate) fn idle_after(answers: u32) -> Self {
-        if answers > 1 { Self::IdleAgain } else { Self::IdleOnce }
+        if answers > 1 { Self::IdleAfterLaterAnswer } else { Self::IdleAfterFirstAnswer }
     }
 }
 
@@ -88,7 +89,9 @@
         match stage {
             Stage::Waiting(WaitKind::New) => Self::New,
             Stage::Waiting(WaitKind::Reading) => Self::Reading,
-            Stage::Waiting(WaitKind::IdleOnce | WaitKind::IdleAgain) => Self::Idle,
+            Stage::Waiting(WaitKind::IdleAfterFirstAnswer | WaitKind::IdleAfterLaterAnswer) => {
+                Self::Idle
+            }
             Stage::Busy => Self::Busy,
             Stage::Closing => Self::Closing,
         }
--- a/crates/admission/src/connection_table.rs
+++ b/crates/admission/src/connection_table.rs
@@ -43,7 +43,7 @@
             has_unread_bytes: false,
         };
         self.connections.insert(id, connection);
-        self.change_source_count(source, 1);
+        self.adjust_source_count(source, 1);
         self.add_to_sets(id, connection);
         id
     }
@@ -52,7 +52,7 @@
         let Some(connection) = self.connections.get(&id).copied() else { return };
         self.remove_from_sets(id, connection);
         self.connections.remove(&id);
-        self.change_source_count(connection.source, -1);
+        self.adjust_source_count(connection.source, -1);
     }
 
     pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
@@ -126,8 +126,8 @@
             {
                 return Some(id);
             }
-            let greedy = self.sources_by_count.iter().rev();
-            for (_, source) in greedy.take_while(|(count, _)| *count > even_share) {
+            let over_share = self.sources_by_count.iter().rev();
+            for (_, source) in over_share.take_while(|(count, _)| *count > even_share) {
                 if let Some(id) = least_valuable(&self.by_source[source].evictable) {
                     return Some(id);
                 }
@@ -166,7 +166,7 @@
         [Some(&mut self.evictable), of_source].into_iter().flatten()
     }
 
-    fn change_source_count(&mut self, source: IpAddr, by: isize) {
+    fn adjust_source_count(&mut self, source: IpAddr, by: isize) {
         let connections = self.by_source.entry(source).or_default();
         self.sources_by_count.remove(&(connections.count, source));
         connections.count = connections.count.saturating_add_signed(by);
--- a/crates/admission/src/hazard_estimate.rs
+++ b/crates/admission/src/hazard_estimate.rs
@@ -59,13 +59,16 @@
 }
 
 fn add_exposure(exposure: &mut [f64; AGE_BUCKETS], age: Span) {
-    let mut rest = age.as_micros_f64().max(0.0) / 1e6;
+    let mut remaining = age.as_micros_f64().max(0.0) / 1e6;
     for (bucket, seconds) in exposure.iter_mut().enumerate() {
-        let here =
-            if bucket < BUCKET_ENDS_S.len() { rest.min(bucket_length(bucket)) } else { rest };
-        *seconds += here;
-        rest -= here;
-        if rest <= 0.0 {
+        let in_bucket = if bucket < BUCKET_ENDS_S.len() {
+            remaining.min(bucket_length(bucket))
+        } else {
+            remaining
+        };
+        *seconds += in_bucket;
+        remaining -= in_bucket;
+        if remaining <= 0.0 {
             return;
         }
     }
@@ -91,7 +94,7 @@
 
     /// Estimates the value of a slot at each age. `waiting` are the ages of the connections that wait now: without
     /// them, a crowd of silent clients would count for nothing until it is closed.
-    pub(crate) fn estimate_value(&mut self, waiting: impl Iterator<Item = Span>) {
+    pub(crate) fn update_values(&mut self, waiting: impl Iterator<Item = Span>) {
         let mut exposure = self.exposure;
         waiting.for_each(|age| add_exposure(&mut exposure, age));
         let rate = |counts: &[f64; AGE_BUCKETS], prior: f64, bucket: usize| {
@@ -107,9 +110,9 @@
                 let abandon_rate = rate(&self.abandoned, 0.0, bucket);
                 let end_rate = completion_rate + abandon_rate;
                 let survival = (-end_rate * bucket_length(bucket)).exp();
-                let time_here = alive * (1.0 - survival) / end_rate;
-                events += completion_rate * time_here;
-                time += time_here;
+                let expected_time = alive * (1.0 - survival) / end_rate;
+                events += completion_rate * expected_time;
+                time += expected_time;
                 alive *= survival;
                 best = best.max(events / time);
             }
--- a/crates/admission/src/hazard_estimate/tests.rs
+++ b/crates/admission/src/hazard_estimate/tests.rs
@@ -8,7 +8,7 @@
     for (ms, outcome, times) in waits {
         (0..*times).for_each(|_| estimate.observe(Span(ms * MS), *outcome));
     }
-    estimate.estimate_value(std::iter::empty());
+    estimate.update_values(std::iter::empty());
     estimate
 }
 
@@ -63,7 +63,7 @@
     let mut estimate = estimate_of(&[(1, WaitOutcome::Completed, 50)]);
     let silent = age_bucket(Span(1500 * MS));
     let before = estimate.value(silent);
-    estimate.estimate_value((0..100).map(|_| Span(2300 * MS)));
+    estimate.update_values((0..100).map(|_| Span(2300 * MS)));
     assert!(estimate.value(silent) < before / 3.0);
     assert!(estimate.value(0) > 100.0, "new connections that send at once keep their value");
 }
@@ -73,7 +73,7 @@
     let mut estimate = estimate_of(&[(2400, WaitOutcome::Censored, 200)]);
     let learnt = estimate.value(0);
     (0..400).for_each(|_| estimate.decay(0.9));
-    estimate.estimate_value(std::iter::empty());
+    estimate.update_values(std::iter::empty());
     assert!(learnt < estimate.value(0));
     assert!((estimate.value(0) * bucket_length(0) - PRIOR_COMPLETED_FRACTION).abs() < 1e-6);
 }
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -1,7 +1,7 @@
 //! How many slots are kept free for new clients, by the rate at which they come.
 
 /// Time constant with which the rate follows, in seconds.
-const RATE_TIME_S: f64 = 1.0;
+const RATE_TIME_CONSTANT_S: f64 = 1.0;
 /// Slots are kept free for the new clients of this time, in seconds,
 const HEADROOM_S: f64 = 0.25;
 /// within these fractions of the slots that clients can hold. Less than an eighth is used up by one burst; more than
@@ -27,7 +27,7 @@
     /// Updates the rate after this many seconds.
     pub(crate) fn update(&mut self, passed_s: f64) {
         if passed_s > 0.0 {
-            let gain = 1.0 - (-passed_s / RATE_TIME_S).exp();
+            let gain = 1.0 - (-passed_s / RATE_TIME_CONSTANT_S).exp();
             self.rate += (self.first_requests / passed_s - self.rate) * gain;
             self.first_requests = 0.0;
         }
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -38,7 +38,7 @@
     /// The caller uses an id that was closed long ago.
     StaleId(u64),
     OutOfDescriptors,
-    Pass(i64),
+    AdvanceClock(i64),
     Tick,
 }
 
@@ -55,7 +55,7 @@
             .prop_map(|(index, by_client)| Step::Closed { index, by_client }),
         1 => (0u64..40).prop_map(Step::StaleId),
         1 => Just(Step::OutOfDescriptors),
-        4 => (0i64..400 * MS).prop_map(Step::Pass),
+        4 => (0i64..400 * MS).prop_map(Step::AdvanceClock),
         2 => Just(Step::Tick),
     ];
     prop::collection::vec(step, 1..200)
@@ -107,7 +107,7 @@
         self.model.keys().nth(index % self.model.len().max(1)).copied()
     }
 
-    fn modelled(&mut self, id: ConnectionId) -> &mut ModelConnection {
+    fn model_of(&mut self, id: ConnectionId) -> &mut ModelConnection {
         self.model.get_mut(&id).expect("a connection that is open")
     }
 
@@ -160,19 +160,19 @@
     }
 
     fn answer(&mut self, id: ConnectionId) {
-        if self.modelled(id).phase != ModelPhase::Busy {
+        if self.model_of(id).phase != ModelPhase::Busy {
             return;
         }
         let keep_alive = self.admission.before_answer(self.now, id);
         if let KeepAlive::CloseOther(other) = keep_alive {
             assert_ne!(other, id);
             self.check_evictable(other);
-            self.modelled(other).phase = ModelPhase::Closing;
+            self.model_of(other).phase = ModelPhase::Closing;
         }
         let closes = keep_alive == KeepAlive::Close;
         self.admission.answer_handed_over(self.now, id, closes);
         let phase = if closes { ModelPhase::Closing } else { ModelPhase::Waiting };
-        self.modelled(id).phase = phase;
+        self.model_of(id).phase = phase;
     }
 
     /// A step of one connection.
@@ -181,27 +181,27 @@
         match step {
             Step::BytesRead(_) => {
                 self.admission.bytes_read(now, id);
-                self.modelled(id).cancel_close();
-                self.modelled(id).unread = false;
+                self.model_of(id).cancel_close();
+                self.model_of(id).unread = false;
             }
             Step::RequestComplete(_) => {
                 self.admission.request_complete(now, id);
-                self.modelled(id).phase = ModelPhase::Busy;
-                self.modelled(id).unread = false;
+                self.model_of(id).phase = ModelPhase::Busy;
+                self.model_of(id).unread = false;
             }
             Step::Answer(_) => self.answer(id),
             Step::WriteBlocked(_) => {
                 self.admission.write_blocked(now, id);
-                self.modelled(id).blocked = true;
+                self.model_of(id).blocked = true;
             }
             Step::WriteResumed(_) => {
                 self.admission.write_resumed(id);
-                self.modelled(id).blocked = false;
+                self.model_of(id).blocked = false;
             }
             Step::BytesWaiting(_) => {
                 self.admission.bytes_waiting(now, id);
-                self.modelled(id).cancel_close();
-                self.modelled(id).unread = true;
+                self.model_of(id).cancel_close();
+                self.model_of(id).unread = true;
             }
             Step::Closed { by_client, .. } => {
                 if by_client {
@@ -230,10 +230,10 @@
         assert_eq!(admission.before_answer(now, id), KeepAlive::Close);
     }
 
-    fn lack_descriptors(&mut self) {
+    fn run_out_of_descriptors(&mut self) {
         for release in self.admission.out_of_descriptors(self.now) {
             self.check_evictable(release.id);
-            self.modelled(release.id).phase = ModelPhase::Closing;
+            self.model_of(release.id).phase = ModelPhase::Closing;
         }
         let limit = self.admission.limit();
         assert!(limit >= 1 && limit <= self.max_connections);
@@ -272,8 +272,8 @@
                 }
             }
             Step::StaleId(id) => self.use_stale_id(ConnectionId(id)),
-            Step::OutOfDescriptors => self.lack_descriptors(),
-            Step::Pass(us) => self.now = self.now.plus(Span(us)),
+            Step::OutOfDescriptors => self.run_out_of_descriptors(),
+            Step::AdvanceClock(us) => self.now = self.now.plus(Span(us)),
             Step::Tick => self.tick(),
         }
         assert_eq!(self.admission.connections(), self.model.len(), "nothing is kept of the closed");
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -60,7 +60,7 @@
 
 /// Clients that are bounded to `CLIENT_SLOTS` connections at once on their own side, as the platform's are: some send one
 /// request and keep their connection open, others reuse an idle one, the last used first.
-struct Crowd {
+struct ClientLoad {
     admission: Admission,
     now: Time,
     /// Idle connections of clients that send one request.
@@ -70,11 +70,11 @@
     busy: VecDeque<BusyConnection>,
     /// Requests of each kind of client that were served, found no slot, or took a new connection.
     served: [usize; 2],
-    shut_out: [usize; 2],
+    no_slot: [usize; 2],
     opened: [usize; 2],
 }
 
-impl Crowd {
+impl ClientLoad {
     fn new() -> Self {
         let now = Time(1_000_000_000);
         Self {
@@ -84,7 +84,7 @@
             reused: VecDeque::new(),
             busy: VecDeque::new(),
             served: [0; 2],
-            shut_out: [0; 2],
+            no_slot: [0; 2],
             opened: [0; 2],
         }
     }
@@ -99,7 +99,7 @@
         self.admission.closed(self.now, id);
     }
 
-    fn answer_due(&mut self) {
+    fn hand_over_due_answers(&mut self) {
         while self.busy.front().is_some_and(|busy| busy.answer_at <= self.now) {
             let BusyConnection { id, reuses, .. } = self.busy.pop_front().expect("busy");
             let keep_alive = self.admission.before_answer(self.now, id);
@@ -118,15 +118,15 @@
 
     /// A request that takes `busy_ms`.
     fn request(&mut self, reuses: bool, busy_ms: i64) {
-        self.answer_due();
-        let kept = if reuses { self.reused.pop_back() } else { None };
-        let id = match kept {
+        self.hand_over_due_answers();
+        let reusable = if reuses { self.reused.pop_back() } else { None };
+        let id = match reusable {
             Some(id) => id,
             None if self.open() < CLIENT_SLOTS => {
                 self.opened[usize::from(reuses)] += 1;
                 admit(&mut self.admission, self.now, 1)
             }
-            None => return self.shut_out[usize::from(reuses)] += 1,
+            None => return self.no_slot[usize::from(reuses)] += 1,
         };
         self.admission.bytes_read(self.now, id);
         self.admission.request_complete(self.now, id);
@@ -153,25 +153,25 @@
 }
 
 #[test]
-fn a_crowd_of_single_requests_is_admitted_at_ten_times_the_rate_of_the_idle_timeout() {
+fn single_request_clients_are_admitted_at_ten_times_the_rate_that_the_idle_timeout_allows() {
     // 128 slots that are idle for 2.5 s each would admit 51 requests a second.
-    let mut crowd = Crowd::new();
-    crowd.run(10, 512, 0);
-    let (served, shut) = (crowd.served[0], crowd.shut_out[0]);
-    assert_eq!(served + shut, 5120);
-    assert!(shut * 50 < served, "{shut} of {} were shut out", served + shut);
+    let mut load = ClientLoad::new();
+    load.run(10, 512, 0);
+    let (served, no_slot) = (load.served[0], load.no_slot[0]);
+    assert_eq!(served + no_slot, 5120);
+    assert!(no_slot * 50 < served, "{no_slot} of {} found no slot", served + no_slot);
 }
 
 #[test]
-fn clients_that_reuse_connections_keep_them_in_a_crowd_of_single_requests() {
+fn clients_that_reuse_connections_keep_them_among_many_single_request_clients() {
     for reuse_every in [2, 4, 10] {
-        let mut crowd = Crowd::new();
-        crowd.run(4, 512, reuse_every);
-        let before = (crowd.opened[1], crowd.served[1]);
-        crowd.run(10, 512, reuse_every);
-        let (opened, served) = (crowd.opened[1] - before.0, crowd.served[1] - before.1);
-        let shut: usize = crowd.shut_out.iter().sum();
-        assert!(shut * 50 < 14 * 512, "1 in {reuse_every}: {shut} shut out");
+        let mut load = ClientLoad::new();
+        load.run(4, 512, reuse_every);
+        let before = (load.opened[1], load.served[1]);
+        load.run(10, 512, reuse_every);
+        let (opened, served) = (load.opened[1] - before.0, load.served[1] - before.1);
+        let no_slot: usize = load.no_slot.iter().sum();
+        assert!(no_slot * 50 < 14 * 512, "1 in {reuse_every}: {no_slot} found no slot");
         assert!(
             opened * 20 < served,
             "1 in {reuse_every}: {opened} of {served} reusing requests took a new connection"
@@ -180,25 +180,25 @@
 }
 
 #[test]
-fn without_a_crowd_no_connection_is_closed_before_its_timeout() {
-    let mut crowd = Crowd::new();
-    crowd.run(20, 320, 1);
+fn without_a_shortage_of_slots_no_connection_is_closed_before_its_timeout() {
+    let mut load = ClientLoad::new();
+    load.run(20, 320, 1);
     // As many as were ever busy at once, and not one more.
-    assert!(crowd.opened[1] <= 11, "{} opened", crowd.opened[1]);
-    assert_eq!(crowd.shut_out, [0, 0]);
+    assert!(load.opened[1] <= 11, "{} opened", load.opened[1]);
+    assert_eq!(load.no_slot, [0, 0]);
 }
 
 #[test]
 fn a_burst_of_reusing_clients_keeps_all_its_connections() {
-    let mut crowd = Crowd::new();
+    let mut load = ClientLoad::new();
     for _ in 0..100 {
-        crowd.request(true, 30);
+        load.request(true, 30);
     }
-    crowd.now = crowd.now.plus(Span(40 * MS));
-    crowd.answer_due();
-    assert_eq!(crowd.reused.len(), 100, "seven eighths of the slots may be idle");
-    crowd.now = crowd.now.plus(Span(250 * MS));
-    let releases = crowd.admission.tick(crowd.now);
+    load.now = load.now.plus(Span(40 * MS));
+    load.hand_over_due_answers();
+    assert_eq!(load.reused.len(), 100, "seven eighths of the slots may be idle");
+    load.now = load.now.plus(Span(250 * MS));
+    let releases = load.admission.tick(load.now);
     // A hundred new clients in a quarter second need headroom, half of the slots at most.
     assert!(releases.len() <= 100 - CLIENT_SLOTS / 2, "{}", releases.len());
     assert!(releases.iter().all(|r| r.reason == ReleaseReason::MakeRoom));
@@ -208,13 +208,13 @@
 fn silent_connections_are_evicted_before_those_that_send_requests() {
     let mut now = Time(1_000_000_000);
     let mut admission = Admission::new(bounds(), now);
-    let asked: Vec<_> = (0..60).map(|_| admit(&mut admission, now, 1)).collect();
-    for id in &asked {
+    let active: Vec<_> = (0..60).map(|_| admit(&mut admission, now, 1)).collect();
+    for id in &active {
         assert!(send_request(&mut admission, now, *id));
     }
     for _ in 0..8 {
         now = now.plus(Span(100 * MS));
-        asked.iter().for_each(|id| assert!(send_request(&mut admission, now, *id)));
+        active.iter().for_each(|id| assert!(send_request(&mut admission, now, *id)));
         for _ in 0..18 {
             admit(&mut admission, now, 1);
         }
@@ -225,7 +225,7 @@
         now = now.plus(Span(MS));
         match admission.arrive(now, source(1)) {
             Arrival::Evict(id) => {
-                assert!(!asked.contains(&id), "arrival {i} evicted one that sends requests");
+                assert!(!active.contains(&id), "arrival {i} evicted one that sends requests");
                 admission.closed(now, id);
                 admit(&mut admission, now, 1);
             }
@@ -233,13 +233,13 @@
             other => panic!("{other:?}"),
         }
         if i % 50 == 0 {
-            asked.iter().for_each(|id| assert!(send_request(&mut admission, now, *id)));
+            active.iter().for_each(|id| assert!(send_request(&mut admission, now, *id)));
         }
     }
 }
 
 #[test]
-fn with_all_slots_busy_a_client_waits_shortly_and_later_ones_are_rejected_until_a_slot_is_free() {
+fn with_all_slots_busy_a_client_waits_briefly_and_later_ones_are_rejected_until_a_slot_is_free() {
     let mut now = Time(1_000_000_000);
     let mut admission = Admission::new(bounds(), now);
     let ids: Vec<_> = (0..SLOTS).map(|_| admit(&mut admission, now, 1)).collect();
@@ -312,7 +312,7 @@
 
 /// A closing connection holds its descriptor until its end, and the lack lasts as long.
 #[test]
-fn in_a_lasting_lack_of_descriptors_a_new_connection_is_spared() {
+fn during_a_lasting_lack_of_descriptors_a_new_connection_is_not_closed_within_its_grace() {
     let mut now = Time(1_000_000_000);
     let mut admission = Admission::new(bounds(), now);
     let idle: Vec<_> = (0..28).map(|_| admit(&mut admission, now, 1)).collect();
@@ -346,10 +346,10 @@
     let busy = admit(&mut admission, start, 1);
     admission.bytes_read(start, busy);
     admission.request_complete(start, busy);
-    let stuck = admit(&mut admission, start, 1);
-    admission.bytes_read(start, stuck);
-    admission.request_complete(start, stuck);
-    admission.write_blocked(start, stuck);
+    let blocked = admit(&mut admission, start, 1);
+    admission.bytes_read(start, blocked);
+    admission.request_complete(start, blocked);
+    admission.write_blocked(start, blocked);
     let at = |ms| start.plus(Span(ms * MS));
     assert_eq!(admission.tick(at(2400)), []);
     assert_eq!(
@@ -365,22 +365,22 @@
     // A complete request has no timeout here, but a client that accepts none of its answer has.
     assert_eq!(
         admission.tick(at(3001)),
-        [Release { id: stuck, reason: ReleaseReason::WriteTimeout }]
+        [Release { id: blocked, reason: ReleaseReason::WriteTimeout }]
     );
-    admission.write_resumed(stuck);
+    admission.write_resumed(blocked);
     assert_eq!(admission.tick(at(9000)), []);
-    admission.answer_handed_over(at(9000), stuck, false);
+    admission.answer_handed_over(at(9000), blocked, false);
     // A pipelined request has its own timeout.
-    admission.pipelined_request(at(9000), stuck);
+    admission.pipelined_request(at(9000), blocked);
     assert_eq!(admission.tick(at(11_400)), []);
     assert_eq!(
         admission.tick(at(11_401)),
-        [Release { id: stuck, reason: ReleaseReason::RequestTimeout }]
+        [Release { id: blocked, reason: ReleaseReason::RequestTimeout }]
     );
 }
 
 #[test]
-fn a_request_that_crosses_its_close_is_not_cut_off() {
+fn a_request_that_arrives_on_a_connection_chosen_for_closing_is_not_cut_off() {
     let now = Time(1_000_000_000);
     let mut admission = Admission::new(Bounds { max_client_connections: 7, ..bounds() }, now);
     let ids: Vec<_> = (0..7).map(|_| admit(&mut admission, now, 1)).collect();
