--- a/crates/discovery-schedule/src/backoff.rs
+++ b/crates/discovery-schedule/src/backoff.rs
@@ -6,7 +6,7 @@
 /// The most doublings of the longest backoff.
 pub(crate) const MAX_DOUBLINGS: u32 = 2;
 /// A backoff is drawn between this fraction of the longest one
-const MIN_FRACTION: f64 = 0.2;
+const MIN_BACKOFF_FRACTION: f64 = 0.2;
 /// and that plus this.
 const JITTER_FRACTION: f64 = 0.8;
 
@@ -28,7 +28,7 @@
     }
 
     /// No poll is made before this.
-    pub(crate) fn set(&mut self, until: Time) {
+    pub(crate) fn set_until(&mut self, until: Time) {
         self.until = until;
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// A poll has failed. Each failure doubles the longest backoff, unless it is `urgent` to be answered.
-    pub(crate) fn fail(&mut self, now: Time, longest: Span, urgent: bool) {
+    pub(crate) fn record_failure(&mut self, now: Time, longest: Span, urgent: bool) {
         let jitter = self.rng.rand_float();
         let longest = longest.as_micros_f64();
         let longest = match urgent {
@@ -46,7 +46,7 @@
             false => longest * f64::from(1u32 << self.failures.min(MAX_DOUBLINGS)),
         };
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
-        let backoff = longest * (MIN_FRACTION + JITTER_FRACTION * jitter);
+        let backoff = longest * (MIN_BACKOFF_FRACTION + JITTER_FRACTION * jitter);
         self.until = now.plus(Span::from_micros_f64(backoff));
     }
 }
--- a/crates/discovery-schedule/src/notification.rs
+++ b/crates/discovery-schedule/src/notification.rs
@@ -16,4 +16,4 @@
 /// The changes that discovery has count as notified this long after SIGHUP.
 pub const NOTIFIED_AFTER_MOVE: Span = ms(4000);
 /// A poll continues the watch if it comes this soon after the last answer.
-pub const CONTINUES_WITHIN: Span = ms(200);
+pub const MAX_CONTINUATION_GAP: Span = ms(200);
--- a/crates/discovery-schedule/src/poll_timing.rs
+++ b/crates/discovery-schedule/src/poll_timing.rs
@@ -92,32 +92,32 @@
         let stated = options.drain_grace;
         let drain_grace = if stated.0 > 0 { stated } else { DEFAULT_DRAIN_GRACE };
         match options.local_agent {
-            true => Self::of_agent(drain_grace),
-            false => Self::of_service(options, drain_grace),
+            true => Self::for_agent(drain_grace),
+            false => Self::for_service(options, drain_grace),
         }
     }
 
     /// What an agent has counts as notified at once, also what it gets while a poll hangs that it will never answer: wait,
     /// slack and a new poll have to fit into the grace of a drain.
-    fn of_agent(drain_grace: Span) -> Self {
-        let part = |fraction: f64, max: Span| {
+    fn for_agent(drain_grace: Span) -> Self {
+        let fraction_of_grace = |fraction: f64, max: Span| {
             Span::from_micros_f64(drain_grace.as_micros_f64() * fraction).min(max).max(ms(20))
         };
         Self {
-            wait: part(0.4, ms(400)),
-            short_wait: part(0.4, ms(400)),
+            wait: fraction_of_grace(0.4, ms(400)),
+            short_wait: fraction_of_grace(0.4, ms(400)),
             fast_service_limit: Span(0),
             phase: 0.0,
             start_delay: Span(0),
             balancers: 1.0,
-            answer_slack: part(0.25, ms(250)),
-            poll_timeout: part(0.25, ms(250)),
-            extended_poll_timeout: part(0.25, ms(250)),
-            hedge_delay: part(0.1, ms(100)),
-            connect_timeout: part(0.1, ms(100)),
-            read_timeout: part(0.25, ms(250)),
-            max_urgent_backoff: part(0.05, ms(50)),
-            max_backoff: part(0.05, ms(50)),
+            answer_slack: fraction_of_grace(0.25, ms(250)),
+            poll_timeout: fraction_of_grace(0.25, ms(250)),
+            extended_poll_timeout: fraction_of_grace(0.25, ms(250)),
+            hedge_delay: fraction_of_grace(0.1, ms(100)),
+            connect_timeout: fraction_of_grace(0.1, ms(100)),
+            read_timeout: fraction_of_grace(0.25, ms(250)),
+            max_urgent_backoff: fraction_of_grace(0.05, ms(50)),
+            max_backoff: fraction_of_grace(0.05, ms(50)),
             drain_grace,
         }
     }
@@ -126,7 +126,7 @@
     /// of all waits are spread evenly over that time: when all long polls go silent in one moment, the polls that detect it
     /// still come one by one. Failure: all started in one moment, and polled again in one moment, 1.5 s late, at a service
     /// that took 0.35 s for each.
-    fn of_service(options: &ScheduleOptions, drain_grace: Span) -> Self {
+    fn for_service(options: &ScheduleOptions, drain_grace: Span) -> Self {
         let wait = options.poll_interval.max(MIN_WAIT).min(MAX_WAIT);
         let position = f64::from(options.position % options.balancers.max(1));
         let interval_us = options.poll_interval.as_micros_f64();
@@ -160,15 +160,15 @@
                 * timing.phase,
         );
         // Late, as a service that is merely slow is made slower by a hedge.
-        let left_us = timing.left_after_silence().as_micros_f64();
+        let answer_budget_us = timing.answer_budget_after_silence().as_micros_f64();
         timing.hedge_delay =
-            Span::from_micros_f64(left_us * HEDGE_FRACTION_OF_BUDGET).min(MAX_HEDGE_DELAY);
+            Span::from_micros_f64(answer_budget_us * HEDGE_FRACTION_OF_BUDGET).min(MAX_HEDGE_DELAY);
         timing
     }
 
     /// The time that is left for the answer to a new poll once a long poll is known to be silent, until a request to a
     /// draining server would break the rule.
-    pub fn left_after_silence(&self) -> Span {
+    pub fn answer_budget_after_silence(&self) -> Span {
         let notified = (NOTIFIED_AFTER_SILENCE.0 - self.wait.0).max(NOTIFIED_AFTER_WAIT.0);
         let after_short_wait = NOTIFIED_AFTER_FAILURE.0 - self.longest_short_wait().0;
         let detection = self.answer_slack.0 + self.connect_timeout.0;
@@ -182,7 +182,7 @@
 
     /// Where lists are pushed: the time that is left for the answer of an agent that has come back, if a poll hangs that
     /// was made just before.
-    pub fn left_after_return(&self) -> Span {
+    pub fn answer_budget_after_agent_return(&self) -> Span {
         let hanging = (self.wait.0 + self.answer_slack.0)
             .max(self.poll_timeout.0 + (self.max_backoff.0 << MAX_DOUBLINGS));
         Span(self.drain_grace.0 - hanging - self.connect_timeout.0)
--- a/crates/discovery-schedule/src/schedule.rs
+++ b/crates/discovery-schedule/src/schedule.rs
@@ -14,11 +14,11 @@
 const SHORTEST_WAIT: Span = ms(1);
 /// A poll was answered quickly, as by a service with no others before it, if this many times its latency are less than the
 /// hedge delay.
-const QUICK_ANSWERS_PER_HEDGE_DELAY: i64 = 4;
+const QUICK_ANSWER_DIVISOR: i64 = 4;
 /// The answer to a long poll is early within this time; and the backoff where early answers follow each other.
-const EARLY_ANSWER: Span = ms(100);
+const EARLY_ANSWER_LIMIT: Span = ms(100);
 /// A wait that would end within one in this many parts of its period is prolonged by a period.
-const PROLONGED_PARTS_OF_PERIOD: i64 = 20;
+const MIN_WAIT_DIVISOR: i64 = 20;
 
 /// Whether the list of the balancer is in sync with discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     /// Whether an answer has come since the last silence or failure: a long poll continues the watch.
     watch_open: bool,
     /// Whether the full list is wanted, as versions known here mean nothing there.
-    full_list_wanted: bool,
+    needs_full_list: bool,
     in_flight: Option<InFlightPoll>,
     /// By when an answer has to be in.
     answer_due: Option<Time>,
@@ -61,28 +61,28 @@
     /// Whether a long poll went silent or discovery has moved, and no answer has come since.
     urgent: bool,
     /// Whether the last poll had no wait and timed out.
-    timed_out: bool,
+    last_poll_timed_out: bool,
     /// Whether the last poll had no wait and was queued behind others.
-    was_queued: bool,
+    last_poll_was_queued: bool,
     /// Early answers in a row.
     early_answers: u32,
 }
 
 impl PollSchedule {
-    /// A schedule without a poll yet; `full_list_wanted` if no version of the list is known.
-    pub fn new(timing: PollTiming, seed: u64, full_list_wanted: bool) -> Self {
+    /// A schedule without a poll yet; `needs_full_list` if no version of the list is known.
+    pub fn new(timing: PollTiming, seed: u64, needs_full_list: bool) -> Self {
         Self {
             timing,
             watch_open: false,
-            full_list_wanted,
+            needs_full_list,
             in_flight: None,
             answer_due: None,
             backoff: Backoff::new(seed),
             last_latency: None,
             fleet_service_time: FleetServiceTime::default(),
             urgent: false,
-            timed_out: false,
-            was_queued: false,
+            last_poll_timed_out: false,
+            last_poll_was_queued: false,
             early_answers: 0,
         }
     }
@@ -90,7 +90,7 @@
     /// The first poll is made in this balancer's turn of a fleet that starts now.
     pub fn start(&mut self, now: Time) {
         self.fleet_service_time.start_in_turn(now);
-        self.backoff.set(now.plus(self.timing.start_delay));
+        self.backoff.set_until(now.plus(self.timing.start_delay));
     }
 
     /// The timing of the polls.
@@ -111,21 +111,21 @@
     /// Discovery has another address from now on; a poll that was in flight has been dropped.
     pub fn discovery_moved(&mut self, now: Time) {
         self.watch_open = false;
-        self.full_list_wanted = true;
+        self.needs_full_list = true;
         self.in_flight = None;
-        self.backoff.set(now);
+        self.backoff.set_until(now);
         self.backoff.reset_failures();
         self.last_latency = None;
         self.fleet_service_time.restart(now);
         self.urgent = true;
-        self.timed_out = false;
+        self.last_poll_timed_out = false;
         self.early_answers = 0;
         self.answer_due = Some(now.plus(NOTIFIED_AFTER_MOVE).plus(self.timing.drain_grace));
     }
 
     /// The next poll asks for the full list.
     pub fn request_full_list(&mut self) {
-        self.full_list_wanted = true;
+        self.needs_full_list = true;
     }
 
     /// When the next poll is to be made.
@@ -135,7 +135,7 @@
 
     /// Makes the next poll.
     pub fn start_poll(&mut self, now: Time) -> PollRequest {
-        let request = match self.watch_open && !self.full_list_wanted {
+        let request = match self.watch_open && !self.needs_full_list {
             true => self.long_poll(now),
             false => self.immediate_poll(now),
         };
@@ -154,12 +154,15 @@
         let timing = &self.timing;
         // Hedged only at a service that has answered quickly: the queue of a slow one grows with each hedge. Not after a
         // move either: all balancers move at once.
-        let quick = self.last_latency.is_some_and(|latency| self.is_quick(latency));
-        let hedged = quick && !self.full_list_wanted && self.answer_due.is_some();
-        let timeout =
-            if self.timed_out { timing.extended_poll_timeout } else { timing.poll_timeout };
+        let answers_quickly = self.last_latency.is_some_and(|latency| self.is_quick(latency));
+        let hedged = answers_quickly && !self.needs_full_list && self.answer_due.is_some();
+        let timeout = if self.last_poll_timed_out {
+            timing.extended_poll_timeout
+        } else {
+            timing.poll_timeout
+        };
         PollRequest {
-            wait: (!self.full_list_wanted).then_some(SHORTEST_WAIT),
+            wait: (!self.needs_full_list).then_some(SHORTEST_WAIT),
             deadline: now.plus(timeout),
             hedge_at: hedged.then(|| now.plus(timing.hedge_delay)),
         }
@@ -175,12 +178,12 @@
         // they are through. Failure: of six balancers that started together at a service that took 1.3 s for each, the
         // first had to poll again before the last had polled once. No wait may be longer than the period: it may count as
         // a balancer that does not watch.
-        if self.was_queued && left < period / 2 {
+        if self.last_poll_was_queued && left < period / 2 {
             return Span(period);
         }
         // An answer that came a moment early would lead to two polls for one end.
-        let prolong = left * PROLONGED_PARTS_OF_PERIOD < period;
-        Span(if prolong { left + period } else { left })
+        let too_short = left * MIN_WAIT_DIVISOR < period;
+        Span(if too_short { left + period } else { left })
     }
 
     /// The period in which this balancer's waits end.
@@ -193,15 +196,15 @@
 
     /// Whether a poll was answered as by a service with no others before it.
     fn is_quick(&self, latency: Span) -> bool {
-        latency.0 * QUICK_ANSWERS_PER_HEDGE_DELAY < self.timing.hedge_delay.0
+        latency.0 * QUICK_ANSWER_DIVISOR < self.timing.hedge_delay.0
     }
 
     /// The poll that was in flight has ended.
     pub fn poll_ended(&mut self, now: Time, outcome: PollOutcome) {
         let Some(poll) = self.in_flight.take() else { return };
         match outcome {
-            PollOutcome::Answered { changed } => self.answered(now, poll, changed),
-            PollOutcome::Silent => self.silent(now, poll),
+            PollOutcome::Answered { changed } => self.handle_answer(now, poll, changed),
+            PollOutcome::Silent => self.handle_silence(now, poll),
             PollOutcome::Failed => {
                 self.watch_open = false;
                 self.expect_answer(now.plus(NOTIFIED_AFTER_FAILURE));
@@ -210,28 +213,28 @@
         }
     }
 
-    fn answered(&mut self, now: Time, poll: InFlightPoll, changed: bool) {
+    fn handle_answer(&mut self, now: Time, poll: InFlightPoll, changed: bool) {
         self.watch_open = true;
-        self.full_list_wanted = false;
+        self.needs_full_list = false;
         self.answer_due = None;
         self.urgent = false;
-        self.timed_out = false;
+        self.last_poll_timed_out = false;
         self.backoff.reset_failures();
         let passed = now.since(poll.started);
         let is_long_poll = poll.request.wait.is_some_and(|wait| wait > SHORTEST_WAIT);
         let latency = (!is_long_poll).then_some(passed);
-        self.was_queued = latency.is_some_and(|latency| !self.is_quick(latency));
+        self.last_poll_was_queued = latency.is_some_and(|latency| !self.is_quick(latency));
         self.last_latency = latency.or(self.last_latency);
         self.fleet_service_time.observe(now, latency, &self.timing);
-        let early = is_long_poll && passed < EARLY_ANSWER;
+        let early = is_long_poll && passed < EARLY_ANSWER_LIMIT;
         self.early_answers = if early { self.early_answers + 1 } else { 0 };
         // A service that answers long polls at once, again and again, is polled no faster than this; still soon enough to
         // continue the watch.
         let too_fast = self.early_answers > u32::from(changed);
-        self.backoff.set(if too_fast { now.plus(EARLY_ANSWER) } else { now });
+        self.backoff.set_until(if too_fast { now.plus(EARLY_ANSWER_LIMIT) } else { now });
     }
 
-    fn silent(&mut self, now: Time, poll: InFlightPoll) {
+    fn handle_silence(&mut self, now: Time, poll: InFlightPoll) {
         // It is not known when it went silent: the earliest time counts. It was abandoned here, so that the shorter of the
         // two clocks is kept wherever the waits are short enough for it.
         let notified_after = match poll.request.wait {
@@ -243,9 +246,9 @@
         self.expect_answer(poll.started.plus(notified_after));
         self.urgent = true;
         if std::mem::take(&mut self.watch_open) {
-            self.backoff.set(now);
+            self.backoff.set_until(now);
         } else {
-            self.timed_out = true;
+            self.last_poll_timed_out = true;
             self.back_off(now);
         }
     }
@@ -260,6 +263,6 @@
         let urgent = self.urgent && self.state(now) == SyncState::Resyncing;
         let timing = &self.timing;
         let longest = if urgent { timing.max_urgent_backoff } else { timing.max_backoff };
-        self.backoff.fail(now, longest, urgent);
+        self.backoff.record_failure(now, longest, urgent);
     }
 }
--- a/crates/discovery-schedule/tests/simulation/main.rs
+++ b/crates/discovery-schedule/tests/simulation/main.rs
@@ -18,7 +18,7 @@
 
 const SEEDS: u64 = 6000;
 /// Events that must have happened in some schedule.
-const EVENTS: [&str; 5] = ["silence", "poll silent", "reset", "poll rejected", "hedged"];
+const REQUIRED_EVENTS: [&str; 5] = ["silence", "poll silent", "reset", "poll rejected", "hedged"];
 
 fn seeds() -> Vec<u64> {
     match std::env::var("SEED") {
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn each_drain_is_known_by_its_notification_and_the_grace() {
+fn each_drain_is_known_by_the_end_of_the_grace_after_its_notification() {
     let Summary { late, events } = run_all(PollTiming::new);
     let some = &late[..late.len().min(10)];
     assert!(late.is_empty(), "{} of {SEEDS}; seed and us late: {some:?}", late.len());
     if seeds().len() > 1 {
-        for event in EVENTS {
+        for event in REQUIRED_EVENTS {
             assert!(events.contains_key(event), "no {event} in all schedules: {events:?}");
         }
     }
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_same_schedules_find_the_fault_of_the_earlier_timing() {
+fn the_same_schedules_detect_late_drains_with_the_earlier_timing() {
     if seeds().len() > 1 {
         let late = run_all(earlier_timing).late;
         assert!(late.len() > 100, "{}", late.len());
--- a/crates/discovery-schedule/tests/simulation/world.rs
+++ b/crates/discovery-schedule/tests/simulation/world.rs
@@ -4,13 +4,13 @@
 
 use oorandom::Rand64;
 use sableloom_discovery_schedule::{
-    CONTINUES_WITHIN, PollOutcome, PollSchedule, PollTiming, ScheduleOptions,
+    MAX_CONTINUATION_GAP, PollOutcome, PollSchedule, PollTiming, ScheduleOptions,
 };
 use sableloom_types::{Span, Time};
 
 use crate::plan::{MS, Plan, S};
 
-const GRACE: i64 = S;
+const DRAIN_GRACE: i64 = S;
 const POLL_INTERVAL: i64 = 10 * S;
 pub(crate) const END: i64 = 75 * S;
 /// The one-way delay to discovery.
@@ -26,21 +26,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A balancer makes its next poll.
-    Due(usize, u64),
+    PollDue(usize, u64),
     /// Discovery handles a poll: its turn has come.
-    Turn(usize, u64),
+    PollHandled(usize, u64),
     /// The wait of a poll has ended, or there is a change for it.
-    Write(usize, u64),
+    AnswerWritten(usize, u64),
     /// An answer with this many drains reaches the balancer.
-    Answer(usize, u64, usize),
-    Rejected(usize, u64),
+    AnswerReceived(usize, u64, usize),
+    PollRejected(usize, u64),
     /// A balancer's own deadline of a poll, and its hedge.
-    Deadline(usize, u64),
-    Hedge(usize, u64),
-    Silence,
-    Reset,
-    Drain,
-    Move,
+    PollDeadline(usize, u64),
+    HedgeDue(usize, u64),
+    OpenPollsSilenced,
+    OpenPollsReset,
+    DrainBegun,
+    DiscoveryMoved,
 }
 
 /// A poll that has not ended.
@@ -56,7 +56,7 @@
     answered: bool,
 }
 
-struct Node {
+struct SimulatedBalancer {
     schedule: PollSchedule,
     in_flight: Vec<InFlightPoll>,
     /// How many drains it knows.
@@ -70,7 +70,7 @@
     known_at: Vec<i64>,
 }
 
-impl Node {
+impl SimulatedBalancer {
     fn new(schedule: PollSchedule, drains: usize) -> Self {
         Self {
             schedule,
@@ -91,10 +91,10 @@
     rng: Rand64,
     queue: BTreeSet<(i64, u64, Event)>,
     queued: u64,
-    nodes: Vec<Node>,
+    balancers: Vec<SimulatedBalancer>,
     /// When the service can handle the next new poll.
     free_at: i64,
-    drained: usize,
+    drains_begun: usize,
     /// How often each event happened, to know that all did.
     pub(crate) events: BTreeMap<&'static str, usize>,
 }
@@ -105,27 +105,27 @@
         seed: u64,
         timing: impl Fn(&ScheduleOptions) -> PollTiming,
     ) -> Self {
-        let nodes = (0..plan.balancers).map(|i| {
+        let balancers = (0..plan.balancers).map(|i| {
             let options = ScheduleOptions {
                 local_agent: plan.local_agent,
                 poll_interval: Span(POLL_INTERVAL),
-                drain_grace: Span(GRACE),
+                drain_grace: Span(DRAIN_GRACE),
                 position: i as u32,
                 balancers: plan.balancers as u32,
             };
             let schedule = PollSchedule::new(timing(&options), seed ^ (i as u64) << 32, false);
-            Node::new(schedule, plan.drains.len())
+            SimulatedBalancer::new(schedule, plan.drains.len())
         });
-        let nodes = nodes.collect();
+        let balancers = balancers.collect();
         let mut world = Self {
             plan,
             now: 0,
             rng: Rand64::new(u128::from(seed)),
             queue: BTreeSet::new(),
             queued: 0,
-            nodes,
+            balancers,
             free_at: 0,
-            drained: 0,
+            drains_begun: 0,
             events: BTreeMap::new(),
         };
         world.queue_starts();
@@ -135,21 +135,21 @@
 
     /// All balancers start in one moment, or nearly.
     fn queue_starts(&mut self) {
-        for i in 0..self.nodes.len() {
+        for i in 0..self.balancers.len() {
             let at = self.random_below(20 * MS);
-            self.nodes[i].schedule.start(Time(at));
-            let due = self.nodes[i].schedule.next_poll_at(Time(at)).0;
-            self.queue_event(due, Event::Due(i, 0));
+            self.balancers[i].schedule.start(Time(at));
+            let due = self.balancers[i].schedule.next_poll_at(Time(at)).0;
+            self.queue_event(due, Event::PollDue(i, 0));
         }
     }
 
     fn queue_plan(&mut self) {
         let plan = self.plan.clone();
-        plan.silences.iter().for_each(|at| self.queue_event(*at, Event::Silence));
-        plan.resets.iter().for_each(|at| self.queue_event(*at, Event::Reset));
-        plan.drains.iter().for_each(|at| self.queue_event(*at, Event::Drain));
-        plan.outage.iter().for_each(|(from, _)| self.queue_event(*from, Event::Reset));
-        plan.move_at.iter().for_each(|at| self.queue_event(*at, Event::Move));
+        plan.silences.iter().for_each(|at| self.queue_event(*at, Event::OpenPollsSilenced));
+        plan.resets.iter().for_each(|at| self.queue_event(*at, Event::OpenPollsReset));
+        plan.drains.iter().for_each(|at| self.queue_event(*at, Event::DrainBegun));
+        plan.outage.iter().for_each(|(from, _)| self.queue_event(*from, Event::OpenPollsReset));
+        plan.move_at.iter().for_each(|at| self.queue_event(*at, Event::DiscoveryMoved));
     }
 
     fn random_below(&mut self, n: i64) -> i64 {
@@ -178,43 +178,47 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Due(i, polls) if self.nodes[i].polls_ended == polls => self.poll(i),
-            Event::Due(..) => {}
-            Event::Turn(i, number) => self.turn(i, number),
-            Event::Write(i, number) => self.write(i, number),
-            Event::Answer(i, number, drained) => self.answer(i, number, drained),
-            Event::Rejected(i, number) => self.rejected(i, number),
-            Event::Deadline(i, number) => self.deadline(i, number),
-            Event::Hedge(i, number) => self.hedge(i, number),
-            Event::Silence => self.silence(),
-            Event::Reset => self.reset(),
-            Event::Drain => self.drain(),
-            Event::Move => self.move_discovery(),
+            Event::PollDue(i, polls) if self.balancers[i].polls_ended == polls => {
+                self.start_poll(i)
+            }
+            Event::PollDue(..) => {}
+            Event::PollHandled(i, number) => self.handle_poll(i, number),
+            Event::AnswerWritten(i, number) => self.write_answer(i, number),
+            Event::AnswerReceived(i, number, drains_begun) => {
+                self.receive_answer(i, number, drains_begun)
+            }
+            Event::PollRejected(i, number) => self.receive_rejection(i, number),
+            Event::PollDeadline(i, number) => self.pass_deadline(i, number),
+            Event::HedgeDue(i, number) => self.send_hedge(i, number),
+            Event::OpenPollsSilenced => self.silence_open_polls(),
+            Event::OpenPollsReset => self.reset_open_polls(),
+            Event::DrainBegun => self.begin_drain(),
+            Event::DiscoveryMoved => self.move_discovery(),
         }
     }
 
-    fn find(&mut self, i: usize, number: u64) -> Option<&mut InFlightPoll> {
-        self.nodes[i].in_flight.iter_mut().find(|poll| poll.number == number)
+    fn find_poll(&mut self, i: usize, number: u64) -> Option<&mut InFlightPoll> {
+        self.balancers[i].in_flight.iter_mut().find(|poll| poll.number == number)
     }
 
     /// A poll of this balancer failed, was rejected or abandoned: what it does not know counts as notified a while after,
     /// from then on.
     fn lose_poll(&mut self, i: usize) {
-        self.nodes[i].poll_lost = true;
-        for drain in self.nodes[i].known_drains..self.drained {
+        self.balancers[i].poll_lost = true;
+        for drain in self.balancers[i].known_drains..self.drains_begun {
             let notified = self.plan.available_at(self.plan.drains[drain]) + NOTIFIED_AFTER_FAILURE;
-            let before = &mut self.nodes[i].notified_at[drain];
+            let before = &mut self.balancers[i].notified_at[drain];
             *before = (*before).min(notified);
         }
     }
 
     /// A balancer makes its next poll.
-    fn poll(&mut self, i: usize) {
-        let request = self.nodes[i].schedule.start_poll(Time(self.now));
+    fn start_poll(&mut self, i: usize) {
+        let request = self.balancers[i].schedule.start_poll(Time(self.now));
         let wait = request.wait.map_or(0, |wait| wait.0);
         let number = self.send_poll(i, wait, request.deadline.0);
         if let Some(hedge_at) = request.hedge_at {
-            self.queue_event(hedge_at.0, Event::Hedge(i, number));
+            self.queue_event(hedge_at.0, Event::HedgeDue(i, number));
         }
     }
 
@@ -229,77 +233,81 @@
             silent: false,
             answered: false,
         };
-        self.nodes[i].in_flight.push(poll);
-        self.queue_event(deadline, Event::Deadline(i, number));
-        let continues = now - self.nodes[i].last_answer <= CONTINUES_WITHIN.0;
+        self.balancers[i].in_flight.push(poll);
+        self.queue_event(deadline, Event::PollDeadline(i, number));
+        let continues = now - self.balancers[i].last_answer <= MAX_CONTINUATION_GAP.0;
         if self.plan.is_down_at(now) {
             if self.plan.local_agent {
                 // An agent is silent while it is down, and never answers the polls of that time.
-                self.nodes[i].in_flight.last_mut().expect("just sent").silent = true;
+                self.balancers[i].in_flight.last_mut().expect("just sent").silent = true;
             } else {
-                self.queue_event(now + NETWORK_DELAY, Event::Rejected(i, number));
+                self.queue_event(now + NETWORK_DELAY, Event::PollRejected(i, number));
             }
         } else if self.plan.local_agent || continues {
-            self.queue_event(now + NETWORK_DELAY, Event::Turn(i, number));
+            self.queue_event(now + NETWORK_DELAY, Event::PollHandled(i, number));
         } else if self.free_at - now > self.plan.max_queue_time {
-            self.queue_event(now + NETWORK_DELAY, Event::Rejected(i, number));
+            self.queue_event(now + NETWORK_DELAY, Event::PollRejected(i, number));
         } else {
             self.free_at = self.free_at.max(now) + self.plan.poll_time;
-            self.queue_event(self.free_at + NETWORK_DELAY, Event::Turn(i, number));
+            self.queue_event(self.free_at + NETWORK_DELAY, Event::PollHandled(i, number));
         }
         number
     }
 
-    fn turn(&mut self, i: usize, number: u64) {
-        let (now, drained, known) = (self.now, self.drained, self.nodes[i].known_drains);
+    fn handle_poll(&mut self, i: usize, number: u64) {
+        let (now, drains_begun, known) =
+            (self.now, self.drains_begun, self.balancers[i].known_drains);
         let down = self.plan.is_down_at(now);
-        let Some(poll) = self.find(i, number) else { return };
+        let Some(poll) = self.find_poll(i, number) else { return };
         if down {
             poll.silent = true;
             return;
         }
         poll.open = true;
         let wait = poll.wait;
-        let at = if drained > known { now } else { now + wait };
-        self.queue_event(at, Event::Write(i, number));
+        let at = if drains_begun > known { now } else { now + wait };
+        self.queue_event(at, Event::AnswerWritten(i, number));
     }
 
-    fn write(&mut self, i: usize, number: u64) {
+    fn write_answer(&mut self, i: usize, number: u64) {
         let now = self.now;
-        let Some(poll) = self.find(i, number).filter(|poll| !poll.silent && !poll.answered) else {
+        let Some(poll) = self.find_poll(i, number).filter(|poll| !poll.silent && !poll.answered)
+        else {
             return;
         };
         poll.answered = true;
         // A drain counts as notified when it is written.
-        let drained = self.drained;
-        let notified = self.nodes[i].notified_at[..drained].iter_mut();
+        let drains_begun = self.drains_begun;
+        let notified = self.balancers[i].notified_at[..drains_begun].iter_mut();
         notified.for_each(|at| *at = (*at).min(now));
-        self.queue_event(now + NETWORK_DELAY, Event::Answer(i, number, drained));
+        self.queue_event(now + NETWORK_DELAY, Event::AnswerReceived(i, number, drains_begun));
     }
 
-    fn answer(&mut self, i: usize, number: u64, drained: usize) {
-        if self.find(i, number).is_none() {
+    fn receive_answer(&mut self, i: usize, number: u64, drains_begun: usize) {
+        if self.find_poll(i, number).is_none() {
             return;
         }
-        let node = &mut self.nodes[i];
-        node.in_flight.clear();
-        let changed = drained > node.known_drains;
-        for known_at in &mut node.known_at[node.known_drains..drained.max(node.known_drains)] {
+        let balancer = &mut self.balancers[i];
+        balancer.in_flight.clear();
+        let changed = drains_begun > balancer.known_drains;
+        for known_at in
+            &mut balancer.known_at[balancer.known_drains..drains_begun.max(balancer.known_drains)]
+        {
             *known_at = self.now;
         }
-        node.known_drains = node.known_drains.max(drained);
-        node.last_answer = self.now;
-        node.poll_lost = false;
+        balancer.known_drains = balancer.known_drains.max(drains_begun);
+        balancer.last_answer = self.now;
+        balancer.poll_lost = false;
         self.poll_ended(i, PollOutcome::Answered { changed });
     }
 
-    fn rejected(&mut self, i: usize, number: u64) {
-        if self.find(i, number).is_none() {
+    fn receive_rejection(&mut self, i: usize, number: u64) {
+        if self.find_poll(i, number).is_none() {
             return;
         }
-        let node = &mut self.nodes[i];
-        node.in_flight.retain(|poll| poll.number != number);
-        if node.in_flight.is_empty() {
+        let balancer = &mut self.balancers[i];
+        balancer.in_flight.retain(|poll| poll.number != number);
+        if balancer.in_flight.is_empty() {
             self.count("poll rejected");
             if self.plan.failure_counts {
                 self.lose_poll(i);
@@ -308,12 +316,12 @@
         }
     }
 
-    fn deadline(&mut self, i: usize, number: u64) {
-        let Some(poll) = self.find(i, number).copied() else { return };
+    fn pass_deadline(&mut self, i: usize, number: u64) {
+        let Some(poll) = self.find_poll(i, number).copied() else { return };
         let waited = poll.wait > MS;
-        let node = &mut self.nodes[i];
-        node.in_flight.retain(|poll| poll.number != number);
-        if node.in_flight.is_empty() {
+        let balancer = &mut self.balancers[i];
+        balancer.in_flight.retain(|poll| poll.number != number);
+        if balancer.in_flight.is_empty() {
             self.count("poll silent");
             if self.plan.abandon_counts || self.plan.failure_counts && !waited {
                 self.lose_poll(i);
@@ -322,25 +330,25 @@
         }
     }
 
-    fn hedge(&mut self, i: usize, number: u64) {
-        let Some(poll) = self.find(i, number).copied() else { return };
+    fn send_hedge(&mut self, i: usize, number: u64) {
+        let Some(poll) = self.find_poll(i, number).copied() else { return };
         self.count("hedged");
-        let timeout = self.nodes[i].schedule.timing().poll_timeout.0;
+        let timeout = self.balancers[i].schedule.timing().poll_timeout.0;
         self.send_poll(i, poll.wait, self.now + timeout);
     }
 
-    fn silence(&mut self) {
+    fn silence_open_polls(&mut self) {
         let now = self.now;
         let mut silenced = 0;
-        for node in &mut self.nodes {
-            for poll in node.in_flight.iter_mut().filter(|poll| poll.open) {
+        for balancer in &mut self.balancers {
+            for poll in balancer.in_flight.iter_mut().filter(|poll| poll.open) {
                 (poll.silent, poll.open) = (true, false);
                 silenced += 1;
                 // What it misses counts as notified a while after, whether or not it arrives; and what changes until a new
                 // poll is open.
                 let after_wait = poll.started + poll.wait + NOTIFIED_AFTER_WAIT;
                 let notified = (now + NOTIFIED_AFTER_SILENCE).max(after_wait);
-                let drains = self.plan.drains.iter().zip(&mut node.notified_at);
+                let drains = self.plan.drains.iter().zip(&mut balancer.notified_at);
                 for (drain, notified_at) in drains.filter(|(drain, _)| **drain >= now) {
                     *notified_at = (*notified_at).min(notified.max(*drain));
                 }
@@ -351,48 +359,48 @@
         }
     }
 
-    fn reset(&mut self) {
-        for i in 0..self.nodes.len() {
-            for poll in self.nodes[i].in_flight.clone() {
+    fn reset_open_polls(&mut self) {
+        for i in 0..self.balancers.len() {
+            for poll in self.balancers[i].in_flight.clone() {
                 if poll.open {
                     self.count("reset");
                 }
-                self.queue_event(self.now + NETWORK_DELAY, Event::Rejected(i, poll.number));
+                self.queue_event(self.now + NETWORK_DELAY, Event::PollRejected(i, poll.number));
             }
         }
     }
 
-    fn drain(&mut self) {
-        self.drained += 1;
-        for i in 0..self.nodes.len() {
-            if self.nodes[i].poll_lost {
+    fn begin_drain(&mut self) {
+        self.drains_begun += 1;
+        for i in 0..self.balancers.len() {
+            if self.balancers[i].poll_lost {
                 self.lose_poll(i);
             }
-            for poll in self.nodes[i].in_flight.clone().iter().filter(|poll| poll.open) {
+            for poll in self.balancers[i].in_flight.clone().iter().filter(|poll| poll.open) {
                 let delay = self.random_below(self.plan.max_delay);
-                self.queue_event(self.now + delay, Event::Write(i, poll.number));
+                self.queue_event(self.now + delay, Event::AnswerWritten(i, poll.number));
             }
         }
     }
 
     fn move_discovery(&mut self) {
         self.free_at = self.now;
-        for i in 0..self.nodes.len() {
-            let node = &mut self.nodes[i];
-            node.in_flight.clear();
-            node.last_answer = i64::MIN / 2;
-            node.schedule.discovery_moved(Time(self.now));
-            node.polls_ended += 1;
-            self.poll(i);
+        for i in 0..self.balancers.len() {
+            let balancer = &mut self.balancers[i];
+            balancer.in_flight.clear();
+            balancer.last_answer = i64::MIN / 2;
+            balancer.schedule.discovery_moved(Time(self.now));
+            balancer.polls_ended += 1;
+            self.start_poll(i);
         }
     }
 
     fn poll_ended(&mut self, i: usize, outcome: PollOutcome) {
-        let node = &mut self.nodes[i];
-        node.schedule.poll_ended(Time(self.now), outcome);
-        node.polls_ended += 1;
-        let (due, polls) = (node.schedule.next_poll_at(Time(self.now)).0, node.polls_ended);
-        self.queue_event(due, Event::Due(i, polls));
+        let balancer = &mut self.balancers[i];
+        balancer.schedule.poll_ended(Time(self.now), outcome);
+        balancer.polls_ended += 1;
+        let (due, polls) = (balancer.schedule.next_poll_at(Time(self.now)).0, balancer.polls_ended);
+        self.queue_event(due, Event::PollDue(i, polls));
     }
 
     /// When a drain counts as notified at the latest, whatever became of the polls.
@@ -402,10 +410,10 @@
         // interval after the change, and counted anew when discovery is back.
         let available = plan.available_at(drain);
         let mut notified = if plan.local_agent { available } else { available + POLL_INTERVAL };
-        let hides =
+        let hides_drain =
             |silence: &&i64| (**silence..**silence + NOTIFIED_AFTER_SILENCE).contains(&drain);
         if plan.local_agent
-            && let Some(silence) = plan.silences.iter().find(hides)
+            && let Some(silence) = plan.silences.iter().find(hides_drain)
         {
             notified = notified.max(silence + NOTIFIED_AFTER_SILENCE);
         }
@@ -419,11 +427,11 @@
     /// The greatest time by which a balancer knew a drain too late; negative if none did.
     pub(crate) fn greatest_lateness(&self) -> i64 {
         let mut greatest = i64::MIN;
-        for node in &self.nodes {
-            let drains = self.plan.drains.iter().zip(&node.notified_at).zip(&node.known_at);
+        for balancer in &self.balancers {
+            let drains = self.plan.drains.iter().zip(&balancer.notified_at).zip(&balancer.known_at);
             for ((drain, notified_at), known_at) in drains {
                 let notified = (*notified_at).min(self.notified_at_latest(*drain));
-                greatest = greatest.max(known_at.saturating_sub(notified + GRACE));
+                greatest = greatest.max(known_at.saturating_sub(notified + DRAIN_GRACE));
             }
         }
         greatest
--- a/crates/discovery-schedule/tests/timing.rs
+++ b/crates/discovery-schedule/tests/timing.rs
@@ -1,7 +1,7 @@
 //! The limits that the timing of polls has to keep, for many settings.
 
 use sableloom_discovery_schedule::{
-    CONTINUES_WITHIN, PollOutcome, PollSchedule, PollTiming, ScheduleOptions, SyncState,
+    MAX_CONTINUATION_GAP, PollOutcome, PollSchedule, PollTiming, ScheduleOptions, SyncState,
 };
 use sableloom_types::{Span, Time};
 
@@ -50,26 +50,32 @@
             // 6 s and the grace, less the longest short wait, 0.25 s of slack and 0.5 s to connect.
             let least = if grace == 500 { 1_400_000 } else { 1_520_000 };
             assert!(
-                timing.left_after_silence() >= Span(least),
+                timing.answer_budget_after_silence() >= Span(least),
                 "{poll_interval} {grace}: {timing:?}"
             );
-            assert!(timing.hedge_delay < timing.left_after_silence(), "a hedge has time as well");
+            assert!(
+                timing.hedge_delay < timing.answer_budget_after_silence(),
+                "a hedge has time as well"
+            );
         }
     }
 }
 
 #[test]
-fn what_an_agent_gets_at_its_return_arrives_within_the_grace_of_a_drain() {
+fn the_answer_of_a_returned_agent_arrives_within_the_grace_of_a_drain() {
     for grace in [0, 300, 500, 1000, 5000] {
         let timing = PollTiming::new(&options(true, 0, grace, 0, 300));
         let part = if grace == 0 { 1000 } else { grace } * 1000 / 5;
-        assert!(timing.left_after_return() >= Span(part.min(250_000)), "{grace}: {timing:?}");
-        assert!(timing.left_after_silence() >= Span(4_000_000), "{grace}: {timing:?}");
+        assert!(
+            timing.answer_budget_after_agent_return() >= Span(part.min(250_000)),
+            "{grace}: {timing:?}"
+        );
+        assert!(timing.answer_budget_after_silence() >= Span(4_000_000), "{grace}: {timing:?}");
     }
 }
 
 #[test]
-fn the_waits_of_a_fleet_end_one_by_one_whenever_they_began() {
+fn the_waits_of_a_fleet_end_evenly_spread_whenever_they_began() {
     for balancers in [1, 2, 6, 300, 350, 1024] {
         let mut ends = Vec::new();
         for position in 0..balancers {
@@ -137,7 +143,7 @@
 }
 
 #[test]
-fn after_a_move_the_full_list_is_due_in_the_time_of_the_page() {
+fn after_a_move_the_full_list_is_due_after_notification_and_grace() {
     let mut schedule = synced();
     schedule.start_poll(at(0));
     schedule.discovery_moved(at(5000));
@@ -159,7 +165,7 @@
             now += 1;
             schedule.poll_ended(at(now), outcome);
             let backoff = schedule.next_poll_at(at(now)).since(at(now));
-            assert!(backoff < CONTINUES_WITHIN, "the watch continues");
+            assert!(backoff < MAX_CONTINUATION_GAP, "the watch continues");
             now += backoff.0 / 1000;
             polls += 1;
         }
@@ -217,7 +223,7 @@
 }
 
 #[test]
-fn what_a_failed_poll_misses_is_due_in_six_seconds_and_the_grace_for_any_poll_interval() {
+fn changes_missed_by_a_failed_poll_are_due_after_six_seconds_and_the_grace_for_any_poll_interval() {
     for poll_interval in [1000, 10_000, 60_000, 3_600_000] {
         let timing = PollTiming::new(&options(false, poll_interval, 1000, 0, 6));
         let mut schedule = PollSchedule::new(timing, 1, false);
@@ -236,7 +242,7 @@
 }
 
 #[test]
-fn a_service_that_takes_longer_than_the_poll_timeout_is_heard_the_next_time() {
+fn the_poll_after_a_poll_that_timed_out_has_the_extended_timeout() {
     let timing = PollTiming::new(&options(false, 10_000, 1000, 0, 1));
     let mut schedule = PollSchedule::new(timing, 1, false);
     assert_eq!(schedule.start_poll(at(0)).deadline, at(5_000));
