--- a/crates/exchange/src/attempt_run.rs
+++ b/crates/exchange/src/attempt_run.rs
@@ -6,8 +6,8 @@
 use tokio::time::sleep_until;
 
 use crate::attempt::Attempt;
-use crate::fate::AttemptEnd;
 use crate::open_requests::OpenRequest;
+use crate::outcome::AttemptEnd;
 use crate::ports::{AttemptOutcome, Transport};
 
 /// An attempt that owes its one outcome to `report`. If its task panics it reports a lost connection: unless
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -20,10 +20,10 @@
 use crate::attempt_context::AttemptContext;
 use crate::attempt_run::PendingAttempt;
 use crate::clock::{Clock, duration_of};
-use crate::fate::{self, AttemptEnd};
 use crate::idle::{IdleState, Timer};
 use crate::message::{Message, Reply, RequestContext, RequestRejection};
 use crate::open_requests::{OpenRequest, OpenRequests};
+use crate::outcome::{self, AttemptEnd};
 use crate::ports::{
     AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
@@ -289,7 +289,7 @@
     ) {
         let id = request.id;
         request.attempts_in_flight.set(request.attempts_in_flight.get() - 1);
-        let outcome = fate::judge(fate::AttemptFacts {
+        let outcome = outcome::classify(outcome::AttemptFacts {
             ended: attempt_outcome.ended,
             fully_written: attempt.context.as_ref().is_some_and(|context| context.fully_written()),
             not_executed: attempt_outcome.not_executed,
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -12,7 +12,7 @@
 //! ended. Three invariants have one place each:
 //!
 //! - the final answer is sent by `Exchange::send_final_answer`, which takes the only sender;
-//! - whether an attempt may have been executed is decided by [`fate::judge`], from facts that transports report;
+//! - whether an attempt may have been executed is decided by [`outcome::classify`], from facts that transports report;
 //! - the first byte of an attempt is permitted by [`AttemptContext::may_send_first_byte`].
 //!
 //! | module | concern |
@@ -21,21 +21,21 @@
 //! | `open_requests`, `reply_future` | the open requests and their ids; the wait for a final answer |
 //! | `attempt`, `attempt_run` | an attempt and its run to one outcome |
 //! | `attempt_context` | what a transport is given, and the permission for each byte |
-//! | `fate` | whether an attempt may have been executed |
+//! | `outcome` | whether an attempt may have been executed |
 //! | `address_book` | ids and addresses of the servers |
 //! | `idle` | when a pool without requests stops its timers |
 //! | `fields`, `message`, `ports` | requests and answers of no protocol, and the traits at which protocols meet |
 //!
 //! ```
-//! use sableloom_exchange::fate::{AttemptEnd, AttemptFacts, judge};
+//! use sableloom_exchange::outcome::{AttemptEnd, AttemptFacts, classify};
 //!
 //! let lost = AttemptFacts {
 //!     ended: AttemptEnd::ConnectionLost,
 //!     fully_written: false,
 //!     not_executed: false,
 //! };
-//! assert!(judge(lost).not_executed(), "a server executes nothing before the last byte");
-//! assert!(!judge(AttemptFacts { fully_written: true, ..lost }).not_executed());
+//! assert!(classify(lost).not_executed(), "a server executes nothing before the last byte");
+//! assert!(!classify(AttemptFacts { fully_written: true, ..lost }).not_executed());
 //! ```
 
 mod address_book;
@@ -44,11 +44,11 @@
 mod attempt_run;
 mod clock;
 mod exchange;
-pub mod fate;
 mod fields;
 mod idle;
 mod message;
 mod open_requests;
+pub mod outcome;
 mod ports;
 mod reply_future;
 mod task;
--- a/crates/exchange/src/fate.rs
+++ b/crates/exchange/src/outcome.rs
@@ -40,7 +40,7 @@
 }
 
 /// The outcome that the facts prove, or else the one that allows for an execution.
-pub fn judge(facts: AttemptFacts) -> Outcome {
+pub fn classify(facts: AttemptFacts) -> Outcome {
     let AttemptFacts { ended, fully_written, not_executed } = facts;
     match (ended, fully_written) {
         (AttemptEnd::Answered, true) => Outcome::Ok,
--- a/crates/exchange/src/fate/tests.rs
+++ b/crates/exchange/src/outcome/tests.rs
@@ -30,7 +30,7 @@
         let facts = [(false, false), (true, false), (false, true), (true, true)];
         for ((fully_written, not_executed), outcome) in facts.into_iter().zip(outcomes) {
             let facts = AttemptFacts { ended, fully_written, not_executed };
-            assert_eq!(judge(facts), outcome, "{facts:?}");
+            assert_eq!(classify(facts), outcome, "{facts:?}");
         }
     }
 }
@@ -41,7 +41,7 @@
         for (fully_written, not_executed) in
             [(false, false), (true, false), (false, true), (true, true)]
         {
-            let outcome = judge(AttemptFacts { ended, fully_written, not_executed });
+            let outcome = classify(AttemptFacts { ended, fully_written, not_executed });
             let proof = !fully_written || not_executed;
             assert!(!outcome.not_executed() || proof, "{ended:?}: {outcome:?} without proof");
         }
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -7,8 +7,8 @@
 use sableloom_types::{ListKind, ListedEndpoint, LoadReport, ServerId};
 
 use crate::attempt_context::AttemptContext;
-use crate::fate::AttemptEnd;
 use crate::message::{Answer, Message, Reply, RequestContext, RequestRejection};
+use crate::outcome::AttemptEnd;
 
 /// A future that runs on this thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sableloom_exchange::fate::AttemptEnd;
+use sableloom_exchange::outcome::AttemptEnd;
 use sableloom_exchange::{
     Answer, AttemptConnection, AttemptContext, AttemptOutcome, Clock, EndpointListener, Exchange,
     ExchangeOptions, ListedEndpoint, LocalFuture, Reply, RequestContext, Service, ShareExpiry,
--- a/crates/exchange/tests/simulation/transport.rs
+++ b/crates/exchange/tests/simulation/transport.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oorandom::Rand64;
-use sableloom_exchange::fate::AttemptEnd;
+use sableloom_exchange::outcome::AttemptEnd;
 use sableloom_exchange::{
     Answer, AttemptConnection, AttemptContext, AttemptOutcome, LocalFuture, Transport,
 };
--- a/crates/http1/src/upstream/answer.rs
+++ b/crates/http1/src/upstream/answer.rs
@@ -4,7 +4,7 @@
 use http_body::Body;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use sableloom_exchange::fate::AttemptEnd;
+use sableloom_exchange::outcome::AttemptEnd;
 
 use crate::limits::MAX_BODY_BYTES;
 
--- a/crates/http1/src/upstream/transport.rs
+++ b/crates/http1/src/upstream/transport.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::http::response::Parts;
 use hyper::{HeaderMap, Request, Response, StatusCode, Uri, header};
-use sableloom_exchange::fate::AttemptEnd;
+use sableloom_exchange::outcome::AttemptEnd;
 use sableloom_exchange::{
     Answer, AttemptConnection, AttemptContext, AttemptOutcome, LocalFuture, Transport,
 };
--- a/crates/sableloom/tests/architecture.rs
+++ b/crates/sableloom/tests/architecture.rs
@@ -162,7 +162,7 @@
 #[test]
 fn one_place_judges_an_attempt_one_answers_and_one_permits_the_first_byte() {
     let places = [
-        ("fate::judge(", "crates/exchange/src/exchange.rs"),
+        ("outcome::classify(", "crates/exchange/src/exchange.rs"),
         ("reply_sender.take()", "crates/exchange/src/open_requests.rs"),
         ("fn may_send_first_byte(", "crates/exchange/src/attempt_context.rs"),
     ];
