--- a/crates/distribution/src/publisher/bandwidth.rs
+++ b/crates/distribution/src/publisher/bandwidth.rs
@@ -10,7 +10,7 @@
 
 /// The priority of a session's next frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Urgency {
+pub(super) enum Priority {
     /// A frame of a delta: before all snapshots.
     Delta,
     /// A frame of a snapshot.
@@ -40,10 +40,10 @@
     }
 
     /// Whether a session that does not wait may send now, given those that wait.
-    pub(super) fn may_send(&mut self, now: Time, urgency: Urgency) -> bool {
-        let is_first = match urgency {
-            Urgency::Delta => self.waiting_with_delta.is_empty(),
-            Urgency::Snapshot => self.waiting() == 0,
+    pub(super) fn may_send(&mut self, now: Time, priority: Priority) -> bool {
+        let is_first = match priority {
+            Priority::Delta => self.waiting_with_delta.is_empty(),
+            Priority::Snapshot => self.waiting() == 0,
         };
         is_first && self.bucket.is_ready(now)
     }
@@ -54,10 +54,10 @@
     }
 
     /// Queues a session until there is bandwidth.
-    pub(super) fn enqueue(&mut self, session: SessionId, urgency: Urgency) {
-        match urgency {
-            Urgency::Delta => self.waiting_with_delta.push_back(session),
-            Urgency::Snapshot => self.waiting_with_snapshot.push_back(session),
+    pub(super) fn enqueue(&mut self, session: SessionId, priority: Priority) {
+        match priority {
+            Priority::Delta => self.waiting_with_delta.push_back(session),
+            Priority::Snapshot => self.waiting_with_snapshot.push_back(session),
         }
     }
 
--- a/crates/distribution/src/publisher/flush.rs
+++ b/crates/distribution/src/publisher/flush.rs
@@ -24,7 +24,7 @@
         let max_bytes = self.options.max_transaction_bytes;
         match state.services_changed(now, services, max_bytes, &self.store) {
             ChangeEffect::None => return,
-            ChangeEffect::Absorbed => self.shared.counters.merged_changes += 1,
+            ChangeEffect::Merged => self.shared.counters.merged_changes += 1,
             ChangeEffect::Pending => {}
         }
         self.flush(now, session, out);
@@ -64,11 +64,11 @@
                 state.snapshot_slot = shared.snapshot_slots.request(session);
                 state.snapshot_slot == SnapshotSlot::Held
             }
-            NextStep::SendFrame(urgency) | NextStep::Open(_, urgency)
-                if !shared.bandwidth.may_send(now, urgency) =>
+            NextStep::SendFrame(priority) | NextStep::Open(_, priority)
+                if !shared.bandwidth.may_send(now, priority) =>
             {
                 state.awaits_bandwidth = true;
-                shared.bandwidth.enqueue(session, urgency);
+                shared.bandwidth.enqueue(session, priority);
                 false
             }
             NextStep::SendFrame(_) => {
@@ -130,12 +130,12 @@
         };
         if state.snapshot_slot == SnapshotSlot::Held && !state.needs_snapshot_slot() {
             state.snapshot_slot = SnapshotSlot::None;
-            self.pass_on_snapshot_slot(now, out);
+            self.reassign_snapshot_slot(now, out);
         }
     }
 
     /// A session has given its snapshot slot back: the next session that waits and still needs one gets it.
-    pub(super) fn pass_on_snapshot_slot(&mut self, now: Time, out: &mut Vec<PublisherOutput>) {
+    pub(super) fn reassign_snapshot_slot(&mut self, now: Time, out: &mut Vec<PublisherOutput>) {
         self.shared.snapshot_slots.release();
         while let Some(session) = self.shared.snapshot_slots.next_waiting() {
             let Some(state) = self.sessions.get_mut(&session) else {
@@ -144,7 +144,7 @@
             if state.snapshot_slot != SnapshotSlot::Waiting {
                 continue;
             }
-            if state.wants_snapshot() {
+            if state.has_pending_snapshot() {
                 state.snapshot_slot = self.shared.snapshot_slots.grant();
                 self.flush(now, session, out);
                 return;
@@ -165,8 +165,8 @@
             return;
         };
         let position = store.position();
-        let has_room = state.queued_bytes() < options.max_queued_bytes;
-        if state.is_idle() && state.last_bookmark != position && has_room {
+        let may_queue = state.queued_bytes() < options.max_queued_bytes;
+        if state.is_idle() && state.last_bookmark != position && may_queue {
             state.send_bookmark(position, &mut FrameSink { now, shared, out });
         }
     }
--- a/crates/distribution/src/publisher/handlers.rs
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -18,7 +18,7 @@
 const SPARE_CONNECTIONS: usize = 64;
 
 /// Why the session is closed, if it is.
-type Handled = Result<(), CloseReason>;
+type HandlerResult = Result<(), CloseReason>;
 
 const NO_SESSION: CloseReason = CloseReason::Violation(SubscriberViolation::NoSession);
 
@@ -45,7 +45,7 @@
         session: SessionId,
         message: SubscriberMessage,
         out: &mut Vec<PublisherOutput>,
-    ) -> Handled {
+    ) -> HandlerResult {
         match message {
             SubscriberMessage::Hello { subscriber, position } => {
                 self.handle_hello(now, session, subscriber, position, out)
@@ -80,7 +80,7 @@
         subscriber: SubscriberName,
         seen: Position,
         out: &mut Vec<PublisherOutput>,
-    ) -> Handled {
+    ) -> HandlerResult {
         let state = self.sessions.get_mut(&session).ok_or(NO_SESSION)?;
         if state.subscriber.is_some() {
             return Err(SubscriberViolation::SecondHello.into());
@@ -105,7 +105,7 @@
         session: SessionId,
         refusal: Refusal,
         out: &mut Vec<PublisherOutput>,
-    ) -> Handled {
+    ) -> HandlerResult {
         self.reply(now, session, &PublisherMessage::Refused(refusal), out);
         Err(CloseReason::Refused)
     }
@@ -116,17 +116,17 @@
         session: SessionId,
         scope: ScopeChange,
         out: &mut Vec<PublisherOutput>,
-    ) -> Handled {
+    ) -> HandlerResult {
         let max = self.options.max_scope_services;
-        let named = scope.add.len() + scope.remove.len() + scope.rejected.len();
+        let service_count = scope.add.len() + scope.remove.len() + scope.rejected.len();
         let state = welcomed_session(&mut self.sessions, session)?;
         if scope.generation != state.scope_generation.wrapping_add(1) {
             return Err(SubscriberViolation::ScopeOutOfOrder.into());
         }
-        if named > MAX_SERVICES_PER_MESSAGE {
+        if service_count > MAX_SERVICES_PER_MESSAGE {
             return Err(SubscriberViolation::ScopeMessageTooLarge.into());
         }
-        if state.exceeds_scope(&scope.add, named, max) {
+        if state.exceeds_scope(&scope.add, service_count, max) {
             return self.refuse(now, session, Refusal::ScopeTooLarge { max: max as u32 }, out);
         }
         let removed = self.apply_scope(now, session, scope)?;
@@ -166,11 +166,11 @@
         transaction: u64,
         answer: Answer,
         out: &mut Vec<PublisherOutput>,
-    ) -> Handled {
+    ) -> HandlerResult {
         let Publisher { sessions, store, shared, options, .. } = self;
         let state = welcomed_session(sessions, session)?;
         let targets =
-            state.take_answered(transaction).ok_or(SubscriberViolation::UnknownTransaction)?;
+            state.remove_answered(transaction).ok_or(SubscriberViolation::UnknownTransaction)?;
         match answer {
             Answer::Applied => {
                 shared.counters.acks += 1;
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -248,7 +248,7 @@
             self.timers.remove(&(timer, session));
         }
         if state.snapshot_slot == SnapshotSlot::Held {
-            self.pass_on_snapshot_slot(now, out);
+            self.reassign_snapshot_slot(now, out);
         }
     }
 
--- a/crates/distribution/src/publisher/session/answers.rs
+++ b/crates/distribution/src/publisher/session/answers.rs
@@ -11,7 +11,7 @@
 impl Session {
     /// Takes a transaction as answered; returns the versions that it led to, without services that have left the scope
     /// or were added again since. None if there is no such transaction.
-    pub(in crate::publisher) fn take_answered(
+    pub(in crate::publisher) fn remove_answered(
         &mut self,
         transaction: TransactionId,
     ) -> Option<Vec<ServiceVersion>> {
@@ -58,14 +58,14 @@
     ) {
         self.consecutive_mismatches = 0;
         for target in targets {
-            let own =
+            let service_rejection =
                 rejections.iter().find(|rejection| rejection.resource.service == target.service);
-            let problem = own.or(rejections.first()).cloned();
+            let problem = service_rejection.or(rejections.first()).cloned();
             if let Some(subscription) = self.subscriptions.get_mut(&target.service) {
                 subscription.rejected = Some(RejectedVersion { version: target.version, problem });
             }
         }
-        self.set_aside(service_names(targets), store);
+        self.mark_rejected(service_names(targets), store);
     }
 
     /// A transaction did not match the subscriber's state, which has applied other versions; returns how many
--- a/crates/distribution/src/publisher/session/grouping.rs
+++ b/crates/distribution/src/publisher/session/grouping.rs
@@ -23,17 +23,17 @@
         {
             return;
         }
-        let mut together: BTreeSet<ServiceName> = services.iter().cloned().collect();
+        let mut members: BTreeSet<ServiceName> = services.iter().cloned().collect();
         for id in groups.into_iter().flatten() {
-            together.extend(self.remove_group(id));
+            members.extend(self.remove_group(id));
         }
-        together.retain(|service| self.subscriptions.contains_key(service));
-        self.insert_group(together.into_iter().collect(), None, store);
+        members.retain(|service| self.subscriptions.contains_key(service));
+        self.insert_group(members.into_iter().collect(), None, store);
     }
 
     /// Sets services aside that the subscriber has rejected in one transaction. If one of them has changed meanwhile,
     /// all of them are pending again.
-    pub(super) fn set_aside(&mut self, services: Vec<ServiceName>, store: &Store) {
+    pub(super) fn mark_rejected(&mut self, services: Vec<ServiceName>, store: &Store) {
         let is_pending = |service: &ServiceName| {
             self.subscriptions.get(service).is_some_and(|subscription| subscription.group.is_some())
         };
@@ -46,7 +46,7 @@
 
     /// Sets the pending group of a service aside if the subscriber has reported that it rejected the latest version of
     /// each service in the group.
-    pub(super) fn set_aside_if_rejected(&mut self, service: &ServiceName, store: &Store) {
+    pub(super) fn mark_rejected_if_reported(&mut self, service: &ServiceName, store: &Store) {
         let Some(id) = self.subscriptions.get(service).and_then(|subscription| subscription.group)
         else {
             return;
--- a/crates/distribution/src/publisher/session/resume.rs
+++ b/crates/distribution/src/publisher/session/resume.rs
@@ -15,13 +15,13 @@
     pub(in crate::publisher) fn exceeds_scope(
         &self,
         added: &[ServiceVersion],
-        named: usize,
+        message_services: usize,
         max: usize,
     ) -> bool {
         let is_new = |added: &&ServiceVersion| !self.subscriptions.contains_key(&added.service);
         let new = added.iter().filter(is_new).count();
-        let named_before = self.services_to_resume.len().max(self.reported_rejections.len());
-        self.subscriptions.len() + new > max || named_before + named > 2 * max
+        let services_before = self.services_to_resume.len().max(self.reported_rejections.len());
+        self.subscriptions.len() + new > max || services_before + message_services > 2 * max
     }
 
     /// Adds services of a scope message.
@@ -52,7 +52,7 @@
             self.join_changed_together(service, &mut seen_changes, store);
         }
         for rejected in self.reported_rejections.clone() {
-            self.set_aside_if_rejected(&rejected.service, store);
+            self.mark_rejected_if_reported(&rejected.service, store);
         }
         self.reported_rejections = Vec::new();
     }
@@ -72,8 +72,8 @@
             return ChangeEffect::None;
         }
         self.mark_lagging(now, &services);
-        if self.absorb(&services, max_transaction_bytes, store) {
-            return ChangeEffect::Absorbed;
+        if self.merge_into_open(&services, max_transaction_bytes, store) {
+            return ChangeEffect::Merged;
         }
         self.mark_pending(&services, store);
         ChangeEffect::Pending
@@ -101,8 +101,9 @@
                     subscription.version < number && subscription.accepts_delta(service, store)
                 })
             };
-            let together: Vec<ServiceName> = touched.iter().filter(lacks_change).cloned().collect();
-            self.mark_pending(&together, store);
+            let changed_together: Vec<ServiceName> =
+                touched.iter().filter(lacks_change).cloned().collect();
+            self.mark_pending(&changed_together, store);
         }
     }
 }
--- a/crates/distribution/src/publisher/session/sending.rs
+++ b/crates/distribution/src/publisher/session/sending.rs
@@ -6,7 +6,7 @@
 use super::transaction::OpenTransaction;
 use crate::name::ServiceName;
 use crate::position::Position;
-use crate::publisher::bandwidth::Urgency;
+use crate::publisher::bandwidth::Priority;
 use crate::publisher::options::PublisherOptions;
 use crate::publisher::shared::{FrameSink, Shared};
 use crate::publisher::snapshot_slots::SnapshotSlot;
@@ -16,8 +16,8 @@
 impl Session {
     pub(in crate::publisher) fn next_step(&self, options: &PublisherOptions) -> NextStep {
         if let Some(open) = &self.open {
-            let urgency = if open.has_snapshot { Urgency::Snapshot } else { Urgency::Delta };
-            return NextStep::SendFrame(urgency);
+            let priority = if open.has_snapshot { Priority::Snapshot } else { Priority::Delta };
+            return NextStep::SendFrame(priority);
         }
         let in_flight_bytes: usize = self.unacknowledged.values().map(|sent| sent.bytes).sum();
         if self.unacknowledged.len() >= options.max_unacknowledged
@@ -26,24 +26,24 @@
             return NextStep::Nothing;
         }
         if let Some(group) = self.first_free_group(GroupState::Delta) {
-            return NextStep::Open(group, Urgency::Delta);
+            return NextStep::Open(group, Priority::Delta);
         }
         match (self.first_free_group(GroupState::Snapshot), self.snapshot_slot) {
-            (Some(group), SnapshotSlot::Held) => NextStep::Open(group, Urgency::Snapshot),
+            (Some(group), SnapshotSlot::Held) => NextStep::Open(group, Priority::Snapshot),
             (Some(_), SnapshotSlot::None) => NextStep::RequestSnapshotSlot,
             _ => NextStep::Nothing,
         }
     }
 
     /// Whether a group waits for a snapshot.
-    pub(in crate::publisher) fn wants_snapshot(&self) -> bool {
+    pub(in crate::publisher) fn has_pending_snapshot(&self) -> bool {
         self.pending.has_snapshots()
     }
 
     /// Whether the session still needs a snapshot slot: for what is pending, being sent or unanswered.
     pub(in crate::publisher) fn needs_snapshot_slot(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_snapshot)
-            || self.wants_snapshot()
+            || self.has_pending_snapshot()
             || self.unacknowledged.values().any(|sent| sent.has_snapshot)
     }
 
@@ -105,7 +105,7 @@
 
     /// Adds the latest change to the transaction that is being sent, if all services that it touches are in there: so
     /// a server that is removed while a snapshot is being sent is never applied by the subscriber.
-    pub(super) fn absorb(
+    pub(super) fn merge_into_open(
         &mut self,
         services: &[ServiceName],
         max_transaction_bytes: usize,
@@ -135,7 +135,7 @@
         if open.bytes + bytes > max_transaction_bytes {
             return false;
         }
-        open.absorb(services, changes, store);
+        open.merge(services, changes, store);
         true
     }
 
--- a/crates/distribution/src/publisher/session/steps.rs
+++ b/crates/distribution/src/publisher/session/steps.rs
@@ -1,14 +1,14 @@
 //! What a session does next, and what a change does to it.
 
 use super::pending::GroupId;
-use crate::publisher::bandwidth::Urgency;
+use crate::publisher::bandwidth::Priority;
 
 /// What a session does next.
 pub(in crate::publisher) enum NextStep {
     /// Sends a frame of the open transaction.
-    SendFrame(Urgency),
+    SendFrame(Priority),
     /// Opens a transaction for a group.
-    Open(GroupId, Urgency),
+    Open(GroupId, Priority),
     /// Requests a snapshot slot.
     RequestSnapshotSlot,
     /// Nothing can be sent now.
@@ -21,7 +21,7 @@
     /// Nothing yet: the scope is not complete.
     None,
     /// The change was added to the transaction that is being sent.
-    Absorbed,
+    Merged,
     /// The services are pending.
     Pending,
 }
--- a/crates/distribution/src/publisher/session/timeouts.rs
+++ b/crates/distribution/src/publisher/session/timeouts.rs
@@ -13,7 +13,7 @@
         let stalled =
             (self.queued_bytes > 0).then(|| self.stalled_since.plus(options.stall_timeout));
         let oldest = self.unacknowledged.first_key_value();
-        let unanswered = oldest.map(|(_, sent)| sent.sent.plus(options.acknowledge_timeout));
+        let unanswered = oldest.map(|(_, sent)| sent.sent_at.plus(options.acknowledge_timeout));
         [Some(silent), stalled, unanswered].into_iter().flatten().min().unwrap_or(silent)
     }
 
@@ -28,7 +28,7 @@
             return Some(CloseReason::Stalled);
         }
         let oldest = self.unacknowledged.first_key_value();
-        if oldest.is_some_and(|(_, sent)| has_passed(sent.sent, options.acknowledge_timeout)) {
+        if oldest.is_some_and(|(_, sent)| has_passed(sent.sent_at, options.acknowledge_timeout)) {
             return Some(CloseReason::Unacknowledged);
         }
         has_passed(self.last_heard, options.silence_timeout).then_some(CloseReason::Silent)
--- a/crates/distribution/src/publisher/session/transaction.rs
+++ b/crates/distribution/src/publisher/session/transaction.rs
@@ -42,7 +42,7 @@
     pub(super) targets: Vec<TransactionTarget>,
     pub(super) bytes: usize,
     pub(super) has_snapshot: bool,
-    pub(super) sent: Time,
+    pub(super) sent_at: Time,
 }
 
 impl OpenTransaction {
@@ -74,7 +74,7 @@
     }
 
     /// Adds the latest changes of services that are in the transaction already.
-    pub(super) fn absorb(&mut self, services: &[ServiceName], changes: Vec<Change>, store: &Store) {
+    pub(super) fn merge(&mut self, services: &[ServiceName], changes: Vec<Change>, store: &Store) {
         self.add_changes(changes);
         for target in &mut self.targets {
             if services.contains(&target.version.service) {
@@ -108,9 +108,9 @@
     }
 
     /// The transaction has been sent completely.
-    pub(super) fn into_unacknowledged(self, sent: Time) -> UnacknowledgedTransaction {
+    pub(super) fn into_unacknowledged(self, sent_at: Time) -> UnacknowledgedTransaction {
         let OpenTransaction { targets, bytes, has_snapshot, .. } = self;
-        UnacknowledgedTransaction { targets, bytes, has_snapshot, sent }
+        UnacknowledgedTransaction { targets, bytes, has_snapshot, sent_at }
     }
 
     fn add_changes(&mut self, changes: Vec<Change>) {
--- a/crates/distribution/src/publisher/status_page.rs
+++ b/crates/distribution/src/publisher/status_page.rs
@@ -69,9 +69,14 @@
     }
 
     fn session_rows(&self, now: Time, from: u64) -> StatusRows {
-        let welcomed = |session: &Session| Some((session.id.0, session.subscriber.clone()?));
-        let mut ids: Vec<(u64, SubscriberName)> =
-            self.sessions.values().filter_map(welcomed).filter(|(id, _)| *id >= from).collect();
+        let id_and_subscriber =
+            |session: &Session| Some((session.id.0, session.subscriber.clone()?));
+        let mut ids: Vec<(u64, SubscriberName)> = self
+            .sessions
+            .values()
+            .filter_map(id_and_subscriber)
+            .filter(|(id, _)| *id >= from)
+            .collect();
         ids.sort_unstable_by_key(|(id, _)| *id);
         let next = ids.get(MAX_SESSIONS_PER_PAGE).map(|(id, _)| *id);
         ids.truncate(MAX_SESSIONS_PER_PAGE);
@@ -85,8 +90,8 @@
     fn service_rows(&self, after: Option<&ServiceName>) -> StatusRows {
         let mut rows = self.store.services_after(after);
         let services: Vec<_> = rows.by_ref().take(MAX_SERVICES_PER_MESSAGE).collect();
-        let more = rows.next().is_some();
-        let next = services.last().filter(|_| more).map(|last| last.service.clone());
+        let has_more = rows.next().is_some();
+        let next = services.last().filter(|_| has_more).map(|last| last.service.clone());
         StatusRows::Services { services, next }
     }
 }
--- a/crates/distribution/src/publisher/token_bucket.rs
+++ b/crates/distribution/src/publisher/token_bucket.rs
@@ -27,10 +27,10 @@
 
     /// Adds the tokens of the time that has passed; whether there is a token.
     pub(super) fn is_ready(&mut self, now: Time) -> bool {
-        let passed = self.filled_until.map_or(0, |until| now.since(until).0.max(0));
+        let elapsed = self.filled_until.map_or(0, |until| now.since(until).0.max(0));
         // In 128 bits: a pause that is longer than the bucket takes to fill would overflow.
         let until_full = (self.burst - self.tokens) as i128 * MICROSECONDS_PER_SECOND as i128;
-        let gained = passed as i128 * self.bytes_per_second as i128;
+        let gained = elapsed as i128 * self.bytes_per_second as i128;
         if gained >= until_full {
             self.tokens = self.burst;
             self.filled_until = Some(now);
--- a/crates/distribution/src/store/change_log.rs
+++ b/crates/distribution/src/store/change_log.rs
@@ -54,16 +54,16 @@
 
     /// The services that a change touched, by how many changes came after it; none if the log no longer holds it.
     pub(super) fn services(&self, changes_after: u64) -> &[ServiceName] {
-        from_back(&self.changes, changes_after).map_or(&[], |change| &change.services)
+        nth_from_back(&self.changes, changes_after).map_or(&[], |change| &change.services)
     }
 
     /// The chain hash of a number, by how many numbers came after it.
     pub(super) fn chain(&self, numbers_after: u64) -> Option<u64> {
-        from_back(&self.chains, numbers_after).copied()
+        nth_from_back(&self.chains, numbers_after).copied()
     }
 }
 
-fn from_back<T>(entries: &VecDeque<T>, distance: u64) -> Option<&T> {
+fn nth_from_back<T>(entries: &VecDeque<T>, distance: u64) -> Option<&T> {
     let distance = usize::try_from(distance).ok()?;
     let index = entries.len().checked_sub(distance.checked_add(1)?)?;
     entries.get(index)
--- a/crates/distribution/src/store/stored_service.rs
+++ b/crates/distribution/src/store/stored_service.rs
@@ -82,11 +82,11 @@
         for touched in self.log_since(from) {
             last_touched.extend(touched.keys.iter().map(|key| (key, touched.version)));
         }
-        let present = |(key, version): (&ResourceKey, u64)| match self.state.resources.get(key) {
+        let to_change = |(key, version): (&ResourceKey, u64)| match self.state.resources.get(key) {
             Some(resource) => Change::Set(resource.clone()),
             None => Change::Remove { name: key.in_service(name), version },
         };
-        last_touched.into_iter().map(present).collect()
+        last_touched.into_iter().map(to_change).collect()
     }
 
     /// The changes of the latest change file; none if the log does not hold it.
--- a/crates/distribution/src/store/validation.rs
+++ b/crates/distribution/src/store/validation.rs
@@ -34,7 +34,7 @@
     services: &'s BTreeMap<ServiceName, StoredService>,
     limits: &'s StoreLimits,
     /// Resources that the file has named so far.
-    named: BTreeSet<ResourceName>,
+    changed_resources: BTreeSet<ResourceName>,
 }
 
 impl<'s> Validation<'s> {
@@ -42,7 +42,7 @@
         services: &'s BTreeMap<ServiceName, StoredService>,
         limits: &'s StoreLimits,
     ) -> Self {
-        Validation { services, limits, named: BTreeSet::new() }
+        Validation { services, limits, changed_resources: BTreeSet::new() }
     }
 
     /// The changes by service, with the removal of a service expanded into removals of its resources.
@@ -88,7 +88,7 @@
             }
             Change::RemoveService { .. } => return Ok(()),
         };
-        if !self.named.insert(name.clone()) {
+        if !self.changed_resources.insert(name.clone()) {
             return Err(AppendError::DuplicateChange(name.clone()));
         }
         Ok(())
