--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -19,12 +19,12 @@
     Change::Set(Resource { name, version, origin, body: body.into() })
 }
 
-fn server(of: &str, id: &str) -> ResourceName {
-    ResourceName::server(service(of), id)
+fn server(service_name: &str, id: &str) -> ResourceName {
+    ResourceName::server(service(service_name), id)
 }
 
-fn not_applied(of: &str) -> ServiceVersion {
-    ServiceVersion { service: service(of), version: 0, digest: 0 }
+fn not_applied(service_name: &str) -> ServiceVersion {
+    ServiceVersion { service: service(service_name), version: 0, digest: 0 }
 }
 
 /// A publisher and its outputs that have not been read.
@@ -33,13 +33,13 @@
     now: i64,
     out: Vec<PublisherOutput>,
     /// Whether queued frames count as written at once.
-    writes_at_once: bool,
+    writes_immediately: bool,
 }
 
 impl ControlMachine {
     fn new(limits: StoreLimits, options: PublisherOptions) -> ControlMachine {
         let publisher = Publisher::new(Store::new(limits), options);
-        ControlMachine { publisher, now: 0, out: Vec::new(), writes_at_once: true }
+        ControlMachine { publisher, now: 0, out: Vec::new(), writes_immediately: true }
     }
 
     fn append(&mut self, changes: Vec<Change>) {
@@ -49,9 +49,9 @@
     }
 
     /// Sets one server by the next change.
-    fn set_server(&mut self, of: &str, id: &str) {
+    fn set_server(&mut self, service_name: &str, id: &str) {
         let number = self.publisher.store().position().number + 1;
-        self.append(vec![set(server(of, id), number, b"body")]);
+        self.append(vec![set(server(service_name, id), number, b"body")]);
     }
 
     fn send(&mut self, session: u64, message: SubscriberMessage) {
@@ -76,7 +76,7 @@
     }
 
     /// The messages to a session since the last call.
-    fn received(&mut self, session: u64) -> Vec<PublisherMessage> {
+    fn take_messages(&mut self, session: u64) -> Vec<PublisherMessage> {
         let mut messages = Vec::new();
         loop {
             let mut other_outputs = Vec::new();
@@ -93,7 +93,7 @@
                 }
             }
             self.out = other_outputs;
-            if written == 0 || !self.writes_at_once {
+            if written == 0 || !self.writes_immediately {
                 return messages;
             }
             self.publisher.written(Time(self.now), SessionId(session), written, &mut self.out);
@@ -114,8 +114,8 @@
         })
     }
 
-    fn latest_version(&self, of: &str) -> ServiceVersion {
-        self.publisher.store().service_version(&service(of))
+    fn latest_version(&self, service_name: &str) -> ServiceVersion {
+        self.publisher.store().service_version(&service(service_name))
     }
 }
 
@@ -156,7 +156,7 @@
         machine.publisher.store().position(),
         vec![machine.latest_version("points"), not_applied("unknown")],
     );
-    let received = machine.received(1);
+    let received = machine.take_messages(1);
     assert!(
         matches!(
             received[..],
@@ -165,9 +165,9 @@
         "{received:?}"
     );
     machine.set_server("other", "a");
-    assert_eq!(machine.received(1), [], "a change of what is not subscribed to");
+    assert_eq!(machine.take_messages(1), [], "a change of what is not subscribed to");
     machine.send(1, SubscriberMessage::Ping { sequence: 5 });
-    let received = machine.received(1);
+    let received = machine.take_messages(1);
     assert!(
         matches!(
             received[..],
@@ -183,10 +183,11 @@
         StoreLimits { log_entries: 4, ..StoreLimits::default() },
         PublisherOptions::default(),
     );
-    for of in ["old", "points", "drifted", "same"] {
-        machine.set_server(of, "a");
+    for service_name in ["old", "points", "drifted", "same"] {
+        machine.set_server(service_name, "a");
     }
-    let applied = ["old", "points", "drifted", "same"].map(|of| machine.latest_version(of));
+    let applied = ["old", "points", "drifted", "same"]
+        .map(|service_name| machine.latest_version(service_name));
     let position = machine.publisher.store().position();
     machine.set_server("old", "b");
     machine.set_server("points", "b");
@@ -196,16 +197,16 @@
     let mut applied = applied.to_vec();
     applied[2].digest ^= 1;
     machine.connect(1, position, applied);
-    let received = machine.received(1);
+    let received = machine.take_messages(1);
     let (points, old, drifted) = ("points".to_owned(), "old".to_owned(), "drifted".to_owned());
     let expected =
         [(points, Base::Delta { from: 2 }), (drifted, Base::Snapshot), (old, Base::Snapshot)];
     let mut found = bases(&received);
     found.sort_by_key(|(service, base)| (*base == Base::Snapshot, service.clone()));
     assert_eq!(found, expected);
-    let of_points =
+    let points_changes =
         changes(&received).into_iter().filter(|change| change.service().as_str() == "points");
-    let versions: Vec<u64> = of_points.map(|change| change.version()).collect();
+    let versions: Vec<u64> = points_changes.map(|change| change.version()).collect();
     assert_eq!(versions, [8, 7, 9], "b, c and d, each once as it is now");
 }
 
@@ -220,10 +221,10 @@
     machine.set_server("points", "b");
     let position = machine.publisher.store().position();
     machine.connect(1, position, vec![applied.clone()]);
-    assert_eq!(bases(&machine.received(1)), [("points".to_owned(), Base::Delta { from: 4 })]);
+    assert_eq!(bases(&machine.take_messages(1)), [("points".to_owned(), Base::Delta { from: 4 })]);
     applied.digest ^= 1;
     machine.connect(2, position, vec![applied]);
-    assert_eq!(bases(&machine.received(2)), [("points".to_owned(), Base::Snapshot)]);
+    assert_eq!(bases(&machine.take_messages(2)), [("points".to_owned(), Base::Snapshot)]);
 }
 
 #[test]
@@ -241,7 +242,7 @@
         set(server("points", "a"), 3, b"body"),
     ]);
     machine.connect(1, position, vec![applied]);
-    let received = machine.received(1);
+    let received = machine.take_messages(1);
     let name = server("points", "new");
     assert_eq!(
         changes(&received),
@@ -254,13 +255,13 @@
     let mut machine = machine();
     machine.set_server("points", "a");
     machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
-    machine.received(1);
-    machine.writes_at_once = false;
+    machine.take_messages(1);
+    machine.writes_immediately = false;
     let mut frames = 0;
     for change in 0..1_000 {
         machine.set_server("points", &format!("s-{}", change % 40));
         machine.now += 1_000;
-        frames += machine.received(1).len();
+        frames += machine.take_messages(1).len();
     }
     // The first change is in flight; all others are pending as one service.
     assert_eq!(frames, 3);
@@ -291,15 +292,15 @@
     let mut machine = machine();
     machine.set_server("points", "a");
     machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
-    machine.received(1);
+    machine.take_messages(1);
     machine.set_server("points", "b");
-    let first = machine.received(1);
+    let first = machine.take_messages(1);
     for change in 0..1_000 {
         machine.set_server("points", &format!("s-{}", change % 40));
     }
-    assert_eq!(machine.received(1), [], "one transaction of a service at one time");
+    assert_eq!(machine.take_messages(1), [], "one transaction of a service at one time");
     machine.send(1, SubscriberMessage::Ack { transaction: transaction_ids(&first)[0] });
-    let second = machine.received(1);
+    let second = machine.take_messages(1);
     assert_eq!((transaction_ids(&second).len(), changes(&second).len()), (1, 40));
 }
 
@@ -315,12 +316,12 @@
     let applied = vec![machine.latest_version("points"), machine.latest_version("other")];
     for session in [3, 4] {
         machine.connect(session, Position::default(), applied.clone());
-        machine.received(session);
+        machine.take_messages(session);
     }
     machine
         .append(vec![set(server("points", "b"), 3, b"bad"), set(server("other", "b"), 3, b"good")]);
-    let refused = transaction_ids(&machine.received(3));
-    let accepted = transaction_ids(&machine.received(4));
+    let refused = transaction_ids(&machine.take_messages(3));
+    let accepted = transaction_ids(&machine.take_messages(4));
     assert_eq!((refused.len(), accepted.len()), (1, 1), "both services in one transaction");
     let rejection = Rejection {
         resource: server("points", "b"),
@@ -331,7 +332,7 @@
     let reason = NackReason::Rejected(vec![rejection.clone()]);
     machine.send(3, SubscriberMessage::Nack { transaction: refused[0], reason });
     machine.send(4, SubscriberMessage::Ack { transaction: accepted[0] });
-    assert_eq!(transaction_ids(&machine.received(3)), [0; 0]);
+    assert_eq!(transaction_ids(&machine.take_messages(3)), [0; 0]);
     let StatusRows::Sessions { sessions, .. } =
         machine.publisher.status_page(Time(0), &StatusQuery::Sessions { from: 0 }).rows
     else {
@@ -349,7 +350,7 @@
     );
     // Only one of the two services changes, and both are sent.
     machine.set_server("other", "c");
-    let received = machine.received(3);
+    let received = machine.take_messages(3);
     assert_eq!(
         (transaction_ids(&received).len(), bases(&received).len(), changes(&received).len()),
         (1, 2, 3)
@@ -371,9 +372,9 @@
         1,
         SubscriberMessage::Scope { generation: 1, add, remove: vec![], rejected, last: true },
     );
-    assert_eq!(bases(&machine.received(1)), []);
+    assert_eq!(bases(&machine.take_messages(1)), []);
     machine.set_server("points", "b");
-    assert_eq!(bases(&machine.received(1)).len(), 1);
+    assert_eq!(bases(&machine.take_messages(1)).len(), 1);
 }
 
 #[test]
@@ -385,13 +386,13 @@
         (0..20).map(|id| set(server("points", &format!("s-{id:02}")), 1, b"body")).collect(),
     );
     machine.connect(1, Position::default(), vec![not_applied("points")]);
-    machine.writes_at_once = false;
-    let mut received = machine.received(1);
+    machine.writes_immediately = false;
+    let mut received = machine.take_messages(1);
     assert_eq!(transaction_ids(&received), [0; 0], "not yet complete");
     machine.append(vec![Change::Remove { name: server("points", "s-00"), version: 2 }]);
-    machine.writes_at_once = true;
+    machine.writes_immediately = true;
     machine.publisher.written(Time(0), SessionId(1), usize::MAX, &mut machine.out);
-    received.extend(machine.received(1));
+    received.extend(machine.take_messages(1));
     assert_eq!(transaction_ids(&received).len(), 1);
     let last = changes(&received).pop();
     assert_eq!(last, Some(Change::Remove { name: server("points", "s-00"), version: 2 }));
@@ -410,17 +411,17 @@
     for session in 1..=3 {
         machine.connect(session, Position::default(), vec![not_applied("points"), small.clone()]);
     }
-    let first = machine.received(1);
+    let first = machine.take_messages(1);
     assert_eq!(bases(&first).len(), 1);
-    assert_eq!(bases(&machine.received(2)), []);
+    assert_eq!(bases(&machine.take_messages(2)), []);
     let status = machine.publisher.status();
     assert_eq!((status.snapshots, status.waiting_for_snapshot), (1, 2));
     machine.set_server("small", "b");
-    assert_eq!(bases(&machine.received(2)), [("small".to_owned(), Base::Delta { from: 2 })]);
+    assert_eq!(bases(&machine.take_messages(2)), [("small".to_owned(), Base::Delta { from: 2 })]);
     // The first session ends, and the next one gets its slot.
     machine.publisher.disconnected(Time(0), SessionId(1), &mut machine.out);
-    assert_eq!(bases(&machine.received(2)).len(), 1);
-    assert_eq!(bases(&machine.received(3)).len(), 1, "the change alone");
+    assert_eq!(bases(&machine.take_messages(2)).len(), 1);
+    assert_eq!(bases(&machine.take_messages(3)).len(), 1, "the change alone");
 }
 
 #[test]
@@ -443,7 +444,7 @@
     }
     machine.connect(21, Position::default(), vec![small]);
     let mut sent = 0;
-    let mut change_seen = None;
+    let mut delta_step = None;
     for step in 0..400 {
         if step == 100 {
             machine.set_server("small", "b");
@@ -460,7 +461,7 @@
             if bases(message.as_slice()).iter().any(|(service, _)| service == "small")
                 && session.0 == 21
             {
-                change_seen = change_seen.or(Some(step));
+                delta_step = delta_step.or(Some(step));
             }
         }
         let allowed = 2_000 + machine.now / 100 + 1_000;
@@ -470,7 +471,7 @@
     }
     assert!(sent > 35_000, "{sent} bytes: what may be sent is sent");
     // The snapshots use all bandwidth; the delta is sent before them.
-    assert!(change_seen.is_some_and(|step| step < 130), "{change_seen:?}");
+    assert!(delta_step.is_some_and(|step| step < 130), "{delta_step:?}");
 }
 
 #[test]
@@ -479,9 +480,9 @@
     machine.append(["a", "b", "c"].map(|id| set(server("points", id), 1, b"body")).to_vec());
     let applied = machine.latest_version("points");
     machine.connect(1, Position::default(), vec![applied.clone()]);
-    machine.received(1);
+    machine.take_messages(1);
     machine.set_server("points", "a");
-    let mut received = machine.received(1);
+    let mut received = machine.take_messages(1);
     assert_eq!(bases(&received)[0].1, Base::Delta { from: 1 });
     for _ in 0..2 {
         let reason = NackReason::Mismatch(vec![applied.clone()]);
@@ -489,7 +490,7 @@
             1,
             SubscriberMessage::Nack { transaction: transaction_ids(&received)[0], reason },
         );
-        received = machine.received(1);
+        received = machine.take_messages(1);
         assert_eq!(bases(&received)[0].1, Base::Snapshot);
     }
     let reason = NackReason::Mismatch(vec![applied]);
@@ -511,16 +512,16 @@
         machine.append(vec![set(server("points", "a"), 1, b""), set(server("other", "a"), 1, b"")]);
         let applied = vec![machine.latest_version("points"), machine.latest_version("other")];
         machine.connect(1, Position::default(), applied);
-        machine.received(1);
+        machine.take_messages(1);
         machine.append(vec![
             set(server("points", "b"), 2, &[0; 40]),
             set(server("other", "b"), 2, &[0; 40]),
         ]);
-        let mut received = machine.received(1);
+        let mut received = machine.take_messages(1);
         // The second may wait for the first, as the bytes in flight have the same bound.
         for transaction in transaction_ids(&received.clone()) {
             machine.send(1, SubscriberMessage::Ack { transaction });
-            received.extend(machine.received(1));
+            received.extend(machine.take_messages(1));
         }
         assert_eq!(
             (transaction_ids(&received).len(), bases(&received).len()),
@@ -545,8 +546,8 @@
     for session in 1..=2 {
         machine.connect(session, Position::default(), vec![not_applied("points")]);
     }
-    machine.received(1);
-    machine.received(2);
+    machine.take_messages(1);
+    machine.take_messages(2);
     machine.tick(1);
     let sent = |output: &PublisherOutput| match output {
         PublisherOutput::Send { frame, .. } => frame.len(),
@@ -564,11 +565,11 @@
     machine.set_server("points", "a");
     machine.connect(1, Position::default(), vec![not_applied("points")]);
     machine.connect(2, Position::default(), vec![]);
-    machine.received(1);
-    machine.received(2);
+    machine.take_messages(1);
+    machine.take_messages(2);
     for _ in 0..30 {
         machine.send(1, SubscriberMessage::Ping { sequence: 0 });
-        machine.received(1);
+        machine.take_messages(1);
         machine.tick(1);
     }
     assert_eq!(machine.close_reason(2), Some(CloseReason::Silent));
@@ -617,7 +618,7 @@
     );
     assert_eq!(machine.close_reason(1), Some(CloseReason::Refused));
     assert_eq!(
-        machine.received(1).pop(),
+        machine.take_messages(1).pop(),
         Some(PublisherMessage::Refused(Refusal::ScopeTooLarge { max: 10 }))
     );
 }
@@ -627,28 +628,28 @@
     let mut machine = machine();
     machine.set_server("points", "a");
     machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
-    machine.received(1);
-    let behind = |machine: &ControlMachine| {
+    machine.take_messages(1);
+    let lag_times_ms = |machine: &ControlMachine| {
         let query = StatusQuery::Sessions { from: 0 };
         let page = machine.publisher.status_page(Time(machine.now), &query);
         let StatusRows::Sessions { sessions, .. } = page.rows else { panic!("no sessions") };
         sessions[0].lags.iter().map(|lag| lag.behind_ms).collect::<Vec<_>>()
     };
-    assert_eq!(behind(&machine), [0; 0]);
+    assert_eq!(lag_times_ms(&machine), [0; 0]);
     machine.set_server("points", "b");
-    let first = transaction_ids(&machine.received(1));
+    let first = transaction_ids(&machine.take_messages(1));
     machine.now += 2 * SECOND;
     machine.set_server("points", "c");
     machine.now += SECOND;
-    assert_eq!(behind(&machine), [3_000], "since the first that it has not");
+    assert_eq!(lag_times_ms(&machine), [3_000], "since the first that it has not");
     machine.send(1, SubscriberMessage::Ack { transaction: first[0] });
-    let second = transaction_ids(&machine.received(1));
-    assert_eq!(behind(&machine), [3_000], "it has caught up in part");
+    let second = transaction_ids(&machine.take_messages(1));
+    assert_eq!(lag_times_ms(&machine), [3_000], "it has caught up in part");
     machine.send(1, SubscriberMessage::Ack { transaction: second[0] });
-    assert_eq!(behind(&machine), [0; 0]);
+    assert_eq!(lag_times_ms(&machine), [0; 0]);
     machine.set_server("points", "d");
     machine.now += SECOND;
-    assert_eq!(behind(&machine), [1_000], "since it fell behind anew");
+    assert_eq!(lag_times_ms(&machine), [1_000], "since it fell behind anew");
 
     let log = LogStatus { next: 4, latest: 6, blocked_reason: "00000004.toml: missing".into() };
     machine.publisher.set_log_status(log.clone());
--- a/crates/distribution/tests/sim/applier.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -6,7 +6,7 @@
     Change, Position, Rejection, ResourceName, SavedState, ServiceName, ServiceUpdate, Transaction,
 };
 
-use super::history::{BAD_BODY, Contents, History, digest};
+use super::history::{Contents, History, INVALID_BODY_MARKER, digest};
 
 pub(crate) struct Applied {
     pub(crate) epoch: u32,
@@ -45,24 +45,24 @@
         checks_atomicity: bool,
     ) -> Result<(), Vec<Rejection>> {
         if self.validates {
-            let problems = refusals(transaction);
+            let problems = find_rejections(transaction);
             if !problems.is_empty() {
                 return Err(problems);
             }
         }
-        let history = of_position(histories, transaction.position);
+        let history = history_at(histories, transaction.position);
         if checks_atomicity {
-            self.check_together(transaction, history);
+            self.check_atomicity(transaction, history);
         }
         for update in &transaction.services {
             if self.scope.contains(&update.service) {
-                self.apply_one(update, transaction.position, history);
+                self.apply_update(update, transaction.position, history);
             }
         }
         Ok(())
     }
 
-    fn apply_one(&mut self, update: &ServiceUpdate, position: Position, history: &History) {
+    fn apply_update(&mut self, update: &ServiceUpdate, position: Position, history: &History) {
         let before = self.services.remove(&update.service);
         let (epoch, version) =
             before.as_ref().map_or((0, 0), |applied| (applied.epoch, applied.version));
@@ -86,10 +86,11 @@
             }
         }
         if update.snapshot {
-            let set: BTreeSet<&ResourceName> = update.changes.iter().filter_map(set_name).collect();
+            let snapshot_names: BTreeSet<&ResourceName> =
+                update.changes.iter().filter_map(name_if_set).collect();
             assert_eq!(
                 contents.keys().collect::<BTreeSet<_>>(),
-                set,
+                snapshot_names,
                 "a snapshot leaves something behind"
             );
         }
@@ -100,12 +101,12 @@
             update.service
         );
         // Version 0: the log has no change of the service.
-        let nothing = Contents::new();
-        let known = history.was.get(&(update.service.clone(), update.version));
-        let truth = known.or((update.version == 0).then_some(&nothing));
+        let empty = Contents::new();
+        let known = history.contents_by_version.get(&(update.service.clone(), update.version));
+        let expected = known.or((update.version == 0).then_some(&empty));
         assert_eq!(
             Some(&contents),
-            truth,
+            expected,
             "{} is not what it was at {}",
             update.service,
             update.version
@@ -115,8 +116,8 @@
     }
 
     /// A change that touched several services is applied to all of them at once, where all had been current.
-    fn check_together(&self, transaction: &Transaction, history: &History) {
-        let after = |service: &ServiceName| {
+    fn check_atomicity(&self, transaction: &Transaction, history: &History) {
+        let version_after = |service: &ServiceName| {
             let updated = transaction.services.iter().find(|update| update.service == *service);
             let current = self.services.get(service).map_or(0, |applied| applied.version);
             updated.map_or(current, |update| update.version)
@@ -133,9 +134,9 @@
                     .map(Change::service)
                     .filter(|other| self.scope.contains(*other))
                 {
-                    let never_held = !self.services.contains_key(other);
+                    let was_never_applied = !self.services.contains_key(other);
                     assert!(
-                        never_held || after(other) >= entry.number,
+                        was_never_applied || version_after(other) >= entry.number,
                         "change {} is in force for {} and not for {other}",
                         entry.number,
                         update.service
@@ -147,22 +148,22 @@
 }
 
 /// The log that has been read up to a position.
-pub(crate) fn of_position(histories: &[History], position: Position) -> &History {
+pub(crate) fn history_at(histories: &[History], position: Position) -> &History {
     let found = histories.iter().find(|history| history.chains.contains(&position.chain));
     found.unwrap_or_else(|| panic!("no history has {position}"))
 }
 
-fn set_name(change: &Change) -> Option<&ResourceName> {
+fn name_if_set(change: &Change) -> Option<&ResourceName> {
     match change {
         Change::Set(resource) => Some(&resource.name),
         _ => None,
     }
 }
 
-fn refusals(transaction: &Transaction) -> Vec<Rejection> {
+fn find_rejections(transaction: &Transaction) -> Vec<Rejection> {
     let changes = transaction.services.iter().flat_map(|update| &update.changes);
-    let bad = |change: &Change| match change {
-        Change::Set(resource) if resource.body.as_slice().first() == Some(&BAD_BODY) => {
+    let to_rejection = |change: &Change| match change {
+        Change::Set(resource) if resource.body.as_slice().first() == Some(&INVALID_BODY_MARKER) => {
             Some(Rejection {
                 resource: resource.name.clone(),
                 origin: resource.origin.clone(),
@@ -172,5 +173,5 @@
         }
         _ => None,
     };
-    changes.filter_map(bad).collect()
+    changes.filter_map(to_rejection).collect()
 }
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -8,9 +8,9 @@
 };
 use sableloom_types::{Span, Time};
 
-use super::coverage::{event_name, reason_name};
-use super::link::{Connection, Way};
-use super::world::{Event, MS, SECOND, World};
+use super::coverage::{disconnect_reason_name, event_name};
+use super::link::{Connection, Direction};
+use super::world::{Event, MILLISECOND, SECOND, World};
 
 impl World {
     pub(crate) fn start_subscriber(&mut self, index: usize) {
@@ -21,9 +21,10 @@
         let machines = self.controls.len();
         let balancer = &mut self.balancers[index];
         balancer.incarnation += 1;
-        balancer.seen = balancer.saved.as_ref().map_or(Position::default(), |saved| saved.position);
+        balancer.seen_position =
+            balancer.saved.as_ref().map_or(Position::default(), |saved| saved.position);
         balancer.corrupted = false;
-        balancer.applying.clear();
+        balancer.apply_queue.clear();
         let scope = balancer.scope.iter().cloned().collect();
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
         options.restored = balancer.saved.clone();
@@ -64,8 +65,8 @@
         );
         let seen = subscriber.status(Time(now)).position;
         let due = subscriber.due();
-        assert!(!seen.is_before(self.balancers[index].seen), "a position goes back");
-        self.balancers[index].seen = seen;
+        assert!(!seen.is_before(self.balancers[index].seen_position), "a position goes back");
+        self.balancers[index].seen_position = seen;
         for output in out {
             self.subscriber_output(index, output);
         }
@@ -73,16 +74,16 @@
             && self.balancers[index].timer.is_none_or(|timer| due < timer)
         {
             self.balancers[index].timer = Some(due);
-            self.at(due, Event::SubscriberTimer { subscriber: index });
+            self.schedule(due, Event::SubscriberTimer { subscriber: index });
         }
     }
 
     pub(crate) fn subscriber_timer(&mut self, index: usize) {
         self.balancers[index].timer = None;
-        let thaw = self.balancers[index].frozen_until;
-        if thaw > self.now {
-            self.balancers[index].timer = Some(thaw);
-            self.at(thaw, Event::SubscriberTimer { subscriber: index });
+        let resume_at = self.balancers[index].paused_until;
+        if resume_at > self.now {
+            self.balancers[index].timer = Some(resume_at);
+            self.schedule(resume_at, Event::SubscriberTimer { subscriber: index });
             return;
         }
         self.with_subscriber(index, |subscriber, now, out| subscriber.tick(now, out));
@@ -100,33 +101,33 @@
                     accepted_by: None,
                     to_control: Default::default(),
                     to_subscriber: Default::default(),
-                    left_by_subscriber: false,
-                    left_by_control: false,
+                    closed_by_subscriber: false,
+                    closed_by_control: false,
                 };
                 self.connections.insert(id, connection);
-                let at = self.after(MS, 100 * MS);
-                self.at(at, Event::Connect { connection: id });
+                let at = self.random_time(MILLISECOND, 100 * MILLISECOND);
+                self.schedule(at, Event::Connect { connection: id });
             }
             SubscriberOutput::Send(message) => {
                 let Some(connection) = self.balancers[index].connection else {
                     panic!("a message without a connection");
                 };
-                self.send(connection, Way::SubscriberMessage, encode(&message));
+                self.send(connection, Direction::ToControl, encode(&message));
             }
             SubscriberOutput::Close { reason } => {
-                self.count(&reason_name(&reason));
+                self.count_occurrence(&disconnect_reason_name(&reason));
                 if let Some(connection) = self.balancers[index].connection.take() {
-                    self.leave(connection, Way::SubscriberMessage);
+                    self.close_side(connection, Direction::ToControl);
                 }
             }
             SubscriberOutput::Apply(transaction) => {
-                let at = self.after(0, 60 * MS);
+                let at = self.random_time(0, 60 * MILLISECOND);
                 let balancer = &mut self.balancers[index];
-                balancer.applying.push_back(transaction);
+                balancer.apply_queue.push_back(transaction);
                 let incarnation = balancer.incarnation;
-                self.at(at, Event::Apply { subscriber: index, incarnation });
+                self.schedule(at, Event::Apply { subscriber: index, incarnation });
             }
-            SubscriberOutput::Event(event) => self.count(event_name(&event)),
+            SubscriberOutput::Event(event) => self.count_occurrence(event_name(&event)),
             SubscriberOutput::Save => {
                 let balancer = &mut self.balancers[index];
                 balancer.saved = balancer.subscriber.as_ref().map(Subscriber::saved_state);
@@ -135,12 +136,12 @@
     }
 
     pub(crate) fn apply(&mut self, index: usize, incarnation: u32) {
-        let checks_atomicity = self.kinds.checks_atomicity;
+        let checks_atomicity = self.schedule_options.checks_atomicity;
         let balancer = &mut self.balancers[index];
         if balancer.incarnation != incarnation || balancer.subscriber.is_none() {
             return;
         }
-        let Some(transaction) = balancer.applying.pop_front() else {
+        let Some(transaction) = balancer.apply_queue.pop_front() else {
             return;
         };
         let result: Result<(), Vec<Rejection>> =
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -7,9 +7,9 @@
 };
 use sableloom_types::{Span, Time};
 
-use super::coverage::control_reason_name;
-use super::link::Way;
-use super::world::{Event, FRAME_SLACK, MS, SECOND, World};
+use super::coverage::close_reason_name;
+use super::link::Direction;
+use super::world::{Event, LARGEST_FRAME_BYTES, MILLISECOND, SECOND, World};
 
 impl World {
     pub(crate) fn start_control(&mut self, control: usize) {
@@ -33,20 +33,23 @@
         store
     }
 
-    pub(crate) fn read(&mut self, control: usize) {
-        let again = self.after(5 * MS, 150 * MS);
-        self.at(again, Event::Read { control });
+    pub(crate) fn read_log(&mut self, control: usize) {
+        let next_time = self.random_time(5 * MILLISECOND, 150 * MILLISECOND);
+        self.schedule(next_time, Event::Read { control });
         let now = self.now;
         let state = &self.controls[control];
-        if state.publisher.is_none() || state.lags_until > now || state.frozen_until > now {
+        if state.publisher.is_none() || state.reading_paused_until > now || state.paused_until > now
+        {
             return;
         }
-        let forked = self.kinds.forks && !self.quiet && state.history != self.head_log;
-        if state.history != self.head_log
+        let forked = self.schedule_options.allows_forks
+            && !self.faults_ended
+            && state.history != self.head_history;
+        if state.history != self.head_history
             && !(forked
-                && self.histories[state.history].epoch == self.histories[self.head_log].epoch)
+                && self.histories[state.history].epoch == self.histories[self.head_history].epoch)
         {
-            self.controls[control].history = self.head_log;
+            self.controls[control].history = self.head_history;
             let store = self.read_store(control);
             self.with_publisher(control, |publisher, now, out| {
                 publisher.replace_store(now, store, out)
@@ -94,16 +97,16 @@
             && self.controls[control].timer.is_none_or(|timer| due < timer)
         {
             self.controls[control].timer = Some(due);
-            self.at(due, Event::ControlTimer { control });
+            self.schedule(due, Event::ControlTimer { control });
         }
     }
 
     pub(crate) fn control_timer(&mut self, control: usize) {
         self.controls[control].timer = None;
-        let thaw = self.controls[control].frozen_until;
-        if thaw > self.now {
-            self.controls[control].timer = Some(thaw);
-            self.at(thaw, Event::ControlTimer { control });
+        let resume_at = self.controls[control].paused_until;
+        if resume_at > self.now {
+            self.controls[control].timer = Some(resume_at);
+            self.schedule(resume_at, Event::ControlTimer { control });
             return;
         }
         self.with_publisher(control, |publisher, now, out| {
@@ -114,24 +117,24 @@
     pub(crate) fn publisher_output(&mut self, control: usize, output: PublisherOutput) {
         match output {
             PublisherOutput::Send { session, frame } => {
-                let frame = self.watch_frame(session.0, frame);
-                self.send(session.0, Way::PublisherMessage, frame);
+                let frame = self.process_frame(session.0, frame);
+                self.send(session.0, Direction::ToSubscriber, frame);
                 let bytes = self.connections.get(&session.0).map_or(0, |c| c.to_subscriber.bytes);
                 assert!(
-                    bytes <= self.options.max_queued_bytes + FRAME_SLACK,
+                    bytes <= self.options.max_queued_bytes + LARGEST_FRAME_BYTES,
                     "{bytes} bytes are queued"
                 );
             }
             PublisherOutput::Close { session, reason } => {
-                self.count(&control_reason_name(reason));
-                self.leave(session.0, Way::PublisherMessage);
+                self.count_occurrence(&close_reason_name(reason));
+                self.close_side(session.0, Direction::ToSubscriber);
             }
         }
         let _ = control;
     }
 
     /// Counts the transactions that begin, and sometimes flips a bit of a body.
-    pub(crate) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
+    pub(crate) fn process_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
         let Ok(Some(message)) = reader.next_message::<PublisherMessage>() else {
@@ -140,12 +143,12 @@
         match message {
             PublisherMessage::Begin { .. } => {
                 if let Some(subscriber) = self.connections.get(&connection).map(|c| c.subscriber) {
-                    self.balancers[subscriber].begun += 1;
+                    self.balancers[subscriber].begun_transactions += 1;
                 }
                 frame
             }
             PublisherMessage::Changes { transaction, mut changes }
-                if !self.quiet && self.below(50) == 0 =>
+                if !self.faults_ended && self.random_below(50) == 0 =>
             {
                 for change in &mut changes {
                     if let Change::Set(resource) = change {
@@ -161,7 +164,10 @@
     }
 }
 
-pub(crate) fn publisher_options(random: &mut Rand64, checks_atomicity: bool) -> PublisherOptions {
+pub(crate) fn random_publisher_options(
+    random: &mut Rand64,
+    checks_atomicity: bool,
+) -> PublisherOptions {
     let mut pick = |from: u64, to: u64| random.rand_range(from..to);
     PublisherOptions {
         bytes_per_second: pick(4_000, 200_000),
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -12,12 +12,12 @@
 pub(crate) struct Coverage {
     pub(crate) publisher: PublisherCounters,
     pub(crate) subscriber: SubscriberCounters,
-    pub(crate) reasons: BTreeMap<String, u64>,
+    pub(crate) occurrences: BTreeMap<String, u64>,
     pub(crate) events: u64,
 }
 
 /// The name of a reason; of malformed frames by the kind of error alone.
-pub(crate) fn control_reason_name(reason: CloseReason) -> String {
+pub(crate) fn close_reason_name(reason: CloseReason) -> String {
     match reason {
         CloseReason::Malformed(error) => format!("control: garbage, {}", codec_error_name(error)),
         reason => format!("control: {reason}"),
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn reason_name(reason: &DisconnectReason) -> String {
+pub(crate) fn disconnect_reason_name(reason: &DisconnectReason) -> String {
     let name = match reason {
         DisconnectReason::ConnectFailed(_) => "connect failed",
         DisconnectReason::Lost(_) => "lost",
@@ -66,29 +66,29 @@
     }
 }
 
-pub(crate) fn add_publisher(sum: &mut PublisherCounters, more: PublisherCounters) {
-    sum.sessions += more.sessions;
-    sum.refused += more.refused;
-    sum.transactions += more.transactions;
-    sum.snapshots += more.snapshots;
-    sum.split_groups += more.split_groups;
-    sum.merged_changes += more.merged_changes;
-    sum.acks += more.acks;
-    sum.rejections += more.rejections;
-    sum.mismatches += more.mismatches;
-    sum.stalled += more.stalled;
-    sum.unacknowledged += more.unacknowledged;
-    sum.silent += more.silent;
-    sum.violations += more.violations;
+pub(crate) fn add_publisher_counters(total: &mut PublisherCounters, added: PublisherCounters) {
+    total.sessions += added.sessions;
+    total.refused += added.refused;
+    total.transactions += added.transactions;
+    total.snapshots += added.snapshots;
+    total.split_groups += added.split_groups;
+    total.merged_changes += added.merged_changes;
+    total.acks += added.acks;
+    total.rejections += added.rejections;
+    total.mismatches += added.mismatches;
+    total.stalled += added.stalled;
+    total.unacknowledged += added.unacknowledged;
+    total.silent += added.silent;
+    total.violations += added.violations;
 }
 
-pub(crate) fn add_subscriber(sum: &mut SubscriberCounters, more: SubscriberCounters) {
-    sum.applied += more.applied;
-    sum.snapshots += more.snapshots;
-    sum.rejected += more.rejected;
-    sum.mismatches += more.mismatches;
-    sum.drifts += more.drifts;
-    sum.diverged += more.diverged;
-    sum.behind += more.behind;
-    sum.violations += more.violations;
+pub(crate) fn add_subscriber_counters(total: &mut SubscriberCounters, added: SubscriberCounters) {
+    total.applied += added.applied;
+    total.snapshots += added.snapshots;
+    total.rejected += added.rejected;
+    total.mismatches += added.mismatches;
+    total.drifts += added.drifts;
+    total.diverged += added.diverged;
+    total.behind += added.behind;
+    total.violations += added.violations;
 }
--- a/crates/distribution/tests/sim/history.rs
+++ b/crates/distribution/tests/sim/history.rs
@@ -9,9 +9,9 @@
 };
 
 /// The first byte of a body that a validating balancer rejects.
-pub(crate) const BAD_BODY: u8 = 0xBB;
-pub(crate) const SERVICES: usize = 8;
-const KEYS: u64 = 6;
+pub(crate) const INVALID_BODY_MARKER: u8 = 0xBB;
+pub(crate) const SERVICE_COUNT: usize = 8;
+const KEY_COUNT: u64 = 6;
 
 pub(crate) type Contents = BTreeMap<ResourceName, Resource>;
 
@@ -33,13 +33,13 @@
     /// The contents of the services of the last change before it.
     before_last: Vec<(ServiceName, Contents)>,
     /// By service: its version and contents now.
-    pub(crate) now: BTreeMap<ServiceName, (u64, Contents)>,
+    pub(crate) current: BTreeMap<ServiceName, (u64, Contents)>,
     /// By service and version: its contents then.
-    pub(crate) was: HashMap<(ServiceName, u64), Contents>,
+    pub(crate) contents_by_version: HashMap<(ServiceName, u64), Contents>,
 }
 
 impl History {
-    pub(crate) fn of_epoch(epoch: u32) -> History {
+    pub(crate) fn with_epoch(epoch: u32) -> History {
         History { epoch, ..History::default() }
     }
 
@@ -49,7 +49,7 @@
 
     /// A copy of the log up to a number, to be continued with other changes.
     pub(crate) fn fork(&self, number: u64, epoch: u32) -> History {
-        let mut fork = History::of_epoch(self.epoch);
+        let mut fork = History::with_epoch(self.epoch);
         for entry in self.entries.iter().take(number as usize) {
             fork.epoch = entry.epoch;
             fork.push(entry.changes.clone());
@@ -66,7 +66,7 @@
         });
         let mut touched = BTreeMap::new();
         for change in &changes {
-            let (version, contents) = self.now.entry(change.service().clone()).or_default();
+            let (version, contents) = self.current.entry(change.service().clone()).or_default();
             *version = number;
             touched.entry(change.service().clone()).or_insert_with(|| contents.clone());
             match change {
@@ -78,8 +78,8 @@
             }
         }
         for service in touched.keys() {
-            let (version, contents) = self.now[service].clone();
-            self.was.insert((service.clone(), version), contents);
+            let (version, contents) = self.current[service].clone();
+            self.contents_by_version.insert((service.clone(), version), contents);
         }
         self.before_last = touched.into_iter().collect();
         self.chain = next_chain_hash(self.chain, self.epoch, number, hash);
@@ -93,9 +93,9 @@
         let services = if random.rand_range(0..4) == 0 { 3 } else { 1 };
         let mut changes: BTreeMap<ResourceName, Change> = BTreeMap::new();
         for _ in 0..services {
-            let service = service(random.rand_range(0..SERVICES as u64) as usize);
+            let service = service(random.rand_range(0..SERVICE_COUNT as u64) as usize);
             let empty = (0, Contents::new());
-            let (_, contents) = self.now.get(&service).unwrap_or(&empty);
+            let (_, contents) = self.current.get(&service).unwrap_or(&empty);
             let removes_service = random.rand_range(0..25) == 0 && !contents.is_empty();
             if removes_service && changes.keys().all(|name| name.service != service) {
                 let change = Change::RemoveService { service: service.clone(), version: number };
@@ -109,17 +109,17 @@
                 continue;
             }
             for _ in 0..=random.rand_range(0..3) {
-                let name = match random.rand_range(0..KEYS) {
+                let name = match random.rand_range(0..KEY_COUNT) {
                     0 => ResourceName::pool(service.clone()),
                     1 => ResourceName::route(service.clone(), "route"),
                     2 => ResourceName::tenant(service.clone(), "tenant"),
                     key => ResourceName::server(service.clone(), &format!("server-{key}")),
                 };
-                let present = contents.contains_key(&name);
-                let change = if present && random.rand_range(0..3) == 0 {
+                let is_present = contents.contains_key(&name);
+                let change = if is_present && random.rand_range(0..3) == 0 {
                     Change::Remove { name: name.clone(), version: number }
                 } else {
-                    Change::Set(resource(name.clone(), number, random))
+                    Change::Set(random_resource(name.clone(), number, random))
                 };
                 changes.insert(name, change);
             }
@@ -133,15 +133,14 @@
     pub(crate) fn push_reversal(&mut self) {
         let number = self.number() + 1;
         let mut changes = Vec::new();
-        for (service, old) in &self.before_last {
-            let (_, new) = &self.now[service];
-            for name in new.keys().filter(|name| !old.contains_key(*name)) {
+        for (service, before) in &self.before_last {
+            let (_, after) = &self.current[service];
+            for name in after.keys().filter(|name| !before.contains_key(*name)) {
                 changes.push(Change::Remove { name: name.clone(), version: number });
             }
-            for resource in old
-                .values()
-                .filter(|resource| new.get(&resource.name).map(|r| &r.body) != Some(&resource.body))
-            {
+            for resource in before.values().filter(|resource| {
+                after.get(&resource.name).map(|r| &r.body) != Some(&resource.body)
+            }) {
                 changes.push(Change::Set(Resource { version: number, ..resource.clone() }));
             }
         }
@@ -152,17 +151,17 @@
     }
 }
 
-fn resource(name: ResourceName, version: u64, random: &mut Rand64) -> Resource {
+fn random_resource(name: ResourceName, version: u64, random: &mut Rand64) -> Resource {
     let mut body = vec![0u8; random.rand_range(1..60) as usize];
     body.iter_mut().for_each(|byte| *byte = random.rand_range(0..128) as u8);
     if random.rand_range(0..12) == 0 {
-        body[0] = BAD_BODY;
+        body[0] = INVALID_BODY_MARKER;
     }
     let origin = Origin { file: "changes.toml".into(), line: version as u32 };
     Resource { name, version, origin, body: body.into() }
 }
 
-pub(crate) fn limits(random: &mut Rand64) -> StoreLimits {
+pub(crate) fn random_limits(random: &mut Rand64) -> StoreLimits {
     let log_entries =
         if random.rand_range(0..2) == 0 { 10_000 } else { random.rand_range(0..20) as usize };
     StoreLimits { log_entries, service_bytes: 4_000, ..StoreLimits::default() }
--- a/crates/distribution/tests/sim/link.rs
+++ b/crates/distribution/tests/sim/link.rs
@@ -26,9 +26,9 @@
 
 /// The direction of a stream, by the messages that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
-    SubscriberMessage,
-    PublisherMessage,
+pub(crate) enum Direction {
+    ToControl,
+    ToSubscriber,
 }
 
 pub(crate) struct Connection {
@@ -39,15 +39,15 @@
     pub(crate) to_control: Stream,
     pub(crate) to_subscriber: Stream,
     /// The subscriber has closed its side.
-    pub(crate) left_by_subscriber: bool,
-    pub(crate) left_by_control: bool,
+    pub(crate) closed_by_subscriber: bool,
+    pub(crate) closed_by_control: bool,
 }
 
 impl Connection {
-    pub(crate) fn stream(&mut self, way: Way) -> &mut Stream {
-        match way {
-            Way::SubscriberMessage => &mut self.to_control,
-            Way::PublisherMessage => &mut self.to_subscriber,
+    pub(crate) fn stream(&mut self, direction: Direction) -> &mut Stream {
+        match direction {
+            Direction::ToControl => &mut self.to_control,
+            Direction::ToSubscriber => &mut self.to_subscriber,
         }
     }
 }
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -2,39 +2,43 @@
 
 use sableloom_distribution::{DisconnectReason, SessionId};
 
-use super::link::Way;
-use super::world::{Event, MS, World};
+use super::link::Direction;
+use super::world::{Event, MILLISECOND, World};
 
 impl World {
-    pub(crate) fn send(&mut self, id: u64, way: Way, bytes: Vec<u8>) {
-        let late = if self.below(20) == 0 { 400 * MS } else { 40 * MS };
-        let at = self.after(MS, late);
+    pub(crate) fn send(&mut self, id: u64, direction: Direction, bytes: Vec<u8>) {
+        let max_delay =
+            if self.random_below(20) == 0 { 400 * MILLISECOND } else { 40 * MILLISECOND };
+        let at = self.random_time(MILLISECOND, max_delay);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.stream(way).push(at, bytes);
-            self.at(
+            connection.stream(direction).push(at, bytes);
+            self.schedule(
                 at,
-                Event::Arrive { connection: id, to_control: way == Way::SubscriberMessage },
+                Event::Deliver { connection: id, to_control: direction == Direction::ToControl },
             );
         }
     }
 
     /// A side closes or fails: the other learns of it after all bytes that arrive, of which the last may be missing.
-    pub(crate) fn leave(&mut self, id: u64, way: Way) {
-        let lost = self.below(3);
+    pub(crate) fn close_side(&mut self, id: u64, direction: Direction) {
+        let draw = self.random_below(3);
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        match way {
-            Way::SubscriberMessage => connection.left_by_subscriber = true,
-            Way::PublisherMessage => connection.left_by_control = true,
+        match direction {
+            Direction::ToControl => connection.closed_by_subscriber = true,
+            Direction::ToSubscriber => connection.closed_by_control = true,
         }
-        let stream = connection.stream(way);
+        let stream = connection.stream(direction);
         stream.closed = true;
-        if let Some((_, chunk)) = stream.chunks.back_mut().filter(|_| lost == 0) {
+        if let Some((_, chunk)) = stream.chunks.back_mut().filter(|_| draw == 0) {
             chunk.truncate(chunk.len() / 2);
         }
-        let at = stream.chunks.back().map_or(self.now, |(at, _)| *at) + MS;
-        self.at(at, Event::Arrive { connection: id, to_control: way == Way::SubscriberMessage });
+        let at = stream.chunks.back().map_or(self.now, |(at, _)| *at) + MILLISECOND;
+        self.schedule(
+            at,
+            Event::Deliver { connection: id, to_control: direction == Direction::ToControl },
+        );
     }
 
     pub(crate) fn connect(&mut self, id: u64) {
@@ -42,19 +46,20 @@
             return;
         };
         let (control, subscriber) = (connection.control, connection.subscriber);
-        let cut =
-            [true, false].iter().any(|way| self.cut_until(control, subscriber, *way) > self.now);
-        if cut || connection.left_by_subscriber {
+        let is_partitioned = [true, false]
+            .iter()
+            .any(|to_control| self.partitioned_until(control, subscriber, *to_control) > self.now);
+        if is_partitioned || connection.closed_by_subscriber {
             self.connections.remove(&id);
             return;
         }
         if self.controls[control].publisher.is_none() {
             self.connections.remove(&id);
-            if self.below(2) == 0 && self.balancers[subscriber].connection == Some(id) {
+            if self.random_below(2) == 0 && self.balancers[subscriber].connection == Some(id) {
                 self.balancers[subscriber].connection = None;
-                let why = DisconnectReason::ConnectFailed("refused".into());
+                let reason = DisconnectReason::ConnectFailed("refused".into());
                 self.with_subscriber(subscriber, |subscriber, now, out| {
-                    subscriber.disconnected(now, why, out)
+                    subscriber.disconnected(now, reason, out)
                 });
             }
             return;
@@ -67,65 +72,71 @@
         self.with_subscriber(subscriber, |subscriber, now, out| subscriber.connected(now, out));
     }
 
-    pub(crate) fn cut_until(&self, control: usize, subscriber: usize, to_control: bool) -> i64 {
-        self.cuts.get(&(control, subscriber, to_control)).copied().unwrap_or(0)
+    pub(crate) fn partitioned_until(
+        &self,
+        control: usize,
+        subscriber: usize,
+        to_control: bool,
+    ) -> i64 {
+        self.partitions.get(&(control, subscriber, to_control)).copied().unwrap_or(0)
     }
 
-    pub(crate) fn arrive(&mut self, id: u64, way: Way) {
+    pub(crate) fn deliver(&mut self, id: u64, direction: Direction) {
         let now = self.now;
-        let to_control = way == Way::SubscriberMessage;
+        let to_control = direction == Direction::ToControl;
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
         let (control, subscriber, accepted_by) =
             (connection.control, connection.subscriber, connection.accepted_by);
-        let frozen = if to_control {
-            self.controls[control].frozen_until
+        let receiver_paused_until = if to_control {
+            self.controls[control].paused_until
         } else {
-            self.balancers[subscriber].frozen_until
+            self.balancers[subscriber].paused_until
         };
-        let wait = frozen.max(self.cut_until(control, subscriber, to_control));
-        if wait > now {
-            self.at(wait, Event::Arrive { connection: id, to_control });
+        let blocked_until =
+            receiver_paused_until.max(self.partitioned_until(control, subscriber, to_control));
+        if blocked_until > now {
+            self.schedule(blocked_until, Event::Deliver { connection: id, to_control });
             return;
         }
-        let receiver_gone = match way {
-            Way::SubscriberMessage => self.controls[control].publisher.is_none(),
-            Way::PublisherMessage => connection.left_by_subscriber,
+        let receiver_closed = match direction {
+            Direction::ToControl => self.controls[control].publisher.is_none(),
+            Direction::ToSubscriber => connection.closed_by_subscriber,
         };
-        let unknown = to_control && Some(self.controls[control].incarnation) != accepted_by;
-        if to_control && receiver_gone {
+        let is_unknown = to_control && Some(self.controls[control].incarnation) != accepted_by;
+        if to_control && receiver_closed {
             return;
         }
-        if receiver_gone || unknown || (to_control && connection.left_by_control) {
+        if receiver_closed || is_unknown || (to_control && connection.closed_by_control) {
             // The answer is a reset.
-            self.reset(id, way);
+            self.send_reset(id, direction);
             return;
         }
-        while let Some(bytes) = self.take_chunk(id, way) {
+        while let Some(bytes) = self.take_chunk(id, direction) {
             if !to_control {
                 self.with_publisher(control, |publisher, now, out| {
                     publisher.written(now, SessionId(id), bytes, out);
                 });
             }
-            match way {
-                Way::SubscriberMessage => self.deliver_to_control(id, control),
-                Way::PublisherMessage => self.deliver_to_subscriber(id, subscriber),
+            match direction {
+                Direction::ToControl => self.deliver_to_control(id, control),
+                Direction::ToSubscriber => self.deliver_to_subscriber(id, subscriber),
             }
         }
-        let ended = self.connections.get(&id).is_some_and(|connection| {
+        let has_ended = self.connections.get(&id).is_some_and(|connection| {
             let stream =
                 if to_control { &connection.to_control } else { &connection.to_subscriber };
             stream.closed && stream.chunks.is_empty()
         });
-        if ended {
-            self.ended(id, way, control, subscriber);
+        if has_ended {
+            self.end_connection(id, direction, control, subscriber);
         }
     }
 
-    pub(crate) fn take_chunk(&mut self, id: u64, way: Way) -> Option<usize> {
+    pub(crate) fn take_chunk(&mut self, id: u64, direction: Direction) -> Option<usize> {
         let now = self.now;
-        let stream = self.connections.get_mut(&id)?.stream(way);
+        let stream = self.connections.get_mut(&id)?.stream(direction);
         let (at, _) = stream.chunks.front()?;
         if *at > now {
             return None;
@@ -163,7 +174,7 @@
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            if connection.left_by_subscriber {
+            if connection.closed_by_subscriber {
                 return;
             }
             match connection.to_subscriber.reader.next_message() {
@@ -183,45 +194,54 @@
         }
     }
 
-    pub(crate) fn reset(&mut self, id: u64, way: Way) {
-        let back = if way == Way::SubscriberMessage {
-            Way::PublisherMessage
+    pub(crate) fn send_reset(&mut self, id: u64, direction: Direction) {
+        let reverse = if direction == Direction::ToControl {
+            Direction::ToSubscriber
         } else {
-            Way::SubscriberMessage
+            Direction::ToControl
         };
-        let at = self.after(MS, 20 * MS);
+        let at = self.random_time(MILLISECOND, 20 * MILLISECOND);
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.stream(way).chunks.clear();
-        let stream = connection.stream(back);
+        connection.stream(direction).chunks.clear();
+        let stream = connection.stream(reverse);
         if stream.closed && stream.chunks.is_empty() {
             return;
         }
         stream.chunks.clear();
         stream.closed = true;
-        self.at(at, Event::Arrive { connection: id, to_control: back == Way::SubscriberMessage });
+        self.schedule(
+            at,
+            Event::Deliver { connection: id, to_control: reverse == Direction::ToControl },
+        );
     }
 
-    pub(crate) fn ended(&mut self, id: u64, way: Way, control: usize, index: usize) {
+    pub(crate) fn end_connection(
+        &mut self,
+        id: u64,
+        direction: Direction,
+        control: usize,
+        index: usize,
+    ) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
-        match way {
-            Way::SubscriberMessage if connection.left_by_control => {}
-            Way::SubscriberMessage => {
+        match direction {
+            Direction::ToControl if connection.closed_by_control => {}
+            Direction::ToControl => {
                 self.with_publisher(control, |publisher, now, out| {
                     publisher.disconnected(now, SessionId(id), out)
                 });
             }
-            Way::PublisherMessage
-                if connection.left_by_subscriber
+            Direction::ToSubscriber
+                if connection.closed_by_subscriber
                     || self.balancers[index].connection != Some(id) => {}
-            Way::PublisherMessage => {
+            Direction::ToSubscriber => {
                 self.balancers[index].connection = None;
-                let why = DisconnectReason::Lost("reset".into());
+                let reason = DisconnectReason::Lost("reset".into());
                 self.with_subscriber(index, |subscriber, now, out| {
-                    subscriber.disconnected(now, why, out)
+                    subscriber.disconnected(now, reason, out)
                 });
             }
         }
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -11,19 +11,19 @@
 use sableloom_types::Time;
 
 use super::applier::Applier;
-use super::controls::publisher_options;
-use super::coverage::{Coverage, add_publisher, add_subscriber};
-use super::history::{History, limits};
-use super::link::{Connection, Way};
+use super::controls::random_publisher_options;
+use super::coverage::{Coverage, add_publisher_counters, add_subscriber_counters};
+use super::history::{History, random_limits};
+use super::link::{Connection, Direction};
 
-pub(crate) const MS: i64 = 1_000;
-pub(crate) const SECOND: i64 = 1_000 * MS;
+pub(crate) const MILLISECOND: i64 = 1_000;
+pub(crate) const SECOND: i64 = 1_000 * MILLISECOND;
 /// Bytes of the largest frame that a publisher makes here: its queue exceeds its limit by no more.
-pub(crate) const FRAME_SLACK: usize = 3_000;
+pub(crate) const LARGEST_FRAME_BYTES: usize = 3_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    Arrive { connection: u64, to_control: bool },
+    Deliver { connection: u64, to_control: bool },
     Connect { connection: u64 },
     ControlTimer { control: usize },
     SubscriberTimer { subscriber: usize },
@@ -36,11 +36,11 @@
 
 /// What may happen in a schedule.
 #[derive(Clone, Copy)]
-pub(crate) struct Kinds {
+pub(crate) struct ScheduleOptions {
     /// Changes of several services are checked to be applied at once: the log holds all, and no scope or state is lost.
     pub(crate) checks_atomicity: bool,
-    pub(crate) forks: bool,
-    pub(crate) new_epoch: bool,
+    pub(crate) allows_forks: bool,
+    pub(crate) allows_new_epochs: bool,
 }
 
 pub(crate) struct Control {
@@ -48,8 +48,8 @@
     pub(crate) incarnation: u32,
     pub(crate) history: usize,
     pub(crate) read_up_to: Option<u64>,
-    pub(crate) lags_until: i64,
-    pub(crate) frozen_until: i64,
+    pub(crate) reading_paused_until: i64,
+    pub(crate) paused_until: i64,
     pub(crate) timer: Option<i64>,
 }
 
@@ -61,28 +61,28 @@
     pub(crate) name: SubscriberName,
     pub(crate) incarnation: u32,
     pub(crate) connection: Option<u64>,
-    pub(crate) applying: VecDeque<Transaction>,
-    pub(crate) frozen_until: i64,
+    pub(crate) apply_queue: VecDeque<Transaction>,
+    pub(crate) paused_until: i64,
     pub(crate) timer: Option<i64>,
-    pub(crate) seen: Position,
+    pub(crate) seen_position: Position,
     pub(crate) corrupted: bool,
     /// Transactions that were begun for the balancer.
-    pub(crate) begun: u64,
+    pub(crate) begun_transactions: u64,
 }
 
 pub(crate) struct World {
     pub(crate) random: Rand64,
     pub(crate) now: i64,
-    pub(crate) kinds: Kinds,
+    pub(crate) schedule_options: ScheduleOptions,
     pub(crate) histories: Vec<History>,
-    pub(crate) head_log: usize,
+    pub(crate) head_history: usize,
     pub(crate) controls: Vec<Control>,
     pub(crate) balancers: Vec<Balancer>,
     pub(crate) coverage: Coverage,
-    pub(crate) quiet: bool,
+    pub(crate) faults_ended: bool,
     pub(crate) connections: BTreeMap<u64, Connection>,
     pub(crate) next_connection: u64,
-    pub(crate) cuts: HashMap<(usize, usize, bool), i64>,
+    pub(crate) partitions: HashMap<(usize, usize, bool), i64>,
     pub(crate) queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
     pub(crate) sequence: u64,
     pub(crate) options: PublisherOptions,
@@ -92,58 +92,58 @@
 impl World {
     pub(crate) fn new(seed: u64) -> World {
         let mut random = Rand64::new(u128::from(seed));
-        let limits = limits(&mut random);
+        let limits = random_limits(&mut random);
         let checks_atomicity = limits.log_entries > 1_000 && random.rand_range(0..2) == 0;
-        let kinds = Kinds {
+        let schedule_options = ScheduleOptions {
             checks_atomicity,
-            forks: !checks_atomicity && random.rand_range(0..3) == 0,
-            new_epoch: !checks_atomicity && random.rand_range(0..4) == 0,
+            allows_forks: !checks_atomicity && random.rand_range(0..3) == 0,
+            allows_new_epochs: !checks_atomicity && random.rand_range(0..4) == 0,
         };
-        let options = publisher_options(&mut random, checks_atomicity);
+        let options = random_publisher_options(&mut random, checks_atomicity);
         let mut world = World {
             random,
             now: 0,
-            kinds,
-            histories: vec![History::of_epoch(1)],
-            head_log: 0,
+            schedule_options,
+            histories: vec![History::with_epoch(1)],
+            head_history: 0,
             controls: Vec::new(),
             balancers: Vec::new(),
             coverage: Coverage::default(),
-            quiet: false,
+            faults_ended: false,
             connections: BTreeMap::new(),
             next_connection: 1,
-            cuts: HashMap::new(),
+            partitions: HashMap::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
             options,
             limits,
         };
-        for _ in 0..world.below(10) + 1 {
-            world.operator_writes();
+        for _ in 0..world.random_below(10) + 1 {
+            world.append_operator_change();
         }
-        for control in 0..world.below(3) + 1 {
+        for control in 0..world.random_below(3) + 1 {
             world.controls.push(Control {
                 publisher: None,
                 incarnation: 0,
                 history: 0,
                 read_up_to: None,
-                lags_until: 0,
-                frozen_until: 0,
+                reading_paused_until: 0,
+                paused_until: 0,
                 timer: None,
             });
-            world.at(0, Event::StartControl { control });
-            world.at(0, Event::Read { control });
+            world.schedule(0, Event::StartControl { control });
+            world.schedule(0, Event::Read { control });
         }
-        for index in 0..world.below(4) + 1 {
+        for index in 0..world.random_below(4) + 1 {
             world.add_balancer(index);
         }
-        world.at(10 * MS, Event::Fault);
+        world.schedule(10 * MILLISECOND, Event::Fault);
         world
     }
 
     pub(crate) fn add_balancer(&mut self, index: usize) {
         let scope = self.random_scope();
-        let validates = self.below(3) == 0;
+        let validates = self.random_below(3) == 0;
         self.balancers.push(Balancer {
             subscriber: None,
             applier: Applier { validates, ..Applier::default() },
@@ -152,27 +152,27 @@
             name: SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a name"),
             incarnation: 0,
             connection: None,
-            applying: VecDeque::new(),
-            frozen_until: 0,
+            apply_queue: VecDeque::new(),
+            paused_until: 0,
             timer: None,
-            seen: Position::default(),
+            seen_position: Position::default(),
             corrupted: false,
-            begun: 0,
+            begun_transactions: 0,
         });
-        self.at(0, Event::StartSubscriber { subscriber: index });
+        self.schedule(0, Event::StartSubscriber { subscriber: index });
     }
 
-    pub(crate) fn below(&mut self, limit: u64) -> usize {
+    pub(crate) fn random_below(&mut self, limit: u64) -> usize {
         self.random.rand_range(0..limit) as usize
     }
 
-    pub(crate) fn at(&mut self, at: i64, event: Event) {
+    pub(crate) fn schedule(&mut self, at: i64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at.max(self.now), self.sequence, event)));
     }
 
-    pub(crate) fn after(&mut self, from: i64, to: i64) -> i64 {
-        self.now + from + self.below((to - from).max(1) as u64) as i64
+    pub(crate) fn random_time(&mut self, from: i64, to: i64) -> i64 {
+        self.now + from + self.random_below((to - from).max(1) as u64) as i64
     }
 
     pub(crate) fn run_until(&mut self, end: i64) {
@@ -191,60 +191,60 @@
 
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive { connection, to_control: true } => {
-                self.arrive(connection, Way::SubscriberMessage)
+            Event::Deliver { connection, to_control: true } => {
+                self.deliver(connection, Direction::ToControl)
             }
-            Event::Arrive { connection, to_control: false } => {
-                self.arrive(connection, Way::PublisherMessage)
+            Event::Deliver { connection, to_control: false } => {
+                self.deliver(connection, Direction::ToSubscriber)
             }
             Event::Connect { connection } => self.connect(connection),
             Event::ControlTimer { control } => self.control_timer(control),
             Event::SubscriberTimer { subscriber } => self.subscriber_timer(subscriber),
             Event::Apply { subscriber, incarnation } => self.apply(subscriber, incarnation),
-            Event::Read { control } => self.read(control),
+            Event::Read { control } => self.read_log(control),
             Event::StartControl { control } => self.start_control(control),
             Event::StartSubscriber { subscriber } => self.start_subscriber(subscriber),
-            Event::Fault => self.fault(),
+            Event::Fault => self.inject_fault(),
         }
     }
 
     /// Ends all faults; no further fault happens.
-    pub(crate) fn heal(&mut self) {
-        self.quiet = true;
-        if self.kinds.forks {
+    pub(crate) fn end_faults(&mut self) {
+        self.faults_ended = true;
+        if self.schedule_options.allows_forks {
             // A subscriber that has followed a diverged control machine follows no other before the epoch is raised.
-            let head_log = &mut self.histories[self.head_log];
-            head_log.epoch += 1;
-            let number = head_log.number();
-            while head_log.number() == number {
-                head_log.push_random(&mut self.random);
+            let head_history = &mut self.histories[self.head_history];
+            head_history.epoch += 1;
+            let number = head_history.number();
+            while head_history.number() == number {
+                head_history.push_random(&mut self.random);
             }
         }
-        self.cuts.clear();
+        self.partitions.clear();
         for index in 0..self.balancers.len() {
-            self.balancers[index].frozen_until = 0;
-            self.at(self.now, Event::StartSubscriber { subscriber: index });
+            self.balancers[index].paused_until = 0;
+            self.schedule(self.now, Event::StartSubscriber { subscriber: index });
         }
         for control in 0..self.controls.len() {
             let state = &mut self.controls[control];
             state.read_up_to = None;
-            state.lags_until = 0;
-            state.frozen_until = 0;
-            self.at(self.now, Event::StartControl { control });
+            state.reading_paused_until = 0;
+            state.paused_until = 0;
+            self.schedule(self.now, Event::StartControl { control });
         }
     }
 
-    pub(crate) fn finish(&mut self) {
+    pub(crate) fn collect_counters(&mut self) {
         for control in &self.controls {
             let counters = control
                 .publisher
                 .as_ref()
                 .map_or(PublisherCounters::default(), Publisher::counters);
-            add_publisher(&mut self.coverage.publisher, counters);
+            add_publisher_counters(&mut self.coverage.publisher, counters);
         }
         for balancer in &self.balancers {
             if let Some(subscriber) = &balancer.subscriber {
-                add_subscriber(
+                add_subscriber_counters(
                     &mut self.coverage.subscriber,
                     subscriber.status(Time(self.now)).counters,
                 );
@@ -260,7 +260,7 @@
             .map(|subscriber| subscriber.status(Time(self.now)));
         status.is_some_and(|status| {
             matches!(status.connection, ConnectionState::Current { .. })
-                && status.current.number == self.histories[self.head_log].number()
+                && status.current.number == self.histories[self.head_history].number()
         })
     }
 
@@ -275,12 +275,12 @@
             .filter_map(|c| c.publisher.as_ref())
             .map(Publisher::status)
             .collect();
-        let reasons = &self.coverage.reasons;
-        let head = self.histories[self.head_log].number();
-        format!("head {head}, {subscriber:#?}, {publishers:#?}, {reasons:#?}")
+        let occurrences = &self.coverage.occurrences;
+        let head = self.histories[self.head_history].number();
+        format!("head {head}, {subscriber:#?}, {publishers:#?}, {occurrences:#?}")
     }
 
-    pub(crate) fn count(&mut self, what: &str) {
-        *self.coverage.reasons.entry(what.to_owned()).or_default() += 1;
+    pub(crate) fn count_occurrence(&mut self, what: &str) {
+        *self.coverage.occurrences.entry(what.to_owned()).or_default() += 1;
     }
 }
--- a/crates/distribution/tests/simulation.rs
+++ b/crates/distribution/tests/simulation.rs
@@ -6,7 +6,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use sableloom_distribution::{Change, Origin, Resource, ResourceName};
-use sim::coverage::{Coverage, add_publisher, add_subscriber};
+use sim::coverage::{Coverage, add_publisher_counters, add_subscriber_counters};
 use sim::history::{Contents, service};
 use sim::world::World;
 
@@ -15,7 +15,7 @@
 const THREADS: u64 = 4;
 
 /// All reasons for which a connection is closed in the schedules, and all events of subscribers.
-const REASONS: &[&str] = &[
+const OCCURRENCES: &[&str] = &[
     "control: another history has been read",
     "control: does not acknowledge",
     "control: does not read what is sent",
@@ -39,23 +39,23 @@
     "subscriber: silent",
 ];
 
-fn play(seed: u64) -> Coverage {
+fn run_schedule(seed: u64) -> Coverage {
     let mut world = World::new(seed);
-    let chaos = 5 + world.below(25) as i64;
-    world.run_until(chaos * SECOND);
-    world.heal();
-    world.run_until((chaos + 45) * SECOND);
+    let fault_seconds = 5 + world.random_below(25) as i64;
+    world.run_until(fault_seconds * SECOND);
+    world.end_faults();
+    world.run_until((fault_seconds + 45) * SECOND);
     check_agreement(&world);
-    let then = (chaos + 45) * SECOND;
-    check_resume_costs_nothing(&mut world, then);
-    check_change_costs_others_nothing(&mut world, then + 15 * SECOND);
-    world.finish();
+    let resume_from = (fault_seconds + 45) * SECOND;
+    check_resume_sends_nothing(&mut world, resume_from);
+    check_change_reaches_only_its_subscribers(&mut world, resume_from + 15 * SECOND);
+    world.collect_counters();
     world.coverage
 }
 
 /// After a time without faults each balancer has exactly what the operators' files say, but for what it rejects.
 fn check_agreement(world: &World) {
-    let head_log = &world.histories[world.head_log];
+    let head_history = &world.histories[world.head_history];
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(
             world.is_current(index),
@@ -70,10 +70,11 @@
         );
         for service in balancer.scope.iter().filter(|service| !rejected.contains(service)) {
             let empty = (0, Contents::new());
-            let (version, contents) = head_log.now.get(service).unwrap_or(&empty);
+            let (version, contents) = head_history.current.get(service).unwrap_or(&empty);
             let applied = balancer.applier.services.get(service);
-            let has = applied.map_or((0, &empty.1), |applied| (applied.version, &applied.contents));
-            assert_eq!(has, (*version, contents), "balancer {index}, {service}");
+            let found =
+                applied.map_or((0, &empty.1), |applied| (applied.version, &applied.contents));
+            assert_eq!(found, (*version, contents), "balancer {index}, {service}");
             assert!(
                 subscriber.resources(service).eq(contents.values()),
                 "balancer {index} has drifted in {service}"
@@ -82,93 +83,99 @@
     }
 }
 
-fn check_resume_costs_nothing(world: &mut World, from: i64) {
-    let before: Vec<u64> = world.balancers.iter().map(|balancer| balancer.begun).collect();
+fn check_resume_sends_nothing(world: &mut World, from: i64) {
+    let before: Vec<u64> =
+        world.balancers.iter().map(|balancer| balancer.begun_transactions).collect();
     for index in 0..world.balancers.len() {
         world.reset_connection(index);
     }
     world.run_until(from + 15 * SECOND);
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(world.is_current(index), "balancer {index} is not current after a reset");
-        assert_eq!(balancer.begun, before[index], "balancer {index} was sent what it has");
+        assert_eq!(
+            balancer.begun_transactions, before[index],
+            "balancer {index} was sent what it has"
+        );
     }
 }
 
-fn check_change_costs_others_nothing(world: &mut World, from: i64) {
+fn check_change_reaches_only_its_subscribers(world: &mut World, from: i64) {
     let changed = service(0);
-    let head_log = &mut world.histories[world.head_log];
+    let head_history = &mut world.histories[world.head_history];
     let name = ResourceName::server(changed.clone(), "new");
     let origin = Origin { file: "last.toml".into(), line: 1 };
-    head_log.push(vec![Change::Set(Resource {
+    head_history.push(vec![Change::Set(Resource {
         name,
-        version: head_log.number() + 1,
+        version: head_history.number() + 1,
         origin,
         body: vec![1].into(),
     })]);
-    let before: Vec<u64> = world.balancers.iter().map(|balancer| balancer.begun).collect();
+    let before: Vec<u64> =
+        world.balancers.iter().map(|balancer| balancer.begun_transactions).collect();
     world.run_until(from + 6 * SECOND);
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(world.is_current(index), "balancer {index} is not current after a change");
-        let begun = balancer.begun - before[index];
+        let begun = balancer.begun_transactions - before[index];
         // What was rejected before may be sent again with the change, in as many transactions as it has services.
-        let most = if balancer.applier.validates { balancer.scope.len() as u64 } else { 1 };
-        let concerned = balancer.scope.contains(&changed);
-        let expected = if concerned { 1..=most } else { 0..=0 };
+        let max_transactions =
+            if balancer.applier.validates { balancer.scope.len() as u64 } else { 1 };
+        let is_subscribed = balancer.scope.contains(&changed);
+        let expected = if is_subscribed { 1..=max_transactions } else { 0..=0 };
         assert!(expected.contains(&begun), "{begun} transactions for balancer {index}");
     }
 }
 
-fn play_range(from: u64, to: u64) -> Coverage {
+fn run_schedules(from: u64, to: u64) -> Coverage {
     let mut total = Coverage::default();
     for seed in from..to {
-        let played = catch_unwind(AssertUnwindSafe(|| play(seed)));
-        let Ok(coverage) = played else {
+        let result = catch_unwind(AssertUnwindSafe(|| run_schedule(seed)));
+        let Ok(coverage) = result else {
             panic!("schedule of seed {seed} failed; SEED={seed} plays it alone");
         };
-        add_publisher(&mut total.publisher, coverage.publisher);
-        add_subscriber(&mut total.subscriber, coverage.subscriber);
-        for (reason, count) in coverage.reasons {
-            *total.reasons.entry(reason).or_default() += count;
+        add_publisher_counters(&mut total.publisher, coverage.publisher);
+        add_subscriber_counters(&mut total.subscriber, coverage.subscriber);
+        for (reason, count) in coverage.occurrences {
+            *total.occurrences.entry(reason).or_default() += count;
         }
         total.events += coverage.events;
     }
     total
 }
 
-fn number(variable: &str) -> Option<u64> {
+fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
 
 #[test]
-fn schedules() {
-    if let Some(seed) = number("SEED") {
-        println!("{:?}", play(seed));
+fn random_schedules_converge_and_exercise_every_recovery() {
+    if let Some(seed) = env_number("SEED") {
+        println!("{:?}", run_schedule(seed));
         return;
     }
-    let schedules = number("SCHEDULES").unwrap_or(SCHEDULES);
+    let schedules = env_number("SCHEDULES").unwrap_or(SCHEDULES);
     let per_thread = schedules.div_ceil(THREADS);
     let mut total = Coverage::default();
     std::thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS)
             .map(|thread| {
-                scope.spawn(move || play_range(thread * per_thread, (thread + 1) * per_thread))
+                scope.spawn(move || run_schedules(thread * per_thread, (thread + 1) * per_thread))
             })
             .collect();
         for thread in threads {
             let coverage = thread.join().expect("all schedules");
-            add_publisher(&mut total.publisher, coverage.publisher);
-            add_subscriber(&mut total.subscriber, coverage.subscriber);
-            for (reason, count) in coverage.reasons {
-                *total.reasons.entry(reason).or_default() += count;
+            add_publisher_counters(&mut total.publisher, coverage.publisher);
+            add_subscriber_counters(&mut total.subscriber, coverage.subscriber);
+            for (reason, count) in coverage.occurrences {
+                *total.occurrences.entry(reason).or_default() += count;
             }
             total.events += coverage.events;
         }
     });
     println!("{total:#?}");
     // Any other reason would mean that one side violates the protocol.
-    let unknown: Vec<_> =
-        total.reasons.keys().filter(|reason| !REASONS.contains(&reason.as_str())).collect();
-    assert!(unknown.is_empty(), "{unknown:?}");
+    let unexpected: Vec<_> =
+        total.occurrences.keys().filter(|reason| !OCCURRENCES.contains(&reason.as_str())).collect();
+    assert!(unexpected.is_empty(), "{unexpected:?}");
     if schedules >= SCHEDULES {
         check_coverage(&total);
     }
@@ -176,7 +183,7 @@
 
 /// A defence that no schedule has exercised would not have been tested.
 fn check_coverage(total: &Coverage) {
-    let met = [
+    let exercised = [
         ("transactions", total.publisher.transactions),
         ("snapshots", total.publisher.snapshots),
         ("deltas", total.publisher.transactions - total.publisher.snapshots),
@@ -186,11 +193,11 @@
         ("wrong digests", total.subscriber.mismatches),
         ("drift", total.subscriber.drifts),
     ];
-    for (what, count) in met {
-        assert!(count >= 100, "{what}: {count} in all schedules");
+    for (name, count) in exercised {
+        assert!(count >= 100, "{name}: {count} in all schedules");
     }
-    for reason in REASONS {
-        let count = total.reasons.get(*reason).copied().unwrap_or(0);
+    for reason in OCCURRENCES {
+        let count = total.occurrences.get(*reason).copied().unwrap_or(0);
         assert!(count >= 1, "{reason}: never in all schedules");
     }
 }
--- a/crates/distribution/tests/store.rs
+++ b/crates/distribution/tests/store.rs
@@ -36,23 +36,23 @@
         store_with(3, StoreLimits { service_bytes: 300, services: 2, ..StoreLimits::default() });
     let before =
         (store.position(), store.service_version(&service("points")), store.resource_count());
-    let good = || set(server("b"), 4, b"y");
-    let gone = |name| Change::Remove { name, version: 4 };
-    let refused = [
-        (entry(6, vec![good()]), AppendError::OutOfSequence { expected: 4, found: 6 }),
-        (entry(3, vec![good()]), AppendError::OutOfSequence { expected: 4, found: 3 }),
+    let valid = || set(server("b"), 4, b"y");
+    let remove = |name| Change::Remove { name, version: 4 };
+    let invalid_entries = [
+        (entry(6, vec![valid()]), AppendError::OutOfSequence { expected: 4, found: 6 }),
+        (entry(3, vec![valid()]), AppendError::OutOfSequence { expected: 4, found: 3 }),
         (
-            LogEntry { epoch: 0, ..entry(4, vec![good()]) },
+            LogEntry { epoch: 0, ..entry(4, vec![valid()]) },
             AppendError::EpochRegression { current: 1, found: 0 },
         ),
         (
-            entry(4, vec![good(), set(server("c"), 5, b"")]),
+            entry(4, vec![valid(), set(server("c"), 5, b"")]),
             AppendError::VersionMismatch { number: 4, found: 5 },
         ),
-        (entry(4, vec![good(), good()]), AppendError::DuplicateChange(server("b"))),
-        (entry(4, vec![good(), gone(server("z"))]), AppendError::UnknownResource(server("z"))),
+        (entry(4, vec![valid(), valid()]), AppendError::DuplicateChange(server("b"))),
+        (entry(4, vec![valid(), remove(server("z"))]), AppendError::UnknownResource(server("z"))),
         (
-            entry(4, vec![good(), Change::RemoveService { service: service("none"), version: 4 }]),
+            entry(4, vec![valid(), Change::RemoveService { service: service("none"), version: 4 }]),
             AppendError::UnknownService(service("none")),
         ),
         (
@@ -66,7 +66,7 @@
             AppendError::DuplicateChange(server("a")),
         ),
         (
-            entry(4, vec![good(), set(server("c"), 4, &[0; 61_441])]),
+            entry(4, vec![valid(), set(server("c"), 4, &[0; 61_441])]),
             AppendError::ResourceTooLarge(server("c")),
         ),
         (
@@ -80,7 +80,7 @@
             AppendError::TooManyServices(2),
         ),
     ];
-    for (change, error) in refused {
+    for (change, error) in invalid_entries {
         assert_eq!(store.append(change), Err(error));
         assert_eq!(
             (store.position(), store.service_version(&service("points")), store.resource_count()),
@@ -89,7 +89,7 @@
     }
     let too_large = store.append(entry(4, vec![set(server("b"), 4, &[0; 400])]));
     assert!(matches!(too_large, Err(AppendError::ServiceTooLarge { .. })), "{too_large:?}");
-    assert!(store.append(entry(4, vec![good()])).is_ok());
+    assert!(store.append(entry(4, vec![valid()])).is_ok());
 }
 
 #[test]
@@ -116,15 +116,19 @@
 
 #[test]
 fn the_digest_does_not_depend_on_the_order_of_changes() {
-    let mut one = Store::new(StoreLimits::default());
-    one.append(entry(1, vec![set(server("a"), 1, b"1"), set(server("b"), 1, b"2")])).unwrap();
-    let mut other = Store::new(StoreLimits::default());
-    other.append(entry(1, vec![set(server("b"), 1, b"2"), set(server("a"), 1, b"1")])).unwrap();
-    let digest = one.service_version(&service("points")).digest;
-    assert_eq!(digest, other.service_version(&service("points")).digest);
-    one.append(entry(2, vec![set(server("c"), 2, b"3")])).unwrap();
-    one.append(entry(3, vec![Change::Remove { name: server("c"), version: 3 }])).unwrap();
-    assert_eq!(one.service_version(&service("points")).digest, digest, "a change and its reversal");
+    let mut first = Store::new(StoreLimits::default());
+    first.append(entry(1, vec![set(server("a"), 1, b"1"), set(server("b"), 1, b"2")])).unwrap();
+    let mut second = Store::new(StoreLimits::default());
+    second.append(entry(1, vec![set(server("b"), 1, b"2"), set(server("a"), 1, b"1")])).unwrap();
+    let digest = first.service_version(&service("points")).digest;
+    assert_eq!(digest, second.service_version(&service("points")).digest);
+    first.append(entry(2, vec![set(server("c"), 2, b"3")])).unwrap();
+    first.append(entry(3, vec![Change::Remove { name: server("c"), version: 3 }])).unwrap();
+    assert_eq!(
+        first.service_version(&service("points")).digest,
+        digest,
+        "a change and its reversal"
+    );
 }
 
 #[test]
@@ -144,7 +148,7 @@
     );
     let store =
         store_with(10, StoreLimits { log_entries: 2, chain_entries: 5, ..StoreLimits::default() });
-    let now = store.position();
+    let current = store.position();
     let at = |number| store_with(number, StoreLimits::default()).position();
     assert_eq!(store.check_resume(Position::default()), Ok(()));
     assert_eq!(store.check_resume(at(6)), Ok(()));
@@ -157,10 +161,10 @@
         Ok(()),
         "older than all chains that are kept"
     );
-    assert_eq!(store.check_resume(at(11)), Err(Refusal::Behind { position: now }));
+    assert_eq!(store.check_resume(at(11)), Err(Refusal::Behind { position: current }));
     assert_eq!(
         store.check_resume(Position { epoch: 2, number: 1, chain: 0 }),
-        Err(Refusal::Behind { position: now })
+        Err(Refusal::Behind { position: current })
     );
     assert_eq!(
         store.check_resume(Position { epoch: 0, number: 99, chain: 1 }),
@@ -174,7 +178,7 @@
     let tenant = |name: &str| ResourceName::tenant(service("points"), name);
     let digest = |store: &Store| store.service_version(&service("points")).digest;
     let mut store = store_with(1, StoreLimits::default());
-    let without = digest(&store);
+    let digest_without_tenants = digest(&store);
     store
         .append(entry(2, vec![set(tenant("a"), 2, b"1"), set(tenant("b"), 2, b"1")]))
         .expect("a change");
@@ -182,15 +186,15 @@
     // Set again: it is still one tenant.
     store.append(entry(3, vec![set(tenant("a"), 3, b"2")])).expect("a change");
     assert_eq!(store.tenant_count(), 2);
-    let gone = |name: &str, version| Change::Remove { name: tenant(name), version };
-    store.append(entry(4, vec![gone("a", 4), gone("b", 4)])).expect("a change");
+    let remove = |name: &str, version| Change::Remove { name: tenant(name), version };
+    store.append(entry(4, vec![remove("a", 4), remove("b", 4)])).expect("a change");
     assert_eq!((store.resource_count(), store.tenant_count()), (1, 0));
-    assert_eq!(digest(&store), without, "nothing of them is left");
+    assert_eq!(digest(&store), digest_without_tenants, "nothing of them is left");
     // A tenant and a server of the same name are two resources with different digests.
     store.append(entry(5, vec![set(tenant("a"), 1, b"x")])).expect_err("another version");
     store.append(entry(5, vec![set(tenant("a"), 5, b"x")])).expect("a change");
-    assert_ne!(digest(&store), without.wrapping_mul(2));
-    let whole = Change::RemoveService { service: service("points"), version: 6 };
-    store.append(entry(6, vec![whole])).expect("a change");
+    assert_ne!(digest(&store), digest_without_tenants.wrapping_mul(2));
+    let service_removal = Change::RemoveService { service: service("points"), version: 6 };
+    store.append(entry(6, vec![service_removal])).expect("a change");
     assert_eq!((store.resource_count(), store.tenant_count()), (0, 0));
 }
