--- a/crates/distribution/src/publisher/flush.rs
+++ b/crates/distribution/src/publisher/flush.rs
@@ -1,4 +1,4 @@
-//! When a session sends: within the bounds of its queue, the bandwidth and the snapshot slots.
+//! Sending the pending changes of sessions, within the limits of their queues, the bandwidth and the snapshot slots.
 
 use sableloom_types::Time;
 
@@ -10,7 +10,8 @@
 use crate::name::ServiceName;
 
 impl Publisher {
-    /// A change has touched services in the scope of a session.
+    /// Adds a change to what a session has to send, and sends what is possible now. `services` are the services in the
+    /// session's scope that the change touched.
     pub(super) fn services_changed(
         &mut self,
         now: Time,
@@ -30,13 +31,14 @@
         self.flush(now, session, out);
     }
 
-    /// Queues all frames that a session may send now.
+    /// Queues all frames that a session may send now, and updates its timer.
     pub(super) fn flush(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
         while self.flush_step(now, session, out) {}
         self.reschedule(session);
     }
 
-    /// Queues a frame, or changes what the session does next; whether there may be more to do.
+    /// Takes the next step of a session: queues a frame, opens a transaction, or starts to wait for a snapshot slot or
+    /// for bandwidth. Returns whether another step may be possible now.
     fn flush_step(
         &mut self,
         now: Time,
@@ -83,9 +85,9 @@
         }
     }
 
-    /// Lets sessions send that wait for bandwidth, as long as there is any.
+    /// Sends frames of the sessions that wait for bandwidth until the bandwidth is used up or no session waits.
     pub(super) fn serve_waiting(&mut self, now: Time, out: &mut Vec<PublisherOutput>) {
-        // Each session that is served sends a frame or waits no longer, so this ends.
+        // The loop terminates: each session that leaves the queue either uses bandwidth by a frame or no longer waits.
         while self.shared.bandwidth.is_available(now) {
             let Some(session) = self.shared.bandwidth.next_waiting() else {
                 return;
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Queues one frame of a session whose turn it is, without regard to the sessions that still wait.
+    /// Queues one frame of a session that was first in the queue for bandwidth, regardless of the other waiting
+    /// sessions.
     fn send_frame_in_turn(
         &mut self,
         now: Time,
@@ -118,7 +121,7 @@
         state.send_next_frame(store.position(), options, &mut FrameSink { now, shared, out });
     }
 
-    /// Takes the snapshot slot of a session that does not need it any more, and passes it on.
+    /// Reassigns the snapshot slot of a session that no longer needs it.
     pub(super) fn release_snapshot_slot(
         &mut self,
         now: Time,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// A session has given its snapshot slot back: the next session that waits and still needs one gets it.
+    /// Frees a snapshot slot and grants it to the next waiting session that still needs one.
     pub(super) fn reassign_snapshot_slot(&mut self, now: Time, out: &mut Vec<PublisherOutput>) {
         self.shared.snapshot_slots.release();
         while let Some(session) = self.shared.snapshot_slots.next_waiting() {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Queues a bookmark for an idle session if the position has moved since the last one.
+    /// Queues a bookmark for an idle session if the store's position has changed since the session's last bookmark.
     pub(super) fn send_bookmark_if_moved(
         &mut self,
         now: Time,
--- a/crates/distribution/src/publisher/handlers.rs
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -1,4 +1,4 @@
-//! What each message of a subscriber does.
+//! The handlers of a subscriber's messages.
 
 use rustc_hash::FxHashMap;
 use sableloom_types::Time;
@@ -13,16 +13,17 @@
 use crate::position::{Position, ServiceVersion};
 use crate::violation::SubscriberViolation;
 
-/// Connections beyond [`crate::PublisherOptions::max_sessions`] that may be open before their hello, for tools that
-/// request the status.
+/// Connections without a session that may be open in addition to [`crate::PublisherOptions::max_sessions`]: those that
+/// have not sent their hello, and those of tools that request the status.
 const SPARE_CONNECTIONS: usize = 64;
 
-/// Why the session is closed, if it is.
+/// The result of handling a message; an error is the reason for which the session has to be closed.
 type HandlerResult = Result<(), CloseReason>;
 
+/// The reason to close a session that the publisher does not know.
 const NO_SESSION: CloseReason = CloseReason::Violation(SubscriberViolation::NoSession);
 
-/// One scope message.
+/// The content of [`SubscriberMessage::Scope`].
 struct ScopeChange {
     generation: u32,
     add: Vec<ServiceVersion>,
@@ -31,14 +32,18 @@
     is_last: bool,
 }
 
-/// The answer to a transaction.
+/// The subscriber's answer to a transaction.
 enum Answer {
     Applied,
     NotApplied(NackReason),
 }
 
 impl Publisher {
-    /// Handles a message.
+    /// Handles a message of a subscriber.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for which the session has to be closed.
     pub(super) fn handle(
         &mut self,
         now: Time,
@@ -73,6 +78,7 @@
         }
     }
 
+    /// Starts the session of a subscriber whose furthest seen position is `seen`, or refuses it.
     fn handle_hello(
         &mut self,
         now: Time,
@@ -99,6 +105,7 @@
         Ok(())
     }
 
+    /// Queues a refusal and closes the session.
     fn refuse(
         &mut self,
         now: Time,
@@ -110,6 +117,7 @@
         Err(CloseReason::Refused)
     }
 
+    /// Checks a scope message, applies it, and sends what it makes pending.
     fn handle_scope(
         &mut self,
         now: Time,
@@ -138,7 +146,7 @@
         Ok(())
     }
 
-    /// Changes the scope of a session; returns the services that were in it and are not any more.
+    /// Changes the scope of a session and returns the services that were removed from it.
     fn apply_scope(
         &mut self,
         now: Time,
@@ -159,6 +167,7 @@
         Ok(removed)
     }
 
+    /// Records the answer to a transaction, and sends what it makes possible.
     fn handle_answer(
         &mut self,
         now: Time,
@@ -193,7 +202,11 @@
     }
 }
 
-/// A session after its hello.
+/// Returns a session whose hello was accepted.
+///
+/// # Errors
+///
+/// Returns the reason for which the session has to be closed: it does not exist, or it has sent no hello.
 fn welcomed_session(
     sessions: &mut FxHashMap<SessionId, Session>,
     session: SessionId,
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -1,4 +1,4 @@
-//! The control machine's side: the sessions of its subscribers over one [`Store`].
+//! The control machine's side of the protocol: the sessions of its subscribers over one [`Store`].
 
 mod bandwidth;
 mod counters;
@@ -33,22 +33,24 @@
 
 /// The sessions of a control machine's subscribers over one store.
 ///
-/// The caller owns connections, clock and log: it reports what happens, carries out the [`PublisherOutput`]s in order,
-/// and calls [`Self::tick`] when [`Self::due`] says so.
+/// The caller owns the connections, the clock and the log. It calls a method for each event, carries out the
+/// [`PublisherOutput`]s that the method appends to `out` in their order, and calls [`Self::tick`] at the time that
+/// [`Self::due`] returns.
 #[derive(Debug)]
 pub struct Publisher {
     store: Store,
     options: PublisherOptions,
     sessions: FxHashMap<SessionId, Session>,
-    /// The sessions that have a service in their scope.
+    /// By service, the sessions that have the service in their scope.
     subscribers: FxHashMap<ServiceName, BTreeSet<SessionId>>,
+    /// The timers of all sessions, each also stored in its session.
     timers: BTreeSet<(Time, SessionId)>,
     shared: Shared,
     log_status: LogStatus,
 }
 
 impl Publisher {
-    /// A publisher over a store, with no session.
+    /// Creates a publisher over a store, with no session.
     pub fn new(store: Store, options: PublisherOptions) -> Self {
         Publisher {
             store,
@@ -61,23 +63,23 @@
         }
     }
 
-    /// The store.
+    /// Returns the store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Sets the progress of the caller in reading the log, as the status reports it.
+    /// Sets the caller's progress in reading the log, which the status reports.
     pub fn set_log_status(&mut self, status: LogStatus) {
         self.log_status = status;
     }
 
-    /// A connection has been accepted. Session ids are never reused.
+    /// Adds a session for an accepted connection. The id must not have been used before.
     pub fn connected(&mut self, now: Time, session: SessionId) {
         self.sessions.insert(session, Session::new(session, now));
         self.reschedule(session);
     }
 
-    /// A message has come.
+    /// Handles a message that was received on a connection.
     pub fn message(
         &mut self,
         now: Time,
@@ -94,8 +96,8 @@
         }
     }
 
-    /// A malformed frame has come: the session is closed and counted. A subscriber of another protocol version is
-    /// refused first, so that it can log the version and not just a connection that ended.
+    /// Closes and counts a session on which a malformed frame was received. A subscriber of another protocol version
+    /// first receives a refusal, so that it can log the expected version and not just a closed connection.
     pub fn malformed(
         &mut self,
         now: Time,
@@ -110,17 +112,18 @@
         self.close(now, session, CloseReason::Malformed(error), out);
     }
 
-    /// The connection has ended. Not to be called after [`PublisherOutput::Close`].
+    /// Removes the session of a connection that the subscriber closed or that was lost. Must not be called after
+    /// [`PublisherOutput::Close`].
     pub fn disconnected(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
         self.remove_session(now, session, out);
     }
 
-    /// Appends the next change to the store and sends it to the sessions that subscribe to it. The cost follows the
-    /// resources that the change touches and these sessions.
+    /// Appends the next change to the store and sends it to the sessions that subscribe to the services it touches. The
+    /// cost is proportional to the number of touched resources and of these sessions.
     ///
     /// # Errors
     ///
-    /// If the store can't append the change; nothing of it has been applied.
+    /// Returns an error if the store can't append the change; nothing is changed or sent then.
     pub fn append(
         &mut self,
         now: Time,
@@ -134,8 +137,8 @@
         Ok(appended)
     }
 
-    /// Replaces the store, as a log of a higher epoch has been read: every session is closed, and each subscriber
-    /// resumes from the state that it has.
+    /// Replaces the store after a log of a higher epoch has been read. Every session is closed; each subscriber
+    /// reconnects and resumes from the state that it has applied.
     pub fn replace_store(&mut self, now: Time, store: Store, out: &mut Vec<PublisherOutput>) {
         self.store = store;
         let mut sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Bytes of the queued frames have been written to the connection.
+    /// Reports that this number of bytes of the queued frames has been written to the connection.
     pub fn written(
         &mut self,
         now: Time,
@@ -160,7 +163,7 @@
         self.flush(now, session, out);
     }
 
-    /// Closes sessions whose timeout has ended and sends what waited for bandwidth; returns [`Self::due`].
+    /// Closes sessions whose timeout has expired and sends what waited for bandwidth. Returns [`Self::due`].
     pub fn tick(&mut self, now: Time, out: &mut Vec<PublisherOutput>) -> Option<Time> {
         while let Some((at, session)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, session));
@@ -170,18 +173,19 @@
         self.due()
     }
 
-    /// When [`Self::tick`] is to be called; each other call may change it.
+    /// Returns the time at which [`Self::tick`] is to be called, or `None` if there is nothing to wait for. Every call
+    /// that takes `&mut self` may change it.
     pub fn due(&self) -> Option<Time> {
         let timer = self.timers.first().map(|(at, _)| *at);
         [timer, self.shared.bandwidth.due()].into_iter().flatten().min()
     }
 
-    /// The counters since the start.
+    /// Returns the counters since the publisher was created.
     pub fn counters(&self) -> PublisherCounters {
         self.shared.counters
     }
 
-    /// The sessions that have any of these services in their scope, each with those services.
+    /// Returns the sessions that have any of these services in their scope, each with the services that it has.
     fn subscribed_sessions(
         &self,
         services: &[ServiceName],
@@ -195,6 +199,7 @@
         subscribed
     }
 
+    /// Closes a session if one of its timeouts has expired, and otherwise sets its timer again.
     fn timer_fired(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
         let Some(state) = self.sessions.get_mut(&session) else {
             return;
@@ -206,8 +211,8 @@
         }
     }
 
-    /// Sets the timer of a session to its deadline. A timer that is set for an earlier time stays: it is set anew when
-    /// it fires.
+    /// Sets the timer of a session to its deadline. A timer that is set for an earlier time is kept, because it is set
+    /// again when it fires.
     fn reschedule(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(&session) else {
             return;
@@ -222,6 +227,7 @@
         self.timers.insert((deadline, session));
     }
 
+    /// Counts and removes a session, and tells the caller to close its connection.
     fn close(
         &mut self,
         now: Time,
@@ -237,6 +243,7 @@
         self.remove_session(now, session, out);
     }
 
+    /// Removes a session with its subscriptions, its timer and its snapshot slot.
     fn remove_session(&mut self, now: Time, session: SessionId, out: &mut Vec<PublisherOutput>) {
         let Some(state) = self.sessions.remove(&session) else {
             return;
@@ -252,6 +259,7 @@
         }
     }
 
+    /// Removes a session from the subscribers of a service.
     fn remove_subscriber(&mut self, service: &ServiceName, session: SessionId) {
         if let Some(sessions) = self.subscribers.get_mut(service) {
             sessions.remove(&session);
@@ -261,7 +269,8 @@
         }
     }
 
-    /// Queues a reply. It is dropped if the subscriber does not read: requests must not grow the queue without bound.
+    /// Queues a reply to a message. The reply is dropped if the queue is full, so that a subscriber that sends requests
+    /// without reading the replies can't grow the queue without bound.
     fn reply(
         &mut self,
         now: Time,
--- a/crates/distribution/src/publisher/options.rs
+++ b/crates/distribution/src/publisher/options.rs
@@ -5,34 +5,37 @@
 /// The limits of a publisher. Each default is derived in `docs/design/distribution.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublisherOptions {
-    /// Sessions at one time. Default 8,192: the whole fleet at one control machine.
+    /// The most sessions at one time. A hello is refused while more connections than these and 64 spare ones are open.
+    /// Default 8,192: the whole fleet connected to one control machine.
     pub max_sessions: usize,
-    /// Services in the scope of one session. Default 4,096.
+    /// The most services in the scope of one session; a larger scope is refused. Default 4,096.
     pub max_scope_services: usize,
-    /// Bytes of frames per second, over all sessions. Default 32 MiB.
+    /// The most bytes of frames per second on average, over all sessions. Default 32 MiB.
     pub bytes_per_second: u64,
-    /// Bytes that may be sent at once after a pause. Default 8 MiB.
+    /// The most bytes that may be sent at once after a pause. Default 8 MiB.
     pub burst_bytes: u64,
-    /// Snapshot slots: sessions that may send snapshots at one time. Default 16.
+    /// The snapshot slots: the most sessions that may send snapshots at one time. Default 16.
     pub max_concurrent_snapshots: usize,
-    /// Bytes queued for one session and not yet written, from which on no frame is added. Default 64 KiB.
+    /// The queue limit of one session: no frame is added while at least this number of bytes is queued and not yet
+    /// written. The last frame may exceed it. Default 64 KiB.
     pub max_queued_bytes: usize,
-    /// Unacknowledged transactions of one session. Default 32.
+    /// The most unacknowledged transactions of one session. Default 32.
     pub max_unacknowledged: usize,
-    /// Bytes of one transaction, by estimate: a larger one is split by service. Also, no transaction is begun while as
-    /// many bytes are unacknowledged. Default 4 MiB.
+    /// The most bytes of one transaction, by estimate; a larger transaction is split by service. In addition, no
+    /// transaction is begun while at least this number of bytes is unacknowledged. Default 4 MiB.
     pub max_transaction_bytes: usize,
-    /// Services of one transaction: a larger one is split by service. Default 1,024.
+    /// The most services of one transaction; a larger transaction is split by service. Default 1,024.
     pub max_transaction_services: usize,
-    /// Bytes of one frame of changes, by estimate. Default 32 KiB.
+    /// The most bytes of changes in one frame, by estimate; a larger single change has a frame of its own. Default
+    /// 32 KiB.
     pub chunk_bytes: usize,
-    /// A session is closed if none of its queued bytes is written for this time. Default 10 s.
+    /// The time after which a session is closed if none of its queued bytes has been written. Default 10 s.
     pub stall_timeout: Span,
-    /// A session is closed if it does not answer a complete transaction for this time. Default 30 s.
+    /// The time after which a session is closed if a complete transaction has not been answered. Default 30 s.
     pub acknowledge_timeout: Span,
-    /// A session is closed if no message comes for this time. Default 10 s: ten pings.
+    /// The time after which a session is closed if no message has been received. Default 10 s: ten pings.
     pub silence_timeout: Span,
-    /// Consecutive mismatches after which a session is closed. Default 3.
+    /// The number of consecutive mismatches at which a session is closed. Default 3.
     pub max_mismatches: u32,
 }
 
--- a/crates/distribution/src/publisher/session/answers.rs
+++ b/crates/distribution/src/publisher/session/answers.rs
@@ -1,4 +1,4 @@
-//! What the answer to a transaction changes in a session.
+//! The effects of a subscriber's answer to a transaction on its session.
 
 use super::Session;
 use super::subscription::RejectedVersion;
@@ -9,8 +9,9 @@
 use crate::store::Store;
 
 impl Session {
-    /// Takes a transaction as answered; returns the versions that it led to, without services that have left the scope
-    /// or were added again since. None if there is no such transaction.
+    /// Removes a transaction that has been answered, and returns the versions that it led to, without those of services
+    /// that were removed from the scope or added again since it was opened. Returns `None` if no such transaction is
+    /// unanswered.
     pub(in crate::publisher) fn remove_answered(
         &mut self,
         transaction: TransactionId,
@@ -33,7 +34,7 @@
         Some(targets.map(|target| target.version).collect())
     }
 
-    /// The subscriber has applied a transaction.
+    /// Records that the subscriber has applied a transaction that led to these versions.
     pub(in crate::publisher) fn acknowledged(&mut self, targets: &[ServiceVersion], store: &Store) {
         self.consecutive_mismatches = 0;
         for target in targets {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The subscriber has rejected the content of a transaction.
+    /// Records that the subscriber has rejected the content of a transaction that led to these versions. Each service
+    /// stores its own first rejection, or the first of the transaction if it has none.
     pub(in crate::publisher) fn rejected(
         &mut self,
         targets: &[ServiceVersion],
@@ -68,8 +70,8 @@
         self.mark_rejected(service_names(targets), store);
     }
 
-    /// A transaction did not match the subscriber's state, which has applied other versions; returns how many
-    /// transactions in a row that makes.
+    /// Records that a transaction did not match the subscriber's state, and makes its services pending again. Those
+    /// that the subscriber reports in `applied` are sent as snapshots. Returns the number of consecutive mismatches.
     pub(in crate::publisher) fn mismatched(
         &mut self,
         targets: &[ServiceVersion],
--- a/crates/distribution/src/publisher/session/grouping.rs
+++ b/crates/distribution/src/publisher/session/grouping.rs
@@ -1,4 +1,4 @@
-//! Which services are pending together: those that one change has touched must come in one transaction.
+//! The grouping of pending services: the services that one change has touched must be sent in one transaction.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 use crate::store::Store;
 
 impl Session {
-    /// Marks services that have changed together as pending: they, and all services that are pending with any of them,
-    /// become one group.
+    /// Marks services that have changed together as pending. They and all services that are already pending in a group
+    /// with any of them become one group.
     pub(super) fn mark_pending(&mut self, services: &[ServiceName], store: &Store) {
         let groups: BTreeSet<Option<GroupId>> = services
             .iter()
@@ -31,8 +31,8 @@
         self.insert_group(members.into_iter().collect(), None, store);
     }
 
-    /// Sets services aside that the subscriber has rejected in one transaction. If one of them has changed meanwhile,
-    /// all of them are pending again.
+    /// Holds back the services that the subscriber has rejected in one transaction, until one of them changes. If one
+    /// of them has already changed since the transaction was opened, all of them become pending again.
     pub(super) fn mark_rejected(&mut self, services: Vec<ServiceName>, store: &Store) {
         let is_pending = |service: &ServiceName| {
             self.subscriptions.get(service).is_some_and(|subscription| subscription.group.is_some())
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sets the pending group of a service aside if the subscriber has reported that it rejected the latest version of
+    /// Holds back the pending group of a service if the subscriber has reported that it rejected the latest version of
     /// each service in the group.
     pub(super) fn mark_rejected_if_reported(&mut self, service: &ServiceName, store: &Store) {
         let Some(id) = self.subscriptions.get(service).and_then(|subscription| subscription.group)
@@ -68,14 +68,14 @@
         self.insert_group(services, Some(GroupState::Rejected), store);
     }
 
-    /// Splits a group that is too large for one transaction into its services.
+    /// Splits a group that is too large for one transaction into one group for each service.
     pub(super) fn split_group(&mut self, id: GroupId, store: &Store) {
         for service in self.remove_group(id) {
             self.insert_group(vec![service], None, store);
         }
     }
 
-    /// Removes a group; returns its services.
+    /// Removes a group and returns its services.
     pub(super) fn remove_group(&mut self, id: GroupId) -> Vec<ServiceName> {
         let Some(group) = self.pending.remove(id) else {
             return Vec::new();
@@ -88,7 +88,8 @@
         group.services
     }
 
-    /// Inserts a group, which without a given state can be sent as deltas or needs a snapshot.
+    /// Inserts a group in a given state. Without one, the state is [`GroupState::Delta`] if all services can be sent as
+    /// deltas, and [`GroupState::Snapshot`] otherwise.
     fn insert_group(
         &mut self,
         services: Vec<ServiceName>,
--- a/crates/distribution/src/publisher/session/mod.rs
+++ b/crates/distribution/src/publisher/session/mod.rs
@@ -1,11 +1,12 @@
-//! One subscriber's session: what it has applied, what is pending for it, what is in flight.
+//! The session of one subscriber: the versions that it has applied, and the services that are pending or in flight.
 //!
-//! What is pending is a set of services and not a queue of messages: a transaction is made when it can be sent, from
-//! the version that the subscriber has applied to the latest one. However many changes come meanwhile, they take no
-//! memory here.
+//! Pending changes are stored as a set of services and not as a queue of messages: a transaction is built when it can
+//! be sent, from the version that the subscriber has applied to the latest one. The memory of a session therefore does
+//! not depend on the number of changes.
 //!
 //! A service is idle, pending (in one group with the services that changed together with it), in flight (in one
-//! transaction), or both of the last. A service that is in flight is not sent again before its transaction is answered.
+//! transaction), or both pending and in flight. A service that is in flight is not sent again before its transaction
+//! is answered.
 
 mod answers;
 mod grouping;
@@ -35,42 +36,50 @@
 use pending::PendingGroups;
 use transaction::{OpenTransaction, TransactionId, UnacknowledgedTransaction};
 
+/// The state of one subscriber's connection.
 #[derive(Debug)]
 pub(super) struct Session {
     pub(super) id: SessionId,
-    /// Set by the hello.
+    /// The subscriber's name; none before its hello.
     pub(super) subscriber: Option<SubscriberName>,
-    /// The last scope message.
+    /// The generation of the last scope message; 0 before the first.
     pub(super) scope_generation: u32,
-    /// Whether the last message of a scope has come: nothing is sent before.
+    /// Whether the last message of the first scope has been received; nothing but replies is sent before.
     pub(super) scope_complete: bool,
-    /// Services added by a scope that is not complete yet.
+    /// The services that were added by a scope whose last message has not been received.
     services_to_resume: BTreeSet<ServiceName>,
-    /// Versions that the subscriber has rejected before, as the scope reports them.
+    /// The rejected versions that the messages of an incomplete scope report.
     reported_rejections: Vec<ServiceVersion>,
+    /// The services in the scope, with their state at the subscriber.
     pub(super) subscriptions: BTreeMap<ServiceName, Subscription>,
     pending: PendingGroups,
+    /// The transaction of which frames are being sent.
     open: Option<OpenTransaction>,
+    /// The transactions that have been sent completely and not been answered.
     unacknowledged: BTreeMap<TransactionId, UnacknowledgedTransaction>,
     pub(super) snapshot_slot: SnapshotSlot,
-    /// Whether the session is in a queue for bandwidth.
+    /// Whether the session is in one of the queues for bandwidth.
     pub(super) awaits_bandwidth: bool,
-    /// Bytes queued and not yet written to the connection.
+    /// The bytes queued and not yet written to the connection.
     queued_bytes: usize,
-    /// Since when none of them has been written.
+    /// The time of the last write to the connection, or at which the first byte was queued since.
     stalled_since: Time,
+    /// The time at which the last message was received, or the connection was accepted.
     pub(super) last_heard: Time,
-    /// The time for which the session's timer is set; never after its [`Self::deadline`].
+    /// The time for which the session's timer is set; it is never later than [`Self::deadline`].
     pub(super) timer: Option<Time>,
-    /// Sum of [`scope_digest_term`] over the versions that the subscriber has applied.
+    /// The wrapping sum of [`scope_digest_term`] over the versions that the subscriber has applied.
     scope_digest: u64,
+    /// The position of the last bookmark that was queued.
     pub(super) last_bookmark: Position,
-    /// Whether a bookmark is to be sent once nothing is pending.
+    /// Whether to send a bookmark once the session is idle.
     pub(super) bookmark_due: bool,
+    /// The number of mismatches since the last transaction that was applied or rejected.
     consecutive_mismatches: u32,
 }
 
 impl Session {
+    /// Creates the session of a connection that was accepted at `now`.
     pub(super) fn new(id: SessionId, now: Time) -> Self {
         Session {
             id,
@@ -96,7 +105,8 @@
         }
     }
 
-    /// Adds a service to the scope, or replaces what is known of it.
+    /// Adds a service to the scope with the version that the subscriber has applied. A service that is already in the
+    /// scope starts anew from that version.
     pub(super) fn subscribe(&mut self, applied: ServiceVersion) {
         self.unsubscribe(&applied.service);
         self.scope_digest = self.scope_digest.wrapping_add(digest_term(&applied));
@@ -104,7 +114,7 @@
         self.subscriptions.insert(applied.service, subscription);
     }
 
-    /// Removes a service from the scope; whether it was there.
+    /// Removes a service from the scope and returns whether it was in the scope.
     pub(super) fn unsubscribe(&mut self, service: &ServiceName) -> bool {
         let Some(subscription) = self.subscriptions.remove(service) else {
             return false;
@@ -117,7 +127,7 @@
         true
     }
 
-    /// Notes the version that the subscriber has applied.
+    /// Records the version of a service that the subscriber has applied.
     fn set_applied(&mut self, applied: &ServiceVersion) {
         let Some(subscription) = self.subscriptions.get_mut(&applied.service) else {
             return;
@@ -129,14 +139,14 @@
         subscription.digest = applied.digest;
     }
 
-    /// Whether the subscriber has not applied the latest version of a service of its scope.
+    /// Returns whether the service is in the scope and the subscriber has not applied its latest version.
     pub(super) fn lags(&self, service: &ServiceName, store: &Store) -> bool {
         self.subscriptions
             .get(service)
             .is_some_and(|subscription| subscription.lags(service, store))
     }
 
-    /// Notes since when the subscriber lags in these services.
+    /// Records that the subscriber lags in these services from now on, unless it has lagged in them before.
     fn mark_lagging(&mut self, now: Time, services: &[ServiceName]) {
         for service in services {
             if let Some(subscription) = self.subscriptions.get_mut(service) {
@@ -145,7 +155,8 @@
         }
     }
 
-    /// Whether nothing is to be sent and nothing is unanswered.
+    /// Returns whether the scope is complete, nothing is to be sent, and no transaction is unanswered. Groups that the
+    /// subscriber has rejected may be pending.
     pub(super) fn is_idle(&self) -> bool {
         self.scope_complete
             && self.open.is_none()
@@ -153,17 +164,17 @@
             && self.pending.nothing_to_send()
     }
 
-    /// Whether the subscriber has rejected something that is still pending.
+    /// Returns whether the subscriber has rejected a group that is still pending.
     pub(super) fn is_rejecting(&self) -> bool {
         self.pending.has_rejected()
     }
 
-    /// Bytes queued and not yet written to the connection.
+    /// Returns the bytes queued and not yet written to the connection.
     pub(super) fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Bytes of the queue have been written to the connection.
+    /// Records that queued bytes have been written to the connection.
     pub(super) fn bytes_written(&mut self, now: Time, bytes: usize) {
         self.queued_bytes = self.queued_bytes.saturating_sub(bytes);
         if bytes > 0 {
@@ -171,7 +182,7 @@
         }
     }
 
-    /// Queues a message.
+    /// Queues a message for the subscriber.
     pub(super) fn send(&mut self, message: &PublisherMessage, sink: &mut FrameSink<'_>) {
         if self.queued_bytes == 0 {
             self.stalled_since = sink.now;
@@ -179,7 +190,7 @@
         self.queued_bytes += sink.send(self.id, message);
     }
 
-    /// Queues a bookmark.
+    /// Queues a bookmark at a position.
     pub(super) fn send_bookmark(&mut self, position: Position, sink: &mut FrameSink<'_>) {
         self.bookmark_due = false;
         self.last_bookmark = position;
@@ -188,6 +199,7 @@
     }
 }
 
+/// Returns the term of a service's applied version in the scope digest.
 fn digest_term(version: &ServiceVersion) -> u64 {
     scope_digest_term(&version.service, version.version, version.digest)
 }
--- a/crates/distribution/src/publisher/session/pending.rs
+++ b/crates/distribution/src/publisher/session/pending.rs
@@ -1,40 +1,43 @@
-//! The pending groups of a session: services that have changed together and must come in one transaction.
+//! The pending groups of a session: sets of services that have changed together and must be sent in one transaction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::name::ServiceName;
 
-/// The id of a group within its session; the lower ids are sent first.
+/// The id of a group within its session; groups of the same state are sent in the order of their ids.
 pub(super) type GroupId = u64;
 
-/// Services that must come in one transaction.
+/// Services that must be sent in one transaction.
 #[derive(Debug)]
 pub(super) struct PendingGroup {
     pub(super) services: Vec<ServiceName>,
     pub(super) state: GroupState,
 }
 
-/// How a group can be sent.
+/// Whether and how a group can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GroupState {
-    /// All of its services as deltas.
+    /// All services of the group can be sent as deltas.
     Delta,
-    /// At least one of its services as a snapshot.
+    /// At least one service of the group needs a snapshot.
     Snapshot,
-    /// Not at all before one of its services changes: the subscriber has rejected them.
+    /// The subscriber has rejected the group; it is not sent before one of its services changes.
     Rejected,
 }
 
-/// All pending groups. A service is in one group at most; its subscription holds the group's id.
+/// All pending groups of a session. A service is in at most one group; its subscription holds the group's id.
 #[derive(Debug, Default)]
 pub(super) struct PendingGroups {
     groups: BTreeMap<GroupId, PendingGroup>,
+    /// The groups in [`GroupState::Delta`].
     deltas: BTreeSet<GroupId>,
+    /// The groups in [`GroupState::Snapshot`].
     snapshots: BTreeSet<GroupId>,
     next_id: GroupId,
 }
 
 impl PendingGroups {
+    /// Adds a group after all existing ones and returns its id.
     pub(super) fn insert(&mut self, services: Vec<ServiceName>, state: GroupState) -> GroupId {
         let id = self.next_id;
         self.next_id += 1;
@@ -47,17 +50,19 @@
         id
     }
 
+    /// Removes a group and returns it, or `None` if it does not exist.
     pub(super) fn remove(&mut self, id: GroupId) -> Option<PendingGroup> {
         self.deltas.remove(&id);
         self.snapshots.remove(&id);
         self.groups.remove(&id)
     }
 
+    /// Returns a group, or `None` if it does not exist.
     pub(super) fn get(&self, id: GroupId) -> Option<&PendingGroup> {
         self.groups.get(&id)
     }
 
-    /// Removes a service from its group, and the group with its last service.
+    /// Removes a service from its group, and removes the group if it is then empty.
     pub(super) fn remove_service(&mut self, id: GroupId, service: &ServiceName) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -68,7 +73,7 @@
         }
     }
 
-    /// A group that was pending as a delta needs a snapshot, as the log has moved on.
+    /// Moves a group to [`GroupState::Snapshot`] after the log has dropped a change that its deltas need.
     pub(super) fn require_snapshot(&mut self, id: GroupId) {
         if let Some(group) = self.groups.get_mut(&id) {
             group.state = GroupState::Snapshot;
@@ -77,7 +82,7 @@
         }
     }
 
-    /// The first group of this state that satisfies a condition on its services.
+    /// Returns the first group of a state whose services satisfy a condition. Rejected groups are never returned.
     pub(super) fn first(
         &self,
         state: GroupState,
@@ -93,17 +98,17 @@
         ids.iter().find(satisfies).copied()
     }
 
-    /// Whether a group needs a snapshot.
+    /// Returns whether any group needs a snapshot.
     pub(super) fn has_snapshots(&self) -> bool {
         !self.snapshots.is_empty()
     }
 
-    /// Whether the subscriber has rejected a group.
+    /// Returns whether the subscriber has rejected any group.
     pub(super) fn has_rejected(&self) -> bool {
         self.groups.values().any(|group| group.state == GroupState::Rejected)
     }
 
-    /// Whether no group is to be sent.
+    /// Returns whether no group is to be sent; rejected groups do not count.
     pub(super) fn nothing_to_send(&self) -> bool {
         self.deltas.is_empty() && self.snapshots.is_empty()
     }
--- a/crates/distribution/src/publisher/session/resume.rs
+++ b/crates/distribution/src/publisher/session/resume.rs
@@ -1,4 +1,4 @@
-//! What a scope changes in a session, and what is pending once the scope is complete.
+//! Changes of a session's scope, and the services that become pending by them or by a change in the log.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,9 @@
 use crate::store::Store;
 
 impl Session {
-    /// Whether the scope would have more services than it may, also counting those that its messages have only named.
+    /// Returns whether a scope message exceeds the limits: at most `max` services in the scope after it has added
+    /// `added`, and at most twice `max` services named by this message (`message_services`) and stored from earlier
+    /// messages of an incomplete scope.
     pub(in crate::publisher) fn exceeds_scope(
         &self,
         added: &[ServiceVersion],
@@ -24,7 +26,7 @@
         self.subscriptions.len() + new > max || services_before + message_services > 2 * max
     }
 
-    /// Adds services of a scope message.
+    /// Adds the services of a scope message to the scope, and stores the rejected versions that it reports.
     pub(in crate::publisher) fn add_to_scope(
         &mut self,
         added: Vec<ServiceVersion>,
@@ -37,8 +39,8 @@
         }
     }
 
-    /// The scope is complete: of the services that it has added, those in which the subscriber lags are pending. What
-    /// one change in the log has touched is pending together.
+    /// Completes a scope: the added services in which the subscriber lags become pending. Services that one change in
+    /// the log has touched become pending in one group.
     pub(in crate::publisher) fn resume(&mut self, now: Time, store: &Store) {
         self.scope_complete = true;
         self.bookmark_due = true;
@@ -57,7 +59,8 @@
         self.reported_rejections = Vec::new();
     }
 
-    /// Services of the scope have changed.
+    /// Handles a change in the log that touched services of the scope: it is merged into the open transaction if
+    /// possible, and the services become pending otherwise.
     pub(in crate::publisher) fn services_changed(
         &mut self,
         now: Time,
@@ -65,7 +68,7 @@
         max_transaction_bytes: usize,
         store: &Store,
     ) -> ChangeEffect {
-        // A service of a scope that is not complete is compared when it is.
+        // The versions of services that an incomplete scope has added are compared when the scope is complete.
         let is_resumed = |service: &&ServiceName| !self.services_to_resume.contains(*service);
         let services: Vec<ServiceName> = services.iter().filter(is_resumed).cloned().collect();
         if services.is_empty() {
@@ -79,7 +82,8 @@
         ChangeEffect::Pending
     }
 
-    /// Joins a service with the services that the changes since its base have touched together with it.
+    /// Puts a service into one group with the services that changes since its applied version have touched together
+    /// with it. `seen_changes` holds the numbers of changes that have already been processed.
     fn join_changed_together(
         &mut self,
         service: &ServiceName,
--- a/crates/distribution/src/publisher/session/sending.rs
+++ b/crates/distribution/src/publisher/session/sending.rs
@@ -1,4 +1,4 @@
-//! What a session sends next: pending groups become transactions, and transactions become frames.
+//! The sending of a session: pending groups become transactions, and transactions become frames.
 
 use super::Session;
 use super::pending::{GroupId, GroupState};
@@ -14,6 +14,8 @@
 use crate::store::Store;
 
 impl Session {
+    /// Returns the next step of the session. Frames of the open transaction come first, then groups of deltas, then
+    /// groups that need a snapshot; a group waits while one of its services is in flight.
     pub(in crate::publisher) fn next_step(&self, options: &PublisherOptions) -> NextStep {
         if let Some(open) = &self.open {
             let priority = if open.has_snapshot { Priority::Snapshot } else { Priority::Delta };
@@ -35,19 +37,20 @@
         }
     }
 
-    /// Whether a group waits for a snapshot.
+    /// Returns whether any pending group needs a snapshot.
     pub(in crate::publisher) fn has_pending_snapshot(&self) -> bool {
         self.pending.has_snapshots()
     }
 
-    /// Whether the session still needs a snapshot slot: for what is pending, being sent or unanswered.
+    /// Returns whether the session still needs a snapshot slot: a snapshot is pending, being sent or unanswered.
     pub(in crate::publisher) fn needs_snapshot_slot(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_snapshot)
             || self.has_pending_snapshot()
             || self.unacknowledged.values().any(|sent| sent.has_snapshot)
     }
 
-    /// Opens a transaction for a group, unless the group needs a snapshot slot first or has to be split.
+    /// Opens a transaction for a group. If the group needs a snapshot and the session holds no snapshot slot, the group
+    /// only changes its state; if it is too large for one transaction, it is split instead.
     pub(in crate::publisher) fn open_transaction(
         &mut self,
         group: GroupId,
@@ -82,7 +85,8 @@
         shared.transaction_opened();
     }
 
-    /// Queues the next frame of the open transaction, if there is one.
+    /// Queues the next frame of the open transaction, if there is one. After the last frame, the transaction is
+    /// unacknowledged.
     pub(in crate::publisher) fn send_next_frame(
         &mut self,
         position: Position,
@@ -103,8 +107,9 @@
         self.unacknowledged.insert(open.id, open.into_unacknowledged(sink.now));
     }
 
-    /// Adds the latest change to the transaction that is being sent, if all services that it touches are in there: so
-    /// a server that is removed while a snapshot is being sent is never applied by the subscriber.
+    /// Adds the latest change, which touched `services`, to the open transaction if the transaction contains all of
+    /// them, none of them is pending, and the size limit allows it. Returns whether it was added. As a result, a server
+    /// that is removed while a snapshot is being sent is never applied by the subscriber.
     pub(super) fn merge_into_open(
         &mut self,
         services: &[ServiceName],
@@ -125,7 +130,7 @@
         let mut changes = Vec::new();
         for service in services {
             let latest = store.latest_changes(service);
-            // A log that is too short for even one change does not hold the latest one.
+            // A log whose limits do not allow even one change does not hold the latest one.
             if latest.is_empty() {
                 return false;
             }
@@ -139,7 +144,7 @@
         true
     }
 
-    /// The first group of this state of which no service is in flight.
+    /// Returns the first group of a state that has no service in flight.
     fn first_free_group(&self, state: GroupState) -> Option<GroupId> {
         let is_in_flight = |service: &ServiceName| {
             let subscription = self.subscriptions.get(service);
@@ -148,6 +153,7 @@
         self.pending.first(state, |services| !services.iter().any(is_in_flight))
     }
 
+    /// Builds a transaction of these services from their applied versions, or as snapshots, to their latest versions.
     fn make_transaction(
         &self,
         services: &[ServiceName],
--- a/crates/distribution/src/publisher/session/steps.rs
+++ b/crates/distribution/src/publisher/session/steps.rs
@@ -1,27 +1,27 @@
-//! What a session does next, and what a change does to it.
+//! The next step of a session, and the effect of a change on it.
 
 use super::pending::GroupId;
 use crate::publisher::bandwidth::Priority;
 
-/// What a session does next.
+/// The next step of a session.
 pub(in crate::publisher) enum NextStep {
-    /// Sends a frame of the open transaction.
+    /// Send the next frame of the open transaction.
     SendFrame(Priority),
-    /// Opens a transaction for a group.
+    /// Open a transaction for a group.
     Open(GroupId, Priority),
-    /// Requests a snapshot slot.
+    /// Request a snapshot slot.
     RequestSnapshotSlot,
-    /// Nothing can be sent now.
+    /// Do nothing: nothing is to be sent, or the session waits for a slot or for answers.
     Nothing,
 }
 
-/// What a change does to a session.
+/// The effect of a change on a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::publisher) enum ChangeEffect {
-    /// Nothing yet: the scope is not complete.
+    /// No effect yet: the changed services belong to a scope that is not complete, and are compared later.
     None,
-    /// The change was added to the transaction that is being sent.
+    /// The change was added to the open transaction.
     Merged,
-    /// The services are pending.
+    /// The changed services have become pending.
     Pending,
 }
--- a/crates/distribution/src/publisher/session/subscription.rs
+++ b/crates/distribution/src/publisher/session/subscription.rs
@@ -9,23 +9,25 @@
 use crate::rejection::Rejection;
 use crate::store::Store;
 
-/// The state of a service at the subscriber, as far as the control machine knows it.
+/// A service in the scope of a session, with its state at the subscriber as far as the publisher knows it.
 #[derive(Debug)]
 pub(in crate::publisher) struct Subscription {
-    /// The scope message that last added the service.
+    /// The generation of the scope message that last added the service.
     pub(super) generation: u32,
     /// The version that the subscriber has applied, as it reported or acknowledged it.
     pub(in crate::publisher) version: u64,
+    /// The digest that belongs to [`Self::version`].
     pub(super) digest: u64,
-    /// The subscriber's state matched no transaction: only a snapshot can repair it.
+    /// Whether the service must be sent as a snapshot, because a transaction did not match the subscriber's
+    /// state.
     pub(super) needs_snapshot: bool,
-    /// The pending group that the service is in.
+    /// The pending group that contains the service.
     pub(super) group: Option<GroupId>,
     /// The transaction in which the service is in flight.
     pub(super) transaction: Option<TransactionId>,
-    /// The version that the subscriber has rejected last.
+    /// The version that the subscriber rejected last; none after it has acknowledged a transaction of the service.
     pub(in crate::publisher) rejected: Option<RejectedVersion>,
-    /// Since when the store has had a later version than the subscriber.
+    /// The time since which the subscriber has lagged behind the store on this connection; none if it does not lag.
     pub(in crate::publisher) lagging_since: Option<Time>,
 }
 
@@ -33,11 +35,12 @@
 #[derive(Clone, Debug)]
 pub(in crate::publisher) struct RejectedVersion {
     pub(in crate::publisher) version: u64,
-    /// The first problem, if it was reported on this connection.
+    /// The first problem of the rejection; none if it was not reported on this connection.
     pub(in crate::publisher) problem: Option<Rejection>,
 }
 
 impl Subscription {
+    /// Creates the subscription of a service that a scope message adds with its applied version.
     pub(super) fn new(generation: u32, applied: &ServiceVersion) -> Self {
         Subscription {
             generation,
@@ -51,12 +54,13 @@
         }
     }
 
-    /// Whether a delta can be sent: the log reaches back to the version that the subscriber has applied.
+    /// Returns whether the service can be sent as a delta: the log holds all changes since the version that the
+    /// subscriber has applied, and no snapshot is required.
     pub(super) fn accepts_delta(&self, service: &ServiceName, store: &Store) -> bool {
         !self.needs_snapshot && store.has_base(service, self.version, self.digest)
     }
 
-    /// Whether the subscriber has not applied the latest version.
+    /// Returns whether the subscriber has not applied the latest version.
     pub(super) fn lags(&self, service: &ServiceName, store: &Store) -> bool {
         let latest = store.service_version(service);
         (self.version, self.digest) != (latest.version, latest.digest)
--- a/crates/distribution/src/publisher/session/timeouts.rs
+++ b/crates/distribution/src/publisher/session/timeouts.rs
@@ -1,4 +1,4 @@
-//! When a session is closed because its subscriber does not read, answer or send.
+//! The timeouts of a session, after which it is closed because its subscriber does not read, answer or send.
 
 use sableloom_types::{Span, Time};
 
@@ -7,7 +7,7 @@
 use crate::publisher::output::CloseReason;
 
 impl Session {
-    /// When a timeout ends, unless something happens before.
+    /// Returns the time at which the first timeout expires if nothing is received or written before.
     pub(in crate::publisher) fn deadline(&self, options: &PublisherOptions) -> Time {
         let silent = self.last_heard.plus(options.silence_timeout);
         let stalled =
@@ -17,7 +17,7 @@
         [Some(silent), stalled, unanswered].into_iter().flatten().min().unwrap_or(silent)
     }
 
-    /// Why the session is to be closed, if a timeout has ended.
+    /// Returns the reason for which the session has to be closed, or `None` if no timeout has expired.
     pub(in crate::publisher) fn overdue(
         &self,
         now: Time,
--- a/crates/distribution/src/publisher/session/transaction.rs
+++ b/crates/distribution/src/publisher/session/transaction.rs
@@ -1,4 +1,4 @@
-//! The transactions of a session: the one that is being sent, and those that wait for their answer.
+//! The transactions of a session: the one that is being sent, and those that have not been answered.
 
 use std::collections::VecDeque;
 
@@ -10,15 +10,15 @@
 use crate::resource::Change;
 use crate::store::Store;
 
-/// The id of a transaction; unique while the publisher runs.
+/// The id of a transaction; unique within a publisher.
 pub(super) type TransactionId = u64;
 
-/// A service of a transaction.
+/// A service of a transaction, with the version that the transaction leads to.
 #[derive(Clone, Debug)]
 pub(super) struct TransactionTarget {
     /// The version that the transaction leads to.
     pub(super) version: ServiceVersion,
-    /// The scope message that had last added the service when the transaction was opened.
+    /// The generation of the scope message that had last added the service when the transaction was opened.
     pub(super) generation: u32,
 }
 
@@ -26,26 +26,30 @@
 #[derive(Debug)]
 pub(super) struct OpenTransaction {
     pub(super) id: TransactionId,
-    /// Sent with the first frame, and empty afterwards.
+    /// The base of each service; empty after the first frame, which carries it.
     bases: Vec<ServiceBase>,
-    /// Changes that have not been sent.
+    /// The changes that have not been sent.
     changes: VecDeque<Change>,
     targets: Vec<TransactionTarget>,
+    /// The estimated bytes of all changes, including those that have been sent.
     pub(super) bytes: usize,
-    /// Whether any service comes as a snapshot.
+    /// Whether any service is sent as a snapshot.
     pub(super) has_snapshot: bool,
 }
 
-/// A transaction that has been sent completely.
+/// A transaction that has been sent completely and not been answered.
 #[derive(Debug)]
 pub(super) struct UnacknowledgedTransaction {
     pub(super) targets: Vec<TransactionTarget>,
+    /// The estimated bytes of its changes.
     pub(super) bytes: usize,
     pub(super) has_snapshot: bool,
+    /// The time at which its last frame was queued.
     pub(super) sent_at: Time,
 }
 
 impl OpenTransaction {
+    /// Creates a transaction without services.
     pub(super) fn new(id: TransactionId) -> Self {
         OpenTransaction {
             id,
@@ -57,7 +61,8 @@
         }
     }
 
-    /// Adds a service with the changes from its base to its latest version.
+    /// Adds a service with the changes to its latest version: a delta from `delta_from` if it is given and not larger
+    /// than a snapshot, and a snapshot otherwise.
     pub(super) fn add_service(
         &mut self,
         service: &ServiceName,
@@ -73,7 +78,7 @@
         self.targets.push(TransactionTarget { version, generation });
     }
 
-    /// Adds the latest changes of services that are in the transaction already.
+    /// Adds the latest changes of services that are already in the transaction.
     pub(super) fn merge(&mut self, services: &[ServiceName], changes: Vec<Change>, store: &Store) {
         self.add_changes(changes);
         for target in &mut self.targets {
@@ -83,7 +88,7 @@
         }
     }
 
-    /// The next frame, or none if only the commit is left.
+    /// Returns the next frame, or `None` if only the commit is left to send.
     pub(super) fn next_frame(
         &mut self,
         generation: u32,
@@ -101,25 +106,27 @@
         None
     }
 
-    /// The frame that completes the transaction.
+    /// Returns the frame that completes the transaction.
     pub(super) fn commit_frame(&self, position: Position) -> PublisherMessage {
         let services = self.targets.iter().map(|target| target.version.clone()).collect();
         PublisherMessage::Commit { transaction: self.id, position, services }
     }
 
-    /// The transaction has been sent completely.
+    /// Converts the transaction after its last frame has been queued at `sent_at`.
     pub(super) fn into_unacknowledged(self, sent_at: Time) -> UnacknowledgedTransaction {
         let OpenTransaction { targets, bytes, has_snapshot, .. } = self;
         UnacknowledgedTransaction { targets, bytes, has_snapshot, sent_at }
     }
 
+    /// Appends changes and counts their bytes.
     fn add_changes(&mut self, changes: Vec<Change>) {
         self.bytes += changes.iter().map(Change::encoded_size).sum::<usize>();
         self.changes.extend(changes);
     }
 }
 
-/// The changes to the latest version of a service: a delta if there is a base for it, unless a snapshot is smaller.
+/// Returns the changes to the latest version of a service: a delta if `delta_from` is given, unless it has several
+/// changes and a snapshot is smaller.
 fn changes_to_latest(
     service: &ServiceName,
     delta_from: Option<u64>,
@@ -135,7 +142,7 @@
     (Base::Snapshot, store.snapshot(service))
 }
 
-/// Takes as many changes as one frame may hold; at least one.
+/// Removes the changes of the next frame from the front: as many as the limits of a frame allow, but at least one.
 fn take_chunk(changes: &mut VecDeque<Change>, max_bytes: usize) -> Vec<Change> {
     let mut chunk = Vec::new();
     let mut bytes = 0;
--- a/crates/distribution/src/publisher/shared.rs
+++ b/crates/distribution/src/publisher/shared.rs
@@ -1,4 +1,4 @@
-//! What all sessions of a publisher share.
+//! The state that all sessions of a publisher share.
 
 use sableloom_types::Time;
 
@@ -10,16 +10,18 @@
 use crate::codec::encode;
 use crate::message::PublisherMessage;
 
-/// The bandwidth, the snapshot slots, the counters and the ids of transactions.
+/// The bandwidth limit, the snapshot slots, the counters and the ids of transactions.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) bandwidth: Bandwidth,
     pub(super) snapshot_slots: SnapshotSlots,
     pub(super) counters: PublisherCounters,
+    /// The id of the next transaction; ids start at 1.
     next_transaction: u64,
 }
 
 impl Shared {
+    /// Creates the state of a publisher with no session.
     pub(super) fn new(options: &PublisherOptions) -> Self {
         Shared {
             bandwidth: Bandwidth::new(options),
@@ -29,18 +31,18 @@
         }
     }
 
-    /// The id that the next transaction will have.
+    /// Returns the id of the next transaction.
     pub(super) fn next_transaction(&self) -> u64 {
         self.next_transaction
     }
 
-    /// A transaction with the id of [`Self::next_transaction`] has been opened.
+    /// Marks the id of [`Self::next_transaction`] as used by a transaction that has been opened.
     pub(super) fn transaction_opened(&mut self) {
         self.next_transaction += 1;
     }
 }
 
-/// Where the frames of one call go.
+/// The destination of the frames that are queued during one call of the publisher.
 pub(super) struct FrameSink<'a> {
     pub(super) now: Time,
     pub(super) shared: &'a mut Shared,
@@ -48,7 +50,8 @@
 }
 
 impl FrameSink<'_> {
-    /// Queues a message for a session; returns the bytes of its frame.
+    /// Encodes and queues a message for a session, counts it, and deducts it from the bandwidth. Returns the bytes of
+    /// its frame.
     pub(super) fn send(&mut self, session: SessionId, message: &PublisherMessage) -> usize {
         let frame = encode(message);
         let bytes = frame.len();
--- a/crates/distribution/src/publisher/snapshot_slots.rs
+++ b/crates/distribution/src/publisher/snapshot_slots.rs
@@ -1,14 +1,14 @@
-//! The slots for sending snapshots: a bound on the sessions that send snapshots at one time. Guards against a storm of
-//! snapshots after a restart, in which no subscriber's snapshot would ever be complete.
+//! The slots for sending snapshots, which bound the number of sessions that send snapshots at one time. Without them,
+//! so many subscribers could request snapshots after a restart that no snapshot would ever be complete.
 
 use std::collections::VecDeque;
 
 use super::output::SessionId;
 
-/// A session's claim to a snapshot slot.
+/// Whether a session needs, waits for or holds a snapshot slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SnapshotSlot {
-    /// The session needs no slot.
+    /// The session has not requested a slot.
     None,
     /// The session waits for a slot.
     Waiting,
@@ -16,25 +16,28 @@
     Held,
 }
 
-/// The slots in use and the sessions that wait for one.
+/// The number of slots in use, and the sessions that wait for a slot.
 #[derive(Debug)]
 pub(super) struct SnapshotSlots {
     max: usize,
     in_use: usize,
-    /// In order of arrival. Sessions that have ended or need no slot any more are skipped when their turn comes.
+    /// The waiting sessions in order of arrival. The caller skips those that have ended or no longer need a slot when
+    /// they are removed from the queue.
     waiting: VecDeque<SessionId>,
 }
 
 impl SnapshotSlots {
+    /// Creates this number of slots, none of them in use.
     pub(super) fn new(max: usize) -> Self {
         SnapshotSlots { max, in_use: 0, waiting: VecDeque::new() }
     }
 
+    /// Returns the number of slots in use.
     pub(super) fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Grants a slot if there is one, and queues the session otherwise.
+    /// Grants a slot if one is free; otherwise adds the session to the queue.
     pub(super) fn request(&mut self, session: SessionId) -> SnapshotSlot {
         if self.in_use < self.max {
             self.grant()
@@ -44,18 +47,18 @@
         }
     }
 
-    /// Grants a slot.
+    /// Grants a slot without a check of the limit; the caller has freed one before.
     pub(super) fn grant(&mut self) -> SnapshotSlot {
         self.in_use += 1;
         SnapshotSlot::Held
     }
 
-    /// A session has given its slot back.
+    /// Frees a slot.
     pub(super) fn release(&mut self) {
         self.in_use -= 1;
     }
 
-    /// Removes the session that has waited longest from the queue.
+    /// Removes the session that has waited longest from the queue and returns it.
     pub(super) fn next_waiting(&mut self) -> Option<SessionId> {
         self.waiting.pop_front()
     }
--- a/crates/distribution/src/publisher/status_page.rs
+++ b/crates/distribution/src/publisher/status_page.rs
@@ -17,7 +17,7 @@
 const MICROSECONDS_PER_MILLISECOND: i64 = 1_000;
 
 impl Publisher {
-    /// The totals of the store and of all sessions. The cost follows the number of sessions.
+    /// Returns the totals of the store and of all sessions. The cost is proportional to the number of sessions.
     pub fn status(&self) -> PublisherStatus {
         let counters = self.shared.counters;
         let count = |condition: &dyn Fn(&Session) -> bool| {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// One page of the status.
+    /// Returns the totals and the rows that a query requests, at most one page of them.
     pub fn status_page(&self, now: Time, query: &StatusQuery) -> StatusPage {
         let rows = match query {
             StatusQuery::Sessions { from } => self.session_rows(now, *from),
@@ -56,6 +56,7 @@
         StatusPage { status: self.status(), rows }
     }
 
+    /// Returns the progress in the log and the counts of closed connections.
     fn machine_status(&self) -> MachineStatus {
         let counters = self.shared.counters;
         MachineStatus {
@@ -68,6 +69,7 @@
         }
     }
 
+    /// Returns one page of the sessions whose id is at least `from`, without connections that have sent no hello.
     fn session_rows(&self, now: Time, from: u64) -> StatusRows {
         let id_and_subscriber =
             |session: &Session| Some((session.id.0, session.subscriber.clone()?));
@@ -87,6 +89,7 @@
         StatusRows::Sessions { sessions: ids.into_iter().filter_map(row).collect(), next }
     }
 
+    /// Returns one page of the services whose names sort after `after`.
     fn service_rows(&self, after: Option<&ServiceName>) -> StatusRows {
         let mut rows = self.store.services_after(after);
         let services: Vec<_> = rows.by_ref().take(MAX_SERVICES_PER_MESSAGE).collect();
@@ -97,6 +100,7 @@
 }
 
 impl Session {
+    /// Returns the row of this session in the status.
     fn status(&self, now: Time, subscriber: SubscriberName, store: &Store) -> SessionStatus {
         let lags = || self.subscriptions.iter().filter(|(service, _)| self.lags(service, store));
         let rejections = || {
@@ -123,6 +127,7 @@
     }
 }
 
+/// Returns the milliseconds for which the store has had a later version than the subscriber; 0 if it has none.
 fn lagging_ms(now: Time, subscription: &Subscription) -> u64 {
     milliseconds_since(subscription.lagging_since.unwrap_or(now), now)
 }
@@ -141,6 +146,7 @@
     }
 }
 
+/// Returns the status of a rejected service, or `None` if the subscriber has rejected no version of it.
 fn rejection_status(
     now: Time,
     service: &ServiceName,
@@ -156,6 +162,7 @@
     })
 }
 
+/// Returns the whole milliseconds from `since` to `now`; 0 if `since` is later.
 fn milliseconds_since(since: Time, now: Time) -> u64 {
     (now.since(since).0 / MICROSECONDS_PER_MILLISECOND).max(0) as u64
 }
--- a/crates/distribution/src/publisher/token_bucket.rs
+++ b/crates/distribution/src/publisher/token_bucket.rs
@@ -1,20 +1,25 @@
-//! The bandwidth limit of a control machine: bytes are tokens, filled by time up to a burst.
+//! The token bucket of a control machine's bandwidth limit. A token stands for one byte; tokens are added at a constant
+//! rate up to the burst.
 
 use sableloom_types::{Span, Time};
 
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
 
-/// Tokens for bytes. A frame may be sent while there is a token, so the bucket is overdrawn by one frame at most.
+/// A token bucket in bytes. A frame of a transaction may be sent while there is at least one token, so that it can
+/// overdraw the bucket by its own size. Replies and bookmarks are not held back, but they also take tokens.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     bytes_per_second: i64,
+    /// The most tokens that the bucket holds, in bytes.
     burst: i64,
+    /// The tokens in the bucket, in bytes; negative if the bucket is overdrawn.
     tokens: i64,
-    /// Up to when time has been turned into tokens.
+    /// The time up to which tokens have been added; none before the first call of [`Self::is_ready`].
     filled_until: Option<Time>,
 }
 
 impl TokenBucket {
+    /// Creates a full bucket. A rate of 0 counts as 1 byte per second.
     pub(super) fn new(bytes_per_second: u64, burst_bytes: u64) -> Self {
         let burst = burst_bytes as i64;
         TokenBucket {
@@ -25,10 +30,10 @@
         }
     }
 
-    /// Adds the tokens of the time that has passed; whether there is a token.
+    /// Adds the tokens for the elapsed time and returns whether there is at least one token.
     pub(super) fn is_ready(&mut self, now: Time) -> bool {
         let elapsed = self.filled_until.map_or(0, |until| now.since(until).0.max(0));
-        // In 128 bits: a pause that is longer than the bucket takes to fill would overflow.
+        // 64 bits would overflow if the elapsed time is much longer than the bucket takes to fill.
         let until_full = (self.burst - self.tokens) as i128 * MICROSECONDS_PER_SECOND as i128;
         let gained = elapsed as i128 * self.bytes_per_second as i128;
         if gained >= until_full {
@@ -40,19 +45,21 @@
         self.tokens > 0
     }
 
-    /// Takes tokens for bytes that are sent.
+    /// Removes the tokens of bytes that are sent.
     pub(super) fn spend(&mut self, bytes: usize) {
         self.tokens -= bytes as i64;
     }
 
-    /// When there will be a token; none before the first call of [`Self::is_ready`].
+    /// Returns the time at which there will be at least one token, or `None` before the first call of
+    /// [`Self::is_ready`].
     pub(super) fn ready_at(&self) -> Option<Time> {
         let missing = (1 - self.tokens).max(0) as i128 * MICROSECONDS_PER_SECOND as i128;
         let wait = missing / self.bytes_per_second as i128 + 1;
         Some(self.filled_until?.plus(Span(wait as i64)))
     }
 
-    /// Adds whole tokens and counts only their time as used, so that frequent calls lose no fraction of a token.
+    /// Adds whole tokens and advances `filled_until` only by the time that these took, so that frequent calls lose no
+    /// fraction of a token.
     fn add(&mut self, tokens: i64, now: Time) {
         if tokens > 0 || self.filled_until.is_none() {
             let used = tokens * MICROSECONDS_PER_SECOND / self.bytes_per_second;
--- a/crates/distribution/src/store/change_log.rs
+++ b/crates/distribution/src/store/change_log.rs
@@ -1,38 +1,41 @@
-//! The bounded log of a store: which services the last changes touched, and the chain hashes of the last numbers.
+//! The bounded log of a store: the services that each recent change touched, and the chain hashes of recent numbers.
 
 use std::collections::VecDeque;
 
 use super::limits::StoreLimits;
 use crate::name::ServiceName;
 
-/// A change in the log.
+/// The record of one change in the log.
 #[derive(Debug)]
 pub(super) struct LoggedChange {
     /// The services that the change touched.
     pub(super) services: Box<[ServiceName]>,
-    /// The bytes that it takes in the log, with the keys that the services' own logs hold.
+    /// The estimated bytes that the change takes in memory, including its keys in the logs of the services.
     pub(super) bytes: usize,
 }
 
-/// The last changes, the newest at the back.
+/// The most recent changes and chain hashes, the newest at the back.
 #[derive(Debug, Default)]
 pub(super) struct ChangeLog {
     changes: VecDeque<LoggedChange>,
     bytes: usize,
-    /// Chain hashes of the last numbers, the newest last.
+    /// The chain hash after each recent change number; it reaches further back than `changes`.
     chains: VecDeque<u64>,
 }
 
 impl ChangeLog {
+    /// Returns the number of changes in the log.
     pub(super) fn len(&self) -> usize {
         self.changes.len()
     }
 
+    /// Returns the estimated bytes of the changes in the log, without the chain hashes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Appends a change with the chain hash after it.
+    /// Appends a change with the chain hash after it, and drops the oldest chain hash beyond the limit. The caller
+    /// drops excess changes by [`Self::pop_excess`].
     pub(super) fn push(&mut self, change: LoggedChange, chain: u64, limits: &StoreLimits) {
         self.chains.push_back(chain);
         if self.chains.len() > limits.chain_entries {
@@ -42,7 +45,7 @@
         self.changes.push_back(change);
     }
 
-    /// Removes the oldest change if the log exceeds its bounds.
+    /// Removes and returns the oldest change if the log exceeds its bounds.
     pub(super) fn pop_excess(&mut self, limits: &StoreLimits) -> Option<LoggedChange> {
         if self.changes.len() <= limits.log_entries && self.bytes <= limits.log_bytes {
             return None;
@@ -52,17 +55,20 @@
         Some(oldest)
     }
 
-    /// The services that a change touched, by how many changes came after it; none if the log no longer holds it.
+    /// Returns the services that a change touched, where `changes_after` is the number of changes appended after it.
+    /// Returns an empty slice if the log no longer holds the change.
     pub(super) fn services(&self, changes_after: u64) -> &[ServiceName] {
         nth_from_back(&self.changes, changes_after).map_or(&[], |change| &change.services)
     }
 
-    /// The chain hash of a number, by how many numbers came after it.
+    /// Returns the chain hash after a change, where `numbers_after` is the number of changes appended after it. Returns
+    /// `None` if that hash is no longer kept.
     pub(super) fn chain(&self, numbers_after: u64) -> Option<u64> {
         nth_from_back(&self.chains, numbers_after).copied()
     }
 }
 
+/// Returns the entry that has `distance` entries after it.
 fn nth_from_back<T>(entries: &VecDeque<T>, distance: u64) -> Option<&T> {
     let distance = usize::try_from(distance).ok()?;
     let index = entries.len().checked_sub(distance.checked_add(1)?)?;
--- a/crates/distribution/src/store/limits.rs
+++ b/crates/distribution/src/store/limits.rs
@@ -1,20 +1,23 @@
-//! The bounds of a store.
+//! The limits of a store.
 
-/// The bounds of a store.
+/// The limits of a store. [`crate::Store::append`] returns an error for a change that exceeds `services`,
+/// `service_bytes` or `change_bytes`; the log and the chain hashes drop their oldest entries instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Changes in the log. Default 8,192: more than a day at 6,200 changes a day.
+    /// The most changes in the log. Default 8,192: more than a day at 6,200 changes a day.
     pub log_entries: usize,
-    /// Bytes of the log, by estimate. Default 32 MiB.
+    /// The most bytes of the log, by estimate. Default 32 MiB.
     pub log_bytes: usize,
-    /// Numbers whose chain hash is kept, 8 bytes each, to detect that another log was read. Default 1,048,576: 169 days
-    /// at 6,200 changes a day.
+    /// The most change numbers whose chain hash is kept, 8 bytes each; the hashes detect that a subscriber has followed
+    /// another log. Default 1,048,576: 169 days at 6,200 changes a day.
     pub chain_entries: usize,
-    /// Services, empty ones included. Default 16,384: 6 times 2,500.
+    /// The most services, including those that have no resources any more. Default 16,384: 6 times 2,500.
     pub services: usize,
-    /// Bytes of one service. Default 3 MiB: less than a transaction may have.
+    /// The most bytes of one service, by estimate. Default 3 MiB: less than the limit of a transaction
+    /// ([`crate::PublisherOptions::max_transaction_bytes`]).
     pub service_bytes: usize,
-    /// Bytes of one change. Default 128 MiB: the whole of a fleet's configuration in one change.
+    /// The most bytes of one change file's changes, by estimate. Default 128 MiB: one change can hold the entire
+    /// configuration of a fleet.
     pub change_bytes: usize,
 }
 
--- a/crates/distribution/src/store/mod.rs
+++ b/crates/distribution/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! All resources of a control machine by service, with a bounded log of what changed when.
+//! All resources of a control machine by service, with a bounded log of the changes.
 //!
-//! The log holds names and no bodies: a delta from any version within the log consists of the present bodies of the
-//! resources that were touched since. So a delta holds each resource at most once, and its cost follows the resources
-//! that were touched and not the size of the store.
+//! The log holds names and no bodies: a delta from any version within the log consists of the current bodies of the
+//! resources that later changes touched. A delta therefore holds each resource at most once, and its cost is
+//! proportional to the number of touched resources, independent of the size of the store.
 
 mod change_log;
 mod error;
@@ -26,16 +26,16 @@
 use stored_service::StoredService;
 use validation::{Validation, check_order};
 
-/// The result of an append.
+/// The result of appending a change file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Appended {
-    /// The position after the change.
+    /// The position of the store after the change.
     pub position: Position,
-    /// The services that the change touched, in the order of their names.
+    /// The services that the change touched, sorted by name.
     pub services: Vec<ServiceName>,
 }
 
-/// All resources by service, with a bounded log of changes.
+/// All resources of a control machine by service, with a bounded log of changes.
 #[derive(Debug)]
 pub struct Store {
     limits: StoreLimits,
@@ -47,7 +47,7 @@
 }
 
 impl Store {
-    /// An empty store. The first change may have any number.
+    /// Creates an empty store. The first change may have any number above 0.
     pub fn new(limits: StoreLimits) -> Self {
         Store {
             limits,
@@ -59,11 +59,13 @@
         }
     }
 
-    /// Appends the next change file, all of it or nothing. The cost follows the resources that the file touches.
+    /// Appends the next change file completely, or leaves the store unchanged if there is an error. The cost is
+    /// proportional to the number of resources that the file touches.
     ///
     /// # Errors
     ///
-    /// If the file is not the next one, or one of its changes can't be applied or exceeds a limit.
+    /// Returns an error if the file's number or epoch is out of order, if one of its changes is invalid, or if a limit
+    /// of [`StoreLimits`] would be exceeded.
     pub fn append(&mut self, entry: LogEntry) -> Result<Appended, AppendError> {
         check_order(self.position, &entry)?;
         let by_service = Validation::new(&self.services, &self.limits).check(&entry)?;
@@ -76,12 +78,12 @@
         Ok(Appended { position: self.position, services: names })
     }
 
-    /// The position up to which the log has been read.
+    /// Returns the position of the last change that was appended.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The version of a service; version 0 and digest 0 if it has never had a resource.
+    /// Returns the version and the digest of a service, both 0 if the service has never had a resource.
     pub fn service_version(&self, service: &ServiceName) -> ServiceVersion {
         match self.services.get(service) {
             Some(stored) => stored.version(service),
@@ -89,7 +91,8 @@
         }
     }
 
-    /// The versions of the services after a name, in the order of their names.
+    /// Returns the versions of all services whose names sort after `after`, or of all services for `None`, sorted by
+    /// name.
     pub fn services_after(
         &self,
         after: Option<&ServiceName>,
@@ -99,42 +102,43 @@
         services.map(|(name, stored)| stored.version(name))
     }
 
-    /// The resources of a service, in the order of kind and key.
+    /// Returns the resources of a service, sorted by kind and key.
     pub fn resources(&self, service: &ServiceName) -> impl Iterator<Item = &Resource> + '_ {
         self.services.get(service).into_iter().flat_map(|stored| stored.state.resources.values())
     }
 
-    /// The number of services, empty ones included.
+    /// Returns the number of services, including those that have no resources any more.
     pub fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// The number of resources.
+    /// Returns the number of resources in all services.
     pub fn resource_count(&self) -> usize {
         self.resource_count
     }
 
-    /// The number of resources that are limits of tenants.
+    /// Returns the number of resources that are limits of tenants.
     pub fn tenant_count(&self) -> usize {
         self.tenant_count
     }
 
-    /// The number of changes in the log.
+    /// Returns the number of changes in the log.
     pub fn log_entries(&self) -> usize {
         self.log.len()
     }
 
-    /// An estimate of the bytes of the log.
+    /// Returns the estimated bytes of the log.
     pub fn log_bytes(&self) -> usize {
         self.log.bytes()
     }
 
-    /// Whether a subscriber that has seen a position may be served from this store. A position older than all chain
-    /// hashes that are kept passes: the digests of its services then show what differs.
+    /// Checks whether this store can serve a subscriber whose furthest seen position is `seen`. A position that is
+    /// older than all chain hashes kept is accepted: the digests of the subscriber's services then show what differs.
     ///
     /// # Errors
     ///
-    /// If the store is behind that position, or has read another change under its number.
+    /// Returns [`Refusal::Behind`] if the store is empty or behind that position, and [`Refusal::Diverged`] if the
+    /// store has read different changes up to the same number.
     pub fn check_resume(&self, seen: Position) -> Result<(), Refusal> {
         if self.position.number == 0 || self.position.is_before(seen) {
             return Err(Refusal::Behind { position: self.position });
@@ -151,33 +155,34 @@
         }
     }
 
-    /// An upper estimate of the bytes of a service in messages.
+    /// Returns an upper estimate of the bytes that a snapshot of a service takes in messages.
     pub(crate) fn service_bytes(&self, service: &ServiceName) -> usize {
         self.services.get(service).map_or(0, |stored| stored.state.bytes)
     }
 
-    /// Whether the log has all changes of a service since a version, and the service had this digest then.
+    /// Returns whether the log holds all changes of a service since a version at which the service had this digest.
     pub(crate) fn has_base(&self, service: &ServiceName, version: u64, digest: u64) -> bool {
         self.services.get(service).is_some_and(|stored| stored.has_base(version, digest))
     }
 
-    /// The changes of a service since a version for which [`Self::has_base`] holds, at most one for each resource.
+    /// Returns the changes of a service since a version for which [`Self::has_base`] holds, at most one for each
+    /// resource.
     pub(crate) fn delta(&self, service: &ServiceName, from: u64) -> Vec<Change> {
         self.services.get(service).map_or(Vec::new(), |stored| stored.delta(service, from))
     }
 
-    /// The changes of a service by the latest change file that touched it; none if the log does not hold that file.
+    /// Returns the changes that the latest change file made to a service; empty if the log no longer holds that file.
     pub(crate) fn latest_changes(&self, service: &ServiceName) -> Vec<Change> {
         self.services.get(service).map_or(Vec::new(), |stored| stored.latest_changes(service))
     }
 
-    /// All resources of a service as changes.
+    /// Returns all resources of a service as changes.
     pub(crate) fn snapshot(&self, service: &ServiceName) -> Vec<Change> {
         self.resources(service).cloned().map(Change::Set).collect()
     }
 
-    /// For each change in the log that touched a service since a version: its number, and all services that it
-    /// touched.
+    /// Returns the changes in the log that touched a service after version `from`: for each its number and all services
+    /// that it touched.
     pub(crate) fn changes_since(
         &self,
         service: &ServiceName,
@@ -191,7 +196,7 @@
         })
     }
 
-    /// Applies valid changes to a service; returns the bytes that they take in the log.
+    /// Applies valid changes to a service and returns the estimated bytes that they take in the log.
     fn apply(&mut self, service: ServiceName, number: u64, changes: Vec<Change>) -> usize {
         let stored = self.services.entry(service).or_default();
         let (resources, tenants) = (stored.state.resources.len(), stored.state.tenants);
@@ -201,6 +206,7 @@
         bytes
     }
 
+    /// Moves the position to a change file that has been applied, logs it, and drops changes beyond the log's bounds.
     fn advance(&mut self, entry: &LogEntry, logged: LoggedChange) {
         let chain = next_chain_hash(self.position.chain, entry.epoch, entry.number, entry.hash);
         self.position = Position { epoch: entry.epoch, number: entry.number, chain };
--- a/crates/distribution/src/store/stored_service.rs
+++ b/crates/distribution/src/store/stored_service.rs
@@ -7,25 +7,30 @@
 use crate::resource::Change;
 use crate::service_state::{ResourceKey, ServiceState};
 
-/// The part of one change that touched the service.
+/// The resources of the service that one change touched.
 #[derive(Debug)]
 struct TouchedKeys {
-    /// Version and digest of the service after the change.
+    /// The version of the service after the change.
     version: u64,
+    /// The digest of the service after the change.
     digest: u64,
     keys: Box<[ResourceKey]>,
 }
 
+/// The current state of a service, and the part of the log that concerns it.
 #[derive(Debug, Default)]
 pub(super) struct StoredService {
     pub(super) state: ServiceState,
-    /// Version and digest before the first change that the log still holds.
+    /// The version of the service before the oldest change in its log.
     base_version: u64,
+    /// The digest of the service before the oldest change in its log.
     base_digest: u64,
+    /// The changes that touched the service, the newest at the back.
     log: VecDeque<TouchedKeys>,
 }
 
 impl StoredService {
+    /// Returns the current version and digest under the service's name.
     pub(super) fn version(&self, name: &ServiceName) -> ServiceVersion {
         ServiceVersion {
             service: name.clone(),
@@ -34,7 +39,7 @@
         }
     }
 
-    /// Applies the changes of one change file; returns the bytes that they take in the log.
+    /// Applies the changes of one change file and returns the estimated bytes that they take in the log.
     pub(super) fn apply(&mut self, number: u64, changes: Vec<Change>) -> usize {
         let keys: Box<[ResourceKey]> = changes.iter().filter_map(resource_key).collect();
         for change in changes {
@@ -47,7 +52,7 @@
         bytes
     }
 
-    /// Drops the oldest change of the service's log.
+    /// Drops the oldest change from the service's log.
     pub(super) fn drop_oldest(&mut self) {
         if let Some(touched) = self.log.pop_front() {
             self.base_version = touched.version;
@@ -55,7 +60,7 @@
         }
     }
 
-    /// Whether the log holds all changes since a version, and the service had this digest then.
+    /// Returns whether the log holds all changes since a version at which the service had this digest.
     pub(super) fn has_base(&self, version: u64, digest: u64) -> bool {
         if version == 0 {
             return false;
@@ -71,12 +76,12 @@
         }
     }
 
-    /// The versions of the changes since a version, the oldest first.
+    /// Returns the versions of the changes after version `from`, the oldest first.
     pub(super) fn versions_since(&self, from: u64) -> impl Iterator<Item = u64> + '_ {
         self.log_since(from).map(|touched| touched.version)
     }
 
-    /// The changes since a version, at most one for each resource: its present state, or its removal.
+    /// Returns the changes after version `from`, at most one for each resource: its current state or its removal.
     pub(super) fn delta(&self, name: &ServiceName, from: u64) -> Vec<Change> {
         let mut last_touched: BTreeMap<&ResourceKey, u64> = BTreeMap::new();
         for touched in self.log_since(from) {
@@ -89,20 +94,21 @@
         last_touched.into_iter().map(to_change).collect()
     }
 
-    /// The changes of the latest change file; none if the log does not hold it.
+    /// Returns the changes of the latest change file that touched the service; empty if the log no longer holds it.
     pub(super) fn latest_changes(&self, name: &ServiceName) -> Vec<Change> {
         let before_latest =
             self.log.iter().rev().nth(1).map_or(self.base_version, |touched| touched.version);
         self.delta(name, before_latest)
     }
 
+    /// Returns the logged changes after version `from`, the oldest first.
     fn log_since(&self, from: u64) -> impl Iterator<Item = &TouchedKeys> + '_ {
         let start = self.log.partition_point(|touched| touched.version <= from);
         self.log.range(start..)
     }
 }
 
-/// The key of the resource that a change touches; none for the removal of a service.
+/// Returns the key of the resource that a change touches, or `None` for the removal of a service.
 pub(super) fn resource_key(change: &Change) -> Option<ResourceKey> {
     match change {
         Change::Set(resource) => Some(ResourceKey::of(&resource.name)),
--- a/crates/distribution/src/store/validation.rs
+++ b/crates/distribution/src/store/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a change file may be appended: its order, its changes and the sizes that they lead to.
+//! The checks of a change file before it is appended: its order, its changes and the resulting sizes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,13 +12,13 @@
 use crate::resource::{Change, Resource};
 use crate::service_state::{ResourceKey, ServiceState};
 
-/// Changes to single resources, by service.
+/// Changes to individual resources, by service.
 pub(super) type ChangesByService = BTreeMap<ServiceName, Vec<Change>>;
 
-/// Checks number and epoch of a change file against the position of the store.
+/// Checks the number and the epoch of a change file against the position of the store.
 pub(super) fn check_order(position: Position, entry: &LogEntry) -> Result<(), AppendError> {
     let expected = position.number + 1;
-    // An empty store may start anywhere in the log.
+    // The log of an empty store may start at any number.
     let is_first = position.number == 0 && entry.number > 0;
     if entry.number != expected && !is_first {
         return Err(AppendError::OutOfSequence { expected, found: entry.number });
@@ -33,11 +33,12 @@
 pub(super) struct Validation<'s> {
     services: &'s BTreeMap<ServiceName, StoredService>,
     limits: &'s StoreLimits,
-    /// Resources that the file has named so far.
+    /// The resources that the checked changes touch; no resource may occur twice.
     changed_resources: BTreeSet<ResourceName>,
 }
 
 impl<'s> Validation<'s> {
+    /// Creates a validation of one change file.
     pub(super) fn new(
         services: &'s BTreeMap<ServiceName, StoredService>,
         limits: &'s StoreLimits,
@@ -45,7 +46,8 @@
         Validation { services, limits, changed_resources: BTreeSet::new() }
     }
 
-    /// The changes by service, with the removal of a service expanded into removals of its resources.
+    /// Checks all changes of a file and returns them by service, with the removal of a service expanded into removals
+    /// of its resources.
     pub(super) fn check(mut self, entry: &LogEntry) -> Result<ChangesByService, AppendError> {
         let mut by_service = ChangesByService::new();
         for change in &entry.changes {
@@ -64,6 +66,7 @@
         Ok(by_service)
     }
 
+    /// Expands the removal of a service into removals of its resources; returns any other change as it is.
     fn expand(&self, change: &Change) -> Result<Vec<Change>, AppendError> {
         let Change::RemoveService { service, version } = change else {
             return Ok(vec![change.clone()]);
@@ -76,6 +79,7 @@
         }
     }
 
+    /// Checks one change to a resource, and that no earlier change of the file touches the same resource.
     fn check_change(&mut self, change: &Change) -> Result<(), AppendError> {
         let name = match change {
             Change::Set(resource) => {
@@ -94,6 +98,7 @@
         Ok(())
     }
 
+    /// Checks that a resource that is removed exists in the store.
     fn check_exists(&self, name: &ResourceName) -> Result<(), AppendError> {
         let key = ResourceKey::of(name);
         let stored = self.services.get(&name.service);
@@ -104,6 +109,7 @@
         }
     }
 
+    /// Checks the limits on the bytes of each service, the number of services and the bytes of the whole change.
     fn check_sizes(&self, by_service: &ChangesByService) -> Result<(), AppendError> {
         let mut change_bytes = 0;
         let mut new_services = 0;
@@ -131,6 +137,7 @@
     }
 }
 
+/// Checks the lengths of a resource's body and key.
 fn check_resource_size(resource: &Resource) -> Result<(), AppendError> {
     if resource.body.len() > MAX_BODY_BYTES || resource.name.key.len() > MAX_KEY_BYTES {
         return Err(AppendError::ResourceTooLarge(resource.name.clone()));
@@ -138,7 +145,7 @@
     Ok(())
 }
 
-/// The bytes of a service after changes.
+/// Returns the estimated bytes of a service after the changes; `state` is its state before, if it exists.
 fn size_after(state: Option<&ServiceState>, changes: &[Change]) -> usize {
     let size_before = |key: &ResourceKey| {
         state.and_then(|state| state.resources.get(key)).map_or(0, Resource::encoded_size)
--- a/crates/distribution/tests/simulation.rs
+++ b/crates/distribution/tests/simulation.rs
@@ -16,14 +16,14 @@
 
 /// All reasons for which a connection is closed in the schedules, and all events of subscribers.
 const OCCURRENCES: &[&str] = &[
-    "control: another history has been read",
+    "control: consecutive transactions did not match the state of the subscriber",
     "control: does not acknowledge",
     "control: does not read what is sent",
     "control: garbage, no message",
     "control: garbage, too long",
     "control: refused",
     "control: silent",
-    "control: what it has does not fit what is sent, again and again",
+    "control: the store was replaced, as another log has been read",
     "event: connected",
     "event: current",
     "event: disconnected",
