--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher, one case per test.
+//! Tests of the publisher, through its messages, outputs and status.
 
 use sableloom_distribution::{
     Base, Change, CloseReason, CodecError, FrameReader, LogEntry, LogStatus, NackReason, Origin,
@@ -8,10 +8,11 @@
 };
 use sableloom_types::{Span, Time};
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::try_from(name).expect("a name")
+    ServiceName::try_from(name).expect("a valid name")
 }
 
 fn set(name: ResourceName, version: u64, body: &[u8]) -> Change {
@@ -23,16 +24,18 @@
     ResourceName::server(service(service_name), id)
 }
 
+/// Returns the version of a service of which a subscriber has applied nothing.
 fn not_applied(service_name: &str) -> ServiceVersion {
     ServiceVersion { service: service(service_name), version: 0, digest: 0 }
 }
 
-/// A publisher and its outputs that have not been read.
+/// A publisher with a clock, and its outputs that no test has taken yet.
 struct ControlMachine {
     publisher: Publisher,
+    /// The time in microseconds.
     now: i64,
     out: Vec<PublisherOutput>,
-    /// Whether queued frames count as written at once.
+    /// Whether the frames that a test takes are reported as written.
     writes_immediately: bool,
 }
 
@@ -42,13 +45,14 @@
         ControlMachine { publisher, now: 0, out: Vec::new(), writes_immediately: true }
     }
 
+    /// Appends a change with the next number.
     fn append(&mut self, changes: Vec<Change>) {
         let number = self.publisher.store().position().number + 1;
         let entry = LogEntry { number, epoch: 1, changes, hash: number };
-        self.publisher.append(Time(self.now), entry, &mut self.out).expect("a change");
+        self.publisher.append(Time(self.now), entry, &mut self.out).expect("a valid change");
     }
 
-    /// Sets one server by the next change.
+    /// Appends a change that sets one server.
     fn set_server(&mut self, service_name: &str, id: &str) {
         let number = self.publisher.store().position().number + 1;
         self.append(vec![set(server(service_name, id), number, b"body")]);
@@ -58,10 +62,11 @@
         self.publisher.message(Time(self.now), SessionId(session), message, &mut self.out);
     }
 
+    /// Connects a subscriber, and sends its hello and a complete scope.
     fn connect(&mut self, session: u64, position: Position, add: Vec<ServiceVersion>) {
         self.publisher.connected(Time(self.now), SessionId(session));
         let subscriber =
-            SubscriberName::try_from(format!("balancer-{session}").as_str()).expect("a name");
+            SubscriberName::try_from(format!("balancer-{session}").as_str()).expect("a valid name");
         self.send(session, SubscriberMessage::Hello { subscriber, position });
         self.send(
             session,
@@ -75,7 +80,8 @@
         );
     }
 
-    /// The messages to a session since the last call.
+    /// Takes the messages that were sent to a session since the last call. If `writes_immediately` is set, their frames
+    /// are reported as written, and the messages that are sent as a result are taken too.
     fn take_messages(&mut self, session: u64) -> Vec<PublisherMessage> {
         let mut messages = Vec::new();
         loop {
@@ -86,7 +92,7 @@
                     PublisherOutput::Send { session: SessionId(to), frame } if to == session => {
                         let mut reader = FrameReader::new();
                         reader.push(&frame);
-                        messages.extend(reader.next_message().expect("a message"));
+                        messages.extend(reader.next_message().expect("a valid frame"));
                         written += frame.len();
                     }
                     output => other_outputs.push(output),
@@ -100,11 +106,13 @@
         }
     }
 
+    /// Advances the clock and calls [`Publisher::tick`].
     fn tick(&mut self, seconds: i64) {
         self.now += seconds * SECOND;
         self.publisher.tick(Time(self.now), &mut self.out);
     }
 
+    /// Returns the reason for which a session was closed, if the output has not been taken.
     fn close_reason(&self, session: u64) -> Option<CloseReason> {
         self.out.iter().find_map(|output| match output {
             PublisherOutput::Close { session: SessionId(id), reason } if *id == session => {
@@ -123,6 +131,7 @@
     ControlMachine::new(StoreLimits::default(), PublisherOptions::default())
 }
 
+/// Returns each service of the transactions that begin in these messages, with its base.
 fn bases(messages: &[PublisherMessage]) -> Vec<(String, Base)> {
     let services = messages.iter().filter_map(|message| match message {
         PublisherMessage::Begin { services, .. } => Some(services),
@@ -131,6 +140,7 @@
     services.flatten().map(|part| (part.service.to_string(), part.base)).collect()
 }
 
+/// Returns all changes in these messages.
 fn changes(messages: &[PublisherMessage]) -> Vec<Change> {
     let changes = messages.iter().filter_map(|message| match message {
         PublisherMessage::Changes { changes, .. } => Some(changes.clone()),
@@ -139,6 +149,7 @@
     changes.flatten().collect()
 }
 
+/// Returns the ids of the transactions that are complete in these messages.
 fn transaction_ids(messages: &[PublisherMessage]) -> Vec<u64> {
     let commits = messages.iter().filter_map(|message| match message {
         PublisherMessage::Commit { transaction, .. } => Some(*transaction),
@@ -165,7 +176,7 @@
         "{received:?}"
     );
     machine.set_server("other", "a");
-    assert_eq!(machine.take_messages(1), [], "a change of what is not subscribed to");
+    assert_eq!(machine.take_messages(1), [], "a change of a service outside the scope is not sent");
     machine.send(1, SubscriberMessage::Ping { sequence: 5 });
     let received = machine.take_messages(1);
     assert!(
@@ -207,7 +218,7 @@
     let points_changes =
         changes(&received).into_iter().filter(|change| change.service().as_str() == "points");
     let versions: Vec<u64> = points_changes.map(|change| change.version()).collect();
-    assert_eq!(versions, [8, 7, 9], "b, c and d, each once as it is now");
+    assert_eq!(versions, [8, 7, 9], "b, c and d are sent once each, in their latest version");
 }
 
 #[test]
@@ -263,12 +274,12 @@
         machine.now += 1_000;
         frames += machine.take_messages(1).len();
     }
-    // The first change is in flight; all others are pending as one service.
+    // The three frames are the transaction of the first change; the others are pending as one service.
     assert_eq!(frames, 3);
     let StatusRows::Sessions { sessions, .. } =
         machine.publisher.status_page(Time(machine.now), &StatusQuery::Sessions { from: 0 }).rows
     else {
-        panic!("no sessions");
+        panic!("the page has no sessions");
     };
     assert_eq!(
         (
@@ -298,7 +309,7 @@
     for change in 0..1_000 {
         machine.set_server("points", &format!("s-{}", change % 40));
     }
-    assert_eq!(machine.take_messages(1), [], "one transaction of a service at one time");
+    assert_eq!(machine.take_messages(1), [], "a service in flight is not sent again");
     machine.send(1, SubscriberMessage::Ack { transaction: transaction_ids(&first)[0] });
     let second = machine.take_messages(1);
     assert_eq!((transaction_ids(&second).len(), changes(&second).len()), (1, 40));
@@ -309,7 +320,11 @@
     let mut machine = machine();
     machine.connect(1, Position::default(), vec![not_applied("points"), not_applied("other")]);
     machine.connect(2, Position::default(), vec![not_applied("points")]);
-    assert_eq!(machine.close_reason(1), Some(CloseReason::Refused), "nothing has been read yet");
+    assert_eq!(
+        machine.close_reason(1),
+        Some(CloseReason::Refused),
+        "an empty store refuses a subscriber"
+    );
     machine.out.clear();
     machine.set_server("points", "a");
     machine.set_server("other", "a");
@@ -322,7 +337,7 @@
         .append(vec![set(server("points", "b"), 3, b"bad"), set(server("other", "b"), 3, b"good")]);
     let refused = transaction_ids(&machine.take_messages(3));
     let accepted = transaction_ids(&machine.take_messages(4));
-    assert_eq!((refused.len(), accepted.len()), (1, 1), "both services in one transaction");
+    assert_eq!((refused.len(), accepted.len()), (1, 1), "both services are in one transaction");
     let rejection = Rejection {
         resource: server("points", "b"),
         origin: Origin { file: "change.toml".into(), line: 7 },
@@ -336,7 +351,7 @@
     let StatusRows::Sessions { sessions, .. } =
         machine.publisher.status_page(Time(0), &StatusQuery::Sessions { from: 0 }).rows
     else {
-        panic!("no sessions");
+        panic!("the page has no sessions");
     };
     assert_eq!((sessions[0].rejecting, sessions[1].rejecting, sessions[1].lagging), (2, 0, 0));
     let reported = sessions[0]
@@ -348,7 +363,7 @@
         (reported.applied_version, reported.rejected_version, reported.problem.as_ref()),
         (1, 3, Some(&rejection))
     );
-    // Only one of the two services changes, and both are sent.
+    // Only one of the two rejected services changes, but both are sent.
     machine.set_server("other", "c");
     let received = machine.take_messages(3);
     assert_eq!(
@@ -365,7 +380,7 @@
         (machine.latest_version("points"), machine.publisher.store().position());
     machine.set_server("points", "b");
     machine.publisher.connected(Time(0), SessionId(1));
-    let subscriber = SubscriberName::try_from("balancer-1").expect("a name");
+    let subscriber = SubscriberName::try_from("balancer-1").expect("a valid name");
     machine.send(1, SubscriberMessage::Hello { subscriber, position });
     let (add, rejected) = (vec![applied], vec![machine.latest_version("points")]);
     machine.send(
@@ -388,7 +403,7 @@
     machine.connect(1, Position::default(), vec![not_applied("points")]);
     machine.writes_immediately = false;
     let mut received = machine.take_messages(1);
-    assert_eq!(transaction_ids(&received), [0; 0], "not yet complete");
+    assert_eq!(transaction_ids(&received), [0; 0], "the snapshot is not complete yet");
     machine.append(vec![Change::Remove { name: server("points", "s-00"), version: 2 }]);
     machine.writes_immediately = true;
     machine.publisher.written(Time(0), SessionId(1), usize::MAX, &mut machine.out);
@@ -418,10 +433,10 @@
     assert_eq!((status.snapshots, status.waiting_for_snapshot), (1, 2));
     machine.set_server("small", "b");
     assert_eq!(bases(&machine.take_messages(2)), [("small".to_owned(), Base::Delta { from: 2 })]);
-    // The first session ends, and the next one gets its slot.
+    // When the first session ends, its slot is granted to the second.
     machine.publisher.disconnected(Time(0), SessionId(1), &mut machine.out);
     assert_eq!(bases(&machine.take_messages(2)).len(), 1);
-    assert_eq!(bases(&machine.take_messages(3)).len(), 1, "the change alone");
+    assert_eq!(bases(&machine.take_messages(3)).len(), 1, "without a slot only the delta is sent");
 }
 
 #[test]
@@ -457,7 +472,7 @@
             machine.publisher.written(Time(machine.now), session, frame.len(), &mut machine.out);
             let mut reader = FrameReader::new();
             reader.push(&frame);
-            let message: Option<PublisherMessage> = reader.next_message().expect("a message");
+            let message: Option<PublisherMessage> = reader.next_message().expect("a valid frame");
             if bases(message.as_slice()).iter().any(|(service, _)| service == "small")
                 && session.0 == 21
             {
@@ -469,7 +484,7 @@
         machine.now += 10_000;
         machine.publisher.tick(Time(machine.now), &mut machine.out);
     }
-    assert!(sent > 35_000, "{sent} bytes: what may be sent is sent");
+    assert!(sent > 35_000, "{sent} bytes: not all of the bandwidth is used");
     // The snapshots use all bandwidth; the delta is sent before them.
     assert!(delta_step.is_some_and(|step| step < 130), "{delta_step:?}");
 }
@@ -518,7 +533,7 @@
             set(server("other", "b"), 2, &[0; 40]),
         ]);
         let mut received = machine.take_messages(1);
-        // The second may wait for the first, as the bytes in flight have the same bound.
+        // A second transaction may wait for the first, because unacknowledged bytes have the same limit.
         for transaction in transaction_ids(&received.clone()) {
             machine.send(1, SubscriberMessage::Ack { transaction });
             received.extend(machine.take_messages(1));
@@ -526,7 +541,7 @@
         assert_eq!(
             (transaction_ids(&received).len(), bases(&received).len()),
             (transactions, 2),
-            "{max_transaction_bytes}"
+            "at most {max_transaction_bytes} bytes and {services} services per transaction"
         );
     }
 }
@@ -574,13 +589,13 @@
     }
     assert_eq!(machine.close_reason(2), Some(CloseReason::Silent));
     assert_eq!(machine.close_reason(1), Some(CloseReason::Unacknowledged));
-    assert_eq!(machine.publisher.due(), None, "no session, nothing to do");
+    assert_eq!(machine.publisher.due(), None, "nothing is due without a session");
 }
 
 #[test]
 fn a_protocol_violation_ends_the_session_and_is_counted() {
     let hello = || SubscriberMessage::Hello {
-        subscriber: SubscriberName::try_from("b").expect("a name"),
+        subscriber: SubscriberName::try_from("b").expect("a valid name"),
         position: Position::default(),
     };
     let scope = |generation, count: usize| SubscriberMessage::Scope {
@@ -632,7 +647,9 @@
     let lag_times_ms = |machine: &ControlMachine| {
         let query = StatusQuery::Sessions { from: 0 };
         let page = machine.publisher.status_page(Time(machine.now), &query);
-        let StatusRows::Sessions { sessions, .. } = page.rows else { panic!("no sessions") };
+        let StatusRows::Sessions { sessions, .. } = page.rows else {
+            panic!("the page has no sessions")
+        };
         sessions[0].lags.iter().map(|lag| lag.behind_ms).collect::<Vec<_>>()
     };
     assert_eq!(lag_times_ms(&machine), [0; 0]);
@@ -641,15 +658,23 @@
     machine.now += 2 * SECOND;
     machine.set_server("points", "c");
     machine.now += SECOND;
-    assert_eq!(lag_times_ms(&machine), [3_000], "since the first that it has not");
+    assert_eq!(
+        lag_times_ms(&machine),
+        [3_000],
+        "the lag starts at the first change that is not applied"
+    );
     machine.send(1, SubscriberMessage::Ack { transaction: first[0] });
     let second = transaction_ids(&machine.take_messages(1));
-    assert_eq!(lag_times_ms(&machine), [3_000], "it has caught up in part");
+    assert_eq!(
+        lag_times_ms(&machine),
+        [3_000],
+        "an acknowledgment of an earlier version does not end the lag"
+    );
     machine.send(1, SubscriberMessage::Ack { transaction: second[0] });
     assert_eq!(lag_times_ms(&machine), [0; 0]);
     machine.set_server("points", "d");
     machine.now += SECOND;
-    assert_eq!(lag_times_ms(&machine), [1_000], "since it fell behind anew");
+    assert_eq!(lag_times_ms(&machine), [1_000], "a new lag starts at the change that caused it");
 
     let log = LogStatus { next: 4, latest: 6, blocked_reason: "00000004.toml: missing".into() };
     machine.publisher.set_log_status(log.clone());
@@ -660,6 +685,6 @@
         &mut machine.out,
     );
     let page = machine.publisher.status_page(Time(machine.now), &StatusQuery::Machine);
-    let StatusRows::Machine(machine) = page.rows else { panic!("no machine") };
+    let StatusRows::Machine(machine) = page.rows else { panic!("the page is not of the machine") };
     assert_eq!((machine.log, machine.violations, machine.silent), (log, 1, 0));
 }
--- a/crates/distribution/tests/sim/applier.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -1,4 +1,4 @@
-//! The part of a balancer that applies transactions, and checks each against the operators' log.
+//! The part of a balancer that applies transactions and checks each result against the operators' log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,21 +8,24 @@
 
 use super::history::{Contents, History, INVALID_BODY_MARKER, digest};
 
+/// The state of a service that a balancer has applied.
 pub(crate) struct Applied {
     pub(crate) epoch: u32,
     pub(crate) version: u64,
     pub(crate) contents: Contents,
 }
 
+/// The applied state of a balancer.
 #[derive(Default)]
 pub(crate) struct Applier {
     pub(crate) services: BTreeMap<ServiceName, Applied>,
     pub(crate) scope: BTreeSet<ServiceName>,
-    /// Rejects bodies that begin with [`BAD_BODY`].
+    /// Whether a body that begins with [`INVALID_BODY_MARKER`] is rejected.
     pub(crate) validates: bool,
 }
 
 impl Applier {
+    /// Replaces the applied state by a saved state.
     pub(crate) fn restore(&mut self, saved: &SavedState) {
         self.services.clear();
         for service in &saved.services {
@@ -32,12 +35,14 @@
         }
     }
 
+    /// Changes the scope, and drops the services that are no longer in it.
     pub(crate) fn set_scope(&mut self, scope: &BTreeSet<ServiceName>) {
         self.services.retain(|service, _| scope.contains(service));
         self.scope = scope.clone();
     }
 
-    /// Applies all of a transaction or nothing, and panics if the result differs from the operators' log.
+    /// Applies a transaction completely, or returns its rejections and applies nothing. Panics if the result differs
+    /// from the operators' log.
     pub(crate) fn apply(
         &mut self,
         transaction: &Transaction,
@@ -62,13 +67,14 @@
         Ok(())
     }
 
+    /// Applies the update of one service; panics if its version goes back, or its result differs from the log.
     fn apply_update(&mut self, update: &ServiceUpdate, position: Position, history: &History) {
         let before = self.services.remove(&update.service);
         let (epoch, version) =
             before.as_ref().map_or((0, 0), |applied| (applied.epoch, applied.version));
         assert!(
             (position.epoch, update.version) >= (epoch, version),
-            "{} goes back from {epoch}/{version} to {}/{}",
+            "{} goes back from version {epoch}/{version} to {}/{}",
             update.service,
             position.epoch,
             update.version
@@ -81,7 +87,7 @@
                 }
                 Change::Remove { name, .. } => drop(contents.remove(name)),
                 Change::RemoveService { .. } => {
-                    panic!("the removal of a service is handed out")
+                    panic!("a transaction contains the removal of a whole service")
                 }
             }
         }
@@ -91,23 +97,23 @@
             assert_eq!(
                 contents.keys().collect::<BTreeSet<_>>(),
                 snapshot_names,
-                "a snapshot leaves something behind"
+                "resources that are not in the snapshot are left"
             );
         }
         assert_eq!(
             digest(&contents),
             update.digest,
-            "the digest of {} does not fit",
+            "the digest of {} does not match its resources",
             update.service
         );
-        // Version 0: the log has no change of the service.
+        // At version 0 the service has no resources, and the log has no change of it.
         let empty = Contents::new();
         let known = history.contents_by_version.get(&(update.service.clone(), update.version));
         let expected = known.or((update.version == 0).then_some(&empty));
         assert_eq!(
             Some(&contents),
             expected,
-            "{} is not what it was at {}",
+            "the resources of {} differ from those in the log at version {}",
             update.service,
             update.version
         );
@@ -115,7 +121,8 @@
         self.services.insert(update.service.clone(), applied);
     }
 
-    /// A change that touched several services is applied to all of them at once, where all had been current.
+    /// Checks that each change that a delta of the transaction contains is also applied to all other services of the
+    /// scope that the change touched, except for services of which no version has been applied.
     fn check_atomicity(&self, transaction: &Transaction, history: &History) {
         let version_after = |service: &ServiceName| {
             let updated = transaction.services.iter().find(|update| update.service == *service);
@@ -137,7 +144,7 @@
                     let was_never_applied = !self.services.contains_key(other);
                     assert!(
                         was_never_applied || version_after(other) >= entry.number,
-                        "change {} is in force for {} and not for {other}",
+                        "change {} is applied to {} but not to {other}",
                         entry.number,
                         update.service
                     );
@@ -147,12 +154,13 @@
     }
 }
 
-/// The log that has been read up to a position.
+/// Returns the history that contains a position.
 pub(crate) fn history_at(histories: &[History], position: Position) -> &History {
     let found = histories.iter().find(|history| history.chains.contains(&position.chain));
-    found.unwrap_or_else(|| panic!("no history has {position}"))
+    found.unwrap_or_else(|| panic!("no history contains position {position}"))
 }
 
+/// Returns the name of the resource that a change sets, or `None` for a removal.
 fn name_if_set(change: &Change) -> Option<&ResourceName> {
     match change {
         Change::Set(resource) => Some(&resource.name),
@@ -160,6 +168,7 @@
     }
 }
 
+/// Returns a rejection for each body that begins with [`INVALID_BODY_MARKER`].
 fn find_rejections(transaction: &Transaction) -> Vec<Rejection> {
     let changes = transaction.services.iter().flat_map(|update| &update.changes);
     let to_rejection = |change: &Change| match change {
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers: a subscriber, the part that applies transactions, and the saved state.
+//! The balancers of the simulation: the subscriber, the application of transactions, and the saved state.
 
 use std::collections::BTreeSet;
 
@@ -13,6 +13,7 @@
 use super::world::{Event, MILLISECOND, SECOND, World};
 
 impl World {
+    /// Starts the process of a balancer from its saved state, unless it is running.
     pub(crate) fn start_subscriber(&mut self, index: usize) {
         if self.balancers[index].subscriber.is_some() {
             return;
@@ -47,6 +48,7 @@
         }
     }
 
+    /// Calls a method of a running subscriber, checks its invariants, carries out its outputs and sets its timer.
     pub(crate) fn with_subscriber(
         &mut self,
         index: usize,
@@ -60,12 +62,15 @@
         act(subscriber, Time(now), &mut out);
         assert!(
             subscriber.buffered_bytes() <= 20_000,
-            "{} bytes are buffered",
+            "{} bytes are buffered, at most 20000 are expected",
             subscriber.buffered_bytes()
         );
         let seen = subscriber.status(Time(now)).position;
         let due = subscriber.due();
-        assert!(!seen.is_before(self.balancers[index].seen_position), "a position goes back");
+        assert!(
+            !seen.is_before(self.balancers[index].seen_position),
+            "the position of balancer {index} goes back"
+        );
         self.balancers[index].seen_position = seen;
         for output in out {
             self.subscriber_output(index, output);
@@ -78,6 +83,7 @@
         }
     }
 
+    /// Calls the tick of a subscriber, or postpones it while the process is paused.
     pub(crate) fn subscriber_timer(&mut self, index: usize) {
         self.balancers[index].timer = None;
         let resume_at = self.balancers[index].paused_until;
@@ -89,6 +95,7 @@
         self.with_subscriber(index, |subscriber, now, out| subscriber.tick(now, out));
     }
 
+    /// Carries out an output of a subscriber.
     pub(crate) fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
         match output {
             SubscriberOutput::Connect { control } => {
@@ -110,7 +117,7 @@
             }
             SubscriberOutput::Send(message) => {
                 let Some(connection) = self.balancers[index].connection else {
-                    panic!("a message without a connection");
+                    panic!("balancer {index} sends a message without a connection");
                 };
                 self.send(connection, Direction::ToControl, encode(&message));
             }
@@ -135,6 +142,8 @@
         }
     }
 
+    /// Applies the oldest transaction in the queue, unless the process has restarted since it was queued, and checks
+    /// that subscriber and applier have the same resources.
     pub(crate) fn apply(&mut self, index: usize, incarnation: u32) {
         let checks_atomicity = self.schedule_options.checks_atomicity;
         let balancer = &mut self.balancers[index];
@@ -153,10 +162,10 @@
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
             for (service, applied) in &balancer.applier.services {
                 let resources: Vec<_> = subscriber.resources(service).collect();
-                // A service that has left the scope and returned is empty until its snapshot comes.
+                // A service that was removed from the scope and added again is empty until its snapshot is received.
                 assert!(
                     resources.is_empty() || resources.iter().copied().eq(applied.contents.values()),
-                    "applier and subscriber differ"
+                    "the resources of {service} differ between applier and subscriber {index}"
                 );
             }
         }
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -1,4 +1,4 @@
-//! Control machines: each reads the operators' files at its own pace, and publishes them.
+//! The control machines of the simulation: each reads the operators' log at its own pace and publishes it.
 
 use oorandom::Rand64;
 use sableloom_distribution::{
@@ -12,6 +12,7 @@
 use super::world::{Event, LARGEST_FRAME_BYTES, MILLISECOND, SECOND, World};
 
 impl World {
+    /// Starts the process of a control machine with the log that it can read, unless it is running.
     pub(crate) fn start_control(&mut self, control: usize) {
         if self.controls[control].publisher.is_some() {
             return;
@@ -22,17 +23,20 @@
         state.publisher = Some(Publisher::new(store, self.options));
     }
 
+    /// Returns a store with the changes that a control machine can read.
     pub(crate) fn read_store(&mut self, control: usize) -> Store {
         let mut store = Store::new(self.limits);
         let state = &self.controls[control];
         let history = &self.histories[state.history];
         let up_to = state.read_up_to.unwrap_or(u64::MAX).min(history.number());
         for entry in history.entries.iter().take(up_to as usize) {
-            store.append(entry.clone()).expect("the operator's change");
+            store.append(entry.clone()).expect("a valid change of the operators");
         }
         store
     }
 
+    /// Reads the new changes of the log, and replaces the store if the operators' log is another than the one that was
+    /// read. A control machine with a fork of the same epoch keeps the fork while faults are injected.
     pub(crate) fn read_log(&mut self, control: usize) {
         let next_time = self.random_time(5 * MILLISECOND, 150 * MILLISECOND);
         self.schedule(next_time, Event::Read { control });
@@ -68,11 +72,12 @@
             .collect();
         for entry in entries {
             self.with_publisher(control, |publisher, now, out| {
-                publisher.append(now, entry, out).expect("the operator's change");
+                publisher.append(now, entry, out).expect("a valid change of the operators");
             });
         }
     }
 
+    /// Calls a method of a running publisher, checks its invariants, carries out its outputs and sets its timer.
     pub(crate) fn with_publisher(
         &mut self,
         control: usize,
@@ -86,9 +91,12 @@
         let status = publisher.status();
         assert!(
             status.snapshots as usize <= self.options.max_concurrent_snapshots,
-            "more snapshots than turns"
+            "more sessions hold a snapshot slot than there are slots"
+        );
+        assert!(
+            publisher.store().log_entries() <= self.limits.log_entries,
+            "the log exceeds its limit"
         );
-        assert!(publisher.store().log_entries() <= self.limits.log_entries, "the log has no bound");
         let due = publisher.due();
         for output in out {
             self.publisher_output(control, output);
@@ -101,6 +109,7 @@
         }
     }
 
+    /// Calls the tick of a publisher, or postpones it while the process is paused.
     pub(crate) fn control_timer(&mut self, control: usize) {
         self.controls[control].timer = None;
         let resume_at = self.controls[control].paused_until;
@@ -114,6 +123,7 @@
         });
     }
 
+    /// Carries out an output of a publisher.
     pub(crate) fn publisher_output(&mut self, control: usize, output: PublisherOutput) {
         match output {
             PublisherOutput::Send { session, frame } => {
@@ -122,7 +132,7 @@
                 let bytes = self.connections.get(&session.0).map_or(0, |c| c.to_subscriber.bytes);
                 assert!(
                     bytes <= self.options.max_queued_bytes + LARGEST_FRAME_BYTES,
-                    "{bytes} bytes are queued"
+                    "{bytes} bytes are queued for a session, over the limit and a frame"
                 );
             }
             PublisherOutput::Close { session, reason } => {
@@ -133,12 +143,12 @@
         let _ = control;
     }
 
-    /// Counts the transactions that begin, and sometimes flips a bit of a body.
+    /// Counts the transactions that begin, and corrupts the bodies of some frames of changes by flipping a bit in each.
     pub(crate) fn process_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
         let Ok(Some(message)) = reader.next_message::<PublisherMessage>() else {
-            panic!("a publisher sends no message");
+            panic!("a publisher sends a frame that can't be decoded");
         };
         match message {
             PublisherMessage::Begin { .. } => {
@@ -164,6 +174,8 @@
     }
 }
 
+/// Returns options with random limits, small enough that the schedules reach them. With `checks_atomicity`, the
+/// limit of a transaction's bytes is always 8,000.
 pub(crate) fn random_publisher_options(
     random: &mut Rand64,
     checks_atomicity: bool,
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -1,4 +1,4 @@
-//! What all schedules together have exercised, by name and count.
+//! The counts of what the schedules have exercised.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,40 @@
     SubscriberCounters, SubscriberEvent,
 };
 
-/// What all schedules together have exercised.
+/// The counts of what one or more schedules have exercised.
 #[derive(Default, Debug)]
 pub(crate) struct Coverage {
     pub(crate) publisher: PublisherCounters,
     pub(crate) subscriber: SubscriberCounters,
+    /// By name, how often a connection was closed for a reason and how often a subscriber reported an event.
     pub(crate) occurrences: BTreeMap<String, u64>,
+    /// The number of simulated events.
     pub(crate) events: u64,
 }
 
-/// The name of a reason; of malformed frames by the kind of error alone.
+/// Returns the name under which a publisher's close reason is counted. All malformed frames with the same kind of error
+/// have one name.
 pub(crate) fn close_reason_name(reason: CloseReason) -> String {
     match reason {
-        CloseReason::Malformed(error) => format!("control: garbage, {}", codec_error_name(error)),
+        CloseReason::Malformed(error) => {
+            format!("control: malformed frame, {}", codec_error_name(error))
+        }
         reason => format!("control: {reason}"),
     }
 }
 
+/// Returns the kind of a codec error.
 fn codec_error_name(error: CodecError) -> &'static str {
     match error {
         CodecError::TooLong(_) => "too long",
         CodecError::Empty => "empty",
         CodecError::Version(_) => "version",
-        CodecError::Malformed => "no message",
+        CodecError::Malformed => "undecodable",
         CodecError::Overflow => "overflow",
     }
 }
 
+/// Returns the name under which a subscriber's reason to close a connection is counted.
 pub(crate) fn disconnect_reason_name(reason: &DisconnectReason) -> String {
     let name = match reason {
         DisconnectReason::ConnectFailed(_) => "connect failed",
@@ -45,13 +52,14 @@
         DisconnectReason::Violation(PublisherViolation::Malformed(CodecError::Overflow)) => {
             "overflow"
         }
-        DisconnectReason::Violation(PublisherViolation::Malformed(_)) => "garbage",
+        DisconnectReason::Violation(PublisherViolation::Malformed(_)) => "malformed frame",
         DisconnectReason::Violation(violation) => return format!("subscriber: {violation}"),
         DisconnectReason::TooLarge => "too large",
     };
     format!("subscriber: {name}")
 }
 
+/// Returns the name under which a subscriber's event is counted.
 pub(crate) fn event_name(event: &SubscriberEvent) -> &'static str {
     match event {
         SubscriberEvent::Connected { .. } => "event: connected",
@@ -66,6 +74,7 @@
     }
 }
 
+/// Adds the counters of a publisher to a total.
 pub(crate) fn add_publisher_counters(total: &mut PublisherCounters, added: PublisherCounters) {
     total.sessions += added.sessions;
     total.refused += added.refused;
@@ -82,6 +91,7 @@
     total.violations += added.violations;
 }
 
+/// Adds the counters of a subscriber to a total.
 pub(crate) fn add_subscriber_counters(total: &mut SubscriberCounters, added: SubscriberCounters) {
     total.applied += added.applied;
     total.snapshots += added.snapshots;
--- a/crates/distribution/tests/sim/faults.rs
+++ b/crates/distribution/tests/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Changes by the operators, and faults.
+//! The changes of the operators and the faults of the simulation.
 
 use std::collections::BTreeSet;
 
@@ -11,6 +11,7 @@
 use super::world::{Event, MILLISECOND, World};
 
 impl World {
+    /// Appends a random change, or the reversal of the last one, to the operators' log.
     pub(crate) fn append_operator_change(&mut self) {
         let World { histories, head_history, random, .. } = self;
         if random.rand_range(0..6) == 0 {
@@ -20,6 +21,7 @@
         }
     }
 
+    /// Continues the operators' log in a higher epoch, without up to nine of its last changes.
     pub(crate) fn start_new_epoch(&mut self) {
         let head_history = &self.histories[self.head_history];
         let (number, epoch) = (head_history.number(), head_history.epoch);
@@ -33,6 +35,8 @@
         self.head_history = self.histories.len() - 1;
     }
 
+    /// Makes a random change of the operators or injects a random fault, and schedules the next, until faults have
+    /// ended.
     pub(crate) fn inject_fault(&mut self) {
         if self.faults_ended {
             return;
@@ -77,6 +81,8 @@
         }
     }
 
+    /// Ends the process of a control machine until a time. In half of the cases its connections are closed; otherwise
+    /// the balancers receive no end of the connection.
     pub(crate) fn crash_control(&mut self, control: usize, until: i64) {
         let Some(publisher) = self.controls[control].publisher.take() else {
             return;
@@ -95,7 +101,8 @@
         self.schedule(until, Event::StartControl { control });
     }
 
-    /// A control machine restarts with an older copy of the files, or with a fork of them.
+    /// Restarts a control machine with an older copy of the operators' log, or with a fork of it if the schedule allows
+    /// forks.
     pub(crate) fn restart_with_old_log(&mut self, control: usize) {
         let number = self.histories[self.head_history].number();
         let kept = number - self.random.rand_range(0..number.clamp(1, 8));
@@ -115,6 +122,8 @@
         self.crash_control(control, restart_at);
     }
 
+    /// Ends the process of a balancer until a time. In half of the cases its connection is closed; otherwise the
+    /// control machine receives no end of the connection.
     pub(crate) fn crash_subscriber(&mut self, index: usize, until: i64) {
         let Some(subscriber) = self.balancers[index].subscriber.take() else {
             return;
@@ -134,7 +143,8 @@
         self.schedule(until, Event::StartSubscriber { subscriber: index });
     }
 
-    /// Restarts a balancer with no saved state, or with one in which a body is altered.
+    /// Restarts a balancer without its saved state, or with a saved state in which one body is altered. Does nothing if
+    /// the schedule checks atomicity.
     pub(crate) fn damage_saved_state(&mut self, index: usize, until: i64) {
         if self.schedule_options.checks_atomicity || self.balancers[index].subscriber.is_none() {
             return;
@@ -153,6 +163,8 @@
         }
     }
 
+    /// Resets the connection of a balancer: the subscriber is notified at once, and the control machine receives the
+    /// end of the stream.
     pub(crate) fn reset_connection(&mut self, index: usize) {
         if let Some(id) = self.balancers[index].connection.take() {
             self.close_side(id, Direction::ToControl);
@@ -163,12 +175,14 @@
         }
     }
 
+    /// Returns a scope of one to five random services.
     pub(crate) fn random_scope(&mut self) -> BTreeSet<ServiceName> {
         (0..self.random_below(5) + 1)
             .map(|_| service(self.random_below(SERVICE_COUNT as u64)))
             .collect()
     }
 
+    /// Replaces the scope of a balancer by a random one.
     pub(crate) fn change_scope(&mut self, index: usize) {
         let scope = self.random_scope();
         let balancer = &mut self.balancers[index];
@@ -181,6 +195,7 @@
         });
     }
 
+    /// Alters a body in the memory of a subscriber, so that its state no longer matches its digest.
     pub(crate) fn corrupt_subscriber(&mut self, index: usize) {
         let nth = self.random_below(4);
         let balancer = &mut self.balancers[index];
@@ -193,6 +208,7 @@
         }
     }
 
+    /// Sends random bytes over the connection of a balancer, in a random direction.
     pub(crate) fn send_malformed_bytes(&mut self, index: usize) {
         let Some(id) = self.balancers[index].connection else {
             return;
@@ -201,7 +217,7 @@
             if self.random_below(2) == 0 { Direction::ToControl } else { Direction::ToSubscriber };
         let mut bytes = vec![0u8; self.random_below(200) + 1];
         bytes.iter_mut().for_each(|byte| *byte = self.random.rand_range(0..256) as u8);
-        // A plausible length of the frame, so that the message in it is malformed.
+        // A correct length and version make the receiver decode the message, which is malformed.
         if bytes.len() > 5 && self.random_below(2) == 0 {
             let length = (bytes.len() - 4) as u32;
             bytes[..4].copy_from_slice(&length.to_be_bytes());
--- a/crates/distribution/tests/sim/history.rs
+++ b/crates/distribution/tests/sim/history.rs
@@ -1,4 +1,4 @@
-//! The operators' logs of changes, with the contents of each service at each version.
+//! The operators' logs of changes, with the resources of each service at each version.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -10,44 +10,53 @@
 
 /// The first byte of a body that a validating balancer rejects.
 pub(crate) const INVALID_BODY_MARKER: u8 = 0xBB;
+/// The number of services in a schedule.
 pub(crate) const SERVICE_COUNT: usize = 8;
+/// The number of resources that a service can have.
 const KEY_COUNT: u64 = 6;
 
+/// The resources of one service.
 pub(crate) type Contents = BTreeMap<ResourceName, Resource>;
 
+/// Returns the name of the service with an index.
 pub(crate) fn service(index: usize) -> ServiceName {
-    ServiceName::try_from(format!("service-{index}").as_str()).expect("a name")
+    ServiceName::try_from(format!("service-{index}").as_str()).expect("a valid name")
 }
 
+/// Returns the digest of a service with these resources.
 pub(crate) fn digest(contents: &Contents) -> u64 {
     contents.values().fold(0, |sum, resource| sum.wrapping_add(resource_digest(resource)))
 }
 
-/// A log of changes, with all contents that any service has had.
+/// A log of changes, with the resources of each service at each of its versions.
 #[derive(Clone, Default)]
 pub(crate) struct History {
     pub(crate) epoch: u32,
     pub(crate) entries: Vec<LogEntry>,
+    /// The chain hashes after all changes.
     pub(crate) chains: HashSet<u64>,
+    /// The chain hash after the last change.
     chain: u64,
-    /// The contents of the services of the last change before it.
+    /// The services that the last change touched, with their resources before it.
     before_last: Vec<(ServiceName, Contents)>,
-    /// By service: its version and contents now.
+    /// By service, its latest version and its resources.
     pub(crate) current: BTreeMap<ServiceName, (u64, Contents)>,
-    /// By service and version: its contents then.
+    /// By service and version, the resources of the service at that version.
     pub(crate) contents_by_version: HashMap<(ServiceName, u64), Contents>,
 }
 
 impl History {
+    /// Returns an empty log of an epoch.
     pub(crate) fn with_epoch(epoch: u32) -> History {
         History { epoch, ..History::default() }
     }
 
+    /// Returns the number of the last change; 0 if there is none.
     pub(crate) fn number(&self) -> u64 {
         self.entries.len() as u64
     }
 
-    /// A copy of the log up to a number, to be continued with other changes.
+    /// Returns a copy of the log up to a number, of which further changes have the given epoch.
     pub(crate) fn fork(&self, number: u64, epoch: u32) -> History {
         let mut fork = History::with_epoch(self.epoch);
         for entry in self.entries.iter().take(number as usize) {
@@ -58,6 +67,7 @@
         fork
     }
 
+    /// Appends a change.
     pub(crate) fn push(&mut self, changes: Vec<Change>) {
         let number = self.number() + 1;
         let hash = changes.iter().fold(u64::from(self.epoch), |hash, change| match change {
@@ -87,7 +97,8 @@
         self.entries.push(LogEntry { number, epoch: self.epoch, changes, hash });
     }
 
-    /// A random change: some sets and removals in one service, or in several.
+    /// Appends a random change of one to three services that sets and removes resources. A change that would be empty
+    /// is not appended.
     pub(crate) fn push_random(&mut self, random: &mut Rand64) {
         let number = self.number() + 1;
         let services = if random.rand_range(0..4) == 0 { 3 } else { 1 };
@@ -129,7 +140,7 @@
         }
     }
 
-    /// A change that restores the contents before the last one.
+    /// Appends a change that restores the resources before the last change, unless it would be empty.
     pub(crate) fn push_reversal(&mut self) {
         let number = self.number() + 1;
         let mut changes = Vec::new();
@@ -151,6 +162,7 @@
     }
 }
 
+/// Returns a resource with a random body, which a validating balancer rejects in one of twelve cases.
 fn random_resource(name: ResourceName, version: u64, random: &mut Rand64) -> Resource {
     let mut body = vec![0u8; random.rand_range(1..60) as usize];
     body.iter_mut().for_each(|byte| *byte = random.rand_range(0..128) as u8);
@@ -161,6 +173,7 @@
     Resource { name, version, origin, body: body.into() }
 }
 
+/// Returns limits of a store, with a log that holds all changes or at most 19.
 pub(crate) fn random_limits(random: &mut Rand64) -> StoreLimits {
     let log_entries =
         if random.rand_range(0..2) == 0 { 10_000 } else { random.rand_range(0..20) as usize };
--- a/crates/distribution/tests/sim/mod.rs
+++ b/crates/distribution/tests/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Control machines, subscribers and the links between them in simulated time: everything from one seed.
+//! A deterministic simulation of control machines, subscribers and the links between them in virtual time. Each
+//! schedule is derived from one seed.
 
 pub(crate) mod applier;
 mod balancers;
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -1,4 +1,4 @@
-//! Links between balancers and control machines: delayed, cut, reset, or ended in the middle of a frame.
+//! The network of the simulation, whose connections can be delayed, cut, reset, or ended in the middle of a frame.
 
 use sableloom_distribution::{DisconnectReason, SessionId};
 
@@ -6,6 +6,7 @@
 use super::world::{Event, MILLISECOND, World};
 
 impl World {
+    /// Sends bytes over a connection, with a random delay.
     pub(crate) fn send(&mut self, id: u64, direction: Direction, bytes: Vec<u8>) {
         let max_delay =
             if self.random_below(20) == 0 { 400 * MILLISECOND } else { 40 * MILLISECOND };
@@ -19,7 +20,8 @@
         }
     }
 
-    /// A side closes or fails: the other learns of it after all bytes that arrive, of which the last may be missing.
+    /// Closes the stream that a side sends, because the side closes the connection or crashes. The receiver detects the
+    /// end after the bytes in flight, whose last chunk is truncated in one of three cases.
     pub(crate) fn close_side(&mut self, id: u64, direction: Direction) {
         let draw = self.random_below(3);
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -41,6 +43,8 @@
         );
     }
 
+    /// Completes or fails an attempt to connect. Without a control machine the attempt is refused in half of the cases,
+    /// and otherwise not answered, as with a partition.
     pub(crate) fn connect(&mut self, id: u64) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -72,6 +76,7 @@
         self.with_subscriber(subscriber, |subscriber, now, out| subscriber.connected(now, out));
     }
 
+    /// Returns the time until which bytes from one side to the other are held back; 0 if there is no partition.
     pub(crate) fn partitioned_until(
         &self,
         control: usize,
@@ -81,6 +86,7 @@
         self.partitions.get(&(control, subscriber, to_control)).copied().unwrap_or(0)
     }
 
+    /// Delivers the bytes of a stream that have arrived, or postpones them while the receiver is paused or partitioned.
     pub(crate) fn deliver(&mut self, id: u64, direction: Direction) {
         let now = self.now;
         let to_control = direction == Direction::ToControl;
@@ -109,7 +115,7 @@
             return;
         }
         if receiver_closed || is_unknown || (to_control && connection.closed_by_control) {
-            // The answer is a reset.
+            // The receiver does not know the connection, or has closed it, and answers with a reset.
             self.send_reset(id, direction);
             return;
         }
@@ -134,6 +140,7 @@
         }
     }
 
+    /// Passes the next chunk that has arrived to the frame reader in two parts, and returns its length in bytes.
     pub(crate) fn take_chunk(&mut self, id: u64, direction: Direction) -> Option<usize> {
         let now = self.now;
         let stream = self.connections.get_mut(&id)?.stream(direction);
@@ -149,6 +156,7 @@
         Some(bytes.len())
     }
 
+    /// Passes all complete messages to the publisher, up to the first malformed frame.
     pub(crate) fn deliver_to_control(&mut self, id: u64, control: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -169,6 +177,8 @@
         }
     }
 
+    /// Passes all complete messages to the subscriber, up to the first malformed frame or until it closes the
+    /// connection.
     pub(crate) fn deliver_to_subscriber(&mut self, id: u64, index: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -194,6 +204,8 @@
         }
     }
 
+    /// Answers the sender of a direction with a reset: drops the bytes in flight of both directions, and closes the
+    /// reverse stream.
     pub(crate) fn send_reset(&mut self, id: u64, direction: Direction) {
         let reverse = if direction == Direction::ToControl {
             Direction::ToSubscriber
@@ -217,6 +229,8 @@
         );
     }
 
+    /// Reports the end of a stream to its receiver, unless it has closed the connection itself, and removes the
+    /// connection.
     pub(crate) fn end_connection(
         &mut self,
         id: u64,
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -16,11 +16,15 @@
 use super::history::{History, random_limits};
 use super::link::{Connection, Direction};
 
+/// One millisecond in microseconds.
 pub(crate) const MILLISECOND: i64 = 1_000;
+/// One second in microseconds.
 pub(crate) const SECOND: i64 = 1_000 * MILLISECOND;
-/// Bytes of the largest frame that a publisher makes here: its queue exceeds its limit by no more.
+/// The most bytes of a frame that a publisher sends in a schedule. A session's queue exceeds its limit by at most one
+/// frame.
 pub(crate) const LARGEST_FRAME_BYTES: usize = 3_000;
 
+/// A simulated event. Control machines and balancers are identified by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
     Deliver { connection: u64, to_control: bool },
@@ -34,62 +38,94 @@
     Fault,
 }
 
-/// What may happen in a schedule.
+/// The faults that a schedule may contain, and the check that requires their absence.
 #[derive(Clone, Copy)]
 pub(crate) struct ScheduleOptions {
-    /// Changes of several services are checked to be applied at once: the log holds all, and no scope or state is lost.
+    /// Whether changes of several services are checked to be applied together. This requires a log that holds all
+    /// changes, and excludes forks, new epochs, changes of scopes, and lost or altered state.
     pub(crate) checks_atomicity: bool,
+    /// Whether a control machine may read a fork of the operators' log.
     pub(crate) allows_forks: bool,
+    /// Whether the operators may continue the log in a new epoch.
     pub(crate) allows_new_epochs: bool,
 }
 
+/// A control machine. All times are in microseconds.
 pub(crate) struct Control {
+    /// The publisher; none while the process is not running.
     pub(crate) publisher: Option<Publisher>,
+    /// The number of starts of the process.
     pub(crate) incarnation: u32,
+    /// The index of the history that it reads.
     pub(crate) history: usize,
+    /// The number of the last change that it can read; none if it can read all.
     pub(crate) read_up_to: Option<u64>,
+    /// The time until which it reads no new changes.
     pub(crate) reading_paused_until: i64,
+    /// The time until which the process is paused.
     pub(crate) paused_until: i64,
+    /// The time of the scheduled timer event.
     pub(crate) timer: Option<i64>,
 }
 
+/// A balancer. All times are in microseconds.
 pub(crate) struct Balancer {
+    /// The subscriber; none while the process is not running.
     pub(crate) subscriber: Option<Subscriber>,
     pub(crate) applier: Applier,
+    /// The state that the subscriber saved last.
     pub(crate) saved: Option<SavedState>,
     pub(crate) scope: BTreeSet<ServiceName>,
     pub(crate) name: SubscriberName,
+    /// The number of starts of the process.
     pub(crate) incarnation: u32,
+    /// The id of the current connection.
     pub(crate) connection: Option<u64>,
+    /// The transactions that are being applied, the oldest first.
     pub(crate) apply_queue: VecDeque<Transaction>,
+    /// The time until which the process is paused.
     pub(crate) paused_until: i64,
+    /// The time of the scheduled timer event.
     pub(crate) timer: Option<i64>,
+    /// The furthest position that the process has seen.
     pub(crate) seen_position: Position,
+    /// Whether a body in the memory of the subscriber has been altered since the process started.
     pub(crate) corrupted: bool,
-    /// Transactions that were begun for the balancer.
+    /// The number of transactions that publishers have begun to send to the balancer.
     pub(crate) begun_transactions: u64,
 }
 
+/// The state of a schedule.
 pub(crate) struct World {
     pub(crate) random: Rand64,
+    /// The virtual time in microseconds.
     pub(crate) now: i64,
     pub(crate) schedule_options: ScheduleOptions,
+    /// The operators' log with its earlier epochs and forks.
     pub(crate) histories: Vec<History>,
+    /// The index of the history that the operators append to.
     pub(crate) head_history: usize,
     pub(crate) controls: Vec<Control>,
     pub(crate) balancers: Vec<Balancer>,
     pub(crate) coverage: Coverage,
+    /// Whether [`Self::end_faults`] has been called.
     pub(crate) faults_ended: bool,
+    /// The connections by id.
     pub(crate) connections: BTreeMap<u64, Connection>,
     pub(crate) next_connection: u64,
+    /// The end of each partition, in microseconds, by control machine, balancer and whether it holds back the bytes to
+    /// the control machine.
     pub(crate) partitions: HashMap<(usize, usize, bool), i64>,
+    /// The scheduled events, ordered by time and sequence number.
     pub(crate) queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
+    /// The sequence number of the last scheduled event.
     pub(crate) sequence: u64,
     pub(crate) options: PublisherOptions,
     pub(crate) limits: StoreLimits,
 }
 
 impl World {
+    /// Creates the schedule of a seed, with random options, control machines and balancers.
     pub(crate) fn new(seed: u64) -> World {
         let mut random = Rand64::new(u128::from(seed));
         let limits = random_limits(&mut random);
@@ -141,6 +177,7 @@
         world
     }
 
+    /// Adds a balancer with a random scope, and schedules its start.
     pub(crate) fn add_balancer(&mut self, index: usize) {
         let scope = self.random_scope();
         let validates = self.random_below(3) == 0;
@@ -149,7 +186,8 @@
             applier: Applier { validates, ..Applier::default() },
             saved: None,
             scope,
-            name: SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a name"),
+            name: SubscriberName::try_from(format!("balancer-{index}").as_str())
+                .expect("a valid name"),
             incarnation: 0,
             connection: None,
             apply_queue: VecDeque::new(),
@@ -162,19 +200,23 @@
         self.schedule(0, Event::StartSubscriber { subscriber: index });
     }
 
+    /// Returns a random number below a limit.
     pub(crate) fn random_below(&mut self, limit: u64) -> usize {
         self.random.rand_range(0..limit) as usize
     }
 
+    /// Schedules an event at a time in microseconds, or now if that time has passed.
     pub(crate) fn schedule(&mut self, at: i64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at.max(self.now), self.sequence, event)));
     }
 
+    /// Returns a random time from `from` to `to` microseconds after now, without `to`.
     pub(crate) fn random_time(&mut self, from: i64, to: i64) -> i64 {
         self.now + from + self.random_below((to - from).max(1) as u64) as i64
     }
 
+    /// Handles all events up to a time, and sets the virtual time to it.
     pub(crate) fn run_until(&mut self, end: i64) {
         while let Some(Reverse((at, _, _))) = self.queue.peek()
             && *at <= end
@@ -189,6 +231,7 @@
         self.now = end;
     }
 
+    /// Handles one event.
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { connection, to_control: true } => {
@@ -208,11 +251,11 @@
         }
     }
 
-    /// Ends all faults; no further fault happens.
+    /// Ends all faults, restarts all processes that are not running, and lets no further fault happen.
     pub(crate) fn end_faults(&mut self) {
         self.faults_ended = true;
         if self.schedule_options.allows_forks {
-            // A subscriber that has followed a diverged control machine follows no other before the epoch is raised.
+            // A subscriber that has followed a diverged control machine follows no other until the epoch is raised.
             let head_history = &mut self.histories[self.head_history];
             head_history.epoch += 1;
             let number = head_history.number();
@@ -234,6 +277,7 @@
         }
     }
 
+    /// Adds the counters of all running processes to the coverage.
     pub(crate) fn collect_counters(&mut self) {
         for control in &self.controls {
             let counters = control
@@ -252,7 +296,7 @@
         }
     }
 
-    /// Whether a balancer is in a session and its last bookmark is at the head of the log.
+    /// Returns whether a balancer is connected and its last bookmark is at the end of the operators' log.
     pub(crate) fn is_current(&self, index: usize) -> bool {
         let status = self.balancers[index]
             .subscriber
@@ -264,7 +308,7 @@
         })
     }
 
-    /// The state of a balancer and of the control machines, for the message of a failure.
+    /// Returns the state of a balancer and of the control machines, for the message of a failed check.
     pub(crate) fn describe(&self, index: usize) -> String {
         let now = Time(self.now);
         let subscriber =
@@ -280,7 +324,8 @@
         format!("head {head}, {subscriber:#?}, {publishers:#?}, {occurrences:#?}")
     }
 
-    pub(crate) fn count_occurrence(&mut self, what: &str) {
-        *self.coverage.occurrences.entry(what.to_owned()).or_default() += 1;
+    /// Counts a close reason or an event under its name.
+    pub(crate) fn count_occurrence(&mut self, name: &str) {
+        *self.coverage.occurrences.entry(name.to_owned()).or_default() += 1;
     }
 }
--- a/crates/distribution/tests/simulation.rs
+++ b/crates/distribution/tests/simulation.rs
@@ -1,5 +1,6 @@
-//! Thousands of seeded schedules of control machines and balancers over links that delay, drop and cut connections.
-//! `SEED=n` plays one schedule, `SCHEDULES=n` that number of them.
+//! A simulation of control machines and balancers in thousands of random schedules, over links that delay, drop and cut
+//! connections. The environment variable `SEED=n` runs the schedule of one seed, and `SCHEDULES=n` changes the number
+//! of schedules.
 
 mod sim;
 
@@ -10,17 +11,19 @@
 use sim::history::{Contents, service};
 use sim::world::World;
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
+/// The default number of schedules; [`check_coverage`] is called for at least this number.
 const SCHEDULES: u64 = 5_000;
 const THREADS: u64 = 4;
 
-/// All reasons for which a connection is closed in the schedules, and all events of subscribers.
+/// All reasons for which the schedules may close a connection, and all events that subscribers may report.
 const OCCURRENCES: &[&str] = &[
     "control: consecutive transactions did not match the state of the subscriber",
     "control: does not acknowledge",
     "control: does not read what is sent",
-    "control: garbage, no message",
-    "control: garbage, too long",
+    "control: malformed frame, undecodable",
+    "control: malformed frame, too long",
     "control: refused",
     "control: silent",
     "control: the store was replaced, as another log has been read",
@@ -35,10 +38,11 @@
     "event: unreachable",
     "subscriber: behind",
     "subscriber: diverged",
-    "subscriber: garbage",
+    "subscriber: malformed frame",
     "subscriber: silent",
 ];
 
+/// Runs the schedule of one seed: a period with faults, a period without faults, and the checks of the final state.
 fn run_schedule(seed: u64) -> Coverage {
     let mut world = World::new(seed);
     let fault_seconds = 5 + world.random_below(25) as i64;
@@ -53,7 +57,8 @@
     world.coverage
 }
 
-/// After a time without faults each balancer has exactly what the operators' files say, but for what it rejects.
+/// Checks that after a period without faults, each balancer has applied exactly the contents of the operators' log,
+/// except for services of which it has rejected a version.
 fn check_agreement(world: &World) {
     let head_history = &world.histories[world.head_history];
     for (index, balancer) in world.balancers.iter().enumerate() {
@@ -62,11 +67,11 @@
             "balancer {index} is not current: {}",
             world.describe(index)
         );
-        let subscriber = balancer.subscriber.as_ref().expect("a subscriber");
+        let subscriber = balancer.subscriber.as_ref().expect("a running subscriber");
         let rejected = subscriber.status(sableloom_types::Time(world.now)).rejected;
         assert!(
             balancer.applier.validates || rejected.is_empty(),
-            "balancer {index} has refused something"
+            "balancer {index} has rejected {rejected:?} although it validates nothing"
         );
         for service in balancer.scope.iter().filter(|service| !rejected.contains(service)) {
             let empty = (0, Contents::new());
@@ -77,12 +82,13 @@
             assert_eq!(found, (*version, contents), "balancer {index}, {service}");
             assert!(
                 subscriber.resources(service).eq(contents.values()),
-                "balancer {index} has drifted in {service}"
+                "the resources of {service} at balancer {index} differ from the log"
             );
         }
     }
 }
 
+/// Checks that balancers that have the latest versions receive no transaction when they reconnect.
 fn check_resume_sends_nothing(world: &mut World, from: i64) {
     let before: Vec<u64> =
         world.balancers.iter().map(|balancer| balancer.begun_transactions).collect();
@@ -94,11 +100,12 @@
         assert!(world.is_current(index), "balancer {index} is not current after a reset");
         assert_eq!(
             balancer.begun_transactions, before[index],
-            "balancer {index} was sent what it has"
+            "balancer {index} was sent versions that it had applied"
         );
     }
 }
 
+/// Checks that a change of one service leads to transactions only for the balancers that subscribe to it.
 fn check_change_reaches_only_its_subscribers(world: &mut World, from: i64) {
     let changed = service(0);
     let head_history = &mut world.histories[world.head_history];
@@ -116,21 +123,26 @@
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(world.is_current(index), "balancer {index} is not current after a change");
         let begun = balancer.begun_transactions - before[index];
-        // What was rejected before may be sent again with the change, in as many transactions as it has services.
+        // Services that the balancer has rejected may be sent again with the change, in at most one transaction per
+        // service of its scope.
         let max_transactions =
             if balancer.applier.validates { balancer.scope.len() as u64 } else { 1 };
         let is_subscribed = balancer.scope.contains(&changed);
         let expected = if is_subscribed { 1..=max_transactions } else { 0..=0 };
-        assert!(expected.contains(&begun), "{begun} transactions for balancer {index}");
+        assert!(
+            expected.contains(&begun),
+            "{begun} transactions were begun for balancer {index}; expected {expected:?}"
+        );
     }
 }
 
+/// Runs the schedules of the seeds from `from` to `to`, without `to`, and adds up their coverage.
 fn run_schedules(from: u64, to: u64) -> Coverage {
     let mut total = Coverage::default();
     for seed in from..to {
         let result = catch_unwind(AssertUnwindSafe(|| run_schedule(seed)));
         let Ok(coverage) = result else {
-            panic!("schedule of seed {seed} failed; SEED={seed} plays it alone");
+            panic!("the schedule of seed {seed} failed; SEED={seed} runs it alone");
         };
         add_publisher_counters(&mut total.publisher, coverage.publisher);
         add_subscriber_counters(&mut total.subscriber, coverage.subscriber);
@@ -142,6 +154,7 @@
     total
 }
 
+/// Returns the number in an environment variable, or `None` if it is not set or no number.
 fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
@@ -162,7 +175,7 @@
             })
             .collect();
         for thread in threads {
-            let coverage = thread.join().expect("all schedules");
+            let coverage = thread.join().expect("every schedule passes");
             add_publisher_counters(&mut total.publisher, coverage.publisher);
             add_subscriber_counters(&mut total.subscriber, coverage.subscriber);
             for (reason, count) in coverage.occurrences {
@@ -172,32 +185,32 @@
         }
     });
     println!("{total:#?}");
-    // Any other reason would mean that one side violates the protocol.
+    // Any other reason means that one side has violated the protocol.
     let unexpected: Vec<_> =
         total.occurrences.keys().filter(|reason| !OCCURRENCES.contains(&reason.as_str())).collect();
-    assert!(unexpected.is_empty(), "{unexpected:?}");
+    assert!(unexpected.is_empty(), "unexpected reasons or events: {unexpected:?}");
     if schedules >= SCHEDULES {
         check_coverage(&total);
     }
 }
 
-/// A defence that no schedule has exercised would not have been tested.
+/// Checks that the schedules have exercised each mechanism: one that never comes into effect would not be tested.
 fn check_coverage(total: &Coverage) {
     let exercised = [
         ("transactions", total.publisher.transactions),
         ("snapshots", total.publisher.snapshots),
         ("deltas", total.publisher.transactions - total.publisher.snapshots),
         ("groups split by size", total.publisher.split_groups),
-        ("changes taken into an open transaction", total.publisher.merged_changes),
-        ("refusals for content", total.subscriber.rejected),
-        ("wrong digests", total.subscriber.mismatches),
+        ("changes merged into an open transaction", total.publisher.merged_changes),
+        ("transactions rejected for their content", total.subscriber.rejected),
+        ("transactions with a wrong base or digest", total.subscriber.mismatches),
         ("drift", total.subscriber.drifts),
     ];
     for (name, count) in exercised {
-        assert!(count >= 100, "{name}: {count} in all schedules");
+        assert!(count >= 100, "{name}: {count} in all schedules, expected at least 100");
     }
     for reason in OCCURRENCES {
         let count = total.occurrences.get(*reason).copied().unwrap_or(0);
-        assert!(count >= 1, "{reason}: never in all schedules");
+        assert!(count >= 1, "{reason}: did not occur in any schedule");
     }
 }
--- a/crates/distribution/tests/store.rs
+++ b/crates/distribution/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store: which changes it appends, and what its log holds.
+//! Tests of the store: which changes it appends, the bounds of its log, and which positions it can resume.
 
 use sableloom_distribution::{
     AppendError, Change, LogEntry, Origin, Position, Refusal, Resource, ResourceName, ServiceName,
@@ -6,7 +6,7 @@
 };
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::try_from(name).expect("a name")
+    ServiceName::try_from(name).expect("a valid name")
 }
 
 fn set(name: ResourceName, version: u64, body: &[u8]) -> Change {
@@ -22,10 +22,11 @@
     LogEntry { number, epoch: 1, changes, hash: number }
 }
 
+/// Returns a store to which this number of changes of one server has been appended.
 fn store_with(changes: u64, limits: StoreLimits) -> Store {
     let mut store = Store::new(limits);
     for number in 1..=changes {
-        store.append(entry(number, vec![set(server("a"), number, b"x")])).expect("a change");
+        store.append(entry(number, vec![set(server("a"), number, b"x")])).expect("a valid change");
     }
     store
 }
@@ -109,7 +110,7 @@
         ServiceVersion { service: service("points"), version: 3, digest: 0 }
     );
     assert_eq!((store.resources(&service("points")).count(), store.resource_count()), (0, 1));
-    // The service can be set again.
+    // A service that was removed can have resources again.
     store.append(entry(4, vec![set(server("a"), 4, b"x")])).unwrap();
     assert_eq!(store.resources(&service("points")).count(), 1);
 }
@@ -127,7 +128,7 @@
     assert_eq!(
         first.service_version(&service("points")).digest,
         digest,
-        "a change and its reversal"
+        "the reversal of a change restores the digest"
     );
 }
 
@@ -144,7 +145,7 @@
     let empty = Store::new(StoreLimits::default());
     assert!(
         matches!(empty.check_resume(Position::default()), Err(Refusal::Behind { .. })),
-        "nothing has been read yet"
+        "an empty store is behind every position"
     );
     let store =
         store_with(10, StoreLimits { log_entries: 2, chain_entries: 5, ..StoreLimits::default() });
@@ -159,7 +160,7 @@
     assert_eq!(
         store.check_resume(Position { chain: 1, ..at(5) }),
         Ok(()),
-        "older than all chains that are kept"
+        "a position older than all chain hashes kept is accepted"
     );
     assert_eq!(store.check_resume(at(11)), Err(Refusal::Behind { position: current }));
     assert_eq!(
@@ -169,7 +170,7 @@
     assert_eq!(
         store.check_resume(Position { epoch: 0, number: 99, chain: 1 }),
         Ok(()),
-        "a lower epoch is history"
+        "a position of a lower epoch is accepted"
     );
 }
 
@@ -181,20 +182,26 @@
     let digest_without_tenants = digest(&store);
     store
         .append(entry(2, vec![set(tenant("a"), 2, b"1"), set(tenant("b"), 2, b"1")]))
-        .expect("a change");
+        .expect("a valid change");
     assert_eq!((store.resource_count(), store.tenant_count()), (3, 2));
-    // Set again: it is still one tenant.
-    store.append(entry(3, vec![set(tenant("a"), 3, b"2")])).expect("a change");
+    // A tenant that is set again is counted once.
+    store.append(entry(3, vec![set(tenant("a"), 3, b"2")])).expect("a valid change");
     assert_eq!(store.tenant_count(), 2);
     let remove = |name: &str, version| Change::Remove { name: tenant(name), version };
-    store.append(entry(4, vec![remove("a", 4), remove("b", 4)])).expect("a change");
+    store.append(entry(4, vec![remove("a", 4), remove("b", 4)])).expect("a valid change");
     assert_eq!((store.resource_count(), store.tenant_count()), (1, 0));
-    assert_eq!(digest(&store), digest_without_tenants, "nothing of them is left");
+    assert_eq!(
+        digest(&store),
+        digest_without_tenants,
+        "removed tenants leave nothing in the digest"
+    );
     // A tenant and a server of the same name are two resources with different digests.
-    store.append(entry(5, vec![set(tenant("a"), 1, b"x")])).expect_err("another version");
-    store.append(entry(5, vec![set(tenant("a"), 5, b"x")])).expect("a change");
+    store
+        .append(entry(5, vec![set(tenant("a"), 1, b"x")]))
+        .expect_err("a version other than the number of the change");
+    store.append(entry(5, vec![set(tenant("a"), 5, b"x")])).expect("a valid change");
     assert_ne!(digest(&store), digest_without_tenants.wrapping_mul(2));
     let service_removal = Change::RemoveService { service: service("points"), version: 6 };
-    store.append(entry(6, vec![service_removal])).expect("a change");
+    store.append(entry(6, vec![service_removal])).expect("a valid change");
     assert_eq!((store.resource_count(), store.tenant_count()), (0, 0));
 }
