--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -639,7 +639,7 @@
 }
 
 #[test]
-fn the_status_reports_since_when_a_subscriber_lags_and_why_the_log_is_blocked() {
+fn the_status_reports_how_long_a_subscriber_has_lagged_and_why_the_log_is_blocked() {
     let mut machine = machine();
     machine.set_server("points", "a");
     machine.connect(1, Position::default(), vec![machine.latest_version("points")]);
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -8,8 +8,8 @@
 };
 use sableloom_types::{Span, Time};
 
+use super::connection::{Connection, Direction};
 use super::coverage::{disconnect_reason_name, event_name};
-use super::link::{Connection, Direction};
 use super::world::{Event, MILLISECOND, SECOND, World};
 
 impl World {
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -7,8 +7,8 @@
 };
 use sableloom_types::{Span, Time};
 
+use super::connection::Direction;
 use super::coverage::close_reason_name;
-use super::link::Direction;
 use super::world::{Event, LARGEST_FRAME_BYTES, MILLISECOND, SECOND, World};
 
 impl World {
--- a/crates/distribution/tests/sim/faults.rs
+++ b/crates/distribution/tests/sim/faults.rs
@@ -5,9 +5,9 @@
 use sableloom_distribution::{DisconnectReason, PROTOCOL_VERSION, ServiceName};
 use sableloom_types::Time;
 
+use super::connection::Direction;
 use super::coverage::{add_publisher_counters, add_subscriber_counters};
 use super::history::{SERVICE_COUNT, service};
-use super::link::Direction;
 use super::world::{Event, MILLISECOND, World};
 
 impl World {
--- a/crates/distribution/tests/sim/mod.rs
+++ b/crates/distribution/tests/sim/mod.rs
@@ -3,10 +3,10 @@
 
 pub(crate) mod applier;
 mod balancers;
+mod connection;
 mod controls;
 pub(crate) mod coverage;
 mod faults;
 pub(crate) mod history;
-mod link;
 mod network;
 pub(crate) mod world;
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -2,7 +2,7 @@
 
 use sableloom_distribution::{DisconnectReason, SessionId};
 
-use super::link::Direction;
+use super::connection::Direction;
 use super::world::{Event, MILLISECOND, World};
 
 impl World {
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -11,10 +11,10 @@
 use sableloom_types::Time;
 
 use super::applier::Applier;
+use super::connection::{Connection, Direction};
 use super::controls::random_publisher_options;
 use super::coverage::{Coverage, add_publisher_counters, add_subscriber_counters};
 use super::history::{History, random_limits};
-use super::link::{Connection, Direction};
 
 /// One millisecond in microseconds.
 pub(crate) const MILLISECOND: i64 = 1_000;
