--- a/crates/distribution/src/publisher/session/mod.rs
+++ b/crates/distribution/src/publisher/session/mod.rs
@@ -1,8 +1,8 @@
 //! The session of one subscriber: the versions that it has applied, and the services that are pending or in flight.
 //!
 //! Pending changes are stored as a set of services and not as a queue of messages: a transaction is built when it can
-//! be sent, from the version that the subscriber has applied to the latest one. The memory of a session therefore does
-//! not depend on the number of changes.
+//! be sent, from the version that the subscriber has applied to the latest one. Further changes of a pending service
+//! therefore take no memory in the session.
 //!
 //! A service is idle, pending (in one group with the services that changed together with it), in flight (in one
 //! transaction), or both pending and in flight. A service that is in flight is not sent again before its transaction
