--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -97,7 +97,7 @@
         }
         self.in_flight.release_abandoned(now, self.servers.all_mut());
         self.refresh(now);
-        self.abandon_overdue(now, out);
+        self.reject_or_fail_overdue(now, out);
         self.dispatch(now, out);
         if self.polling.is_due(now, &mut self.rng) {
             out.push(Action::Subscribe);
@@ -243,12 +243,12 @@
         if may_retry && now < request.queue_deadline {
             self.enqueue_retry(id);
         } else {
-            self.abandon(id, out);
+            self.reject_or_fail(id, out);
         }
     }
 
     /// Answers a request that is not served: rejects it if its client may safely repeat it, else fails it.
-    fn abandon(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if self.retry_rules().may_reject(request) {
             self.reject(id, out);
@@ -291,12 +291,12 @@
     }
 
     /// Answers the queued requests whose queue deadline has passed.
-    fn abandon_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn reject_or_fail_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |request: &OpenRequest| request.queued && now >= request.queue_deadline;
         let is_overdue = |id: &RequestId| self.requests.get(*id).is_some_and(overdue);
         let ids: Vec<RequestId> = self.queue.entries().filter(is_overdue).collect();
         for id in ids {
-            self.abandon(id, out);
+            self.reject_or_fail(id, out);
         }
     }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -23,8 +23,8 @@
     /// Whether a request may be forwarded to this server now. A keyed request may be forwarded only to a server that
     /// recognises it as a repeat of all earlier attempts that may have been executed.
     pub(crate) fn may_forward(&self, now: Time, request: &OpenRequest, server: usize) -> bool {
-        let spent = request.attempts.len() >= self.limits.max_attempts;
-        if request.ended || now >= request.deadline || spent {
+        let attempts_used_up = request.attempts.len() >= self.limits.max_attempts;
+        if request.ended || now >= request.deadline || attempts_used_up {
             return false;
         }
         if request.in_flight() && !self.limits.hedging {
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -216,7 +216,7 @@
         let mut spreads = vec![Spread::default(); self.machine_types.len()];
         for server in servers.iter_mut() {
             server.estimate.decay(remaining);
-            let own = server.estimate.own_mean();
+            let own = server.estimate.own_slowness();
             let estimate = self.machine_types.get(server.machine_type as usize);
             if let Some(estimate) = estimate.filter(|_| own.count >= MIN_ANSWERS_FOR_SPREAD) {
                 let spread = &mut spreads[server.machine_type as usize];
@@ -226,11 +226,11 @@
             }
         }
         for (estimate, spread) in self.machine_types.iter_mut().zip(spreads) {
-            let credible = match spread.servers > 0.0 {
+            let prior_answers = match spread.servers > 0.0 {
                 true => estimate.noise.value / (spread.sum / spread.servers).max(MIN_VARIANCE),
                 false => f64::MAX,
             };
-            estimate.prior_answers = credible.clamp(MIN_PRIOR_ANSWERS, MAX_PRIOR_ANSWERS);
+            estimate.prior_answers = prior_answers.clamp(MIN_PRIOR_ANSWERS, MAX_PRIOR_ANSWERS);
         }
         for server in servers {
             let prior = self.prior(server.machine_type);
--- a/crates/policy/src/service_time_estimate.rs
+++ b/crates/policy/src/service_time_estimate.rs
@@ -25,13 +25,13 @@
     /// shrinkage towards the mean of the machine type.
     slowness: f64,
     /// The slowness from the server's own answers alone.
-    own_mean: Mean,
+    own_slowness: Mean,
 }
 
 impl ServiceTimeEstimate {
     /// The estimate before any answer.
     pub(crate) const UNKNOWN: Self =
-        Self { round_trip: None, slowness: 1.0, own_mean: Mean::assumed(1.0) };
+        Self { round_trip: None, slowness: 1.0, own_slowness: Mean::assumed(1.0) };
 
     /// The shortest round trip that was observed, in microseconds; `None` before the first.
     pub(crate) fn round_trip(&self) -> Option<f64> {
@@ -39,13 +39,13 @@
     }
 
     /// The mean slowness of the server's own answers.
-    pub(crate) fn own_mean(&self) -> Mean {
-        self.own_mean
+    pub(crate) fn own_slowness(&self) -> Mean {
+        self.own_slowness
     }
 
     /// Multiplies the number of answers that the own mean rests on by `remaining`, from 0 to 1.
     pub(crate) fn decay(&mut self, remaining: f64) {
-        self.own_mean.count *= remaining;
+        self.own_slowness.count *= remaining;
     }
 
     /// The slowness relative to the mean of all servers.
@@ -55,7 +55,7 @@
 
     /// Discards the weight of the own answers, so that the next ones replace them. The round trip is kept.
     pub(crate) fn discard_observations(&mut self) {
-        self.own_mean.count = 0.0;
+        self.own_slowness.count = 0.0;
     }
 
     /// Adds the end of an attempt, where `mean` is the mean latency of its class at the server's machine type. For a
@@ -64,26 +64,28 @@
         if outcome == Outcome::Rejected && latency < mean * QUICK_REJECTION_FRACTION {
             self.round_trip = Some(self.round_trip.map_or(latency, |least| least.min(latency)));
         }
-        let service = (latency - self.round_trip.unwrap_or(0.0)).max(1.0) / mean;
-        let service = match outcome {
-            Outcome::Ok => service,
-            Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(MIN_FAILURE_SLOWNESS),
+        let answer_slowness = (latency - self.round_trip.unwrap_or(0.0)).max(1.0) / mean;
+        let answer_slowness = match outcome {
+            Outcome::Ok => answer_slowness,
+            Outcome::Error | Outcome::Timeout | Outcome::Reset => {
+                answer_slowness.max(MIN_FAILURE_SLOWNESS)
+            }
             _ => return None,
         };
-        let deviation = service.min(MAX_SLOWNESS) - self.own_mean.value;
-        let before = self.own_mean.count;
-        self.own_mean.count = (before + 1.0).min(MAX_OWN_ANSWERS);
-        self.own_mean.value += deviation / self.own_mean.count;
-        let shows_noise = outcome == Outcome::Ok && before >= 1.0;
+        let deviation = answer_slowness.min(MAX_SLOWNESS) - self.own_slowness.value;
+        let earlier_answers = self.own_slowness.count;
+        self.own_slowness.count = (earlier_answers + 1.0).min(MAX_OWN_ANSWERS);
+        self.own_slowness.value += deviation / self.own_slowness.count;
+        let measures_noise = outcome == Outcome::Ok && earlier_answers >= 1.0;
         // The factor corrects for the error of a mean that rests on few answers.
-        shows_noise.then_some(deviation * deviation * before / (before + 1.0))
+        measures_noise.then_some(deviation * deviation * earlier_answers / (earlier_answers + 1.0))
     }
 
     /// Shrinks the slowness from the server's own mean towards that of its machine type.
     pub(crate) fn shrink(&mut self, prior: Prior) {
         self.slowness = (prior.slowness * prior.answers
-            + self.own_mean.value * self.own_mean.count)
-            / (prior.answers + self.own_mean.count);
+            + self.own_slowness.value * self.own_slowness.count)
+            / (prior.answers + self.own_slowness.count);
     }
 }
 
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -148,14 +148,15 @@
         let elapsed = elapsed.as_micros_f64();
         let weights = self.warm_weights(now, servers);
         let window = self.window.as_micros_f64().max(1.0);
-        let memory = self.duration.as_micros_f64().max(1.0);
+        let decay_time = self.duration.as_micros_f64().max(1.0);
         let remaining = (-elapsed / window).exp();
         self.machine_types.iter_mut().for_each(|rate| rate.served *= remaining);
         // The decaying peak is used instead of the current rate. Otherwise, when the warm servers slowed down, the cold
         // ones, which had not, were limited with them.
         let update = |peak: &mut f64, served: f64, weight: f64| {
-            let seen = if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
-            *peak = (*peak * (-elapsed / memory).exp()).max(seen);
+            let observed =
+                if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
+            *peak = (*peak * (-elapsed / decay_time).exp()).max(observed);
         };
         let served = self.machine_types.iter().map(|rate| rate.served).sum();
         update(&mut self.overall_peak, served, weights.iter().sum());
--- a/crates/policy/tests/request_path/endpoints_and_settings.rs
+++ b/crates/policy/tests/request_path/endpoints_and_settings.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn with_an_empty_list_a_request_is_rejected_before_its_objective() {
+fn with_an_empty_list_a_request_is_rejected_before_its_latency_objective() {
     let mut w = World::new(settings());
     w.request(1, 2);
     w.advance(Span(200 * MS));
@@ -42,14 +42,17 @@
 
 #[test]
 fn unusable_settings_are_an_error_or_replaced_by_safe_values() {
-    let none = PolicySettings { classes: vec![], ..settings() };
-    assert_eq!(Balancer::new(none, 1, Time(0)).err(), Some(PolicySettingsError::NoClasses));
-    let mut bad = settings();
-    bad.classes[1].latency_objective = Span(0);
-    assert_eq!(Balancer::new(bad, 1, Time(0)).err(), Some(PolicySettingsError::NonPositiveTime(1)));
-    let mut odd = PolicySettings { tick: Span(0), balancers: 0, ..settings() };
-    odd.safety_rules.slow_start_initial_share = 0.0;
-    let mut w = World::with_servers(odd, 1);
+    let no_classes = PolicySettings { classes: vec![], ..settings() };
+    assert_eq!(Balancer::new(no_classes, 1, Time(0)).err(), Some(PolicySettingsError::NoClasses));
+    let mut zero_objective = settings();
+    zero_objective.classes[1].latency_objective = Span(0);
+    assert_eq!(
+        Balancer::new(zero_objective, 1, Time(0)).err(),
+        Some(PolicySettingsError::NonPositiveTime(1))
+    );
+    let mut out_of_range = PolicySettings { tick: Span(0), balancers: 0, ..settings() };
+    out_of_range.safety_rules.slow_start_initial_share = 0.0;
+    let mut w = World::with_servers(out_of_range, 1);
     w.request(1, 0);
     assert!(w.in_flight_server(1).is_some());
 }
--- a/crates/policy/tests/request_path/selection.rs
+++ b/crates/policy/tests/request_path/selection.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_key_is_forwarded_to_one_server_while_that_has_a_free_slot() {
+fn requests_with_one_key_are_forwarded_to_one_server_while_it_has_a_free_slot() {
     let mut w = World::with_servers(PolicySettings { key_affinity: true, ..settings() }, 8);
     for i in 0..10 {
         w.request(i * 5, 0);
@@ -204,12 +204,13 @@
 fn a_zone_that_answers_again_is_selected_again() {
     // Guards against an ejection that outlasts its cause: the zone would get one request at a time forever.
     let mut w = World::with_servers(settings(), 4);
-    let in_lost_zone =
+    let in_unreachable_zone =
         |w: &World, id| w.in_flight_server(id).is_some_and(|server: ServerId| server.0 % 2 == 1);
     for id in 0..8 {
         w.request(id, 0);
         for attempt in 0..3 {
-            let outcome = if in_lost_zone(&w, id) { Outcome::ConnectFailed } else { Outcome::Ok };
+            let outcome =
+                if in_unreachable_zone(&w, id) { Outcome::ConnectFailed } else { Outcome::Ok };
             w.end_attempt(id, attempt, outcome);
         }
     }
@@ -217,7 +218,8 @@
     for round in 0..50 {
         let ids = 100 + round * 8..108 + round * 8;
         ids.clone().for_each(|id| w.request(id, 0));
-        forwards_to_zone += ids.clone().filter(|&id| round >= 25 && in_lost_zone(&w, id)).count();
+        forwards_to_zone +=
+            ids.clone().filter(|&id| round >= 25 && in_unreachable_zone(&w, id)).count();
         w.advance(Span(20 * MS));
         ids.for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
     }
--- a/crates/policy/tests/request_path/slow_start.rs
+++ b/crates/policy/tests/request_path/slow_start.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_fleet_in_which_every_server_warms_up_gets_requests() {
+fn a_pool_in_which_every_server_warms_up_gets_requests() {
     // Guards against a rate that comes from warm servers alone: without any, no server got a request.
     let mut w = World::new(settings());
     let cold = |i| Endpoint { started: Some(w.now), ..endpoint(i, 0) };
@@ -47,7 +47,7 @@
     // slowed down, and the rate of the new ones fell with them.
     let mut w = World::with_servers(settings(), 2);
     let mut id = 0;
-    let mut forwards_to_cold = |w: &mut World, rounds: i64, warm_every: i64| {
+    let mut forwards_to_cold = |w: &mut World, rounds: i64, warm_answer_rounds: i64| {
         let before = w.forwards_to(2);
         for round in 0..rounds {
             for _ in 0..4 {
@@ -57,7 +57,7 @@
             w.advance(Span(20 * MS));
             for earlier in id.saturating_sub(40)..id {
                 let warm = w.in_flight_server(earlier).is_some_and(|s| s.0 < 2);
-                if !warm || round % warm_every == 0 {
+                if !warm || round % warm_answer_rounds == 0 {
                     w.end_attempt(earlier, 0, Outcome::Ok);
                 }
             }
@@ -76,9 +76,9 @@
 }
 
 /// The number of forwards to the server `cold`, which restarts in a fleet of `n`, in the two seconds after a list of
-/// all `n` reports the restart. Before that list, the balancer knows only the first `known` servers.
-fn forwards_after_restart(cold: u32, known: u32, n: u32) -> usize {
-    let mut w = World::with_servers(settings(), known);
+/// all `n` reports the restart. Before that list, the balancer knows only the first `listed` servers.
+fn forwards_after_restart(cold: u32, listed: u32, n: u32) -> usize {
+    let mut w = World::with_servers(settings(), listed);
     let mut id = 0;
     let mut run = |w: &mut World| {
         for _ in 0..100 {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_fleet_that_restarts_but_for_one_server_is_not_overloaded() {
+fn a_pool_that_restarts_except_for_one_server_is_not_overloaded() {
     // Guards against the rate of many servers being taken for that of the one that is still warm.
     let mut w = World::with_servers(settings(), 40);
     let mut id = 0;
--- a/crates/policy/tests/safety_rules.rs
+++ b/crates/policy/tests/safety_rules.rs
@@ -89,7 +89,7 @@
     List { id: u32, status: EndpointStatus, cold: bool },
     FullList { count: u32 },
     Unavailable,
-    StrayTimer { token: u64 },
+    UnknownTimer { token: u64 },
 }
 
 fn outcomes() -> impl Strategy<Value = Outcome> {
@@ -121,7 +121,7 @@
             .prop_map(|(id, status, cold)| Event::List { id, status, cold }),
         1 => (0..8u32).prop_map(|count| Event::FullList { count }),
         1 => Just(Event::Unavailable),
-        1 => (0..9u64).prop_map(|token| Event::StrayTimer { token }),
+        1 => (0..9u64).prop_map(|token| Event::UnknownTimer { token }),
     ]
 }
 
@@ -148,7 +148,7 @@
                 w.update_list(ListKind::Full, &list);
             }
             Event::Unavailable => w.update_list(ListKind::Unavailable, &[]),
-            Event::StrayTimer { token } => {
+            Event::UnknownTimer { token } => {
                 let mut actions = vec![];
                 w.balancer.timer_fired(w.now, token + 1000, &mut actions);
                 assert!(actions.is_empty());
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_slow_answer_does_not_reject_for_good_requests_with_less_time_than_the_objective() {
+fn a_slow_answer_does_not_permanently_reject_requests_with_less_time_than_the_objective() {
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
     // The answer meets the latency objective, but takes longer than the later clients wait.
--- a/crates/tenant-limits/tests/limits.rs
+++ b/crates/tenant-limits/tests/limits.rs
@@ -196,7 +196,7 @@
     limits.remove_service("partners");
     limits.remove_service("partners");
     assert_eq!((limits.len(), limits.is_empty()), (1, false));
-    let names: Vec<String> = (0..1_000).map(|name| format!("stranger-{name}")).collect();
+    let names: Vec<String> = (0..1_000).map(|name| format!("unlimited-{name}")).collect();
     let allocated = allocation_counter::measure(|| {
         for name in &names {
             let decision = limits.check(Time(START), "points", name, LimitShare::ALL);
