--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,17 +1,21 @@
-//! Admission: a request is rejected immediately when the requests queued and in flight reach the sum of `N_i`.
+//! Admission: a request is rejected immediately when the requests queued and in flight reach the sum of `N_i`, the
+//! number of requests that server `i` answers within T_QoS, the target time for answers.
 
 use sableloom_types::{AttemptLimits, Request, RequestClass, Span, Time};
 
 use crate::service_time::ServiceTimes;
 
-/// The share of its latency objective that queueing and service may take. The rest is for the spread of service times.
+/// The share of a latency objective that queueing and service may take together. The rest is for the spread of service
+/// times.
 const OBJECTIVE_FRACTION_FOR_SERVICE: f64 = 0.7;
-/// The share of the tolerable wait that the class with the least weight for its work may use.
+/// The share of the tolerable wait that the class with the lowest priority may use, and the factor on the share of a
+/// class for a request that does not have the full share.
 const MIN_PRIORITY_SHARE: f64 = 0.2;
 /// The shortest Retry-After, as a share of the mean service time.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
-/// A request whose time left is less than this share of the median timeout counts as a retry of its client, whose
-/// deadline runs from the first try. The rest allows for the way from the client to the balancer.
+/// A request that arrives with less time left than this share of the median timeout counts as a client's retry, since
+/// the deadline counts from the client's first try. The remaining share allows for the delay between client and
+/// balancer.
 const MIN_FIRST_TRY_FRACTION_OF_TIMEOUT: f64 = 0.9;
 /// The step by which one request moves the median timeout of its class, as a share of the class's deadline.
 const TIMEOUT_STEP_FRACTION_OF_DEADLINE: f64 = 0.002;
@@ -21,9 +25,9 @@
 /// The limits of admission; times in microseconds.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    /// The sum of `N_i` per microsecond of T_QoS.
+    /// The sum of `N_i` divided by T_QoS, in requests a microsecond.
     rate: f64,
-    /// The longest wait that all classes tolerate.
+    /// The longest time in the queue with which every class still meets its latency objective.
     tolerable_wait: f64,
     /// By class: the share of the tolerable wait that it may use.
     priority_shares: Vec<f64>,
@@ -42,9 +46,13 @@
         }
     }
 
-    /// Whether a request of a class is admitted while `open` requests are queued or in flight. T_QoS is the same for
-    /// all classes, from the wait that the class with the tightest objective tolerates. Otherwise requests with long
-    /// objectives would fill the queue and starve those with short ones.
+    /// Whether a request of a class is admitted while `open` requests are queued or in flight. `full_share` is false
+    /// for a request over its tenant's quota and for a retry that cannot meet its latency objective. `service_time` is
+    /// the mean, in microseconds.
+    ///
+    /// T_QoS is derived from the class that tolerates the shortest wait, and is the same for all classes but for their
+    /// priority shares. Otherwise requests with long latency objectives would fill the queue and starve those with
+    /// short ones.
     pub(crate) fn admits(
         &self,
         class: usize,
@@ -53,22 +61,24 @@
         open: usize,
     ) -> bool {
         let limit = self.limit(class, service_time, full_share);
-        // Without a list the sum of N is zero: requests are queued until a server is listed or their deadline passes.
+        // Without a list the sum of `N_i` is zero: requests are queued until a server is listed or their deadline
+        // passes.
         limit == 0.0 || (open as f64) < limit.max(1.0)
     }
 
     /// The sum of `N_i` for a class, with its full priority share or with the smallest.
     fn limit(&self, class: usize, service_time: f64, full_share: bool) -> f64 {
-        // With the full share, a tenant over its quota took the slots of the others, although its requests have little
-        // weight there.
+        // With the full share, a tenant over its quota took the slots of the others, although its requests over the
+        // quota have little weight.
         let reduction = if full_share { 1.0 } else { MIN_PRIORITY_SHARE };
         let share = self.priority_shares[class] * reduction;
         self.rate * (service_time + self.tolerable_wait * share)
     }
 
-    /// The delay before a retry that a rejected client is advised of: until the open requests above the limit of the
-    /// class are served, and [`MIN_RETRY_AFTER_FRACTION`] of a service time at least. A retry that comes earlier meets
-    /// the queue that rejected it. Where the queue empties sooner than expected, the retry comes later than necessary.
+    /// The delay before a retry that a rejected client is advised of: the time in which the open requests above the
+    /// limit of the class are served, and [`MIN_RETRY_AFTER_FRACTION`] of a service time at least; zero if the settings
+    /// permit no advice. An earlier retry would be rejected again, since the queue would still be full. Where the queue
+    /// empties sooner than expected, the retry comes later than necessary.
     pub(crate) fn retry_after(
         &self,
         class: usize,
@@ -85,14 +95,17 @@
         if limits.max_retry_after.0 > 0 { wait.min(limits.max_retry_after) } else { wait }
     }
 
-    /// The median time that requests of a class have left when they arrive; zero before the first request.
+    /// The estimated median time that requests of a class have left when they arrive; zero before the first request.
     pub(crate) fn median_timeout(&self, class: usize) -> Span {
         self.median_timeouts[class]
     }
 
-    /// Whether an answer would miss the latency objective, which counts from the client's first try. A retry is
-    /// recognised by having less time left than a first try. Without this rule, in overload, retries past their
-    /// objective took the slots, and most answers came late.
+    /// Whether a request is a client's retry whose answer would miss the latency objective, which counts from the first
+    /// try. A retry is recognised by having less time left than a first try; the result for a first try is false.
+    /// `class_mean` is the mean latency of the class in microseconds. Each call adjusts the median timeout of the
+    /// class.
+    ///
+    /// Without this rule, in overload, retries past their objective took the slots, and most answers came late.
     pub(crate) fn cannot_meet_objective(
         &mut self,
         now: Time,
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -190,9 +190,9 @@
         }
     }
 
-    /// Lowers the concurrency limit after a timeout, unless the server is an outlier: its timeouts say nothing about
-    /// the others. Once all servers are overloaded there are no answers, so a limit that only answers adjust would stay
-    /// too high.
+    /// Lowers the concurrency limit after a timeout, unless the server is much slower than its machine type, since then
+    /// its timeouts say nothing about the others. Once all servers are overloaded there are no answers, so a limit that
+    /// only answers adjust would stay too high.
     fn record_timeout(&mut self, attempt: &EndedAttempt, latency: f64) {
         let server = &self.servers.all()[attempt.server];
         if !self.service_times.is_typical(server) {
@@ -211,7 +211,7 @@
         self.adjust_limit(attempt.class, latency);
         self.slow_start.record_served(now, &self.servers.all()[attempt.server]);
         if !self.service_times.is_settled() {
-            // The first answers change the estimates too much to keep the sums until the next housekeeping.
+            // The first answers change the estimates so much that the sums cannot wait for the next housekeeping.
             self.refresh_capacity();
         }
     }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,8 +1,9 @@
 //! The adaptive concurrency limit: how many requests of this balancer may be in flight at all servers together.
 //!
-//! The servers of the paper run one request at a time. Where many balancers share servers with many cores, the number
-//! of requests of one balancer at one server can have any value, also below one. The limit rises additively while
-//! answers come well within their latency objective, and falls faster when they do not.
+//! The formula for `K_i` (Ould Deye et al.) assumes servers that run one request at a time. Where many balancers share
+//! servers with many cores, the number of requests of one balancer at one server can have any value, also below one.
+//! The limit rises additively while answers come well within their latency objective, and falls faster when they do
+//! not.
 
 use crate::server::Server;
 
@@ -20,7 +21,7 @@
 const TARGET_LATENCY_RATIO: f64 = 0.5;
 /// The largest value of that share for a class that takes long even without load.
 const MAX_TARGET_LATENCY_RATIO: f64 = 0.7;
-/// A latency of up to this many times the unloaded latency does not show yet that a class waits for others.
+/// A latency of up to this many times the unloaded latency does not show yet that requests wait for others.
 const UNCONTENDED_FACTOR: f64 = 1.5;
 /// The increase per answer at a latency ratio of zero, for a balancer whose limit is the initial one. Per round trip, a
 /// limit of any size rises by about a tenth of the initial limit.
@@ -112,8 +113,8 @@
         let live = || servers.iter().filter(|server| server.is_live());
         let usable_servers: f64 = live().map(|server| server.usable_share).sum();
         if self.usable_servers > 0.0 && usable_servers > 0.0 {
-            // Without this, a fleet that doubled kept its old limit, and requests were rejected while servers were
-            // idle.
+            // Without this, the limit stayed the same when the number of servers doubled, and requests were rejected
+            // while servers were idle.
             self.limit *= usable_servers / self.usable_servers;
         }
         if usable_servers > 0.0 {
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -35,8 +35,8 @@
         let interval = settings::housekeeping_interval(settings).0;
         let rejection_time = Time(objective.0 - REJECTION_LEAD_IN_INTERVALS * interval);
         // A request is queued only while its objective can be met, even if a late answer keeps some weight; otherwise
-        // the whole queue would be served late in lasting overload. Without this, retries that had the rest of the time
-        // of their first try were forwarded too late, and a sixth of all attempts timed out.
+        // the whole queue would be served late in lasting overload. Without this, clients' retries, which have only
+        // the time that their first try left, were forwarded too late, and a sixth of all attempts timed out.
         let mean_latency = Span::from_micros_f64(class_mean);
         let latest = objective.0 - mean_latency.0;
         Self {
@@ -52,7 +52,7 @@
         now >= self.queue_deadline
     }
 
-    /// Whether the request is too late only by the mean latency of earlier answers, and the mean is so long that
+    /// Whether only the mean latency of earlier answers makes the request too late, and the mean is so long that
     /// requests that have the `usual_time` left are too late as well.
     pub(crate) fn is_late_by_estimate_only(&self, now: Time, usual_time: Span) -> bool {
         now < self.rejection_time && self.mean_latency >= usual_time
--- a/crates/policy/src/in_flight.rs
+++ b/crates/policy/src/in_flight.rs
@@ -4,8 +4,8 @@
 
 use crate::server::Server;
 
-/// How long a timed-out attempt keeps its slot, in timeouts. The server may still execute it, and if the slot were
-/// freed at once, the server would get more work than its slots allow.
+/// How long an attempt that timed out keeps its slot, as a multiple of its timeout. The server may still execute it,
+/// and if the slot were freed at once, the server would get more work than its slots allow.
 const ABANDONED_SLOT_TIMEOUTS: f64 = 1.0;
 
 /// A timed-out attempt that its server may still execute.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -19,10 +19,10 @@
 //! | `service_time`, `service_time_estimate` | the estimates of `TP_i` and `TS_i` by server, machine type and class |
 //! | `concurrency_limit` | the limit on requests in flight, which the latency of answers raises and lowers |
 //! | `admission` | the limit on requests queued and in flight, priority shares, Retry-After |
-//! | `deadlines` | until when a request is worth queueing |
+//! | `deadlines` | until when a request may be queued, and when an attempt times out |
 //! | `retry` | whether a request may be forwarded again, and whether it may be rejected |
 //! | `outlier` | consecutive failures by server, class and zone; ejection |
-//! | `usable_share` | the share of its capacity that each server can serve with now |
+//! | `usable_share` | the share of each server's capacity that is usable now |
 //! | `slow_start` | when a server that warms up may get a request |
 //! | `tenant_quota` | whether a tenant is within its quota |
 //! | `request` | the state of open requests and of their attempts |
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -27,7 +27,8 @@
 /// idle for one ejection time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutlierState {
-    /// The number of consecutive failures, without those of attempts that were sent before the ejection ended.
+    /// The number of consecutive failures. Failures during an ejection, or of attempts sent before it ended, do not
+    /// count.
     consecutive_failures: u32,
     ejected_until: Time,
     in_flight: u32,
@@ -43,7 +44,7 @@
         now >= self.ejected_until && (!self.has_failed_repeatedly() || self.in_flight == 0)
     }
 
-    /// Whether it is ejected, or probed after an ejection.
+    /// Whether the class or the zone is ejected, or probed after an ejection.
     pub(crate) fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until || self.has_failed_repeatedly()
     }
@@ -58,6 +59,7 @@
     }
 
     /// Counts a failure of an attempt sent at `sent`. The first `tolerated` consecutive failures cause no ejection.
+    /// `service_time` is the mean, in microseconds.
     fn record_failure(&mut self, now: Time, sent: Time, service_time: f64, tolerated: u32) {
         let sent_before_ejection_ended = self.has_failed_repeatedly() && sent < self.ejected_until;
         if now < self.ejected_until || sent_before_ejection_ended {
@@ -99,7 +101,7 @@
 /// The consecutive failed connections to one server.
 ///
 /// Without ejection, the servers of an unreachable zone, which stay on the list for long, were tried every few
-/// milliseconds by every balancer, and most attempts of the fleet ended there.
+/// milliseconds by every balancer, and most attempts of all balancers ended there.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectFailures {
     consecutive: u32,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -75,8 +75,8 @@
     }
 
     /// The number of queued requests that compete with those of this class: all but the requests of other classes for
-    /// which every server is ejected. When those counted as well, a class that all servers rejected filled the queue,
-    /// and the other classes were rejected although servers were idle.
+    /// which every server is ejected. When those requests counted as well, a class that all servers rejected filled the
+    /// queue, and the other classes were rejected although servers were idle.
     pub(crate) fn competing_with(&self, class: usize) -> usize {
         let not_competing =
             |(index, queue): &(usize, &ClassQueue)| *index != class && queue.ejected_everywhere;
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,4 +1,5 @@
-//! Selection of a server: among those with a free slot, the one expected to answer soonest; ties are broken at random.
+//! Selection of a server among those with a free slot: at random or by the request's key, with a preference for fast
+//! servers with few requests in flight.
 
 use oorandom::Rand64;
 use sableloom_types::{PolicySettings, Time};
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -29,7 +29,7 @@
     /// By class: the consecutive failures and the ejection.
     pub(crate) outliers: Vec<OutlierState>,
     pub(crate) estimate: ServiceTimeEstimate,
-    /// The share of its capacity that the server can serve with now, 0 to 1.
+    /// The share of the server's capacity that is usable now, 0 to 1.
     pub(crate) usable_share: f64,
     /// The requests that the server may get while it warms up.
     pub(crate) slow_start_tokens: TokenBucket,
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -1,7 +1,7 @@
 //! Estimates of the round-trip time `2*TP` and the service time `TS` by server, machine type and class.
 //!
 //! Service times are kept as slowness: latency divided by the mean of all servers for the same class. A server's own
-//! mean is shrunk towards that of its machine type, the more so the fewer answers it rests on (Buhlmann's credibility:
+//! mean is shrunk towards that of its machine type, the more so the fewer answers it rests on (Bühlmann credibility:
 //! the variance within servers divided by that between them). Without shrinkage, where a balancer had one or two
 //! answers of a server a day, a quarter of the attempts at the smallest servers failed.
 
@@ -11,7 +11,8 @@
 use crate::server::Server;
 use crate::service_time_estimate::{MAX_SLOWNESS, Prior};
 
-/// The largest number of answers that the mean of a machine type, or of all servers, counts for at the level below it.
+/// The largest number of answers that the mean of a machine type counts for in the estimate of one of its servers, and
+/// that an assumed mean counts for.
 const MAX_PRIOR_ANSWERS: f64 = 4.0;
 /// The smallest number of answers that the mean of a machine type counts for, however far its servers differ.
 const MIN_PRIOR_ANSWERS: f64 = 0.5;
@@ -23,8 +24,8 @@
 /// The largest slowness, relative to the machine type, of a server whose timeouts count for its machine type. The
 /// timeouts of a slower server say nothing about the others.
 const MAX_TYPICAL_SLOWNESS: f64 = 2.0;
-/// The weight of a new answer by which the unloaded latency rises: a latency that is no longer reached counts for about
-/// a thousand answers.
+/// The weight of a new answer by which the unloaded latency rises towards the mean: a minimum that is no longer reached
+/// is forgotten over about a thousand answers.
 const UNLOADED_GAIN: f64 = 0.001;
 /// The service time that is assumed before any answer, as a share of T_QoS.
 const INITIAL_FRACTION_OF_TARGET: f64 = 0.25;
@@ -132,7 +133,7 @@
     }
 
     /// The slowness of a machine type at a class, relative to its slowness over all requests. Without it, where each of
-    /// two machine types was quick at one class, each class was also sent to the type that was quick at the other.
+    /// two machine types was quick at one class, each class was also sent to the type that was slow at it.
     pub(crate) fn class_slowness(&self, class: usize, machine_type: u32) -> f64 {
         self.machine_types
             .get(machine_type as usize)
--- a/crates/policy/src/service_time_estimate.rs
+++ b/crates/policy/src/service_time_estimate.rs
@@ -9,8 +9,10 @@
 /// The smallest slowness that a failed attempt counts as, in mean service times. Otherwise a server that fails quickly
 /// would look fast and get more slots.
 const MIN_FAILURE_SLOWNESS: f64 = 5.0;
-/// The largest latency of a rejection that counts as a round-trip time, as a share of the mean service time. Without
-/// this bound, servers that took 95 ms to reject a class seemed to have a long round trip, and K rose from 4 to 39.
+/// The largest latency of a rejection that counts as a round-trip time, as a share of the mean service time. A quick
+/// rejection takes little more than the round trip, since the server does no work for it. Without this bound, servers
+/// that took 95 ms to reject a class seemed to have a long round trip, and `K_i`, the number of requests that a server
+/// gets at once, rose from 4 to 39.
 const QUICK_REJECTION_FRACTION: f64 = 0.25;
 /// The largest slowness that one answer counts as, in mean service times, so that one expensive request does not make a
 /// server look slow.
@@ -24,7 +26,7 @@
     /// The service time, including queueing at the server, divided by the mean of all servers for the same class, after
     /// shrinkage towards the mean of the machine type.
     slowness: f64,
-    /// The slowness from the server's own answers alone.
+    /// The mean slowness of the server's own answers.
     own_slowness: Mean,
 }
 
@@ -48,7 +50,7 @@
         self.own_slowness.count *= remaining;
     }
 
-    /// The slowness relative to the mean of all servers.
+    /// The slowness relative to the mean of all servers, after shrinkage.
     pub(crate) fn slowness(&self) -> f64 {
         self.slowness
     }
@@ -58,8 +60,9 @@
         self.own_slowness.count = 0.0;
     }
 
-    /// Adds the end of an attempt, where `mean` is the mean latency of its class at the server's machine type. For a
-    /// served request, returns the squared deviation from the answers before it.
+    /// Adds the end of an attempt. `mean` is the mean latency of its class at the server's machine type; both times are
+    /// in microseconds. Returns an estimate of the variance of single answers of the server, or `None` if the attempt
+    /// gives none: it was not served, or the own mean rests on less than one answer before it.
     pub(crate) fn observe(&mut self, outcome: Outcome, latency: f64, mean: f64) -> Option<f64> {
         if outcome == Outcome::Rejected && latency < mean * QUICK_REJECTION_FRACTION {
             self.round_trip = Some(self.round_trip.map_or(latency, |least| least.min(latency)));
@@ -77,11 +80,13 @@
         self.own_slowness.count = (earlier_answers + 1.0).min(MAX_OWN_ANSWERS);
         self.own_slowness.value += deviation / self.own_slowness.count;
         let measures_noise = outcome == Outcome::Ok && earlier_answers >= 1.0;
-        // The factor corrects for the error of a mean that rests on few answers.
+        // The mean of `n` answers varies as well, so that the squared deviation of the next answer from it is, on
+        // average, (n + 1) / n times the variance of single answers. Dividing by this factor removes the difference.
         measures_noise.then_some(deviation * deviation * earlier_answers / (earlier_answers + 1.0))
     }
 
-    /// Shrinks the slowness from the server's own mean towards that of its machine type.
+    /// Sets the slowness to the mean of the own slowness and of the machine type's, weighted by the number of answers
+    /// that each counts for.
     pub(crate) fn shrink(&mut self, prior: Prior) {
         self.slowness = (prior.slowness * prior.answers
             + self.own_slowness.value * self.own_slowness.count)
@@ -89,7 +94,7 @@
     }
 }
 
-/// The estimate of a server before its own answers.
+/// The estimate of a server's slowness before its own answers, from its machine type.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Prior {
     pub(crate) slowness: f64,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: a server that warms up gets requests by tokens, at the rate of a warm server of its machine type
-//! multiplied by the share of its capacity that it has at least.
+//! Slow start: a server that warms up gets requests by tokens. Its tokens are refilled at the rate of a warm server of
+//! its machine type, multiplied by the share of its capacity that it has at least at its age.
 
 use sableloom_types::{SafetyRules, Span, Time};
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The share of its capacity that a server has at least; `None` once it is warm.
+    /// The share of its capacity, 0 to 1, that a server has at least at its age; `None` once it is warm.
     pub(crate) fn share(&self, now: Time, server: &Server) -> Option<f64> {
         let age = now.since(server.started?);
         if age >= self.duration {
@@ -77,7 +77,8 @@
         Some(server.slow_start_tokens.available(now, rate, MAX_TOKENS))
     }
 
-    /// The rate of answers, per microsecond, of a warm server of this machine type and weight.
+    /// The rate of answers, per microsecond, of a warm server of this machine type and weight; `initial_rate` before
+    /// any warm server has answered.
     fn warm_rate(&self, server: &Server, initial_rate: f64) -> f64 {
         let of_type =
             self.machine_types.get(server.machine_type as usize).map_or(0.0, |rate| rate.peak);
@@ -115,10 +116,11 @@
         weights
     }
 
-    /// Scales the counts and peaks after a list changed the warm weights from `before`, since the rate of many warm
-    /// servers does not hold for few, nor that of few for many. Without this, a balancer with a stale list of ten
-    /// servers applied their rate to the two hundred of the next list, and sent each cold server as many requests as
-    /// all other balancers together.
+    /// Scales the counts and peaks after a list changed the warm weights from `before`. The answers of many warm
+    /// servers must not count as those of the few that remain, and the rate of each of a few servers is too high once
+    /// the same requests are spread over many. Without this, a balancer with a stale list of ten servers applied their
+    /// rate to the two hundred of the next list, and sent each cold server as many requests as all other balancers
+    /// together.
     pub(crate) fn list_changed(&mut self, now: Time, servers: &[Server], before: &[f64]) {
         let after = self.warm_weights(now, servers);
         let growth = |before: f64, after: f64| if before > 0.0 { after / before } else { 1.0 };
@@ -139,8 +141,9 @@
         initial_rate: f64,
     ) {
         for server in servers.iter_mut().filter(|server| server.is_live()) {
-            // Tokens are refilled by the rates of the last refresh, before these change below. When they were refilled
-            // by incomplete sums, the first servers of the list got the rate of the whole fleet and were overloaded.
+            // Tokens are refilled at the rates of the last refresh, before these change below. When they were refilled
+            // while the sums over the servers were incomplete, the first servers of the list got the rate of the whole
+            // pool and were overloaded.
             if let Some(tokens) = self.tokens(now, server, initial_rate) {
                 server.slow_start_tokens = TokenBucket::with_tokens(tokens, now);
             }
@@ -151,8 +154,8 @@
         let decay_time = self.duration.as_micros_f64().max(1.0);
         let remaining = (-elapsed / window).exp();
         self.machine_types.iter_mut().for_each(|rate| rate.served *= remaining);
-        // The decaying peak is used instead of the current rate. Otherwise, when the warm servers slowed down, the cold
-        // ones, which had not, were limited with them.
+        // The decaying peak is used instead of the current rate. With the current rate, when the warm servers slowed
+        // down, the cold ones got fewer requests as well, although they had not slowed down.
         let update = |peak: &mut f64, served: f64, weight: f64| {
             let observed =
                 if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -1,4 +1,4 @@
-//! Tenant quotas: the share of this balancer in the requests that a tenant may send over all balancers.
+//! Tenant quotas: this balancer's share of the requests that a tenant may send over all balancers.
 
 use sableloom_types::{TenantQuota, Time};
 
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether one more request of a tenant is within this balancer's share of its quota. Rejected requests do not count.
-    /// A tenant that is not in the settings has no quota and is always within.
+    /// Whether one more request of a tenant is within this balancer's share of its quota. Rejected requests do not
+    /// count. A tenant that is not in the settings has no quota and is always within.
     pub(crate) fn is_within(&mut self, now: Time, tenant: usize, balancers: u32) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else { return true };
         let rate = self.rates[tenant] / MICROS_PER_SECOND / f64::from(balancers);
--- a/crates/policy/src/usable_share.rs
+++ b/crates/policy/src/usable_share.rs
@@ -1,4 +1,4 @@
-//! The share of its capacity that each server can serve with now.
+//! The share of each server's capacity that is usable now.
 
 use sableloom_types::Time;
 
@@ -6,8 +6,8 @@
 use crate::server::Server;
 use crate::slow_start::SlowStart;
 
-/// Refreshes the usable share of every server: a server that warms up counts by its share, and one that cannot be
-/// reached does not count. Otherwise, when most servers are new or unreachable, the remaining ones would get the limit
+/// Refreshes the usable share of every server: it is below 1 for a server that warms up and 0 for one that cannot be
+/// reached. If all counted in full, when most servers are new or unreachable, the remaining ones would get the limit
 /// that is meant for all; they then answered hardly any request in time.
 pub(crate) fn refresh(
     servers: &mut [Server],
--- a/crates/policy/tests/request_path/concurrency.rs
+++ b/crates/policy/tests/request_path/concurrency.rs
@@ -15,7 +15,8 @@
         }
         serve(&mut w, id, 50);
     }
-    // With TP near 0, N_i within 10 TS is ten times the server's share of the limit, which K_i rounds up.
+    // The round trip is near zero and T_QoS is ten service times here, so that N_i is ten times the server's share of
+    // the limit, which K_i rounds up.
     let gauge = w.balancer.server_gauge(ServerId(0), Span(500 * MS)).unwrap();
     let (k, n) = (gauge.max_in_flight, gauge.admission_limit);
     assert!(n >= 9.0 && n <= 10.5 * f64::from(k), "N {n} with K {k}");
@@ -50,7 +51,8 @@
 
 #[test]
 fn the_limit_grows_with_the_number_of_servers() {
-    // Guards against a fleet that doubles and keeps its old limit: requests are rejected while servers are idle.
+    // Guards against a limit that stays the same when the number of servers doubles: requests are rejected while
+    // servers are idle.
     let mut w = World::with_servers(settings(), 2);
     (0..100).for_each(|id| w.request(id, 0));
     let count_in_flight =
@@ -131,8 +133,8 @@
 
 #[test]
 fn the_limit_follows_the_usable_capacity() {
-    // Guards against a fleet of mostly cold servers in which the rest gets the limit that is meant for all: it answered
-    // hardly any request in time.
+    // Guards against a pool of mostly cold servers in which the warm ones get the limit that is meant for all: they
+    // answered hardly any request in time.
     let in_flight_with = |cold: u32| {
         let mut w = World::with_servers(PolicySettings { balancers: 40, ..settings() }, 100);
         let new = |i| Endpoint { started: Some(w.now), ..endpoint(i, i % 2) };
--- a/crates/policy/tests/request_path/endpoints_and_settings.rs
+++ b/crates/policy/tests/request_path/endpoints_and_settings.rs
@@ -50,6 +50,7 @@
         Balancer::new(zero_objective, 1, Time(0)).err(),
         Some(PolicySettingsError::NonPositiveTime(1))
     );
+    // With zero for these three, time would not advance, limits would be divided by zero, and servers would stay cold.
     let mut out_of_range = PolicySettings { tick: Span(0), balancers: 0, ..settings() };
     out_of_range.safety_rules.slow_start_initial_share = 0.0;
     let mut w = World::with_servers(out_of_range, 1);
--- a/crates/policy/tests/request_path/queue.rs
+++ b/crates/policy/tests/request_path/queue.rs
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_class_with_a_long_latency_objective_does_not_starve_a_short_one() {
-    // Guards against a queue that fills with requests of long latency objectives, so that none with a short one fits
-    // in.
+    // Guards against a queue that fills with requests of long latency objectives, so that those with a short one are
+    // rejected.
     let mut s = settings();
     s.classes[0].latency_objective = Span(2000 * MS);
     s.classes[0].deadline = Span(4000 * MS);
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_request_with_too_little_time_left_is_rejected() {
-    // Guards against retries that have the rest of the time of their first try, are queued, and are forwarded too late
+    // Guards against retries that have only the time that their first try left, are queued, and are forwarded too late
     // to be answered: a sixth of all attempts timed out, evenly over the servers.
     let mut w = World::with_servers(settings(), 1);
     for id in 0..40 {
@@ -81,8 +81,8 @@
 
 #[test]
 fn a_tenant_beyond_its_quota_leaves_capacity_for_the_others() {
-    // Guards against a tenant over its quota that takes the slots of the others in overload, although its requests have
-    // little weight there.
+    // Guards against a tenant over its quota that takes the slots of the others in overload, although its requests over
+    // the quota have little weight.
     let quota = |quota_rps| TenantQuota { quota_rps };
     let tenants = vec![quota(5.0), quota(1000.0)];
     let classes = vec![common::class(Idempotency::Idempotent)];
--- a/crates/policy/tests/request_path/selection.rs
+++ b/crates/policy/tests/request_path/selection.rs
@@ -31,6 +31,7 @@
 #[test]
 fn requests_with_one_key_are_forwarded_to_one_server_while_it_has_a_free_slot() {
     let mut w = World::with_servers(PolicySettings { key_affinity: true, ..settings() }, 8);
+    // The key of a request is its id modulo five, so these requests have the same key.
     for i in 0..10 {
         w.request(i * 5, 0);
         serve(&mut w, i * 5, 20);
@@ -41,7 +42,8 @@
 
 #[test]
 fn an_unreachable_server_is_tried_with_growing_pauses() {
-    // Guards against the servers of an unreachable zone, which stay on the list and got a third of all attempts.
+    // Guards against frequent attempts at the servers of an unreachable zone, which stay on the list: they got a third
+    // of all attempts.
     let mut w = World::with_servers(settings(), 2);
     let mut forwards_by_half = [0; 2];
     for id in 0..400 {
@@ -167,7 +169,10 @@
     let forwards =
         forwards_by_server(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
     let quick: u64 = forwards.iter().step_by(2).sum();
-    assert!(quick > 90, "{quick} of 120 at the quick type, with half an answer for each server");
+    assert!(
+        quick > 90,
+        "{quick} of the last 120 at the quick type, after 80 answers from 200 servers"
+    );
 }
 
 /// The number of attempts at the twenty servers of an unreachable zone, for forty requests, while the twenty servers of
--- a/crates/policy/tests/request_path/slow_start.rs
+++ b/crates/policy/tests/request_path/slow_start.rs
@@ -18,6 +18,7 @@
         w.request(id, 0);
         serve(&mut w, id, 5);
     }
+    // Three servers are warm, and their forwards include those of the 200 requests before the cold server was listed.
     let (cold, warm) =
         (w.forwards_to(9), (w.forwards_to(0) + w.forwards_to(1) + w.forwards_to(2)) / 6);
     assert!(cold > 0, "the cold server must get requests");
@@ -38,15 +39,17 @@
         serve(&mut w, id, 10);
     }
     assert!(served > 20, "only {served} of 400 were forwarded");
-    assert!(served < 300, "{served} forwards in 4 s would overload a cold fleet");
+    assert!(served < 300, "{served} forwards in 4 s would overload a cold pool");
 }
 
 #[test]
 fn servers_that_warm_up_are_not_held_back_when_the_warm_ones_slow_down() {
-    // Guards against a rate that follows the present one of the warm servers: after a fleet grew, the old servers
-    // slowed down, and the rate of the new ones fell with them.
+    // Guards against cold servers being limited to the current rate of the warm ones: after servers were added, the old
+    // ones slowed down, and the rate of the new ones fell as well.
     let mut w = World::with_servers(settings(), 2);
     let mut id = 0;
+    // Each round sends four requests, and then ends the attempts of the last forty: those at the cold server always,
+    // those at the warm ones only in every `warm_answer_rounds`-th round.
     let mut forwards_to_cold = |w: &mut World, rounds: i64, warm_answer_rounds: i64| {
         let before = w.forwards_to(2);
         for round in 0..rounds {
@@ -75,8 +78,8 @@
     );
 }
 
-/// The number of forwards to the server `cold`, which restarts in a fleet of `n`, in the two seconds after a list of
-/// all `n` reports the restart. Before that list, the balancer knows only the first `listed` servers.
+/// The number of forwards to the server `cold`, which restarts in a pool of `n`, in the two seconds after a list of all
+/// `n` reports the restart. The list before contains only the first `listed` servers.
 fn forwards_after_restart(cold: u32, listed: u32, n: u32) -> usize {
     let mut w = World::with_servers(settings(), listed);
     let mut id = 0;
@@ -98,8 +101,8 @@
 
 #[test]
 fn the_first_cold_server_of_a_list_gets_no_more_than_the_last() {
-    // Guards against tokens that are refilled by incomplete sums: the first server of the list got the rate of the
-    // whole fleet and was overloaded.
+    // Guards against tokens that are refilled while the sums over the servers are incomplete: the first server of the
+    // list got the rate of the whole pool and was overloaded.
     let (first, last) = (forwards_after_restart(0, 20, 20), forwards_after_restart(19, 20, 20));
     assert!(
         last > 0 && first > 0 && first <= 2 * last,
@@ -109,7 +112,7 @@
 
 #[test]
 fn an_update_of_a_stale_list_does_not_overload_cold_servers() {
-    // Guards against a rate of the few servers of a stale list that is applied to the cold ones of the whole fleet.
+    // Guards against the rate of a few servers, from a stale list, being applied to each cold server of the whole pool.
     let (stale, current) = (forwards_after_restart(39, 2, 40), forwards_after_restart(39, 40, 40));
     assert!(
         current > 0 && stale > 0 && stale <= 2 * current,
@@ -131,12 +134,13 @@
         }
         cold(w) - before
     };
+    // The forwards in five rounds, on average.
     let warm = run(&mut w, 100) / 20;
     let cold = |i| Endpoint { started: (i > 0).then_some(w.now), ..endpoint(i, i % 2) };
     let list: Vec<_> = (0..40).map(cold).collect();
     w.update_list(ListKind::Full, &list);
-    // The cold servers have a fifth of their capacity; twice that allows for chance. The rate of a warm server is not
-    // known yet.
+    // The cold servers have a fifth of their capacity; twice that allows for chance. Five rounds are too short for the
+    // balancer to measure the higher rate of the one warm server, by which the cold ones get more requests later.
     let cold = run(&mut w, 5);
     assert!(cold > 0 && cold <= 2 * warm / 5, "{cold} forwards in 0.1 s, {warm} when warm");
 }
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -47,7 +47,7 @@
             answer_after(&mut w, id, 300);
         }
     }
-    // The first of them may be rejected, since no answer has shown yet that the servers are quick again.
+    // The first of these requests may be rejected, since no answer has shown yet that the servers are quick again.
     count_rejected(&mut w, 3000..3100);
     assert_eq!(count_rejected(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
 }
--- a/crates/types/src/attempt.rs
+++ b/crates/types/src/attempt.rs
@@ -19,7 +19,7 @@
     Reset,
     /// This balancer cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// The attempt was superseded before it was issued; the request was not executed.
+    /// The attempt was cancelled, or no longer needed, before the request was fully sent; the request was not executed.
     Superseded,
 }
 
--- a/crates/types/src/policy_settings.rs
+++ b/crates/types/src/policy_settings.rs
@@ -9,7 +9,7 @@
     pub latency_objective: Span,
     /// The longest time that a client waits for the answer.
     pub deadline: Span,
-    /// The weight of one request; where capacity is short, classes with more weight for their work have priority.
+    /// The weight of one request; where capacity is short, classes with more weight per service time have priority.
     pub priority_weight: f64,
     /// The share of the weight, 0 to 1, that an answer after the latency objective still has.
     pub late_priority_weight: f64,
@@ -57,7 +57,8 @@
     pub overload_factor: f64,
     /// How long a load above [`overload_factor`](Self::overload_factor) lasts before it overloads the server.
     pub overload_window: Span,
-    /// Where the list is polled, the longest time between polls; a change counts as notified after it.
+    /// Where the list is polled, the longest time between polls. A balancer counts as notified of a change once this
+    /// time has passed.
     pub poll_interval: Span,
 }
 
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of a deployment, a JSON object that the platform passes to both programs, and the values and hashes
-//! that are derived from it. The keys are part of the deployment protocol, so a field with another name states its key
-//! in a `serde(rename)`.
+//! The settings of a deployment, a JSON object that the platform passes to the balancer and to the simulator's adapter,
+//! and the values and hashes that are derived from it. The keys are part of the deployment protocol, so a field with
+//! another name states its key in a `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 
@@ -115,7 +115,7 @@
     /// The servers that drop repeats of each other's keyed requests.
     #[serde(default, rename = "Group")]
     pub dedup_scope: DedupScope,
-    /// The weight of one request; where capacity is short, classes with more weight for their work have priority.
+    /// The weight of one request; where capacity is short, classes with more weight per service time have priority.
     #[serde(default = "default_priority_weight", rename = "Importance")]
     pub priority_weight: f64,
     /// The share of the weight, 0 to 1, that an answer after the latency objective still has.
@@ -126,7 +126,7 @@
     pub dedup_window: f64,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TenantSettings {
@@ -174,7 +174,8 @@
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SafetySettings {
-    /// The longest time without a poll of discovery; a change counts as notified after it.
+    /// The longest time between polls of discovery. A balancer counts as notified of a change once this time has
+    /// passed.
     #[serde(default, rename = "AskEvery")]
     pub poll_interval: f64,
     /// How long after the notification of a drain an attempt at the server may still begin; 0 where not stated.
