--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -20,10 +20,10 @@
 use crate::attempt_context::AttemptContext;
 use crate::attempt_run::PendingAttempt;
 use crate::clock::{Clock, duration_of};
-use crate::fate::{self, AttemptEnd};
 use crate::idle::{IdleState, Timer};
 use crate::message::{Message, Reply, RequestContext, RequestRejection};
 use crate::open_requests::{OpenRequest, OpenRequests};
+use crate::outcome::{self, AttemptEnd};
 use crate::ports::{
     AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
@@ -152,7 +152,7 @@
         let now = self.clock.now();
         state.expire_share(now);
         let mut actions = Vec::new();
-        state.end_idle(now, &mut actions);
+        state.run_deferred_timer(now, &mut actions);
         call(&mut state.balancer, now, &mut actions);
         for action in actions {
             self.apply_action(&mut state, now, action);
@@ -242,7 +242,7 @@
             return;
         }
         let any_open = !state.requests.is_empty();
-        if state.idle.hold_back(now, any_open, timer) {
+        if state.idle.defer_timer_if_idle(now, any_open, timer) {
             return;
         }
         let (exchange, due) = (self.clone(), self.clock.instant_of(timer.at));
@@ -289,7 +289,7 @@
     ) {
         let id = request.id;
         request.attempts_in_flight.set(request.attempts_in_flight.get() - 1);
-        let outcome = fate::judge(fate::AttemptFacts {
+        let outcome = outcome::classify(outcome::AttemptFacts {
             ended: attempt_outcome.ended,
             fully_written: attempt.context.as_ref().is_some_and(|context| context.fully_written()),
             not_executed: attempt_outcome.not_executed,
@@ -385,8 +385,8 @@
     }
 
     /// Makes up for the timer that was held back while the pool was idle.
-    fn end_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
-        match self.idle.end() {
+    fn run_deferred_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        match self.idle.take_deferred_timer() {
             Some(Timer { token, at }) if at <= now => {
                 self.balancer.timer_fired(now, token, actions)
             }
@@ -398,7 +398,7 @@
     /// Removes a request that is finished and has no attempt in flight.
     fn remove_if_done(&mut self, now: Time, id: RequestId) {
         if self.requests.remove_if_done(id) {
-            self.idle.requests_changed(now);
+            self.idle.record_request_change(now);
         }
     }
 }
@@ -417,7 +417,7 @@
             let mut state = self.state.borrow_mut();
             let limit = self.settings.policy_limits.max_open;
             let id = state.requests.open(&context, message, sender, limit)?;
-            state.idle.requests_changed(self.clock.now());
+            state.idle.record_request_change(self.clock.now());
             id
         };
         let RequestContext { class, tenant, key, deadline } = context;
