--- a/crates/policy/tests/request_path/selection.rs
+++ b/crates/policy/tests/request_path/selection.rs
@@ -29,8 +29,9 @@
 }
 
 #[test]
-fn a_key_is_forwarded_to_one_server_while_that_has_a_free_slot() {
+fn requests_with_one_key_are_forwarded_to_one_server_while_it_has_a_free_slot() {
     let mut w = World::with_servers(PolicySettings { key_affinity: true, ..settings() }, 8);
+    // The key of a request is its id modulo five, so these requests have the same key.
     for i in 0..10 {
         w.request(i * 5, 0);
         serve(&mut w, i * 5, 20);
@@ -41,7 +42,8 @@
 
 #[test]
 fn an_unreachable_server_is_tried_with_growing_pauses() {
-    // Guards against the servers of an unreachable zone, which stay on the list and got a third of all attempts.
+    // Guards against frequent attempts at the servers of an unreachable zone, which stay on the list: they got a third
+    // of all attempts.
     let mut w = World::with_servers(settings(), 2);
     let mut forwards_by_half = [0; 2];
     for id in 0..400 {
@@ -167,7 +169,10 @@
     let forwards =
         forwards_by_server(&list, 200, 120, |server| if server % 2 == 0 { 20 } else { 60 });
     let quick: u64 = forwards.iter().step_by(2).sum();
-    assert!(quick > 90, "{quick} of 120 at the quick type, with half an answer for each server");
+    assert!(
+        quick > 90,
+        "{quick} of the last 120 at the quick type, after 80 answers from 200 servers"
+    );
 }
 
 /// The number of attempts at the twenty servers of an unreachable zone, for forty requests, while the twenty servers of
@@ -204,12 +209,13 @@
 fn a_zone_that_answers_again_is_selected_again() {
     // Guards against an ejection that outlasts its cause: the zone would get one request at a time forever.
     let mut w = World::with_servers(settings(), 4);
-    let in_lost_zone =
+    let in_unreachable_zone =
         |w: &World, id| w.in_flight_server(id).is_some_and(|server: ServerId| server.0 % 2 == 1);
     for id in 0..8 {
         w.request(id, 0);
         for attempt in 0..3 {
-            let outcome = if in_lost_zone(&w, id) { Outcome::ConnectFailed } else { Outcome::Ok };
+            let outcome =
+                if in_unreachable_zone(&w, id) { Outcome::ConnectFailed } else { Outcome::Ok };
             w.end_attempt(id, attempt, outcome);
         }
     }
@@ -217,7 +223,8 @@
     for round in 0..50 {
         let ids = 100 + round * 8..108 + round * 8;
         ids.clone().for_each(|id| w.request(id, 0));
-        forwards_to_zone += ids.clone().filter(|&id| round >= 25 && in_lost_zone(&w, id)).count();
+        forwards_to_zone +=
+            ids.clone().filter(|&id| round >= 25 && in_unreachable_zone(&w, id)).count();
         w.advance(Span(20 * MS));
         ids.for_each(|id| w.end_attempt(id, 0, Outcome::Ok));
     }
--- a/crates/policy/tests/slow_answers.rs
+++ b/crates/policy/tests/slow_answers.rs
@@ -47,13 +47,13 @@
             answer_after(&mut w, id, 300);
         }
     }
-    // The first of them may be rejected, since no answer has shown yet that the servers are quick again.
+    // The first of these requests may be rejected, since no answer has shown yet that the servers are quick again.
     count_rejected(&mut w, 3000..3100);
     assert_eq!(count_rejected(&mut w, 4000..4600), 0, "of 600 over 60 s of quick servers");
 }
 
 #[test]
-fn a_slow_answer_does_not_reject_for_good_requests_with_less_time_than_the_objective() {
+fn a_slow_answer_does_not_permanently_reject_requests_with_less_time_than_the_objective() {
     let mut w = World::with_servers(settings(), 4);
     w.request(0, 0);
     // The answer meets the latency objective, but takes longer than the later clients wait.
