--- a/crates/capacity-share/src/absence_queries.rs
+++ b/crates/capacity-share/src/absence_queries.rs
@@ -11,7 +11,7 @@
 /// send and receive (8,192 bytes a second). Without this bound, a quarter of 1,900 members that died cost each of the
 /// others 512 queries a second.
 const MAX_QUERIES_PER_SECOND: usize = 32;
-const SECOND: Span = Span(1_000_000);
+const ONE_SECOND: Span = Span(1_000_000);
 
 /// Absence queries that are to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,18 +28,18 @@
     lease: Span,
     max_per_lease: usize,
     /// When each was sent, the oldest first.
-    sent: VecDeque<Time>,
+    sent_at: VecDeque<Time>,
 }
 
 impl QueryBudget {
     pub(crate) fn new(lease: Span, max_per_lease: usize) -> Self {
-        Self { lease, max_per_lease, sent: VecDeque::new() }
+        Self { lease, max_per_lease, sent_at: VecDeque::new() }
     }
 
     /// Forgets queries that were sent longer than a lease ago.
     pub(crate) fn expire(&mut self, now: Time) {
-        while self.sent.front().is_some_and(|at| now.since(*at) >= self.lease) {
-            self.sent.pop_front();
+        while self.sent_at.front().is_some_and(|at| now.since(*at) >= self.lease) {
+            self.sent_at.pop_front();
         }
     }
 
@@ -48,22 +48,23 @@
         if is_short_list {
             return usize::MAX;
         }
-        let this_second = self.sent.iter().rev().take_while(|at| now.since(**at) < SECOND);
-        MAX_QUERIES_PER_SECOND.saturating_sub(this_second.count())
+        let sent_this_second =
+            self.sent_at.iter().rev().take_while(|at| now.since(**at) < ONE_SECOND);
+        MAX_QUERIES_PER_SECOND.saturating_sub(sent_this_second.count())
     }
 
     /// Whether no further query may be sent within this lease.
-    pub(crate) fn is_spent(&self) -> bool {
-        self.sent.len() >= self.max_per_lease
+    pub(crate) fn is_exhausted(&self) -> bool {
+        self.sent_at.len() >= self.max_per_lease
     }
 
     /// Counts a query.
     pub(crate) fn spend(&mut self, now: Time) {
-        self.sent.push_back(now);
+        self.sent_at.push_back(now);
     }
 
     /// When the oldest query no longer counts.
-    pub(crate) fn frees_at(&self) -> Option<Time> {
-        self.sent.front().map(|first| first.plus(self.lease))
+    pub(crate) fn next_release(&self) -> Option<Time> {
+        self.sent_at.front().map(|first| first.plus(self.lease))
     }
 }
--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -27,7 +27,7 @@
     /// The share of a process that has just taken its address. `others` are all members of the list but itself.
     pub fn new(now: Time, others: impl IntoIterator<Item = Key>, timing: Timing) -> Self {
         let mut members = MemberTable::default();
-        members.update(others);
+        members.replace_list(others);
         Self {
             timing,
             started: now,
@@ -42,7 +42,7 @@
 
     /// Replaces the list of the other members. What is known of those that stay is kept.
     pub fn update_members(&mut self, others: impl IntoIterator<Item = Key>) {
-        self.members.update(others);
+        self.members.replace_list(others);
     }
 
     /// Whether a proof of absence that was queried at this time has expired.
@@ -51,13 +51,13 @@
     }
 
     /// When the start wait ends.
-    fn wait_ends(&self) -> Time {
+    fn start_wait_end(&self) -> Time {
         self.started.plus(self.timing.start_wait())
     }
 
     /// How many members this process still waits for.
-    fn waiting_for(&self, now: Time) -> usize {
-        if now >= self.wait_ends() { 0 } else { self.members.unconfirmed() }
+    fn count_awaited(&self, now: Time) -> usize {
+        if now >= self.start_wait_end() { 0 } else { self.members.count_unconfirmed() }
     }
 
     /// A datagram has come from a member's address, whatever it says. That proves nothing, and only ever makes the
@@ -121,7 +121,7 @@
 
     /// The other members in the order in which they are queried.
     pub fn query_order(&self) -> impl Iterator<Item = Key> {
-        self.members.round_from(self.next_query_key).map(|member| member.key)
+        self.members.cyclic_from(self.next_query_key).map(|member| member.key)
     }
 
     /// The absence queries to send now: about the first of these candidates that may be queried, `max` at most.
@@ -137,7 +137,7 @@
         let paced = self.queries.remaining_this_second(now, self.members.is_short());
         let max = paced.min(max);
         for key in candidates {
-            if self.queries.is_spent() || queries.to.len() == max {
+            if self.queries.is_exhausted() || queries.to.len() == max {
                 break;
             }
             let Some(last) = self.members.get(key).map(|member| member.last_queried) else {
@@ -152,10 +152,10 @@
             queries.to.push(key);
             self.next_query_key = key.wrapping_add(1);
         }
-        if self.queries.is_spent()
-            && let Some(frees_at) = self.queries.frees_at()
+        if self.queries.is_exhausted()
+            && let Some(next_release) = self.queries.next_release()
         {
-            queries.retry_at = queries.retry_at.max(frees_at);
+            queries.retry_at = queries.retry_at.max(next_release);
         }
         queries
     }
@@ -164,7 +164,7 @@
     pub fn due_probes(&mut self, now: Time) -> Vec<Key> {
         let lease = self.timing.lease;
         self.members.discard_proofs(|queried| now >= queried.plus(lease));
-        if self.waiting_for(now) == 0 {
+        if self.count_awaited(now) == 0 {
             return Vec::new();
         }
         let interval = self.timing.probe_interval;
@@ -179,16 +179,16 @@
     }
 
     /// When the first proof that holds will expire.
-    fn first_expiry(&self, now: Time) -> Option<Time> {
+    fn first_proof_expiry(&self, now: Time) -> Option<Time> {
         let mut valid =
-            self.members.proof_times().filter(|queried| !self.is_expired(now, *queried));
+            self.members.proof_query_times().filter(|queried| !self.is_expired(now, *queried));
         valid.next().map(|queried| queried.plus(self.timing.lease))
     }
 
     /// How many members are proved absent.
     pub fn count_absent(&self, now: Time) -> usize {
         let expired =
-            self.members.proof_times().take_while(|queried| self.is_expired(now, *queried));
+            self.members.proof_query_times().take_while(|queried| self.is_expired(now, *queried));
         self.members.proof_count() - expired.count()
     }
 
@@ -201,33 +201,38 @@
 
     /// The share now.
     pub fn share(&self, now: Time) -> Share {
-        let factor = if self.duplicate_identity { 2 } else { 1 };
-        let longest = self.longest_list_length();
-        let balancers_after = longest * factor;
-        let waiting_for = self.waiting_for(now);
-        if waiting_for > 0 {
-            let (until, reason) = (Some(self.wait_ends()), ShareReason::Waiting(waiting_for));
+        let identity_processes = if self.duplicate_identity { 2 } else { 1 };
+        let longest_list = self.longest_list_length();
+        let balancers_after = longest_list * identity_processes;
+        let awaited = self.count_awaited(now);
+        if awaited > 0 {
+            let (until, reason) = (Some(self.start_wait_end()), ShareReason::Waiting(awaited));
             return Share { balancers: 0, until, balancers_after, reason };
         }
-        let acting = longest.saturating_sub(self.count_absent(now) as u32).max(1);
+        let acting = longest_list.saturating_sub(self.count_absent(now) as u32).max(1);
         let reason = match (self.duplicate_identity, self.resumed) {
             (true, _) => ShareReason::DuplicateIdentity,
             (_, true) => ShareReason::Resumed,
             _ => ShareReason::Sharing,
         };
-        let until = self.first_expiry(now);
-        Share { balancers: acting * factor, until, balancers_after, reason }
+        let until = self.first_proof_expiry(now);
+        Share { balancers: acting * identity_processes, until, balancers_after, reason }
     }
 
     /// When the share may change by itself, or a member may be queried or probed again, if nothing happens before.
     pub fn next_wakeup(&self, now: Time) -> Time {
-        let waits = self.waiting_for(now) > 0;
-        let wait_ends = waits.then(|| self.wait_ends());
-        let first =
-            self.first_expiry(now).into_iter().chain(wait_ends).filter(|at| *at > now).min();
-        let interval = if waits { self.timing.probe_interval } else { self.timing.query_interval };
-        let again = now.plus(interval);
-        first.map_or(again, |at| at.min(again))
+        let is_waiting = self.count_awaited(now) > 0;
+        let start_wait_end = is_waiting.then(|| self.start_wait_end());
+        let first = self
+            .first_proof_expiry(now)
+            .into_iter()
+            .chain(start_wait_end)
+            .filter(|at| *at > now)
+            .min();
+        let interval =
+            if is_waiting { self.timing.probe_interval } else { self.timing.query_interval };
+        let next_retry = now.plus(interval);
+        first.map_or(next_retry, |at| at.min(next_retry))
     }
 }
 
--- a/crates/capacity-share/src/capacity_share/tests.rs
+++ b/crates/capacity-share/src/capacity_share/tests.rs
@@ -11,9 +11,9 @@
     let members = || share.members.iter();
     let is_absent = |member: &&Member| !share.is_expired(now, member.absent_since);
     assert_eq!(share.count_absent(now), members().filter(is_absent).count(), "seed {seed}");
-    let unconfirmed: BTreeSet<(Time, Key)> = members().filter_map(Member::unconfirmed).collect();
+    let unconfirmed: BTreeSet<(Time, Key)> = members().filter_map(Member::probe_entry).collect();
     assert_eq!(
-        (share.members.unconfirmed(), share.members.probe_order().collect::<BTreeSet<_>>()),
+        (share.members.count_unconfirmed(), share.members.probe_order().collect::<BTreeSet<_>>()),
         (unconfirmed.len(), unconfirmed),
         "seed {seed}"
     );
@@ -21,14 +21,14 @@
     let longest = members().map(|member| u32::from(member.list_length)).fold(own, u32::max);
     assert_eq!(share.longest_list_length(), longest, "seed {seed}");
     let first = members().filter(is_absent).map(|member| member.absent_since).min();
-    if share.waiting_for(now) == 0 {
+    if share.count_awaited(now) == 0 {
         let until = first.map(|queried| queried.plus(share.timing.lease));
         assert_eq!(share.share(now).until, until, "seed {seed}");
     }
 }
 
 #[test]
-fn indexes_agree_with_a_look_at_all_members() {
+fn indexes_match_a_scan_of_all_members() {
     for seed in 0..200u128 {
         let mut rng = Rand64::new(seed);
         let mut share = CapacityShare::new(Time(0), 1..30, Timing::default());
@@ -62,7 +62,7 @@
 #[test]
 fn probes_are_bounded_for_every_list_length() {
     let timing = Timing::default();
-    for (others, most) in [(47, 47), (512, 64), (513, 0), (7599, 0)] {
+    for (others, max_probes) in [(47, 47), (512, 64), (513, 0), (7599, 0)] {
         let mut share = CapacityShare::new(Time(0), 1..=others, timing);
         for interval in 0..20 {
             let mut probes = 0;
@@ -70,7 +70,7 @@
                 let now = Time(interval * timing.probe_interval.0 + event * 1000);
                 probes += share.due_probes(now).len();
             }
-            assert_eq!(probes, most, "{others} others");
+            assert_eq!(probes, max_probes, "{others} others");
         }
         // It acts all the same, once no proof against it can hold any more.
         assert_eq!(share.share(Time(timing.start_wait().0)).balancers, others + 1);
--- a/crates/capacity-share/src/member.rs
+++ b/crates/capacity-share/src/member.rs
@@ -45,12 +45,12 @@
     }
 
     /// Its entry among the members that may hold a stale proof, if it is one.
-    pub(crate) fn unconfirmed(&self) -> Option<(Time, Key)> {
+    pub(crate) fn probe_entry(&self) -> Option<(Time, Key)> {
         (!self.cannot_hold_stale_proof).then_some((self.last_probed, self.key))
     }
 
     /// Its entry among the proofs of absence, whether or not the proof has expired.
-    pub(crate) fn proof(&self) -> Option<(Time, Key)> {
+    pub(crate) fn proof_entry(&self) -> Option<(Time, Key)> {
         (self.absent_since != NEVER).then_some((self.absent_since, self.key))
     }
 }
--- a/crates/capacity-share/src/member_table.rs
+++ b/crates/capacity-share/src/member_table.rs
@@ -17,7 +17,7 @@
     /// In the order of their keys.
     members: Vec<Member>,
     /// How many may hold a stale proof.
-    unconfirmed: usize,
+    unconfirmed_count: usize,
     /// Those of them that are probed, by the time of the last probe. Empty in a long list.
     probe_order: BTreeSet<(Time, Key)>,
     /// Proofs of absence by the time of their queries. Expired ones stay until they are discarded.
@@ -28,22 +28,22 @@
 
 impl MemberTable {
     /// Replaces the list. What is known of members that stay is kept.
-    pub(crate) fn update(&mut self, keys: impl IntoIterator<Item = Key>) {
+    pub(crate) fn replace_list(&mut self, keys: impl IntoIterator<Item = Key>) {
         let before = std::mem::take(&mut self.members);
         let before: HashMap<Key, Member> =
             before.into_iter().map(|member| (member.key, member)).collect();
-        let known = |key: Key| before.get(&key).copied().unwrap_or(Member::new(key));
-        self.members = keys.into_iter().map(known).collect();
+        let known_member = |key: Key| before.get(&key).copied().unwrap_or(Member::new(key));
+        self.members = keys.into_iter().map(known_member).collect();
         self.members.sort_unstable_by_key(|member| member.key);
         self.members.dedup_by_key(|member| member.key);
         self.rebuild_indexes();
     }
 
     fn rebuild_indexes(&mut self) {
-        let unconfirmed = self.members.iter().filter_map(Member::unconfirmed);
-        self.unconfirmed = unconfirmed.clone().count();
+        let unconfirmed = self.members.iter().filter_map(Member::probe_entry);
+        self.unconfirmed_count = unconfirmed.clone().count();
         self.probe_order = if self.is_short() { unconfirmed.collect() } else { BTreeSet::new() };
-        self.proofs = self.members.iter().filter_map(Member::proof).collect();
+        self.proofs = self.members.iter().filter_map(Member::proof_entry).collect();
         self.list_lengths.clear();
         for member in &self.members {
             *self.list_lengths.entry(member.list_length).or_default() += 1;
@@ -85,15 +85,15 @@
     }
 
     fn update_indexes(&mut self, before: &Member, after: &Member) {
-        if before.unconfirmed() != after.unconfirmed() {
-            self.unconfirmed += usize::from(!after.cannot_hold_stale_proof);
-            self.unconfirmed -= usize::from(!before.cannot_hold_stale_proof);
-            before.unconfirmed().map(|entry| self.probe_order.remove(&entry));
-            self.probe_order.extend(after.unconfirmed().filter(|_| self.is_short()));
+        if before.probe_entry() != after.probe_entry() {
+            self.unconfirmed_count += usize::from(!after.cannot_hold_stale_proof);
+            self.unconfirmed_count -= usize::from(!before.cannot_hold_stale_proof);
+            before.probe_entry().map(|entry| self.probe_order.remove(&entry));
+            self.probe_order.extend(after.probe_entry().filter(|_| self.is_short()));
         }
         if before.absent_since != after.absent_since {
-            before.proof().map(|entry| self.proofs.remove(&entry));
-            self.proofs.extend(after.proof());
+            before.proof_entry().map(|entry| self.proofs.remove(&entry));
+            self.proofs.extend(after.proof_entry());
         }
         if before.list_length != after.list_length {
             if let Some(count) = self.list_lengths.get_mut(&before.list_length) {
@@ -107,8 +107,8 @@
     }
 
     /// How many may hold a stale proof.
-    pub(crate) fn unconfirmed(&self) -> usize {
-        self.unconfirmed
+    pub(crate) fn count_unconfirmed(&self) -> usize {
+        self.unconfirmed_count
     }
 
     /// Members that are probed, the one whose last probe is longest ago first.
@@ -117,7 +117,7 @@
     }
 
     /// When the proofs of absence were queried, the oldest first. Expired ones may be among them.
-    pub(crate) fn proof_times(&self) -> impl Iterator<Item = Time> {
+    pub(crate) fn proof_query_times(&self) -> impl Iterator<Item = Time> {
         self.proofs.iter().map(|(queried, _)| *queried)
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// All members from this key on, in the order of their keys, and then those before it.
-    pub(crate) fn round_from(&self, key: Key) -> impl Iterator<Item = &Member> {
+    pub(crate) fn cyclic_from(&self, key: Key) -> impl Iterator<Item = &Member> {
         let first = self.members.partition_point(|member| member.key < key);
         let (before, from) = self.members.split_at(first);
         from.iter().chain(before)
--- a/crates/capacity-share/src/probes.rs
+++ b/crates/capacity-share/src/probes.rs
@@ -11,19 +11,19 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeBudget {
     interval: Span,
-    started: Time,
+    interval_start: Time,
     sent: usize,
 }
 
 impl ProbeBudget {
     pub(crate) fn new(interval: Span) -> Self {
-        Self { interval, started: NEVER, sent: 0 }
+        Self { interval, interval_start: NEVER, sent: 0 }
     }
 
     /// How many probes the interval leaves; a new one starts when the last is over.
     pub(crate) fn remaining(&mut self, now: Time) -> usize {
-        if now.since(self.started) >= self.interval {
-            (self.started, self.sent) = (now, 0);
+        if now.since(self.interval_start) >= self.interval {
+            (self.interval_start, self.sent) = (now, 0);
         }
         MAX_PROBES_PER_INTERVAL.saturating_sub(self.sent)
     }
--- a/crates/capacity-share/tests/rules.rs
+++ b/crates/capacity-share/tests/rules.rs
@@ -4,14 +4,14 @@
 use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_types::{Span, Time};
 
-const S: i64 = 1_000_000;
+const SECOND: i64 = 1_000_000;
 
 fn at(seconds: f64) -> Time {
-    Time((seconds * S as f64) as i64)
+    Time((seconds * SECOND as f64) as i64)
 }
 
 /// The share of one of `n` members, which all others have acknowledged.
-fn acknowledged_by_all(n: u16) -> CapacityShare {
+fn share_acknowledged_by_all(n: u16) -> CapacityShare {
     let mut share = CapacityShare::new(at(0.0), 1..u32::from(n), Timing::default());
     (1..n).for_each(|key| share.acknowledged(at(0.1), key.into(), n));
     share
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_proof_of_absence_makes_the_share_larger_for_one_lease() {
-    let mut share = acknowledged_by_all(4);
+    let mut share = share_acknowledged_by_all(4);
     assert_eq!(balancers_and_reason(&share, 0.2), (4, ShareReason::Sharing));
     assert!(share.proved_absent(2, at(0.3)), "the proof is new");
     let current = share.share(at(0.4));
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn a_datagram_ends_the_proof_of_absence_at_once() {
-    let mut share = acknowledged_by_all(4);
+fn a_received_datagram_ends_the_proof_of_absence_at_once() {
+    let mut share = share_acknowledged_by_all(4);
     share.proved_absent(2, at(0.3));
     share.datagram_received(at(0.5), 2);
     assert_eq!(balancers_and_reason(&share, 0.5).0, 4);
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_resumed_process_drops_its_proofs() {
-    let mut share = acknowledged_by_all(4);
+    let mut share = share_acknowledged_by_all(4);
     share.proved_absent(2, at(0.3));
     share.set_resumed(true);
     assert_eq!(balancers_and_reason(&share, 0.5), (4, ShareReason::Resumed));
@@ -105,14 +105,14 @@
 
 #[test]
 fn a_duplicate_identity_halves_the_share() {
-    let mut share = acknowledged_by_all(4);
+    let mut share = share_acknowledged_by_all(4);
     share.set_duplicate_identity();
     assert_eq!(balancers_and_reason(&share, 0.5), (8, ShareReason::DuplicateIdentity));
 }
 
 #[test]
-fn the_longest_list_counts_where_lists_differ() {
-    let mut share = acknowledged_by_all(3);
+fn the_longest_list_determines_the_share_where_lists_differ() {
+    let mut share = share_acknowledged_by_all(3);
     share.acknowledged(at(0.3), 1, 7);
     assert_eq!(balancers_and_reason(&share, 0.3).0, 7);
     // An absent member counts for nothing, and neither does the list length that it stated.
@@ -130,7 +130,7 @@
         "members that are removed leave their shares"
     );
     // A member that is added within the start wait may hold a proof against this process.
-    let mut share = acknowledged_by_all(2);
+    let mut share = share_acknowledged_by_all(2);
     share.update_members(1..3);
     assert_eq!(balancers_and_reason(&share, 0.3), (0, ShareReason::Waiting(1)));
 }
@@ -151,7 +151,7 @@
     queried.dedup();
     assert_eq!(queried.len(), 15, "{queried:?}");
     // One member is queried again only after the interval.
-    let mut share = acknowledged_by_all(3);
+    let mut share = share_acknowledged_by_all(3);
     assert_eq!(query(&mut share, 1.0, |_| true), [1, 2]);
     assert_eq!(query(&mut share, 1.49, |_| true), Vec::<u32>::new());
     assert_eq!(query(&mut share, 1.5, |_| true), [1, 2]);
@@ -160,7 +160,7 @@
 /// About a long list few queries are sent in any second, and each member has its turn; about a short one all at once.
 #[test]
 fn queries_about_a_long_list_are_paced() {
-    let timing = Timing { lease: Span(60 * S), ..Timing::default() };
+    let timing = Timing { lease: Span(60 * SECOND), ..Timing::default() };
     let mut share = CapacityShare::new(at(0.0), 1..7600, timing);
     let mut queried: Vec<(f64, u32)> = Vec::new();
     for step in 0..1000 {
@@ -187,7 +187,7 @@
     for _ in 0..2000 {
         let n = 1 + rng.rand_range(0..40) as u32;
         let mut share =
-            CapacityShare::new(Time(0), 1..n, Timing { lease: Span(S), ..Timing::default() });
+            CapacityShare::new(Time(0), 1..n, Timing { lease: Span(SECOND), ..Timing::default() });
         let mut now = Time(0);
         for _ in 0..60 {
             now = now.plus(Span(rng.rand_range(0..400_000) as i64));
--- a/crates/membership/src/codec/tests.rs
+++ b/crates/membership/src/codec/tests.rs
@@ -4,7 +4,7 @@
 use crate::message::{MemberState, Page, key_of};
 
 fn message(updates: usize) -> Message {
-    let one = Update {
+    let update = Update {
         member: u32::MAX,
         process_incarnation: u32::MAX,
         incarnation: u32::MAX,
@@ -22,7 +22,7 @@
         list_length: u16::MAX,
         endpoints_digest: u32::MAX,
         body: Body::IndirectAck { seq: u32::MAX, target: u32::MAX },
-        updates: vec![one; updates],
+        updates: vec![update; updates],
     }
 }
 
@@ -41,28 +41,28 @@
     for updates in 0..40 {
         let (bytes, kept) = encode(&message(updates));
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-        let held = decode(&bytes).expect("its own").updates.len();
-        assert!(held == kept && (held == updates || held >= 8), "{held} of {updates}");
+        let decoded = decode(&bytes).expect("its own").updates.len();
+        assert!(decoded == kept && (decoded == updates || decoded >= 8), "{decoded} of {updates}");
     }
 }
 
 #[test]
-fn another_version_and_too_long_a_datagram_are_rejected_by_reason() {
+fn other_versions_and_too_long_datagrams_are_dropped_with_their_reason() {
     let (mut bytes, _) = encode(&message(1));
     bytes[0] = 1;
     assert_eq!(decode(&bytes), Err(DropReason::OtherVersion));
     assert_eq!(decode(&[VERSION; MAX_PAGE_BYTES + 1]), Err(DropReason::TooLong));
     // Only pages may be longer than the rest.
-    let long = |body| Message { body, ..message(12) };
-    let written = |message: &Message| {
+    let long_message = |body| Message { body, ..message(12) };
+    let encode_unbounded = |message: &Message| {
         let mut bytes = vec![VERSION];
         bytes.extend(postcard::to_allocvec(message).expect("a message"));
         assert!(bytes.len() > MAX_DATAGRAM_BYTES && bytes.len() < MAX_PAGE_BYTES);
         bytes
     };
-    assert_eq!(decode(&written(&long(Body::Leave))), Err(DropReason::TooLong));
+    assert_eq!(decode(&encode_unbounded(&long_message(Body::Leave))), Err(DropReason::TooLong));
     let page = Page { seq: 1, last_key: 2, base_incarnation: 3, entries: vec![4; 100] };
-    assert!(decode(&written(&long(Body::Page(page)))).is_ok());
+    assert!(decode(&encode_unbounded(&long_message(Body::Page(page)))).is_ok());
     assert_eq!(decode(&[]), Err(DropReason::Malformed));
 }
 
@@ -73,25 +73,25 @@
     #[test]
     fn damaged_datagrams_decode_or_are_rejected_without_panic(
         cut in 0usize..300,
-        flip in prop::collection::vec((0usize..256, any::<u8>()), 0..4),
-        more in prop::collection::vec(any::<u8>(), 0..3),
+        bit_flips in prop::collection::vec((0usize..256, any::<u8>()), 0..4),
+        appended in prop::collection::vec(any::<u8>(), 0..3),
         noise in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let _ = decode(&noise);
-        let (whole, _) = encode(&message(5));
-        let mut bytes = whole.clone();
+        let (encoded, _) = encode(&message(5));
+        let mut bytes = encoded.clone();
         bytes.truncate(cut);
-        if cut < whole.len() {
+        if cut < encoded.len() {
             prop_assert!(decode(&bytes).is_err(), "cut to {}", cut);
         }
-        bytes.extend(&more);
-        for (at, bits) in flip {
+        bytes.extend(&appended);
+        for (at, bits) in bit_flips {
             if let Some(byte) = bytes.get_mut(at) {
                 *byte ^= bits;
             }
         }
-        if let Ok(read) = decode(&bytes) {
-            prop_assert!(encode(&read).0.len() <= MAX_DATAGRAM_BYTES);
+        if let Ok(decoded) = decode(&bytes) {
+            prop_assert!(encode(&decoded).0.len() <= MAX_DATAGRAM_BYTES);
         }
     }
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -18,8 +18,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dissemination {
     queue: BTreeMap<Priority, Update>,
-    by_member: FxHashMap<Key, Vec<Priority>>,
-    next: u64,
+    priorities_by_member: FxHashMap<Key, Vec<Priority>>,
+    next_insertion: u64,
 }
 
 impl Dissemination {
@@ -34,7 +34,7 @@
     /// Queues an update. It replaces queued updates of the same member, but for suspicions by other members.
     pub(crate) fn add(&mut self, update: Update) {
         let queue = &mut self.queue;
-        let priorities = self.by_member.entry(update.member).or_default();
+        let priorities = self.priorities_by_member.entry(update.member).or_default();
         priorities.retain(|priority| {
             let is_stale = queue.get(priority).is_none_or(|queued| {
                 queued.state != MemberState::Suspect
@@ -48,22 +48,22 @@
         });
         self.insert(0, update);
         if self.queue.len() > MAX_UPDATES {
-            self.remove_last();
+            self.remove_most_sent();
         }
     }
 
     /// The first so many updates, after those that were sent as often as they may be are discarded.
-    pub(crate) fn first(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
+    pub(crate) fn next_updates(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
         while let Some(((transmissions, _), _)) = self.queue.last_key_value()
             && *transmissions >= max_transmissions
         {
-            self.remove_last();
+            self.remove_most_sent();
         }
         self.queue.values().take(count).copied().collect()
     }
 
     /// The first so many updates were sent.
-    pub(crate) fn sent(&mut self, count: usize) {
+    pub(crate) fn record_sent(&mut self, count: usize) {
         let first: Vec<(Priority, Update)> =
             self.queue.iter().take(count).map(|(priority, update)| (*priority, *update)).collect();
         for (priority, update) in first {
@@ -75,17 +75,17 @@
     /// Keeps the updates about these members.
     pub(crate) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
         self.queue.retain(|_, update| is_known(update.member));
-        self.by_member.retain(|key, _| is_known(*key));
+        self.priorities_by_member.retain(|key, _| is_known(*key));
     }
 
     fn insert(&mut self, transmissions: u32, update: Update) {
-        let priority = (transmissions, self.next);
-        self.next += 1;
+        let priority = (transmissions, self.next_insertion);
+        self.next_insertion += 1;
         self.queue.insert(priority, update);
-        self.by_member.entry(update.member).or_default().push(priority);
+        self.priorities_by_member.entry(update.member).or_default().push(priority);
     }
 
-    fn remove_last(&mut self) {
+    fn remove_most_sent(&mut self) {
         let last = self.queue.last_key_value().map(|(priority, update)| (*priority, update.member));
         if let Some((priority, member)) = last {
             self.remove(priority, member);
@@ -94,10 +94,10 @@
 
     fn remove(&mut self, priority: Priority, member: Key) {
         self.queue.remove(&priority);
-        if let Some(priorities) = self.by_member.get_mut(&member) {
+        if let Some(priorities) = self.priorities_by_member.get_mut(&member) {
             priorities.retain(|other| *other != priority);
             if priorities.is_empty() {
-                self.by_member.remove(&member);
+                self.priorities_by_member.remove(&member);
             }
         }
     }
--- a/crates/membership/src/dissemination/tests.rs
+++ b/crates/membership/src/dissemination/tests.rs
@@ -4,25 +4,29 @@
     Update { member, process_incarnation: 1, incarnation: 0, state, reported_by }
 }
 
-fn members(first: Vec<Update>) -> Vec<Key> {
-    first.into_iter().map(|update| update.member).collect()
+fn members(updates: Vec<Update>) -> Vec<Key> {
+    updates.into_iter().map(|update| update.member).collect()
 }
 
 #[test]
-fn least_sent_updates_come_first_and_of_equals_the_one_that_waits_longest() {
+fn updates_are_ordered_by_transmissions_and_then_by_waiting_time() {
     let mut queue = Dissemination::default();
     (1..=3).for_each(|member| queue.add(update(member, MemberState::Alive, member)));
-    assert_eq!(members(queue.first(2, 3)), [1, 2]);
-    queue.sent(2);
-    assert_eq!(members(queue.first(3, 3)), [3, 1, 2]);
-    queue.sent(2);
-    assert_eq!(members(queue.first(3, 3)), [2, 3, 1]);
+    assert_eq!(members(queue.next_updates(2, 3)), [1, 2]);
+    queue.record_sent(2);
+    assert_eq!(members(queue.next_updates(3, 3)), [3, 1, 2]);
+    queue.record_sent(2);
+    assert_eq!(members(queue.next_updates(3, 3)), [2, 3, 1]);
     queue.add(update(4, MemberState::Dead, 1));
-    assert_eq!(members(queue.first(1, 3)), [4]);
+    assert_eq!(members(queue.next_updates(1, 3)), [4]);
     // An update that was sent as often as it may be is discarded.
-    assert_eq!(members(queue.first(9, 2)), [4, 2, 3]);
-    (0..3).for_each(|_| queue.sent(9));
-    assert!(queue.first(9, 2).is_empty() && queue.is_empty() && queue.by_member.is_empty());
+    assert_eq!(members(queue.next_updates(9, 2)), [4, 2, 3]);
+    (0..3).for_each(|_| queue.record_sent(9));
+    assert!(
+        queue.next_updates(9, 2).is_empty()
+            && queue.is_empty()
+            && queue.priorities_by_member.is_empty()
+    );
 }
 
 #[test]
@@ -32,11 +36,11 @@
     queue.add(update(1, MemberState::Suspect, 2));
     queue.add(update(1, MemberState::Suspect, 3));
     queue.add(update(1, MemberState::Suspect, 2));
-    assert_eq!(queue.first(9, 9).len(), 2);
+    assert_eq!(queue.next_updates(9, 9).len(), 2);
     queue.add(update(1, MemberState::Dead, 2));
-    assert_eq!(queue.first(9, 9), [update(1, MemberState::Dead, 2)]);
+    assert_eq!(queue.next_updates(9, 9), [update(1, MemberState::Dead, 2)]);
     queue.retain(|member| member != 1);
-    assert!(queue.is_empty() && queue.by_member.is_empty());
+    assert!(queue.is_empty() && queue.priorities_by_member.is_empty());
 }
 
 #[test]
@@ -44,9 +48,11 @@
     let mut queue = Dissemination::default();
     for member in 0..10 * MAX_UPDATES as Key {
         queue.add(update(member, MemberState::Alive, member));
-        queue.sent(1);
-        assert!(queue.queue.len() <= MAX_UPDATES && queue.by_member.len() <= MAX_UPDATES);
+        queue.record_sent(1);
+        assert!(
+            queue.queue.len() <= MAX_UPDATES && queue.priorities_by_member.len() <= MAX_UPDATES
+        );
     }
     queue.add(update(7, MemberState::Dead, 8));
-    assert_eq!(queue.first(1, 99), [update(7, MemberState::Dead, 8)]);
+    assert_eq!(queue.next_updates(1, 99), [update(7, MemberState::Dead, 8)]);
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -32,7 +32,7 @@
 
 /// For so many probe intervals a process with a long list queries no member's system: while many start at once, most
 /// of those that it believes to be missing are there.
-const START_INTERVALS: i64 = 50;
+const START_PHASE_INTERVALS: i64 = 50;
 
 /// A change of the view. Members by their keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub struct Membership {
     fleet: Key,
-    own: Key,
+    own_key: Key,
     process_incarnation: u32,
     incarnation: u32,
     nonce: u32,
@@ -107,10 +107,10 @@
     /// 0 for a healthy member, up to 8 for one that is slow or unreachable itself.
     local_health: u32,
     /// When its timer is due, as it last said.
-    due: Option<Time>,
+    timer_due: Option<Time>,
     is_leaving: bool,
     /// How often another process of its own name had a later incarnation.
-    superseded: u32,
+    superseded_count: u32,
     last_seq: u32,
     view_version: u64,
     endpoints_digest: u32,
@@ -135,7 +135,7 @@
         let nonce = (rng.rand_u64() as u32).max(1);
         let mut membership = Self {
             fleet: key_of(fleet),
-            own: key_of(own),
+            own_key: key_of(own),
             process_incarnation,
             incarnation: 0,
             nonce,
@@ -154,9 +154,9 @@
             anti_entropy: AntiEntropy::new(now),
             start_pings_left: 0,
             local_health: 0,
-            due: None,
+            timer_due: None,
             is_leaving: false,
-            superseded: 0,
+            superseded_count: 0,
             last_seq: 0,
             view_version: 0,
             endpoints_digest: 0,
@@ -175,8 +175,8 @@
 
     /// Whether the process has just started, with a list too long to ping all members.
     pub fn has_just_started(&self) -> bool {
-        let start_ends = self.started.plus(self.intervals(START_INTERVALS));
-        self.now < start_ends && !self.has_short_list()
+        let start_phase_end = self.started.plus(self.intervals(START_PHASE_INTERVALS));
+        self.now < start_phase_end && !self.has_short_list()
     }
 
     fn intervals(&self, count: i64) -> Span {
@@ -215,7 +215,7 @@
 
     /// Its own key.
     pub fn own_key(&self) -> Key {
-        self.own
+        self.own_key
     }
 
     /// How many others there are on the list.
@@ -225,12 +225,12 @@
 
     /// How many of the others have left.
     pub fn count_left(&self) -> usize {
-        self.table.left()
+        self.table.count_left()
     }
 
     /// How many of the others are reachable, the suspected among them.
     pub fn count_reachable(&self) -> usize {
-        self.table.reachable()
+        self.table.count_reachable()
     }
 
     /// The name and address of a member of the list.
@@ -242,16 +242,16 @@
     /// one on, and then those before it. Members of a long list that were never heard of are left out as long as this
     /// process pulls a table.
     pub fn unconfirmed_from(&self, key: Key) -> impl Iterator<Item = Key> {
-        let is_learning = self.anti_entropy.is_pulling() && !self.has_short_list();
+        let skips_unknown = self.anti_entropy.is_pulling() && !self.has_short_list();
         self.table.unconfirmed_from(key).filter(move |key| {
             let is_unknown = || self.peer(*key).is_some_and(|peer| peer.health == Health::Unknown);
-            !is_learning || !is_unknown()
+            !skips_unknown || !is_unknown()
         })
     }
 
     /// How many are not confirmed to be alive.
     pub fn count_unconfirmed(&self) -> usize {
-        self.table.unconfirmed()
+        self.table.count_unconfirmed()
     }
 
     /// How much of the fleet it reaches.
@@ -282,7 +282,7 @@
     /// The view's digest.
     pub fn digest(&self) -> u32 {
         let own = if self.is_leaving { &Health::Left } else { &Health::Alive };
-        self.table.digest() ^ member_digest(self.own, self.process_incarnation, own)
+        self.table.digest() ^ member_digest(self.own_key, self.process_incarnation, own)
     }
 
     /// How many datagrams were dropped for this reason.
--- a/crates/membership/src/membership/list_update.rs
+++ b/crates/membership/src/membership/list_update.rs
@@ -22,7 +22,7 @@
         self.now = now;
         let resumed = self.table.resync().map(|resync| resync.since);
         let (old_list, peers) = std::mem::take(&mut self.table).into_parts();
-        let own = self.own;
+        let own = self.own_key;
         let known = |(key, listed): &(Key, ListedMember)| {
             let before = old_list.position(*key).filter(|_| *key != own);
             let Some(before) = before else { return Peer::unknown(*key, now, own) };
@@ -36,7 +36,7 @@
         self.table = MemberTable::new(list, own, known, resumed);
         self.forget_removed_members();
         self.start_pings_left = match self.has_short_list() {
-            true => START_PINGS_PER_MEMBER * self.table.unknown(),
+            true => START_PINGS_PER_MEMBER * self.table.count_unknown(),
             false => START_PINGS_OF_LONG_LIST,
         };
         self.probe_round.clear();
@@ -46,7 +46,7 @@
     fn forget_removed_members(&mut self) {
         let table = &self.table;
         let is_known = |key: Key| table.position(key).is_some();
-        self.gossip.retain(|key| key == self.own || is_known(key));
+        self.gossip.retain(|key| key == self.own_key || is_known(key));
         self.relays.retain(|relay| is_known(relay.target) && is_known(relay.requester));
         self.probe = self.probe.take().filter(|probe| is_known(probe.target));
         self.anti_entropy.retain(is_known);
--- a/crates/membership/src/membership/local_health.rs
+++ b/crates/membership/src/membership/local_health.rs
@@ -19,8 +19,8 @@
     }
 
     /// A process whose timer fires late was suspended, or starved: what it waited for may have come and lie unread.
-    pub(super) fn check_lateness(&mut self, now: Time, output: &mut Output) {
-        let Some(due) = self.due else { return };
+    pub(super) fn detect_late_timer(&mut self, now: Time, output: &mut Output) {
+        let Some(due) = self.timer_due else { return };
         let late = now.since(due).as_micros_f64();
         let intervals = late / self.timing.probe_interval.as_micros_f64();
         if intervals < LATE_INTERVALS || !self.timing.local_health_enabled {
@@ -28,14 +28,14 @@
         }
         self.worsen_local_health(intervals.ceil().min(f64::from(MAX_LOCAL_HEALTH)) as u32);
         // Once for each time that it was late.
-        self.due = Some(now);
+        self.timer_due = Some(now);
         // The probed member is not to blame.
         self.probe = None;
         self.next_probe = self.next_probe.max(now);
         let (shortest_suspicion, _) = self.suspicion_bounds();
         self.postpone_suspicions(now.plus(Span::from_micros_f64(shortest_suspicion)));
         // Others may have declared it dead by now, and it knows of nothing since.
-        if late > shortest_suspicion && self.table.reachable() > 0 {
+        if late > shortest_suspicion && self.table.count_reachable() > 0 {
             self.table.set_resync(Some(now));
             self.update_reachability(output);
         }
@@ -43,7 +43,7 @@
 
     /// No suspicion ends before this time.
     fn postpone_suspicions(&mut self, earliest: Time) {
-        for position in self.table.suspects() {
+        for position in self.table.suspected_positions() {
             self.table.change(position, |peer| {
                 if let Health::Suspect(suspicion) = &mut peer.health {
                     suspicion.deadline = suspicion.deadline.max(earliest);
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -9,7 +9,7 @@
 use crate::peer::Health;
 
 /// Members that are pinged at once when a list is new.
-const MAX_GREETINGS: usize = 64;
+const MAX_LIST_UPDATE_PINGS: usize = 64;
 /// The missing members of a long list are pinged so many times less often: where all members start at once, each ping
 /// and its answer displace pages, by which most members are found.
 const LONG_LIST_PING_FACTOR: f64 = 0.25;
@@ -28,7 +28,7 @@
     /// When the target is suspected.
     deadline: Time,
     /// How many others were asked.
-    requested: Option<u32>,
+    relay_count: Option<u32>,
     /// How many of them said that they had no answer either.
     pub(super) nacks: u32,
 }
@@ -49,7 +49,7 @@
 impl Membership {
     /// When [`Self::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
-        let probe = self.probe.map(|probe| match probe.requested {
+        let probe = self.probe.map(|probe| match probe.relay_count {
             None => probe.indirect_at,
             Some(_) => probe.deadline,
         });
@@ -66,13 +66,13 @@
     /// Does what is due by now.
     pub fn tick(&mut self, now: Time, output: &mut Output) {
         self.now = now;
-        self.check_lateness(now, output);
+        self.detect_late_timer(now, output);
         self.expire_relays(now, output);
         self.continue_probing(now, output);
         self.expire_suspicions(now, output);
         self.continue_pull(now, output);
         self.update_reachability(output);
-        self.due = Some(self.next_wakeup());
+        self.timer_due = Some(self.next_wakeup());
     }
 
     fn expire_relays(&mut self, now: Time, output: &mut Output) {
@@ -85,11 +85,11 @@
 
     fn continue_probing(&mut self, now: Time, output: &mut Output) {
         if let Some(probe) = self.probe {
-            if probe.requested.is_none() && now >= probe.indirect_at {
+            if probe.relay_count.is_none() && now >= probe.indirect_at {
                 self.request_indirect_probes(probe, output);
             }
             if now >= probe.deadline {
-                self.probe_failed(now, output);
+                self.suspect_probe_target(now, output);
             }
         }
         // Bad local health makes probes rare. Updates must not wait for them, or the refutations of suspected members,
@@ -108,20 +108,20 @@
     }
 
     fn start_probe(&mut self, now: Time, output: &mut Output) {
-        let patience = i64::from(1 + self.local_health);
-        self.next_probe = now.plus(self.intervals(patience));
-        self.probe = self.next_of_round().map(|target| {
+        let interval_factor = i64::from(1 + self.local_health);
+        self.next_probe = now.plus(self.intervals(interval_factor));
+        self.probe = self.next_probe_target().map(|target| {
             let seq = self.next_seq();
             self.send(target, Body::Ping { seq }, output);
-            let indirect_at = now.plus(Span(self.timing.probe_timeout.0 * patience));
+            let indirect_at = now.plus(Span(self.timing.probe_timeout.0 * interval_factor));
             let deadline = self.next_probe;
-            Probe { target, seq, indirect_at, deadline, requested: None, nacks: 0 }
+            Probe { target, seq, indirect_at, deadline, relay_count: None, nacks: 0 }
         });
     }
 
     /// Each member once in a round, in a random order drawn for each round (SWIM, section 4.3): a dead member is found
     /// within a round at the latest.
-    fn next_of_round(&mut self) -> Option<Key> {
+    fn next_probe_target(&mut self) -> Option<Key> {
         for _ in 0..2 {
             while let Some(key) = self.probe_round.pop() {
                 if self.peer(key).is_some_and(|peer| peer.health.is_reachable()) {
@@ -146,15 +146,16 @@
     /// pings more of those that it never heard of, for as long as it takes to ping each of them twice, or with a long
     /// list until the first has answered.
     fn ping_random_missing(&mut self, output: &mut Output) {
-        let reachable = self.table.reachable();
+        let reachable = self.table.count_reachable();
         let missing = self.table.len() - reachable;
-        let chance = (missing as f64 / (reachable + 1) as f64).min(1.0);
-        let chance = if self.has_short_list() { chance } else { chance * LONG_LIST_PING_FACTOR };
-        let is_drawn = self.rng.rand_float() < chance;
-        if is_drawn && let Some(key) = self.table.random_missing_peer(&mut self.rng) {
+        let probability = (missing as f64 / (reachable + 1) as f64).min(1.0);
+        let probability =
+            if self.has_short_list() { probability } else { probability * LONG_LIST_PING_FACTOR };
+        let pings_one = self.rng.rand_float() < probability;
+        if pings_one && let Some(key) = self.table.random_missing_peer(&mut self.rng) {
             self.ping(key, output);
         }
-        let unknown = self.table.unknown();
+        let unknown = self.table.count_unknown();
         let (left, per_interval) = match self.has_short_list() {
             // Without the bound by the unknown members the last few would be pinged by all for as long as all were to
             // be pinged.
@@ -162,7 +163,7 @@
                 self.start_pings_left.min(START_PINGS_PER_MEMBER * unknown),
                 START_PINGS_PER_INTERVAL,
             ),
-            false if self.table.reachable() == 0 => {
+            false if self.table.count_reachable() == 0 => {
                 (self.start_pings_left, LONG_LIST_START_PINGS_PER_INTERVAL)
             }
             false => (0, 0),
@@ -180,10 +181,10 @@
         if !self.has_short_list() {
             return;
         }
-        self.ping_random(Group::Unknown, MAX_GREETINGS, output);
-        let remaining = MAX_GREETINGS.saturating_sub(self.table.unknown());
-        self.ping_random(Group::Departed, remaining, output);
-        self.due = Some(self.next_wakeup().max(now));
+        self.ping_random(Group::Unknown, MAX_LIST_UPDATE_PINGS, output);
+        let remaining = MAX_LIST_UPDATE_PINGS.saturating_sub(self.table.count_unknown());
+        self.ping_random(Group::DeadOrLeft, remaining, output);
+        self.timer_due = Some(self.next_wakeup().max(now));
     }
 
     /// Pings so many random members of a group, or all if there are fewer.
@@ -201,11 +202,11 @@
     }
 
     fn request_indirect_probes(&mut self, probe: Probe, output: &mut Output) {
-        let (mut requested, mut drawn) = (0, 0);
+        let (mut requested, mut index) = (0, 0);
         while requested < self.timing.indirect_probes as u32 {
-            let relay = self.table.random_peer(Group::Reachable, drawn, &mut self.rng);
+            let relay = self.table.random_peer(Group::Reachable, index, &mut self.rng);
             let Some(relay) = relay else { break };
-            drawn += 1;
+            index += 1;
             let is_alive = self.peer(relay).is_some_and(|peer| peer.health == Health::Alive);
             if is_alive && relay != probe.target {
                 let body = Body::PingRequest { seq: probe.seq, target: probe.target };
@@ -214,7 +215,7 @@
             }
         }
         if let Some(probe) = &mut self.probe {
-            probe.requested = Some(requested);
+            probe.relay_count = Some(requested);
         }
     }
 
@@ -227,11 +228,11 @@
     }
 
     /// The probe has ended without an answer.
-    fn probe_failed(&mut self, now: Time, output: &mut Output) {
+    fn suspect_probe_target(&mut self, now: Time, output: &mut Output) {
         let Some(probe) = self.probe.take() else { return };
         // Members that were asked say so if they had no answer either. If they say nothing at all, it is more likely
         // this member that is not heard.
-        if probe.requested.unwrap_or(0) > probe.nacks {
+        if probe.relay_count.unwrap_or(0) > probe.nacks {
             self.worsen_local_health(1);
         }
         let peer = self.peer(probe.target).filter(|peer| peer.health.is_reachable());
@@ -241,8 +242,8 @@
             process_incarnation: peer.process_incarnation,
             incarnation: peer.incarnation,
             state: MemberState::Suspect,
-            reported_by: self.own,
+            reported_by: self.own_key,
         };
-        self.learn(now, suspected, output);
+        self.apply_update(now, suspected, output);
     }
 }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -18,12 +18,12 @@
         self.now = now;
         self.meter.add_datagram(now, bytes.len());
         // A process that goes on after a stop may read its socket before it looks at its clock.
-        self.check_lateness(now, output);
+        self.detect_late_timer(now, output);
         match self.authenticate(from, bytes) {
             Ok((position, message)) => self.receive_message(now, position, message, output),
             Err(reason) => *self.dropped.entry(reason).or_default() += 1,
         }
-        self.due = Some(self.next_wakeup().max(now));
+        self.timer_due = Some(self.next_wakeup().max(now));
     }
 
     /// The message of a datagram that comes from a member of this fleet, and the member's position.
@@ -50,7 +50,7 @@
             if message.receiver_nonce != 0 {
                 *self.dropped.entry(DropReason::StaleNonce).or_default() += 1;
             }
-            return self.introduce_self(position, &message, output);
+            return self.answer_with_nonce(position, &message, output);
         }
         let Message { process_incarnation, incarnation, nonce, view_digest, .. } = message;
         let sender = message.sender;
@@ -62,7 +62,7 @@
                 state: MemberState::Alive,
                 reported_by: sender,
             };
-            self.learn(now, alive, output);
+            self.apply_update(now, alive, output);
             self.table.change(position, |peer| {
                 (peer.nonce, peer.last_message_at) = (nonce, Some(now));
                 peer.list_length = message.list_length;
@@ -72,20 +72,20 @@
         } else {
             // An earlier process of that name had a later incarnation: the sender learns of it, and takes a later one.
             self.table.change(position, |peer| peer.nonce = nonce);
-            self.tell_incarnation(sender, output);
+            self.send_known_incarnation(sender, output);
         }
         for update in message.updates {
-            self.learn(now, update, output);
+            self.apply_update(now, update, output);
         }
         if matches!(message.body, Body::Ack { .. }) {
-            self.compare_views(now, sender, view_digest, output);
+            self.compare_view_digests(now, sender, view_digest, output);
         }
         self.receive_body(now, sender, message.body, output);
     }
 
     /// The sender does not know this process yet. Nothing that it says counts, but the sender of a ping is told this
     /// process's nonce; with that it can say it again.
-    fn introduce_self(&mut self, position: usize, message: &Message, output: &mut Output) {
+    fn answer_with_nonce(&mut self, position: usize, message: &Message, output: &mut Output) {
         let Body::Ping { seq } = message.body else { return };
         let nonce = message.nonce;
         let before = self.table.change(position, |peer| std::mem::replace(&mut peer.nonce, nonce));
@@ -94,7 +94,7 @@
     }
 
     /// Tells a member the incarnations that are known of it.
-    fn tell_incarnation(&mut self, key: Key, output: &mut Output) {
+    fn send_known_incarnation(&mut self, key: Key, output: &mut Output) {
         let Some(peer) = self.peer(key) else { return };
         let update = Update {
             member: key,
@@ -124,7 +124,7 @@
                 }
             }
             Body::Leave => self.receive_leave(now, from, output),
-            Body::Pull(pull) => self.serve_page(now, from, &pull, output),
+            Body::Pull(pull) => self.answer_pull(now, from, &pull, output),
             Body::Page(page) => self.receive_page(now, from, &page, output),
         }
     }
@@ -166,6 +166,6 @@
             state: MemberState::Left,
             reported_by: from,
         };
-        self.learn(now, left, output);
+        self.apply_update(now, left, output);
     }
 }
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -20,13 +20,13 @@
     }
 
     /// Queues an update about this member itself.
-    pub(super) fn announce_self(&mut self) {
+    pub(super) fn queue_own_update(&mut self) {
         self.gossip.add(Update {
-            member: self.own,
+            member: self.own_key,
             process_incarnation: self.process_incarnation,
             incarnation: self.incarnation,
             state: if self.is_leaving { MemberState::Left } else { MemberState::Alive },
-            reported_by: self.own,
+            reported_by: self.own_key,
         });
     }
 
@@ -37,23 +37,23 @@
         let Some(address) = self.listed(to).map(|listed| listed.address) else { return };
         // What is believed of the receiver itself comes first, so that it can refute it.
         let state = peer.health.state().filter(|state| *state != MemberState::Alive);
-        let about_receiver = state.map(|state| Update {
+        let receiver_update = state.map(|state| Update {
             member: to,
             process_incarnation: peer.process_incarnation,
             incarnation: peer.incarnation,
             state,
             reported_by: peer.reported_by,
         });
-        let unqueued = about_receiver.iter().count();
+        let unqueued_count = receiver_update.iter().count();
         // A receiver that does not know this process yet reads no updates.
         let updates: Vec<Update> = match (receiver_nonce, &body) {
             (0, _) => Vec::new(),
-            (_, Body::Pull(_) | Body::Page(_)) => about_receiver.into_iter().collect(),
-            _ => about_receiver.into_iter().chain(self.updates_within_budget()).collect(),
+            (_, Body::Pull(_) | Body::Page(_)) => receiver_update.into_iter().collect(),
+            _ => receiver_update.into_iter().chain(self.updates_within_budget()).collect(),
         };
         let message = Message {
             fleet: self.fleet,
-            sender: self.own,
+            sender: self.own_key,
             process_incarnation: self.process_incarnation,
             incarnation: self.incarnation,
             nonce: self.nonce,
@@ -66,8 +66,8 @@
         };
         let (bytes, sent) = encode(&message);
         if receiver_nonce != 0 {
-            self.gossip.sent(sent.saturating_sub(unqueued));
-            let sent_updates = message.updates.iter().take(sent).skip(unqueued);
+            self.gossip.record_sent(sent.saturating_sub(unqueued_count));
+            let sent_updates = message.updates.iter().take(sent).skip(unqueued_count);
             self.meter.add_updates(self.now, sent_updates.map(update_bytes).sum());
         }
         self.meter.add_datagram(self.now, bytes.len());
@@ -83,12 +83,13 @@
             true => usize::MAX,
             false => self.meter.remaining_for_updates(self.now, is_pulling),
         };
-        let mut updates = self.gossip.first(MAX_UPDATES_PER_MESSAGE, self.max_transmissions());
-        let own = self.own;
+        let mut updates =
+            self.gossip.next_updates(MAX_UPDATES_PER_MESSAGE, self.max_transmissions());
+        let own = self.own_key;
         let fitting = updates.iter().take_while(|update| {
-            let left = remaining.checked_sub(update_bytes(update));
-            remaining = left.unwrap_or(remaining);
-            left.is_some() || update.member == own
+            let rest = remaining.checked_sub(update_bytes(update));
+            remaining = rest.unwrap_or(remaining);
+            rest.is_some() || update.member == own
         });
         let fitting = fitting.count();
         updates.truncate(fitting);
@@ -110,7 +111,7 @@
     pub fn leave(&mut self, output: &mut Output) {
         self.is_leaving = true;
         self.probe = None;
-        self.announce_self();
+        self.queue_own_update();
         for n in 0..self.max_transmissions() as usize {
             let Some(key) = self.table.random_peer(Group::Reachable, n, &mut self.rng) else {
                 break;
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -10,7 +10,7 @@
 impl Membership {
     /// The shortest and longest time of a suspicion, in microseconds, for a fleet of this size.
     pub(super) fn suspicion_bounds(&self) -> (f64, f64) {
-        let members = (self.table.reachable() + 1) as f64;
+        let members = (self.table.count_reachable() + 1) as f64;
         let interval = self.timing.probe_interval.as_micros_f64();
         let shortest = self.timing.suspicion_factor * members.log10().max(1.0) * interval;
         (shortest, shortest * self.timing.max_suspicion_factor)
@@ -21,7 +21,7 @@
     pub(super) fn suspicion_deadline(&self, started: Time, confirmers: usize) -> Time {
         let (shortest, longest) = self.suspicion_bounds();
         // In a fleet with fewer members than confirmers are wanted, those that there are suffice.
-        let wanted = MAX_CONFIRMERS.min(self.table.reachable().saturating_sub(1));
+        let wanted = MAX_CONFIRMERS.min(self.table.count_reachable().saturating_sub(1));
         let fraction = match wanted {
             0 => 1.0,
             _ => ((confirmers + 1) as f64).ln() / ((wanted + 1) as f64).ln(),
@@ -63,9 +63,9 @@
                 process_incarnation: peer.process_incarnation,
                 incarnation: peer.incarnation,
                 state: MemberState::Dead,
-                reported_by: self.own,
+                reported_by: self.own_key,
             };
-            self.learn(now, dead, output);
+            self.apply_update(now, dead, output);
         }
     }
 
@@ -84,10 +84,10 @@
             process_incarnation: peer.process_incarnation,
             incarnation: peer.incarnation,
             state: MemberState::Dead,
-            reported_by: self.own,
+            reported_by: self.own_key,
         };
-        self.learn(now, dead, output);
-        self.due = Some(self.next_wakeup().max(now));
+        self.apply_update(now, dead, output);
+        self.timer_due = Some(self.next_wakeup().max(now));
     }
 
     /// An update states something of this member itself: if it is wrong, a later incarnation refutes it.
@@ -102,8 +102,8 @@
             // Once, it is an earlier process with a clock ahead of this one's; the second time, another process runs.
             self.process_incarnation = update.process_incarnation.saturating_add(1);
             self.incarnation = 0;
-            self.superseded += 1;
-            if self.superseded == 2 {
+            self.superseded_count += 1;
+            if self.superseded_count == 2 {
                 output.changes.push(Change::DuplicateIdentity);
             }
         } else {
@@ -111,7 +111,7 @@
             // Others do not hear it in time: that may be its own fault.
             self.worsen_local_health(1);
         }
-        self.announce_self();
+        self.queue_own_update();
         self.view_changed(output);
         // A suspicion has a deadline, and this member may be slow: the refutation does not wait for its next probe.
         self.gossip_to(self.timing.indirect_probes, output);
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -16,10 +16,10 @@
 
     /// Determines again how much of the fleet it reaches.
     pub(super) fn update_reachability(&mut self, output: &mut Output) {
-        let reachable = self.table.reachable();
-        let listed = self.table.len() - self.table.left();
+        let reachable = self.table.count_reachable();
+        let listed = self.table.len() - self.table.count_left();
         // Half of those that it believes to be reachable have answered: gossip corrects the rest of what it knew.
-        if self.table.resync().is_some_and(|resync| resync.heard * 2 >= reachable) {
+        if self.table.resync().is_some_and(|resync| resync.responders * 2 >= reachable) {
             self.table.set_resync(None);
         }
         let reachability = if self.table.resync().is_some() {
@@ -38,31 +38,31 @@
     }
 
     /// Applies an update, from gossip or of its own finding, and queues it.
-    pub(super) fn learn(&mut self, now: Time, update: Update, output: &mut Output) {
-        if update.member == self.own {
+    pub(super) fn apply_update(&mut self, now: Time, update: Update, output: &mut Output) {
+        if update.member == self.own_key {
             return self.refute(update, output);
         }
         let Some(position) = self.table.position(update.member) else { return };
         if !supersedes(&update, self.table.at(position)) {
             return self.confirm_suspicion(position, update);
         }
-        self.apply(now, position, update, output);
+        self.replace_state(now, position, update, output);
         self.gossip.add(update);
     }
 
     /// Applies an update of a page. It is not queued: each member that pulls a table would have all of it to send.
-    pub(super) fn learn_from_page(&mut self, now: Time, update: Update, output: &mut Output) {
-        if update.member == self.own {
+    pub(super) fn apply_page_entry(&mut self, now: Time, update: Update, output: &mut Output) {
+        if update.member == self.own_key {
             return self.refute(update, output);
         }
         let Some(position) = self.table.position(update.member) else { return };
         if supersedes(&update, self.table.at(position)) {
-            self.apply(now, position, update, output);
+            self.replace_state(now, position, update, output);
         }
     }
 
     /// Replaces what is known of a member by an update that supersedes it.
-    fn apply(&mut self, now: Time, position: usize, update: Update, output: &mut Output) {
+    fn replace_state(&mut self, now: Time, position: usize, update: Update, output: &mut Output) {
         let deadline = self.suspicion_deadline(now, 0);
         let health = match update.state {
             MemberState::Alive => Health::Alive,
@@ -84,13 +84,13 @@
             (std::mem::replace(&mut peer.health, health), incarnation_before)
         });
         let is_same_process = incarnation_before == update.process_incarnation;
-        output.changes.extend(change_of(&update, &health_before, is_same_process));
+        output.changes.extend(view_change(&update, &health_before, is_same_process));
         self.view_changed(output);
     }
 }
 
 /// The change of the view that an update makes.
-fn change_of(update: &Update, before: &Health, is_same_process: bool) -> Option<Change> {
+fn view_change(update: &Update, before: &Health, is_same_process: bool) -> Option<Change> {
     let Update { member, process_incarnation, reported_by, .. } = *update;
     match update.state {
         MemberState::Alive if before.is_reachable() && is_same_process => {
--- a/crates/membership/src/meter.rs
+++ b/crates/membership/src/meter.rs
@@ -16,30 +16,33 @@
 pub(crate) const MIN_UPDATE_BYTES: usize = 300;
 /// Updates beyond that are sent while the last second had fewer bytes than this, and no table is pulled. Updates had
 /// displaced all pages, which tell a hundred times as much in the same bytes.
-pub(crate) const UPDATES_BELOW: usize = 2400;
+pub(crate) const UPDATES_BELOW_BYTES: usize = 2400;
 
 /// A second has so many slots, with one more for the part of the first slot that is over already: no second of any
 /// beginning has more bytes than the meter says.
-const SLOTS: usize = 11;
-const SLOT: Span = Span(100_000);
+const SLOT_COUNT: usize = 11;
+const SLOT_DURATION: Span = Span(100_000);
 
 /// Bytes sent and received in the last second, and the updates among those sent.
 #[derive(Clone, Debug)]
 pub(crate) struct TrafficMeter {
-    slots: [Slot; SLOTS],
+    slots: [Slot; SLOT_COUNT],
     /// The number of the current slot, since the clock's beginning.
-    current: i64,
+    current_slot: i64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
-    all: usize,
+    total: usize,
     updates: usize,
 }
 
 impl TrafficMeter {
     pub(crate) fn new(now: Time) -> Self {
-        Self { slots: [Slot::default(); SLOTS], current: now.0.div_euclid(SLOT.0) }
+        Self {
+            slots: [Slot::default(); SLOT_COUNT],
+            current_slot: now.0.div_euclid(SLOT_DURATION.0),
+        }
     }
 
     /// Counts a datagram of so many bytes, without its headers.
@@ -49,7 +52,7 @@
 
     /// Counts so many bytes, headers included.
     pub(crate) fn add(&mut self, now: Time, bytes: usize) {
-        self.slot_at(now).all += bytes;
+        self.slot_at(now).total += bytes;
     }
 
     /// Counts so many of the bytes sent as updates.
@@ -60,7 +63,7 @@
     /// How many bytes are left until the last second has had so many.
     pub(crate) fn remaining(&mut self, now: Time, budget: usize) -> usize {
         self.slot_at(now);
-        budget.saturating_sub(self.slots.iter().map(|slot| slot.all).sum())
+        budget.saturating_sub(self.slots.iter().map(|slot| slot.total).sum())
     }
 
     /// How many bytes of updates may be sent: while a table is pulled no more than the minimum.
@@ -68,17 +71,17 @@
         self.slot_at(now);
         let sent: usize = self.slots.iter().map(|slot| slot.updates).sum();
         let minimum = MIN_UPDATE_BYTES.saturating_sub(sent);
-        if is_pulling { minimum } else { minimum.max(self.remaining(now, UPDATES_BELOW)) }
+        if is_pulling { minimum } else { minimum.max(self.remaining(now, UPDATES_BELOW_BYTES)) }
     }
 
     /// The slot of this time. Slots that are over a second old are emptied.
     fn slot_at(&mut self, now: Time) -> &mut Slot {
-        let number = now.0.div_euclid(SLOT.0).max(self.current);
-        for passed in (self.current + 1..=number).rev().take(SLOTS) {
-            self.slots[passed.rem_euclid(SLOTS as i64) as usize] = Slot::default();
+        let number = now.0.div_euclid(SLOT_DURATION.0).max(self.current_slot);
+        for elapsed in (self.current_slot + 1..=number).rev().take(SLOT_COUNT) {
+            self.slots[elapsed.rem_euclid(SLOT_COUNT as i64) as usize] = Slot::default();
         }
-        self.current = number;
-        &mut self.slots[number.rem_euclid(SLOTS as i64) as usize]
+        self.current_slot = number;
+        &mut self.slots[number.rem_euclid(SLOT_COUNT as i64) as usize]
     }
 }
 
--- a/crates/membership/src/meter/tests.rs
+++ b/crates/membership/src/meter/tests.rs
@@ -8,18 +8,18 @@
     for seed in 0..50u128 {
         let mut rng = Rand64::new(seed);
         let begin = Time(rng.rand_range(0..1 << 40) as i64 - (1 << 39));
-        let (mut meter, mut now, mut spent) = (TrafficMeter::new(begin), begin, Vec::new());
+        let (mut meter, mut now, mut sent) = (TrafficMeter::new(begin), begin, Vec::new());
         for _ in 0..2000 {
             now = now.plus(Span(rng.rand_range(0..60_000) as i64));
             let bytes = rng.rand_range(1..1200) as usize;
             if meter.remaining(now, 5000) >= bytes {
                 meter.add(now, bytes);
-                spent.push((now, bytes));
+                sent.push((now, bytes));
             }
         }
-        for (from, _) in &spent {
+        for (from, _) in &sent {
             let within = |at: &Time| at.since(*from).0 >= 0 && at.since(*from).0 < 1_000_000;
-            let sum: usize = spent.iter().filter(|(at, _)| within(at)).map(|(_, n)| n).sum();
+            let sum: usize = sent.iter().filter(|(at, _)| within(at)).map(|(_, n)| n).sum();
             assert!(sum <= 5000, "seed {seed}: {sum}");
         }
         assert_eq!(meter.remaining(now.plus(Span(1_200_000)), 5000), 5000, "seed {seed}");
@@ -30,12 +30,12 @@
 #[test]
 fn updates_get_their_minimum_and_what_the_budget_leaves() {
     let mut meter = TrafficMeter::new(Time(0));
-    assert_eq!(meter.remaining_for_updates(Time(0), false), UPDATES_BELOW);
+    assert_eq!(meter.remaining_for_updates(Time(0), false), UPDATES_BELOW_BYTES);
     meter.add(Time(0), MAX_BYTES_PER_SECOND);
     assert_eq!(meter.remaining_for_updates(Time(0), false), MIN_UPDATE_BYTES);
     meter.add_updates(Time(0), MIN_UPDATE_BYTES - 10);
     assert_eq!(meter.remaining_for_updates(Time(500_000), false), 10);
     let free = Time(9_000_000);
     assert_eq!(meter.remaining_for_updates(free, true), MIN_UPDATE_BYTES, "pages come first");
-    assert_eq!(meter.remaining_for_updates(free, false), UPDATES_BELOW);
+    assert_eq!(meter.remaining_for_updates(free, false), UPDATES_BELOW_BYTES);
 }
--- a/crates/membership/src/page.rs
+++ b/crates/membership/src/page.rs
@@ -17,7 +17,7 @@
 /// Bits of a state in an entry.
 const STATE_BITS: u32 = 2;
 /// Bytes of all of a page but its entries at most, an update about the receiver itself included.
-const PAGE_HEAD: usize = 90;
+const PAGE_OVERHEAD_BYTES: usize = 90;
 
 /// What a page says of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
         Self { prefix_bits: (groups.ilog2() as u8).min(MAX_PREFIX_BITS) }
     }
 
-    fn group(self, key: Key) -> usize {
+    fn group_of(self, key: Key) -> usize {
         key.checked_shr(Key::BITS - u32::from(self.prefix_bits)).unwrap_or(0) as usize
     }
 
@@ -66,27 +66,27 @@
 /// by chance are told apart by the next exchange. Members that are not reachable are left out, as in the view's digest.
 fn group_digest<'a>(peers: impl IntoIterator<Item = &'a Peer>, salt: u32) -> u8 {
     peers.into_iter().fold(0, |digest, peer| {
-        let part = member_digest(peer.key, peer.process_incarnation, &peer.health);
-        let salted = mix(u64::from(part) << 32 | u64::from(salt));
-        digest ^ if part == 0 { 0 } else { salted as u8 }
+        let contribution = member_digest(peer.key, peer.process_incarnation, &peer.health);
+        let salted = mix(u64::from(contribution) << 32 | u64::from(salt));
+        digest ^ if contribution == 0 { 0 } else { salted as u8 }
     })
 }
 
 /// The request for what another member knows from this key on, of the members that differ from `peers`, which are one's
 /// own from that key on.
-pub(crate) fn request<'a>(
+pub(crate) fn build_request<'a>(
     seq: u32,
     first_key: Key,
     salt: u32,
     grouping: Grouping,
     peers: impl Iterator<Item = &'a Peer>,
 ) -> Pull {
-    let first_group = grouping.group(first_key);
-    let groups = (grouping.group(Key::MAX) - first_group + 1).min(MAX_GROUPS);
+    let first_group = grouping.group_of(first_key);
+    let groups = (grouping.group_of(Key::MAX) - first_group + 1).min(MAX_GROUPS);
     let mut members: Vec<Vec<&Peer>> = vec![Vec::new(); groups];
     let mut known = 0;
     for peer in peers {
-        let Some(group) = members.get_mut(grouping.group(peer.key) - first_group) else { break };
+        let Some(group) = members.get_mut(grouping.group_of(peer.key) - first_group) else { break };
         known += usize::from(peer.health.is_reachable());
         group.push(peer);
     }
@@ -100,7 +100,7 @@
 
 /// The page that answers a request from `peers`, one's own from the requested key on, in so many bytes at most. `None`
 /// for a request that no member makes, and if there is no space for an entry.
-pub(crate) fn answer<'a>(
+pub(crate) fn build_page<'a>(
     pull: &Pull,
     base_incarnation: u32,
     max_bytes: usize,
@@ -110,7 +110,7 @@
         return None;
     }
     let grouping = Grouping { prefix_bits: pull.prefix_bits };
-    let first_group = grouping.group(pull.first_key);
+    let first_group = grouping.group_of(pull.first_key);
     let requested = match pull.digests.len() {
         0 => Key::MAX,
         groups => grouping.last_key(first_group + groups - 1),
@@ -119,14 +119,14 @@
     let mut page = Page { seq, last_key: requested, base_incarnation, entries };
     let peers: Vec<&Peer> = peers.take_while(|peer| peer.key <= requested).collect();
     let mut previous = pull.first_key;
-    for group in peers.chunk_by(|a, b| grouping.group(a.key) == grouping.group(b.key)) {
-        let digest = pull.digests.get(grouping.group(group[0].key) - first_group);
+    for group in peers.chunk_by(|a, b| grouping.group_of(a.key) == grouping.group_of(b.key)) {
+        let digest = pull.digests.get(grouping.group_of(group[0].key) - first_group);
         if digest == Some(&group_digest(group.iter().copied(), pull.salt)) {
             continue;
         }
         for peer in group {
-            let Some(entry) = pack(peer, previous, base_incarnation) else { continue };
-            if page.entries.len() + entry.len() + PAGE_HEAD > max_bytes {
+            let Some(entry) = encode_entry(peer, previous, base_incarnation) else { continue };
+            if page.entries.len() + entry.len() + PAGE_OVERHEAD_BYTES > max_bytes {
                 page.last_key = peer.key.checked_sub(1).filter(|_| !page.entries.is_empty())?;
                 return Some(page);
             }
@@ -139,7 +139,7 @@
 
 /// The entry of a member; none for one that was never heard of. A suspected member is sent as alive: a suspicion has a
 /// deadline, and begins with an update.
-fn pack(peer: &Peer, previous: Key, base_incarnation: u32) -> Option<Vec<u8>> {
+fn encode_entry(peer: &Peer, previous: Key, base_incarnation: u32) -> Option<Vec<u8>> {
     let state = match peer.health.state()? {
         MemberState::Suspect => MemberState::Alive,
         state => state,
@@ -148,12 +148,12 @@
         key_distance: peer.key - previous,
         process_incarnation_offset: i64::from(peer.process_incarnation)
             - i64::from(base_incarnation),
-        incarnation_and_state: u64::from(peer.incarnation) << STATE_BITS | state_number(state),
+        incarnation_and_state: u64::from(peer.incarnation) << STATE_BITS | encode_state(state),
     };
     postcard::to_allocvec(&entry).ok()
 }
 
-fn state_number(state: MemberState) -> u64 {
+fn encode_state(state: MemberState) -> u64 {
     match state {
         MemberState::Alive => 0,
         MemberState::Suspect => 1,
@@ -162,7 +162,7 @@
     }
 }
 
-fn state_of(incarnation_and_state: u64) -> MemberState {
+fn decode_state(incarnation_and_state: u64) -> MemberState {
     match incarnation_and_state & ((1 << STATE_BITS) - 1) {
         0 => MemberState::Alive,
         1 => MemberState::Suspect,
@@ -173,7 +173,7 @@
 
 /// The entries of a page that was requested from this key on. `None` for a page that no member writes: it is cut off,
 /// its keys do not ascend or are past the last key that it covers, or an incarnation is out of range.
-pub(crate) fn read(page: &Page, first_key: Key) -> Option<Vec<Entry>> {
+pub(crate) fn decode_entries(page: &Page, first_key: Key) -> Option<Vec<Entry>> {
     if page.last_key < first_key {
         return None;
     }
@@ -190,7 +190,7 @@
             i64::from(page.base_incarnation).checked_add(process_incarnation_offset)?;
         let process_incarnation = u32::try_from(process_incarnation).ok()?;
         let incarnation = u32::try_from(incarnation_and_state >> STATE_BITS).ok()?;
-        let state = state_of(incarnation_and_state);
+        let state = decode_state(incarnation_and_state);
         entries.push(Entry { member, process_incarnation, incarnation, state });
         (rest, previous) = (after, member);
     }
--- a/crates/membership/src/page/tests.rs
+++ b/crates/membership/src/page/tests.rs
@@ -14,15 +14,15 @@
     let mut keys: Vec<Key> = (0..count).map(|_| rng.rand_u64() as Key).collect();
     keys.sort_unstable();
     keys.dedup();
-    let health = |lot| match lot {
+    let health = |choice| match choice {
         0 => Health::Unknown,
         1 => Health::Dead,
         2 => Health::Left,
         _ => Health::Alive,
     };
-    let any =
+    let random_peer =
         |key| peer(key, 1000 + rng.rand_range(0..90_000) as u32, health(rng.rand_range(0..9)));
-    keys.into_iter().map(any).collect()
+    keys.into_iter().map(random_peer).collect()
 }
 
 /// Pulls all that differs, and takes it over; how many pages and entries that took.
@@ -30,13 +30,16 @@
     let (mut from, mut pages, mut entries) = (0, 0, 0);
     loop {
         let grouping = Grouping::for_members(own.len());
-        let from_on = |peers: &[Peer]| -> Vec<Peer> {
+        let peers_from = |peers: &[Peer]| -> Vec<Peer> {
             peers.iter().filter(|peer| peer.key >= from).cloned().collect()
         };
-        let request = request(1, from, salt, grouping, from_on(own).iter());
-        let page = answer(&request, 1000, MAX_PAGE_BYTES, from_on(others).iter()).expect("a page");
-        assert!(page.entries.len() + PAGE_HEAD <= MAX_PAGE_BYTES && page.last_key >= from);
-        for entry in read(&page, from).expect("its own") {
+        let request = build_request(1, from, salt, grouping, peers_from(own).iter());
+        let page =
+            build_page(&request, 1000, MAX_PAGE_BYTES, peers_from(others).iter()).expect("a page");
+        assert!(
+            page.entries.len() + PAGE_OVERHEAD_BYTES <= MAX_PAGE_BYTES && page.last_key >= from
+        );
+        for entry in decode_entries(&page, from).expect("its own") {
             entries += 1;
             if let Some(known) = own.iter_mut().find(|peer| peer.key == entry.member) {
                 let found = others
@@ -57,11 +60,12 @@
     }
 }
 
-fn differ(own: &[Peer], others: &[Peer]) -> usize {
-    let part = |peer: &Peer| member_digest(peer.key, peer.process_incarnation, &peer.health);
+fn count_differences(own: &[Peer], others: &[Peer]) -> usize {
+    let contribution =
+        |peer: &Peer| member_digest(peer.key, peer.process_incarnation, &peer.health);
     own.iter()
         .zip(others)
-        .filter(|(a, b)| part(a) != part(b) && b.health != Health::Unknown)
+        .filter(|(a, b)| contribution(a) != contribution(b) && b.health != Health::Unknown)
         .count()
 }
 
@@ -75,7 +79,11 @@
         let others = table(&mut rng, count);
         let mut own: Vec<Peer> = others.iter().map(|p| peer(p.key, 0, Health::Unknown)).collect();
         let (pages, _) = pull(&mut own, &others, rng.rand_u64() as u32);
-        assert_eq!(differ(&own, &others), 0, "seed {seed}: an empty table gets all at once");
+        assert_eq!(
+            count_differences(&own, &others),
+            0,
+            "seed {seed}: an empty table gets all at once"
+        );
         assert!(pages <= count / 100 + 1, "seed {seed}: {pages} pages of {count}");
         let mut changed = 0;
         for peer in own.iter_mut().filter(|peer| peer.health == Health::Alive) {
@@ -88,7 +96,7 @@
         for _ in 0..6 {
             transferred += pull(&mut own, &others, rng.rand_u64() as u32).1;
         }
-        assert_eq!(differ(&own, &others), 0, "seed {seed}");
+        assert_eq!(count_differences(&own, &others), 0, "seed {seed}");
         assert!(
             transferred <= changed * 14 + 30,
             "seed {seed}: {transferred} entries for {changed}"
@@ -98,7 +106,7 @@
 
 /// Groups that differ and have the same digest under one salt have not under another.
 #[test]
-fn groups_that_collide_are_told_apart_by_another_salt() {
+fn another_salt_separates_groups_whose_digests_collide() {
     let others: Vec<Peer> = (0..4).map(|i| peer(i << 30, 1000, Health::Alive)).collect();
     let mut own = others.clone();
     own[2].process_incarnation -= 1;
@@ -109,7 +117,7 @@
     let other = (salt + 1..).find(|salt| !collides(salt)).expect("another");
     assert!(other < salt + 5);
     pull(&mut own, &others, other);
-    assert_eq!(differ(&own, &others), 0);
+    assert_eq!(count_differences(&own, &others), 0);
 }
 
 /// Pages that are cut off anywhere, changed, or do not fit what was asked for.
@@ -118,43 +126,47 @@
     let mut rng = Rand64::new(4);
     let others = table(&mut rng, 150);
     let request = Pull { seq: 1, first_key: 0, salt: 0, prefix_bits: 5, digests: Vec::new() };
-    let page = answer(&request, 1000, MAX_PAGE_BYTES, others.iter()).expect("a page");
-    let whole = read(&page, 0).expect("its own");
+    let page = build_page(&request, 1000, MAX_PAGE_BYTES, others.iter()).expect("a page");
+    let whole = decode_entries(&page, 0).expect("its own");
     assert!(whole.len() > 100);
     for cut in 0..page.entries.len() {
         let entries = page.entries[..cut].to_vec();
-        let read = read(&Page { entries, ..page.clone() }, 0);
+        let read = decode_entries(&Page { entries, ..page.clone() }, 0);
         assert!(read.is_none_or(|entries| whole.starts_with(&entries)), "cut to {cut}");
     }
     let last_key = whole[50].member;
-    assert!(read(&Page { last_key, ..page.clone() }, 0).is_none(), "keys beyond what it covers");
     assert!(
-        read(&Page { last_key: 5, ..page.clone() }, 6).is_none(),
+        decode_entries(&Page { last_key, ..page.clone() }, 0).is_none(),
+        "keys beyond what it covers"
+    );
+    assert!(
+        decode_entries(&Page { last_key: 5, ..page.clone() }, 6).is_none(),
         "it ends before its beginning"
     );
     assert!(
-        read(&Page { base_incarnation: u32::MAX, ..page.clone() }, 0).is_none(),
+        decode_entries(&Page { base_incarnation: u32::MAX, ..page.clone() }, 0).is_none(),
         "no incarnation is so late"
     );
-    let packed = |distance| PackedEntry {
+    let packed_entry = |distance| PackedEntry {
         key_distance: distance,
         process_incarnation_offset: 0,
         incarnation_and_state: 0,
     };
-    let entries = [postcard::to_allocvec(&packed(9)), postcard::to_allocvec(&packed(0))];
+    let entries =
+        [postcard::to_allocvec(&packed_entry(9)), postcard::to_allocvec(&packed_entry(0))];
     let entries: Vec<u8> = entries.into_iter().flatten().flatten().collect();
-    assert!(read(&Page { entries, ..page.clone() }, 0).is_none(), "one key twice");
+    assert!(decode_entries(&Page { entries, ..page.clone() }, 0).is_none(), "one key twice");
     for _ in 0..20_000 {
         let mut entries = page.entries.clone();
         let at = rng.rand_range(0..entries.len() as u64) as usize;
         entries[at] ^= rng.rand_range(1..256) as u8;
-        let _ = read(&Page { entries, ..page.clone() }, 0);
+        let _ = decode_entries(&Page { entries, ..page.clone() }, 0);
     }
 }
 
 /// Requests that no member makes get no answer, and an answer never exceeds its budget of bytes.
 #[test]
-fn answers_stay_within_their_budget_and_invalid_requests_get_none() {
+fn pages_stay_within_the_byte_limit_and_invalid_requests_get_none() {
     let mut rng = Rand64::new(9);
     let others = table(&mut rng, 400);
     for _ in 0..5000 {
@@ -169,18 +181,18 @@
             prefix_bits: bits,
             digests,
         };
-        let most = rng.rand_range(0..1300) as usize;
-        let from_on = others.iter().filter(|peer| peer.key >= from);
-        let Some(page) = answer(&pull, 1000, most, from_on) else { continue };
+        let max_bytes = rng.rand_range(0..1300) as usize;
+        let peers_from = others.iter().filter(|peer| peer.key >= from);
+        let Some(page) = build_page(&pull, 1000, max_bytes, peers_from) else { continue };
         assert!(bits <= MAX_PREFIX_BITS && groups <= MAX_GROUPS, "{bits} bits, {groups} groups");
-        assert!(page.entries.is_empty() || page.entries.len() + PAGE_HEAD <= most);
-        assert!(read(&page, from).is_some());
+        assert!(page.entries.is_empty() || page.entries.len() + PAGE_OVERHEAD_BYTES <= max_bytes);
+        assert!(decode_entries(&page, from).is_some());
     }
-    let none = answer(
+    let invalid_request_page = build_page(
         &Pull { seq: 1, first_key: 0, salt: 0, prefix_bits: 255, digests: vec![] },
         0,
         1200,
         [].iter(),
     );
-    assert_eq!(none, None);
+    assert_eq!(invalid_request_page, None);
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -19,7 +19,7 @@
     /// When the process was resumed.
     pub(crate) since: Time,
     /// How many of the reachable members it has heard since.
-    pub(crate) heard: usize,
+    pub(crate) responders: usize,
 }
 
 /// The other members of the list.
@@ -29,13 +29,13 @@
     /// In the order of the list.
     peers: Vec<Peer>,
     /// The position of this process itself, if it is on the list.
-    own: Option<usize>,
+    own_position: Option<usize>,
     groups: Groups,
     /// When each suspicion ends.
     suspicions: BTreeSet<(Time, usize)>,
     /// All members that are not confirmed to be alive: missing or suspected.
     unconfirmed: BTreeSet<Key>,
-    left: usize,
+    left_count: usize,
     digest: u32,
     resync: Option<Resync>,
 }
@@ -51,35 +51,36 @@
     ) -> Self {
         let peers: Vec<Peer> = list.members().iter().map(&mut known).collect();
         let mut table = Self {
-            own: list.position(own),
+            own_position: list.position(own),
             groups: Groups::new(peers.len()),
-            resync: resumed.map(|since| Resync { since, heard: 0 }),
+            resync: resumed.map(|since| Resync { since, responders: 0 }),
             peers,
             list,
             ..Self::default()
         };
-        if let Some(own) = table.own {
-            table.groups.shift(own, Group::Reachable, Group::Own);
+        if let Some(own) = table.own_position {
+            table.groups.move_position(own, Group::Reachable, Group::Own);
         }
-        let own = table.own;
+        let own = table.own_position;
         for position in (0..table.peers.len()).filter(|position| Some(*position) != own) {
             let group = Group::of(&table.peers[position].health);
-            table.groups.shift(position, Group::Reachable, group);
-            table.index(position);
+            table.groups.move_position(position, Group::Reachable, group);
+            table.add_to_indexes(position);
         }
         table
     }
 
     /// All of them, in the order of the list.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Peer> {
-        let own = self.own;
+        let own = self.own_position;
         let others = self.peers.iter().enumerate();
         others.filter(move |(position, _)| Some(*position) != own).map(|(_, peer)| peer)
     }
 
     /// All of them from this key on, in the order of their keys.
     pub(crate) fn peers_from(&self, key: Key) -> impl Iterator<Item = &Peer> {
-        let others = self.list.positions_from(key).filter(|position| Some(*position) != self.own);
+        let others =
+            self.list.positions_from(key).filter(|position| Some(*position) != self.own_position);
         others.map(|position| &self.peers[position])
     }
 
@@ -89,15 +90,15 @@
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.peers.len() - usize::from(self.own.is_some())
+        self.peers.len() - usize::from(self.own_position.is_some())
     }
 
     pub(crate) fn position(&self, key: Key) -> Option<usize> {
-        self.list.position(key).filter(|position| Some(*position) != self.own)
+        self.list.position(key).filter(|position| Some(*position) != self.own_position)
     }
 
     pub(crate) fn position_at(&self, address: SocketAddr) -> Option<usize> {
-        self.list.position_at(address).filter(|position| Some(*position) != self.own)
+        self.list.position_at(address).filter(|position| Some(*position) != self.own_position)
     }
 
     pub(crate) fn at(&self, position: usize) -> &Peer {
@@ -114,18 +115,18 @@
     }
 
     /// How many are reachable, the suspected among them.
-    pub(crate) fn reachable(&self) -> usize {
+    pub(crate) fn count_reachable(&self) -> usize {
         self.groups.positions(Group::Reachable).len()
     }
 
     /// How many this process has never heard of.
-    pub(crate) fn unknown(&self) -> usize {
+    pub(crate) fn count_unknown(&self) -> usize {
         self.groups.positions(Group::Unknown).len()
     }
 
     /// How many have left.
-    pub(crate) fn left(&self) -> usize {
-        self.left
+    pub(crate) fn count_left(&self) -> usize {
+        self.left_count
     }
 
     /// The others' part of the view's digest.
@@ -145,11 +146,12 @@
 
     /// A random one of those that are not reachable.
     pub(crate) fn random_missing_peer(&self, rng: &mut Rand64) -> Option<Key> {
-        let departed = self.groups.positions(Group::Departed);
+        let dead_or_left = self.groups.positions(Group::DeadOrLeft);
         let unknown = self.groups.positions(Group::Unknown);
-        let count = (departed.len() + unknown.len()) as u64;
-        let drawn = (count > 0).then(|| rng.rand_range(0..count) as usize)?;
-        let position = departed.get(drawn).or_else(|| unknown.get(drawn - departed.len()))?;
+        let count = (dead_or_left.len() + unknown.len()) as u64;
+        let index = (count > 0).then(|| rng.rand_range(0..count) as usize)?;
+        let position =
+            dead_or_left.get(index).or_else(|| unknown.get(index - dead_or_left.len()))?;
         Some(self.peers[*position as usize].key)
     }
 
@@ -165,7 +167,7 @@
     }
 
     /// The positions of all that are suspected.
-    pub(crate) fn suspects(&self) -> Vec<usize> {
+    pub(crate) fn suspected_positions(&self) -> Vec<usize> {
         self.suspicions.iter().map(|(_, position)| *position).collect()
     }
 
@@ -175,15 +177,15 @@
     }
 
     /// How many those are.
-    pub(crate) fn unconfirmed(&self) -> usize {
+    pub(crate) fn count_unconfirmed(&self) -> usize {
         self.unconfirmed.len()
     }
 
     /// Counts which of the reachable members are heard from this time on, or no longer counts them.
     pub(crate) fn set_resync(&mut self, since: Option<Time>) {
         self.resync = since.map(|since| {
-            let heard = self.peers().filter(|peer| is_heard_since(peer, since)).count();
-            Resync { since, heard }
+            let responders = self.peers().filter(|peer| has_responded_since(peer, since)).count();
+            Resync { since, responders }
         });
     }
 
@@ -195,20 +197,20 @@
     /// Changes what is known of a member.
     pub(crate) fn change<R>(&mut self, position: usize, change: impl FnOnce(&mut Peer) -> R) -> R {
         let before = Group::of(&self.peers[position].health);
-        self.unindex(position);
+        self.remove_from_indexes(position);
         let result = change(&mut self.peers[position]);
-        self.index(position);
-        self.groups.shift(position, before, Group::of(&self.peers[position].health));
+        self.add_to_indexes(position);
+        self.groups.move_position(position, before, Group::of(&self.peers[position].health));
         result
     }
 
-    fn index(&mut self, position: usize) {
+    fn add_to_indexes(&mut self, position: usize) {
         let peer = &self.peers[position];
         match &peer.health {
             Health::Suspect(suspicion) => {
                 self.suspicions.insert((suspicion.deadline, position));
             }
-            Health::Left => self.left += 1,
+            Health::Left => self.left_count += 1,
             Health::Unknown | Health::Alive | Health::Dead => {}
         }
         if peer.health != Health::Alive {
@@ -216,17 +218,17 @@
         }
         self.digest ^= member_digest(peer.key, peer.process_incarnation, &peer.health);
         if let Some(resync) = &mut self.resync {
-            resync.heard += usize::from(is_heard_since(peer, resync.since));
+            resync.responders += usize::from(has_responded_since(peer, resync.since));
         }
     }
 
-    fn unindex(&mut self, position: usize) {
+    fn remove_from_indexes(&mut self, position: usize) {
         let peer = &self.peers[position];
         match &peer.health {
             Health::Suspect(suspicion) => {
                 self.suspicions.remove(&(suspicion.deadline, position));
             }
-            Health::Left => self.left -= 1,
+            Health::Left => self.left_count -= 1,
             Health::Unknown | Health::Alive | Health::Dead => {}
         }
         if peer.health != Health::Alive {
@@ -234,12 +236,12 @@
         }
         self.digest ^= member_digest(peer.key, peer.process_incarnation, &peer.health);
         if let Some(resync) = &mut self.resync {
-            resync.heard -= usize::from(is_heard_since(peer, resync.since));
+            resync.responders -= usize::from(has_responded_since(peer, resync.since));
         }
     }
 }
 
-fn is_heard_since(peer: &Peer, since: Time) -> bool {
+fn has_responded_since(peer: &Peer, since: Time) -> bool {
     peer.health.is_reachable() && peer.last_message_at.is_some_and(|at| at >= since)
 }
 
--- a/crates/membership/src/table/tests.rs
+++ b/crates/membership/src/table/tests.rs
@@ -22,14 +22,14 @@
     MemberTable::new(list(), own, |(key, _)| Peer::unknown(*key, Time(0), own), None)
 }
 
-fn health(lot: u64, now: Time) -> Health {
-    match lot {
+fn health(choice: u64, now: Time) -> Health {
+    match choice {
         0 => Health::Unknown,
         1 => Health::Alive,
         2 => Health::Dead,
         3 => Health::Left,
         _ => {
-            let deadline = now.plus(Span(lot as i64));
+            let deadline = now.plus(Span(choice as i64));
             let confirmers = ArrayVec::new();
             Health::Suspect(Box::new(Suspicion { confirmers, deadline, started: now }))
         }
@@ -41,11 +41,11 @@
     let peers: Vec<&Peer> = table.peers().collect();
     assert_eq!((peers.len(), table.len()), (MEMBERS, MEMBERS));
     let count = |which: &dyn Fn(&Peer) -> bool| peers.iter().filter(|p| which(p)).count();
-    assert_eq!(table.reachable(), count(&|p| p.health.is_reachable()), "seed {seed}");
-    let departed = count(&|p| matches!(p.health, Health::Dead | Health::Left));
-    assert_eq!(table.groups.positions(Group::Departed).len(), departed, "seed {seed}");
-    assert_eq!(table.unknown(), count(&|p| p.health == Health::Unknown), "seed {seed}");
-    assert_eq!(table.left(), count(&|p| p.health == Health::Left), "seed {seed}");
+    assert_eq!(table.count_reachable(), count(&|p| p.health.is_reachable()), "seed {seed}");
+    let dead_or_left = count(&|p| matches!(p.health, Health::Dead | Health::Left));
+    assert_eq!(table.groups.positions(Group::DeadOrLeft).len(), dead_or_left, "seed {seed}");
+    assert_eq!(table.count_unknown(), count(&|p| p.health == Health::Unknown), "seed {seed}");
+    assert_eq!(table.count_left(), count(&|p| p.health == Health::Left), "seed {seed}");
     let digest = peers.iter().map(|p| member_digest(p.key, p.process_incarnation, &p.health));
     assert_eq!(table.digest(), digest.fold(0, |a, b| a ^ b), "seed {seed}");
     let deadlines = peers.iter().filter_map(|p| match p.health {
@@ -58,15 +58,15 @@
     let found: Vec<Key> = table.unconfirmed_from(from).collect();
     assert_eq!(found.iter().copied().collect::<HashSet<_>>(), unconfirmed.collect(), "seed {seed}");
     assert!(found.iter().map(|key| key.wrapping_sub(from)).is_sorted(), "seed {seed}");
-    if let Some(Resync { since, heard }) = table.resync() {
-        let again =
+    if let Some(Resync { since, responders }) = table.resync() {
+        let has_responded =
             |p: &Peer| p.health.is_reachable() && p.last_message_at.is_some_and(|at| at >= since);
-        assert_eq!(heard, count(&again), "seed {seed}");
+        assert_eq!(responders, count(&has_responded), "seed {seed}");
     }
 }
 
 #[test]
-fn indexes_agree_with_a_look_at_all_members() {
+fn indexes_match_a_scan_of_all_members() {
     for seed in 0..50u128 {
         let mut rng = Rand64::new(seed);
         let mut table = table();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn each_member_is_drawn_once_and_all_are_first_about_as_often() {
+fn random_peer_draws_each_member_once_in_uniform_order() {
     let mut rng = Rand64::new(3);
     let mut table = table();
     let mut first = vec![0; MEMBERS];
