--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -19,32 +19,32 @@
 use sableloom_types::{Span, Time};
 
 /// From one probe, or heartbeat, to the next.
-const PERIOD: i64 = 200 * MILLISECOND;
+const INTERVAL: i64 = 200 * MILLISECOND;
 /// Heartbeats that may be missing in a row: as long as the shortest suspicion among ten.
-const MISSED: i64 = 5;
+const MAX_MISSED_HEARTBEATS: i64 = 5;
 /// How long a fleet is watched before one is killed,
-const WATCHED: i64 = 30 * SECOND;
+const OBSERVATION_TIME: i64 = 30 * SECOND;
 /// and after it.
-const AFTER: i64 = 60 * SECOND;
+const MAX_DETECTION_TIME: i64 = 60 * SECOND;
 
 enum Member {
     Swim(Box<Membership>),
-    Heartbeats(Heart),
+    Heartbeats(HeartbeatMember),
 }
 
 /// Sends a heartbeat to all others in each period.
-struct Heart {
+struct HeartbeatMember {
     own: usize,
-    heard: Vec<Time>,
+    last_received: Vec<Time>,
     dead: Vec<bool>,
-    next: Time,
+    next_heartbeat: Time,
 }
 
 fn key(i: usize) -> Key {
     key_of(&format!("m{i}"))
 }
 
-fn carry(out: Output, sent: &mut NetworkOutput<Change>) {
+fn forward_output(out: Output, sent: &mut NetworkOutput<Change>) {
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
 }
@@ -63,12 +63,12 @@
             Member::Swim(membership) => {
                 let mut out = Output::default();
                 membership.receive(now, from, bytes, &mut out);
-                carry(out, sent);
+                forward_output(out, sent);
             }
-            Member::Heartbeats(heart) => {
+            Member::Heartbeats(member) => {
                 let Some(i) = host_at(from) else { return };
-                heart.heard[i] = now;
-                if std::mem::take(&mut heart.dead[i]) {
+                member.last_received[i] = now;
+                if std::mem::take(&mut member.dead[i]) {
                     sent.changes.push(Change::Joined { member: key(i), process_incarnation: 0 });
                 }
             }
@@ -80,17 +80,19 @@
             Member::Swim(membership) => {
                 let mut out = Output::default();
                 membership.tick(now, &mut out);
-                carry(out, sent);
+                forward_output(out, sent);
             }
-            Member::Heartbeats(heart) => {
-                heart.next = now.plus(Span(PERIOD));
-                for i in (0..heart.heard.len()).filter(|i| *i != heart.own) {
+            Member::Heartbeats(member) => {
+                member.next_heartbeat = now.plus(Span(INTERVAL));
+                for i in (0..member.last_received.len()).filter(|i| *i != member.own) {
                     // As many bytes as a ping without updates.
                     sent.datagrams.push((address_of(i), vec![0; 36]));
-                    if now.since(heart.heard[i]).0 > MISSED * PERIOD && !heart.dead[i] {
-                        heart.dead[i] = true;
+                    if now.since(member.last_received[i]).0 > MAX_MISSED_HEARTBEATS * INTERVAL
+                        && !member.dead[i]
+                    {
+                        member.dead[i] = true;
                         sent.changes
-                            .push(Change::Died { member: key(i), reported_by: key(heart.own) });
+                            .push(Change::Died { member: key(i), reported_by: key(member.own) });
                     }
                 }
             }
@@ -100,70 +102,70 @@
     fn next_wakeup(&self) -> Time {
         match self {
             Member::Swim(membership) => membership.next_wakeup(),
-            Member::Heartbeats(heart) => heart.next,
+            Member::Heartbeats(member) => member.next_heartbeat,
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum How {
+enum Protocol {
     Lifeguard,
     Swim,
     Heartbeats,
 }
 
-struct Seen {
+struct Measurements {
     /// Until the first, and the last of those that live, knew it; of the kills.
-    first: Vec<i64>,
-    all: Vec<i64>,
+    first_detections: Vec<i64>,
+    full_detections: Vec<i64>,
     /// Deaths of members that lived, as declared by any of the others, a member and hour.
     false_deaths: f64,
     /// How long those were held, in all, a member and hour, in seconds.
-    held: f64,
-    packets: f64,
-    bytes: f64,
+    dead_time: f64,
+    packets_per_second: f64,
+    bytes_per_second: f64,
 }
 
-fn dead(member: &Member, of: usize) -> bool {
+fn considers_dead(member: &Member, target: usize) -> bool {
     match member {
         Member::Swim(membership) => {
-            membership.peers().any(|p| p.key == key(of) && p.health == Health::Dead)
+            membership.peers().any(|p| p.key == key(target) && p.health == Health::Dead)
         }
-        Member::Heartbeats(heart) => heart.dead[of],
+        Member::Heartbeats(member) => member.dead[target],
     }
 }
 
 /// One fleet that is watched.
 #[derive(Clone, Copy, PartialEq)]
-struct Game {
+struct Scenario {
     members: usize,
     /// The fraction of datagrams that is lost.
     loss: f64,
     /// Whether one member in ten does nothing for 600 ms every 2 s.
-    slow: bool,
-    how: How,
+    has_slow_members: bool,
+    protocol: Protocol,
     seed: u64,
 }
 
 /// How often the network is looked at.
-const SLICE: i64 = 10 * MILLISECOND;
+const STEP: i64 = 10 * MILLISECOND;
 
-impl Game {
+impl Scenario {
     /// Starts all members and gives them time to know each other.
     fn start(&self) -> Network<Member> {
         let mut network: Network<Member> = Network::new(self.members, self.seed, 0.01);
         let listed = |i| ListedMember { name: format!("m{i}"), address: address_of(i) };
         let list = MemberList::new((0..self.members).map(listed));
         for i in 0..self.members {
-            network.start(i, |process_incarnation, seed, now| match self.how {
-                How::Heartbeats => Member::Heartbeats(Heart {
+            network.start(i, |process_incarnation, seed, now| match self.protocol {
+                Protocol::Heartbeats => Member::Heartbeats(HeartbeatMember {
                     own: i,
-                    heard: vec![now; self.members],
+                    last_received: vec![now; self.members],
                     dead: vec![false; self.members],
-                    next: now.plus(Span(seed as i64 & 0xffff)),
+                    next_heartbeat: now.plus(Span(seed as i64 & 0xffff)),
                 }),
-                How::Lifeguard | How::Swim => {
-                    let local_health_enabled = self.how == How::Lifeguard;
+                Protocol::Lifeguard | Protocol::Swim => {
+                    let local_health_enabled = self.protocol == Protocol::Lifeguard;
                     let timing = Timing { local_health_enabled, ..Timing::default() };
                     let (own, list) = (format!("m{i}"), list.clone());
                     let membership = Membership::new(
@@ -183,7 +185,7 @@
                     if let Member::Swim(membership) = member {
                         let mut output = Output::default();
                         membership.ping_missing_members(now, &mut output);
-                        carry(output, sent);
+                        forward_output(output, sent);
                     }
                 });
             }
@@ -194,56 +196,58 @@
 
     fn run(&self, network: &mut Network<Member>, until: i64) {
         while network.now < until {
-            if self.slow && network.now % (2 * SECOND) < SLICE {
+            if self.has_slow_members && network.now % (2 * SECOND) < STEP {
                 (0..self.members).step_by(10).for_each(|i| network.suspend(i, 600 * MILLISECOND));
             }
-            let next = (network.now + SLICE).min(until);
+            let next = (network.now + STEP).min(until);
             network.run(next);
         }
     }
 
     /// Watches the fleet with no failure, and then kills a member.
-    fn play(&self) -> Seen {
-        let watched = if self.members > 500 { WATCHED / 3 } else { WATCHED };
+    fn measure(&self) -> Measurements {
+        let observation_time =
+            if self.members > 500 { OBSERVATION_TIME / 3 } else { OBSERVATION_TIME };
         let mut network = self.start();
-        network.hosts.iter_mut().for_each(|place| place.changes.clear());
+        network.hosts.iter_mut().for_each(|host| host.changes.clear());
         network.loss = self.loss;
         let (sent, bytes, from) = (network.sent, network.bytes, network.now);
-        let until = network.now + watched;
+        let until = network.now + observation_time;
         self.run(&mut network, until);
         let seconds = (network.now - from) as f64 / SECOND as f64 * self.members as f64;
         let hours = seconds / 3600.0;
-        let (deaths, held) = false_deaths(&network);
-        let mut seen = Seen {
-            first: Vec::new(),
-            all: Vec::new(),
+        let (deaths, dead_time) = false_deaths(&network);
+        let mut measurements = Measurements {
+            first_detections: Vec::new(),
+            full_detections: Vec::new(),
             false_deaths: deaths as f64 / hours,
-            held: held as f64 / SECOND as f64 / hours,
-            packets: (network.sent - sent) as f64 / seconds,
-            bytes: (network.bytes - bytes) as f64 / seconds,
+            dead_time: dead_time as f64 / SECOND as f64 / hours,
+            packets_per_second: (network.sent - sent) as f64 / seconds,
+            bytes_per_second: (network.bytes - bytes) as f64 / seconds,
         };
-        self.kill_one(&mut network, &mut seen);
-        seen
+        self.kill_one(&mut network, &mut measurements);
+        measurements
     }
 
     /// Kills a member, and notes when the first and the last of the others know it.
-    fn kill_one(&self, network: &mut Network<Member>, seen: &mut Seen) {
+    fn kill_one(&self, network: &mut Network<Member>, measurements: &mut Measurements) {
         let victim = 1;
         network.kill(victim);
         let from = network.now;
         let mut first = None;
-        while network.now < from + AFTER {
-            let until = network.now + SLICE;
+        while network.now < from + MAX_DETECTION_TIME {
+            let until = network.now + STEP;
             self.run(network, until);
             let others = (0..self.members).filter(|i| *i != victim);
-            let knows =
-                |i: usize| network.hosts[i].process.as_ref().is_some_and(|m| dead(m, victim));
-            if first.is_none() && others.clone().any(knows) {
+            let detected = |i: usize| {
+                network.hosts[i].process.as_ref().is_some_and(|m| considers_dead(m, victim))
+            };
+            if first.is_none() && others.clone().any(detected) {
                 first = Some(network.now - from);
             }
-            if others.clone().all(knows) {
-                seen.first.extend(first);
-                seen.all.push(network.now - from);
+            if others.clone().all(detected) {
+                measurements.first_detections.extend(first);
+                measurements.full_detections.push(network.now - from);
                 break;
             }
         }
@@ -252,60 +256,67 @@
 
 /// How often living members were declared dead, and for how long all together, in microseconds.
 fn false_deaths(network: &Network<Member>) -> (usize, i64) {
-    let (mut deaths, mut held) = (0usize, 0i64);
-    for place in &network.hosts {
+    let (mut deaths, mut dead_time) = (0usize, 0i64);
+    for host in &network.hosts {
         let mut since: HashMap<Key, i64> = HashMap::new();
-        for (at, change) in &place.changes {
+        for (at, change) in &host.changes {
             match change {
                 Change::Died { member, .. } => {
                     deaths += 1;
                     since.insert(*member, *at);
                 }
                 Change::Joined { member, .. } => {
-                    held += since.remove(member).map_or(0, |from| at - from);
+                    dead_time += since.remove(member).map_or(0, |from| at - from);
                 }
                 _ => {}
             }
         }
-        held += since.values().map(|from| network.now - from).sum::<i64>();
+        dead_time += since.values().map(|from| network.now - from).sum::<i64>();
     }
-    (deaths, held)
+    (deaths, dead_time)
 }
 
-fn middle(times: &mut [i64]) -> String {
+fn median(times: &mut [i64]) -> String {
     times.sort_unstable();
     times.get(times.len() / 2).map_or("-".to_string(), |us| format!("{:.1}", *us as f64 / 1e6))
 }
 
 /// Plays all of these on all cores, the longest first.
-fn play_all(games: &[Game]) -> Vec<Seen> {
-    let next = AtomicUsize::new(games.len());
-    let seen: Vec<Mutex<Option<Seen>>> = games.iter().map(|_| Mutex::new(None)).collect();
+fn measure_all(scenarios: &[Scenario]) -> Vec<Measurements> {
+    let next = AtomicUsize::new(scenarios.len());
+    let measurements: Vec<Mutex<Option<Measurements>>> =
+        scenarios.iter().map(|_| Mutex::new(None)).collect();
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some(i) = next.fetch_sub(1, Ordering::Relaxed).checked_sub(1) {
-                    let Some(game) = games.get(i) else { break };
-                    let one = game.play();
-                    if let Ok(mut place) = seen[i].lock() {
-                        *place = Some(one);
+                    let Some(scenario) = scenarios.get(i) else { break };
+                    let result = scenario.measure();
+                    if let Ok(mut slot) = measurements[i].lock() {
+                        *slot = Some(result);
                     }
                 }
             });
         }
     });
-    seen.into_iter().filter_map(|one| one.into_inner().ok().flatten()).collect()
+    measurements.into_iter().filter_map(|one| one.into_inner().ok().flatten()).collect()
 }
 
 fn main() {
-    let most: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(1000);
-    let hows = [("members", How::Lifeguard), ("SWIM", How::Swim), ("heartbeats", How::Heartbeats)];
-    let mut games = Vec::new();
-    for n in [10, 100, 1000].into_iter().filter(|n| *n <= most) {
-        for (loss, slow) in [(0.0, false), (0.05, false), (0.3, false), (0.0, true)] {
-            for (_, how) in hows {
-                if n == 1000 && (slow || loss == 0.05 || how == How::Heartbeats) {
+    let max_members: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(1000);
+    let protocols = [
+        ("members", Protocol::Lifeguard),
+        ("SWIM", Protocol::Swim),
+        ("heartbeats", Protocol::Heartbeats),
+    ];
+    let mut scenarios = Vec::new();
+    for n in [10, 100, 1000].into_iter().filter(|n| *n <= max_members) {
+        for (loss, has_slow_members) in [(0.0, false), (0.05, false), (0.3, false), (0.0, true)] {
+            for (_, protocol) in protocols {
+                if n == 1000
+                    && (has_slow_members || loss == 0.05 || protocol == Protocol::Heartbeats)
+                {
                     continue;
                 }
                 let seeds = if n == 10 {
@@ -315,36 +326,41 @@
                 } else {
                     1
                 };
-                let game = |seed| Game { members: n, loss, slow, how, seed };
-                games.extend((0..seeds).map(game));
+                let scenario =
+                    |seed| Scenario { members: n, loss, has_slow_members, protocol, seed };
+                scenarios.extend((0..seeds).map(scenario));
             }
         }
     }
-    let seen = play_all(&games);
+    let measurements = measure_all(&scenarios);
     println!(
         "how, members, loss, one in ten slow | death known to the first and to all, s (middle) | false \
          deaths told a member and hour, seconds held | packets and bytes a second and member"
     );
-    let played: Vec<_> = games.iter().zip(&seen).collect();
-    for row in played.chunk_by(|(a, _), (b, _)| Game { seed: 0, ..**a } == Game { seed: 0, ..**b })
+    let results: Vec<_> = scenarios.iter().zip(&measurements).collect();
+    for row in results
+        .chunk_by(|(a, _), (b, _)| Scenario { seed: 0, ..**a } == Scenario { seed: 0, ..**b })
     {
-        let Game { members: n, loss, slow, how, .. } = *row[0].0;
-        let name = hows.iter().find(|(_, h)| *h == how).map_or("", |(name, _)| name);
+        let Scenario { members: n, loss, has_slow_members, protocol, .. } = *row[0].0;
+        let name = protocols.iter().find(|(_, h)| *h == protocol).map_or("", |(name, _)| name);
         let seeds = row.len();
-        let mean =
-            |of: fn(&Seen) -> f64| row.iter().map(|(_, s)| of(s)).sum::<f64>() / seeds as f64;
-        let mut first: Vec<i64> = row.iter().flat_map(|(_, s)| s.first.clone()).collect();
-        let mut all: Vec<i64> = row.iter().flat_map(|(_, s)| s.all.clone()).collect();
+        let mean = |of: fn(&Measurements) -> f64| {
+            row.iter().map(|(_, s)| of(s)).sum::<f64>() / seeds as f64
+        };
+        let mut first_detections: Vec<i64> =
+            row.iter().flat_map(|(_, s)| s.first_detections.clone()).collect();
+        let mut full_detections: Vec<i64> =
+            row.iter().flat_map(|(_, s)| s.full_detections.clone()).collect();
         println!(
-            "{name:10} {n:5} {loss:4} {slow:5} | {:>5} {:>5} ({} of {seeds}) | {:8.1} {:8.1} | {:6.1} \
+            "{name:10} {n:5} {loss:4} {has_slow_members:5} | {:>5} {:>5} ({} of {seeds}) | {:8.1} {:8.1} | {:6.1} \
              {:8.0}",
-            middle(&mut first),
-            middle(&mut all),
-            all.len(),
+            median(&mut first_detections),
+            median(&mut full_detections),
+            full_detections.len(),
             mean(|s| s.false_deaths),
-            mean(|s| s.held),
-            mean(|s| s.packets),
-            mean(|s| s.bytes),
+            mean(|s| s.dead_time),
+            mean(|s| s.packets_per_second),
+            mean(|s| s.bytes_per_second),
         );
     }
 }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -15,35 +15,36 @@
 use sim::{MILLISECOND, SECOND, Sim};
 
 /// Names on the lists; the table takes several pages.
-const LISTED: usize = 600;
+const LIST_LENGTH: usize = 600;
 /// All but those that send messages.
 fn others() -> std::ops::Range<usize> {
-    4..LISTED
+    4..LIST_LENGTH
 }
 
-const PERIOD: i64 = 200 * MILLISECOND;
+const PROBE_INTERVAL: i64 = 200 * MILLISECOND;
 /// When the pull begins: over a second after all updates before it, so that the budget leaves space for pages.
-const BEGIN: Time = Time(10 * SECOND);
+const PULL_START: Time = Time(10 * SECOND);
 
 fn name(i: usize) -> String {
     format!("m{i}")
 }
 
-fn member(own: usize, listed: usize) -> Membership {
+fn member(own: usize, list_length: usize) -> Membership {
     let list = MemberList::new(
-        (0..listed).map(|i| ListedMember { name: name(i), address: address_of(i) }),
+        (0..list_length).map(|i| ListedMember { name: name(i), address: address_of(i) }),
     );
     // The updates before the pull began must not worsen its local health.
-    let times = Timing { local_health_enabled: false, ..Timing::default() };
-    Membership::new("points", &name(own), 9, list, times, own as u64 + 1, Time(0))
+    let timing = Timing { local_health_enabled: false, ..Timing::default() };
+    Membership::new("points", &name(own), 9, list, timing, own as u64 + 1, Time(0))
 }
 
 /// The messages to this address.
 fn messages_to(out: &mut Output, at: usize) -> Vec<Message> {
-    let meant = |(to, _): &(SocketAddr, Vec<u8>)| *to == address_of(at);
-    let all: Vec<_> = std::mem::take(&mut out.datagrams);
-    all.iter()
-        .filter(|sent| meant(sent))
+    let is_addressed = |(to, _): &(SocketAddr, Vec<u8>)| *to == address_of(at);
+    let datagrams: Vec<_> = std::mem::take(&mut out.datagrams);
+    datagrams
+        .iter()
+        .filter(|sent| is_addressed(sent))
         .map(|(_, bytes)| decode(bytes).expect("its own"))
         .collect()
 }
@@ -55,53 +56,53 @@
 }
 
 /// A member that knows all others from one of them, all alive with this process incarnation.
-fn knows_all(own: usize, life: u32) -> Membership {
-    let mut fleet = member(own, LISTED);
-    let teller = 3;
+fn member_knowing_all(own: usize, process_incarnation: u32) -> Membership {
+    let mut membership = member(own, LIST_LENGTH);
+    let informant = 3;
     let mut out = Output::default();
-    fleet.ping(key_of(&name(teller)), &mut out);
-    let nonce = messages_to(&mut out, teller)[0].nonce;
-    for some in others().collect::<Vec<_>>().chunks(8) {
+    membership.ping(key_of(&name(informant)), &mut out);
+    let nonce = messages_to(&mut out, informant)[0].nonce;
+    for chunk in others().collect::<Vec<_>>().chunks(8) {
         let alive = |i: &usize| Update {
             member: key_of(&name(*i)),
-            process_incarnation: life,
+            process_incarnation,
             incarnation: 0,
             state: MemberState::Alive,
-            reported_by: key_of(&name(teller)),
+            reported_by: key_of(&name(informant)),
         };
         let message = Message {
             fleet: key_of("points"),
-            sender: key_of(&name(teller)),
+            sender: key_of(&name(informant)),
             process_incarnation: 9,
             incarnation: 0,
             nonce: 77,
             receiver_nonce: nonce,
             view_digest: 0,
-            list_length: LISTED as u16,
+            list_length: LIST_LENGTH as u16,
             endpoints_digest: 0,
             body: Body::Leave,
-            updates: some.iter().map(alive).collect(),
+            updates: chunk.iter().map(alive).collect(),
         };
-        deliver(&mut fleet, Time(0), teller, &message);
+        deliver(&mut membership, Time(0), informant, &message);
     }
-    assert!(fleet.count_reachable() >= others().len());
-    fleet
+    assert!(membership.count_reachable() >= others().len());
+    membership
 }
 
 /// The first pings the second, which answers; the pull that the first sends then.
-fn starts_pull(
+fn start_pull(
     first: &mut Membership,
     second: &mut Membership,
-    second_is: usize,
+    second_index: usize,
     now: Time,
 ) -> Message {
     let mut out = Output::default();
-    first.ping(key_of(&name(second_is)), &mut out);
-    let call = messages_to(&mut out, second_is).remove(0);
-    let answer = messages_to(&mut deliver(second, now, 0, &call), 0).remove(0);
-    let mut asked = deliver(first, now, second_is, &answer);
-    let asked = messages_to(&mut asked, second_is);
-    asked.into_iter().find(|m| matches!(m.body, Body::Pull(_))).expect("it pulls")
+    first.ping(key_of(&name(second_index)), &mut out);
+    let ping = messages_to(&mut out, second_index).remove(0);
+    let answer = messages_to(&mut deliver(second, now, 0, &ping), 0).remove(0);
+    let mut output = deliver(first, now, second_index, &answer);
+    let requests = messages_to(&mut output, second_index);
+    requests.into_iter().find(|m| matches!(m.body, Body::Pull(_))).expect("it pulls")
 }
 
 fn page_of(message: &Message) -> Page {
@@ -119,26 +120,26 @@
 }
 
 /// Carries the messages of both until the first knows all, with its timer.
-fn carry(
+fn complete_pull(
     first: &mut Membership,
     second: &mut Membership,
-    second_is: usize,
-    mut asked: Message,
+    second_index: usize,
+    mut request: Message,
     mut now: Time,
 ) {
     for _ in 0..100 {
-        let answer = messages_to(&mut deliver(second, now, 0, &asked), 0).remove(0);
-        let mut out = deliver(first, now, second_is, &answer);
+        let answer = messages_to(&mut deliver(second, now, 0, &request), 0).remove(0);
+        let mut out = deliver(first, now, second_index, &answer);
         while out.datagrams.is_empty() {
             if first.count_reachable() >= others().len() {
                 return;
             }
-            now = now.plus(Span(PERIOD / 2));
+            now = now.plus(Span(PROBE_INTERVAL / 2));
             first.tick(now, &mut out);
             out.datagrams
                 .retain(|(_, bytes)| decode(bytes).is_ok_and(|m| matches!(m.body, Body::Pull(_))));
         }
-        asked = messages_to(&mut out, second_is).remove(0);
+        request = messages_to(&mut out, second_index).remove(0);
     }
     panic!("no end");
 }
@@ -146,12 +147,13 @@
 /// The next request for a page, to this one, and when it comes.
 fn next_pull(membership: &mut Membership, at: usize, mut now: Time) -> (Message, Time) {
     for _ in 0..30 {
-        now = now.plus(Span(PERIOD / 2));
+        now = now.plus(Span(PROBE_INTERVAL / 2));
         let mut out = Output::default();
         membership.tick(now, &mut out);
-        let asked = messages_to(&mut out, at).into_iter().find(|m| matches!(m.body, Body::Pull(_)));
-        if let Some(asked) = asked {
-            return (asked, now);
+        let request =
+            messages_to(&mut out, at).into_iter().find(|m| matches!(m.body, Body::Pull(_)));
+        if let Some(request) = request {
+            return (request, now);
         }
     }
     panic!("it gave up");
@@ -160,11 +162,11 @@
 /// A process that starts pulls the whole table from the first member that answers. No entry counts as heard, and none
 /// is sent on as gossip.
 #[test]
-fn a_process_that_starts_pulls_the_table_of_the_first_that_answers() {
-    let (mut a, mut b) = (member(0, LISTED), knows_all(1, 5));
-    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
+fn a_starting_process_pulls_the_table_of_the_first_responder() {
+    let (mut a, mut b) = (member(0, LIST_LENGTH), member_knowing_all(1, 5));
+    let request = start_pull(&mut a, &mut b, 1, PULL_START);
     assert!(a.count_reachable() < 30, "but for what its answer has room for");
-    carry(&mut a, &mut b, 1, asked, BEGIN);
+    complete_pull(&mut a, &mut b, 1, request, PULL_START);
     for i in others() {
         let known = a.peer(key_of(&name(i))).expect("on the list");
         assert_eq!((known.health.is_reachable(), known.process_incarnation), (true, 5));
@@ -179,97 +181,99 @@
 
 /// Pages that were not requested, late ones, of another member, and duplicates.
 #[test]
-fn only_the_requested_page_has_an_effect_and_once() {
-    let (mut a, mut b) = (member(0, LISTED), knows_all(1, 5));
-    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
-    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+fn only_the_requested_page_has_an_effect_and_only_once() {
+    let (mut a, mut b) = (member(0, LIST_LENGTH), member_knowing_all(1, 5));
+    let request = start_pull(&mut a, &mut b, 1, PULL_START);
+    let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
     let page = page_of(&answer);
-    let with = |page: Page| Message { body: Body::Page(page), ..answer.clone() };
-    let known = |fleet: &Membership| {
+    let page_message = |page: Page| Message { body: Body::Page(page), ..answer.clone() };
+    let known = |membership: &Membership| {
         others()
             .filter(|i| {
-                fleet.peer(key_of(&name(*i))).is_some_and(|peer| peer.process_incarnation == 5)
+                membership.peer(key_of(&name(*i))).is_some_and(|peer| peer.process_incarnation == 5)
             })
             .count()
     };
-    let (number, known_before) = (a.view_version(), known(&a));
-    let late = with(Page { seq: page.seq.wrapping_sub(1), ..page.clone() });
-    deliver(&mut a, BEGIN, 1, &late);
-    let of_another = Message { sender: key_of(&name(2)), ..answer.clone() };
-    deliver(&mut a, BEGIN, 2, &of_another);
+    let (version, known_before) = (a.view_version(), known(&a));
+    let late = page_message(Page { seq: page.seq.wrapping_sub(1), ..page.clone() });
+    deliver(&mut a, PULL_START, 1, &late);
+    let from_other_member = Message { sender: key_of(&name(2)), ..answer.clone() };
+    deliver(&mut a, PULL_START, 2, &from_other_member);
     assert_eq!(known(&a), known_before, "neither counts");
-    deliver(&mut a, BEGIN, 1, &answer);
-    let known_by_one = known(&a);
-    assert!(known_by_one > 100, "{known_by_one}");
-    assert!(a.view_version() > number);
-    let (next, now) = next_pull(&mut a, 1, BEGIN);
+    deliver(&mut a, PULL_START, 1, &answer);
+    let known_after_page = known(&a);
+    assert!(known_after_page > 100, "{known_after_page}");
+    assert!(a.view_version() > version);
+    let (next, now) = next_pull(&mut a, 1, PULL_START);
     assert_eq!(pull_of(&next).first_key, page.last_key + 1, "from behind the page on");
-    let number = a.view_version();
+    let version = a.view_version();
     let out = deliver(&mut a, now, 1, &answer);
-    assert!(a.view_version() == number && out.datagrams.is_empty(), "it came twice");
+    assert!(a.view_version() == version && out.datagrams.is_empty(), "it came twice");
 }
 
 /// The first pings another member, which answers, while it pulls from the second.
-fn meets(first: &mut Membership, other: &mut Membership, other_is: usize, now: Time) {
+fn exchange_ping(first: &mut Membership, other: &mut Membership, other_index: usize, now: Time) {
     let mut out = Output::default();
-    first.ping(key_of(&name(other_is)), &mut out);
-    let call = messages_to(&mut out, other_is).remove(0);
-    let answer = messages_to(&mut deliver(other, now, 0, &call), 0).remove(0);
-    let out = deliver(first, now, other_is, &answer);
+    first.ping(key_of(&name(other_index)), &mut out);
+    let ping = messages_to(&mut out, other_index).remove(0);
+    let answer = messages_to(&mut deliver(other, now, 0, &ping), 0).remove(0);
+    let out = deliver(first, now, other_index, &answer);
     assert!(out.datagrams.is_empty(), "one pull at a time");
 }
 
 /// A page that is truncated or invalid is discarded completely, and another member is asked.
 #[test]
 fn an_invalid_page_is_discarded_completely() {
-    for broken in 0..3 {
-        let (mut a, mut b, mut c) = (member(0, LISTED), knows_all(1, 5), knows_all(2, 5));
-        let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
-        meets(&mut a, &mut c, 2, BEGIN);
-        let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+    for defect in 0..3 {
+        let (mut a, mut b, mut c) =
+            (member(0, LIST_LENGTH), member_knowing_all(1, 5), member_knowing_all(2, 5));
+        let request = start_pull(&mut a, &mut b, 1, PULL_START);
+        exchange_ping(&mut a, &mut c, 2, PULL_START);
+        let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
         let mut page = page_of(&answer);
-        match broken {
+        match defect {
             0 => page.entries.truncate(page.entries.len() - 1),
             1 => page.last_key = 0,
             // No incarnation can be less than 0.
             _ => page.base_incarnation = 0,
         }
-        let number = a.view_version();
-        deliver(&mut a, BEGIN, 1, &Message { body: Body::Page(page), ..answer });
-        assert_eq!(a.view_version(), number, "broken in way {broken}");
-        let (asked, _) = next_pull(&mut a, 2, BEGIN);
-        assert_eq!(pull_of(&asked).first_key, 0, "of another, from the beginning");
+        let version = a.view_version();
+        deliver(&mut a, PULL_START, 1, &Message { body: Body::Page(page), ..answer });
+        assert_eq!(a.view_version(), version, "broken in way {defect}");
+        let (request, _) = next_pull(&mut a, 2, PULL_START);
+        assert_eq!(pull_of(&request).first_key, 0, "of another, from the beginning");
     }
 }
 
 /// The server of a pull dies after a page: the rest comes from another, and nothing is requested twice.
 #[test]
 fn a_server_that_dies_during_a_pull_is_replaced() {
-    let (mut a, mut b, mut c) = (member(0, LISTED), knows_all(1, 5), knows_all(2, 5));
-    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
-    meets(&mut a, &mut c, 2, BEGIN);
-    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
-    let covered = page_of(&answer).last_key;
-    deliver(&mut a, BEGIN, 1, &answer);
-    let (asked, now) = next_pull(&mut a, 2, BEGIN);
-    assert_eq!(pull_of(&asked).first_key, covered + 1);
+    let (mut a, mut b, mut c) =
+        (member(0, LIST_LENGTH), member_knowing_all(1, 5), member_knowing_all(2, 5));
+    let request = start_pull(&mut a, &mut b, 1, PULL_START);
+    exchange_ping(&mut a, &mut c, 2, PULL_START);
+    let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
+    let last_covered_key = page_of(&answer).last_key;
+    deliver(&mut a, PULL_START, 1, &answer);
+    let (request, now) = next_pull(&mut a, 2, PULL_START);
+    assert_eq!(pull_of(&request).first_key, last_covered_key + 1);
     // The page of the dead server comes late.
-    let number = a.view_version();
+    let version = a.view_version();
     deliver(&mut a, now, 1, &answer);
-    assert_eq!(a.view_version(), number);
-    carry(&mut a, &mut c, 2, asked, now);
+    assert_eq!(a.view_version(), version);
+    complete_pull(&mut a, &mut c, 2, request, now);
 }
 
 /// Members have restarted since a page was written: their later incarnations stand.
 #[test]
-fn a_page_from_before_a_restart_replaces_nothing() {
-    let (mut a, mut b) = (knows_all(0, 8), knows_all(1, 5));
-    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
-    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
+fn a_page_with_earlier_process_incarnations_replaces_nothing() {
+    let (mut a, mut b) = (member_knowing_all(0, 8), member_knowing_all(1, 5));
+    let request = start_pull(&mut a, &mut b, 1, PULL_START);
+    let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
     assert!(page_of(&answer).entries.len() > 500, "they differ in all");
-    let number = a.view_version();
-    deliver(&mut a, BEGIN, 1, &answer);
-    assert_eq!(a.view_version(), number);
+    let version = a.view_version();
+    deliver(&mut a, PULL_START, 1, &answer);
+    assert_eq!(a.view_version(), version);
     assert!(
         others()
             .all(|i| a.peer(key_of(&name(i))).is_some_and(|peer| peer.process_incarnation == 8))
@@ -279,44 +283,50 @@
 /// Members that a page names and the own list does not are ignored.
 #[test]
 fn a_page_of_a_longer_list_adds_no_member() {
-    let (mut a, mut b) = (member(0, 100), knows_all(1, 5));
-    let asked = starts_pull(&mut a, &mut b, 1, BEGIN);
-    let answer = messages_to(&mut deliver(&mut b, BEGIN, 0, &asked), 0).remove(0);
-    deliver(&mut a, BEGIN, 1, &answer);
+    let (mut a, mut b) = (member(0, 100), member_knowing_all(1, 5));
+    let request = start_pull(&mut a, &mut b, 1, PULL_START);
+    let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
+    deliver(&mut a, PULL_START, 1, &answer);
     assert!(a.count_reachable() > 10 && a.peers().count() == 99, "{} there", a.count_reachable());
 }
 
 /// Members with long lists; in every second schedule they send no gossip.
-fn start(sim: &mut Sim, i: usize, of: usize, seed: u64) {
+fn start_without_short_list(sim: &mut Sim, i: usize, list_length: usize, seed: u64) {
     let retransmit_factor =
         if seed.is_multiple_of(2) { 0.0 } else { Timing::default().retransmit_factor };
-    sim.start_as(i, of, Timing { max_short_list: 0, retransmit_factor, ..Timing::default() });
+    sim.start_with_timing(
+        i,
+        list_length,
+        Timing { max_short_list: 0, retransmit_factor, ..Timing::default() },
+    );
 }
 
 /// The longest time in which all have to agree once the network is healed: as with short lists, and the longest
 /// backoff between two pulls.
-const AGREED_WITHIN: i64 = 150 * SECOND;
+const MAX_AGREEMENT_TIME: i64 = 150 * SECOND;
 
 /// The views of all members, for the message of a failure.
-fn views(sim: &Sim) -> Vec<String> {
-    let health = |fleet: &Membership| -> Vec<String> {
-        fleet
+fn format_views(sim: &Sim) -> Vec<String> {
+    let health = |membership: &Membership| -> Vec<String> {
+        membership
             .peers()
             .map(|peer| format!("{:?} {} {}", peer.health, peer.process_incarnation, peer.nonce))
             .collect()
     };
-    sim.fleets()
-        .map(|(i, fleet)| format!("{i} {}: {:?}", fleet.process_incarnation(), health(fleet)))
+    sim.memberships()
+        .map(|(i, membership)| {
+            format!("{i} {}: {:?}", membership.process_incarnation(), health(membership))
+        })
         .collect()
 }
 
 /// Nine seconds of loss, late and duplicated datagrams, cuts, stops, kills and restarts, some with a shorter list.
-fn schedule(seed: u64) {
+fn run_schedule(seed: u64) {
     let n = 4 + (seed % 9) as usize;
     let mut sim = Sim::new(n, seed, 0.1);
     sim.duplication = 0.2;
     sim.max_delay = [30, 400, 2000][(seed / 9 % 3) as usize] * MILLISECOND;
-    (0..n).for_each(|i| start(&mut sim, i, n, seed));
+    (0..n).for_each(|i| start_without_short_list(&mut sim, i, n, seed));
     while sim.now < 9 * SECOND {
         let a = sim.rng.rand_range(0..n as u64) as usize;
         let shorter = n - sim.rng.rand_range(0..2) as usize;
@@ -334,7 +344,7 @@
             }
             4 => sim.loss = sim.rng.rand_float() * 0.5,
             5 => sim.heal(),
-            _ => start(&mut sim, a, shorter, seed),
+            _ => start_without_short_list(&mut sim, a, shorter, seed),
         }
         let until = sim.now + (sim.rng.rand_float() * 1.2 * SECOND as f64) as i64;
         sim.run(until);
@@ -342,18 +352,18 @@
     sim.heal();
     sim.max_delay = 30 * MILLISECOND;
     // A member that is not on a list gets no answer: operators make the lists the same.
-    (0..n).for_each(|i| sim.takes_list(i, n));
-    let end = sim.now + AGREED_WITHIN;
-    while !sim.views_are_true() {
-        assert!(sim.now < end, "seed {seed}: {n} members do not agree: {:#?}", views(&sim));
+    (0..n).for_each(|i| sim.update_list(i, n));
+    let end = sim.now + MAX_AGREEMENT_TIME;
+    while !sim.views_are_correct() {
+        assert!(sim.now < end, "seed {seed}: {n} members do not agree: {:#?}", format_views(&sim));
         let until = sim.now + 100 * MILLISECOND;
         sim.run(until);
     }
 }
 
 #[test]
-fn views_become_true_by_pulls_after_any_schedule() {
-    for_each_seed(0..3000, schedule);
+fn pulls_make_views_correct_after_any_schedule() {
+    for_each_seed(0..3000, run_schedule);
 }
 
 /// Without gossip, members learn of most others by pulls alone: a fleet that starts at once knows itself within
@@ -363,9 +373,9 @@
     for_each_seed(0..100, |seed| {
         let n = 100;
         let mut sim = Sim::new(n, seed, 0.02);
-        (0..n).for_each(|i| start(&mut sim, i, n, 0));
-        let took = sim.until_agreed(15 * SECOND);
-        assert!(took.is_some(), "seed {seed}");
+        (0..n).for_each(|i| start_without_short_list(&mut sim, i, n, 0));
+        let agreement_time = sim.run_until_agreed(15 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}");
     });
 }
 
@@ -374,11 +384,11 @@
 fn pulls_back_off_where_lists_differ() {
     let n = 8;
     let mut sim = Sim::new(n, 1, 0.02);
-    (0..n).for_each(|i| start(&mut sim, i, if i == 0 { n - 1 } else { n }, 1));
+    (0..n).for_each(|i| start_without_short_list(&mut sim, i, if i == 0 { n - 1 } else { n }, 1));
     sim.run(120 * SECOND);
     let from = sim.hosts[0].traffic;
     sim.run(180 * SECOND);
-    let a_second = (sim.hosts[0].traffic - from) / 60;
+    let bytes_per_second = (sim.hosts[0].traffic - from) / 60;
     // 20 datagrams of some 70 bytes are its probes and their answers.
-    assert!(a_second < 1600, "{a_second} bytes a second");
+    assert!(bytes_per_second < 1600, "{bytes_per_second} bytes a second");
 }
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -13,11 +13,11 @@
 /// Lines of a name and the bytes in hexadecimal digits, written by the encoder of commit c6abd24.
 const RECORDED: &str = include_str!("data/datagrams.txt");
 
-fn update(member: &str, state: MemberState, number: u32) -> Update {
+fn update(member: &str, state: MemberState, offset: u32) -> Update {
     Update {
         member: key_of(member),
-        process_incarnation: 700_000 + number,
-        incarnation: number,
+        process_incarnation: 700_000 + offset,
+        incarnation: offset,
         state,
         reported_by: key_of("b"),
     }
@@ -57,7 +57,7 @@
     let first_pull = Pull { seq: 1, first_key: 0, salt: 5, prefix_bits: 0, digests: Vec::new() };
     let entries: Vec<u8> = (0..1000u32).map(|number| (number * 31) as u8).collect();
     let page = Page { seq: 77, last_key: 0x7fff_ffff, base_incarnation: 712_345, entries };
-    let first = Message {
+    let first_ping = Message {
         receiver_nonce: 0,
         view_digest: 0,
         list_length: 1,
@@ -79,7 +79,7 @@
     for (name, body) in kinds {
         messages.push((name, message(body, updates())));
     }
-    messages.push(("first_ping", Message { body: Body::Ping { seq: 9 }, ..first }));
+    messages.push(("first_ping", Message { body: Body::Ping { seq: 9 }, ..first_ping }));
     messages
 }
 
@@ -102,28 +102,28 @@
 }
 
 /// What a member answers to this message from `b`.
-fn answers(member: &mut Membership, message: &Message) -> Vec<Vec<u8>> {
+fn answers_to(member: &mut Membership, message: &Message) -> Vec<Vec<u8>> {
     let mut out = Output::default();
     member.receive(Time(0), address(2), &encode(message).0, &mut out);
     out.datagrams.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
 /// The page that a member sends of a table with a member in each state, and the answer to a first ping.
-fn page_of_a_member() -> Vec<(&'static str, Vec<u8>)> {
+fn recorded_answers_of_a_member() -> Vec<(&'static str, Vec<u8>)> {
     let listed = |(number, name): (usize, &str)| ListedMember {
         name: name.to_string(),
         address: address(number as u8 + 1),
     };
     let list = ["a", "b", "c", "d", "e", "f", "g"].into_iter().enumerate().map(listed);
     let list = MemberList::new(list);
-    let times = Timing::default();
-    let mut member = Membership::new("points", "a", 710_000, list, times, 42, Time(0));
-    let first = Message { receiver_nonce: 0, ..message(Body::Ping { seq: 1 }, Vec::new()) };
-    let ack = answers(&mut member, &first).pop().expect("an answer");
-    let echo = decode(&ack).expect("a message").nonce;
+    let timing = Timing::default();
+    let mut member = Membership::new("points", "a", 710_000, list, timing, 42, Time(0));
+    let first_ping = Message { receiver_nonce: 0, ..message(Body::Ping { seq: 1 }, Vec::new()) };
+    let ack = answers_to(&mut member, &first_ping).pop().expect("an answer");
+    let nonce = decode(&ack).expect("a message").nonce;
     let pull = Pull { seq: 2, first_key: 0, salt: 9, prefix_bits: 1, digests: Vec::new() };
-    let pull = Message { receiver_nonce: echo, ..message(Body::Pull(pull), updates()) };
-    let page = answers(&mut member, &pull).pop().expect("a page");
+    let pull = Message { receiver_nonce: nonce, ..message(Body::Pull(pull), updates()) };
+    let page = answers_to(&mut member, &pull).pop().expect("a page");
     vec![("member_ack", ack), ("member_page", page)]
 }
 
@@ -138,15 +138,15 @@
 
 #[test]
 fn messages_encode_to_the_recorded_bytes() {
-    let mut written = String::new();
+    let mut encoded = String::new();
     for (name, message) in messages() {
         let (bytes, updates) = encode(&message);
         assert_eq!(updates, message.updates.len(), "{name}");
-        written += &format!("{name} {}\n", hexadecimal(&bytes));
+        encoded += &format!("{name} {}\n", hexadecimal(&bytes));
     }
-    for (name, bytes) in page_of_a_member() {
-        written += &format!("{name} {}\n", hexadecimal(&bytes));
+    for (name, bytes) in recorded_answers_of_a_member() {
+        encoded += &format!("{name} {}\n", hexadecimal(&bytes));
     }
-    written += &format!("absence_query {}\n", hexadecimal(&ABSENCE_QUERY));
-    assert_eq!(written, RECORDED);
+    encoded += &format!("absence_query {}\n", hexadecimal(&ABSENCE_QUERY));
+    assert_eq!(encoded, RECORDED);
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -16,7 +16,7 @@
 /// A member alone, without a capacity share.
 pub(crate) struct Member(pub(crate) Membership);
 
-fn carry(out: Output, sent: &mut NetworkOutput<Change>) {
+fn forward_output(out: Output, sent: &mut NetworkOutput<Change>) {
     // Receivers reject datagrams of more than 256 bytes, and pages of more than 1,200.
     assert!(out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()), "a datagram too long");
     sent.datagrams.extend(out.datagrams);
@@ -35,13 +35,13 @@
     ) {
         let mut out = Output::default();
         self.0.receive(now, from, bytes, &mut out);
-        carry(out, sent);
+        forward_output(out, sent);
     }
 
     fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
         let mut out = Output::default();
         self.0.tick(now, &mut out);
-        carry(out, sent);
+        forward_output(out, sent);
     }
 
     fn next_wakeup(&self) -> Time {
@@ -85,18 +85,18 @@
     }
 
     /// Starts a member's process with a list of so many names.
-    pub(crate) fn start(&mut self, i: usize, of: usize) {
-        self.start_as(i, of, Timing::default());
+    pub(crate) fn start(&mut self, i: usize, list_length: usize) {
+        self.start_with_timing(i, list_length, Timing::default());
     }
 
     /// The same with another timing.
-    pub(crate) fn start_as(&mut self, i: usize, of: usize, timing: Timing) {
+    pub(crate) fn start_with_timing(&mut self, i: usize, list_length: usize, timing: Timing) {
         self.network.start(i, |process_incarnation, seed, now| {
             Member(Membership::new(
                 "points",
                 &name(i),
                 process_incarnation,
-                MemberList::new(listed(of)),
+                MemberList::new(listed(list_length)),
                 timing,
                 seed,
                 now,
@@ -105,21 +105,21 @@
     }
 
     /// The members whose processes run.
-    pub(crate) fn fleets(&self) -> impl Iterator<Item = (usize, &Membership)> {
-        let places = self.hosts.iter().enumerate();
-        places.filter_map(|(i, place)| Some((i, &place.process.as_ref()?.0)))
+    pub(crate) fn memberships(&self) -> impl Iterator<Item = (usize, &Membership)> {
+        let hosts = self.hosts.iter().enumerate();
+        hosts.filter_map(|(i, host)| Some((i, &host.process.as_ref()?.0)))
     }
 
-    pub(crate) fn fleet(&self, i: usize) -> &Membership {
+    pub(crate) fn membership(&self, i: usize) -> &Membership {
         &self.hosts[i].process.as_ref().expect("it runs").0
     }
 
     /// Gives a member a list of so many names.
-    pub(crate) fn takes_list(&mut self, i: usize, of: usize) {
+    pub(crate) fn update_list(&mut self, i: usize, list_length: usize) {
         self.call(i, |member, now, sent| {
             let mut out = Output::default();
-            member.0.update_list(now, MemberList::new(listed(of)), &mut out);
-            carry(out, sent);
+            member.0.update_list(now, MemberList::new(listed(list_length)), &mut out);
+            forward_output(out, sent);
         });
     }
 
@@ -128,22 +128,22 @@
         self.call(i, |member, _, sent| {
             let mut out = Output::default();
             member.0.leave(&mut out);
-            carry(out, sent);
+            forward_output(out, sent);
         });
     }
 
     /// Whether all that run have the same view, and it is true.
-    pub(crate) fn agree(&self) -> bool {
-        let mut digests = self.fleets().map(|(_, fleet)| fleet.digest());
+    pub(crate) fn views_agree(&self) -> bool {
+        let mut digests = self.memberships().map(|(_, membership)| membership.digest());
         let first = digests.next();
-        let same = digests.all(|d| Some(d) == first);
-        same && self.views_are_true()
+        let are_equal = digests.all(|d| Some(d) == first);
+        are_equal && self.views_are_correct()
     }
 
     /// Whether the views of all that run are true.
-    pub(crate) fn views_are_true(&self) -> bool {
-        self.fleets().all(|(own, fleet)| {
-            fleet.peers().all(|peer| {
+    pub(crate) fn views_are_correct(&self) -> bool {
+        self.memberships().all(|(own, membership)| {
+            membership.peers().all(|peer| {
                 let i = self.keys[&peer.key];
                 i == own || peer.health.is_reachable() == self.hosts[i].process.is_some()
             })
@@ -151,12 +151,12 @@
     }
 
     /// Runs until all agree; how long that took, or `None` if it took longer than this.
-    pub(crate) fn until_agreed(&mut self, most: i64) -> Option<i64> {
+    pub(crate) fn run_until_agreed(&mut self, max_time: i64) -> Option<i64> {
         let from = self.now;
-        while self.now < from + most {
+        while self.now < from + max_time {
             let until = self.now + 100 * MILLISECOND;
             self.run(until);
-            if self.agree() {
+            if self.views_agree() {
                 return Some(self.now - from);
             }
         }
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -10,26 +10,26 @@
 
 /// The longest time in which all have to agree once the network is healed: rounds of pings of the missing, one in a
 /// probe interval of up to nine times its length while local health is bad, and the longest suspicion.
-const AGREED_WITHIN: i64 = 90 * SECOND;
+const MAX_AGREEMENT_TIME: i64 = 90 * SECOND;
 
-fn started(n: usize, seed: u64, drift: f64) -> Sim {
+fn start_agreed_fleet(n: usize, seed: u64, drift: f64) -> Sim {
     let mut sim = Sim::new(n, seed, drift);
     (0..n).for_each(|i| sim.start(i, n));
-    let took = sim.until_agreed(20 * SECOND);
-    assert!(took.is_some(), "seed {seed}: {n} that start at once do not agree");
+    let agreement_time = sim.run_until_agreed(20 * SECOND);
+    assert!(agreement_time.is_some(), "seed {seed}: {n} that start at once do not agree");
     sim
 }
 
 /// One schedule: twelve seconds of random events, and a healed network after them.
-fn schedule(seed: u64) -> i64 {
+fn run_schedule(seed: u64) -> i64 {
     let n = 3 + (seed % 7) as usize;
-    let mut sim = started(n, seed, 0.1);
+    let mut sim = start_agreed_fleet(n, seed, 0.1);
     let begin = sim.now;
     while sim.now < begin + 12 * SECOND {
-        let lot = sim.rng.rand_float();
+        let choice = sim.rng.rand_float();
         let (a, b) =
             (sim.rng.rand_range(0..n as u64) as usize, sim.rng.rand_range(0..n as u64) as usize);
-        match (lot * 10.0) as u32 {
+        match (choice * 10.0) as u32 {
             0 => sim.kill(a),
             1 | 2 => {
                 let time = (sim.rng.rand_float() * 7.0 * SECOND as f64) as i64;
@@ -56,14 +56,14 @@
                 }
             }
         }
-        let gap = (sim.rng.rand_float() * 1.5 * SECOND as f64) as i64;
-        let until = sim.now + gap;
+        let event_interval = (sim.rng.rand_float() * 1.5 * SECOND as f64) as i64;
+        let until = sim.now + event_interval;
         sim.run(until);
     }
     sim.heal();
-    let took = sim.until_agreed(AGREED_WITHIN);
-    let views = || {
-        let views = sim.fleets().map(|(i, f)| {
+    let agreement_time = sim.run_until_agreed(MAX_AGREEMENT_TIME);
+    let format_views = || {
+        let views = sim.memberships().map(|(i, f)| {
             let health = |p: &sableloom_membership::Peer| match p.health {
                 Health::Unknown => '?',
                 Health::Alive => 'a',
@@ -76,27 +76,28 @@
         });
         views.collect::<Vec<_>>()
     };
-    took.unwrap_or_else(|| panic!("seed {seed}: {n} members do not agree: {:#?}", views()))
+    agreement_time
+        .unwrap_or_else(|| panic!("seed {seed}: {n} members do not agree: {:#?}", format_views()))
 }
 
 #[test]
-fn views_agree_and_are_true_once_the_network_is_healed() {
+fn views_agree_and_are_correct_after_the_network_is_healed() {
     for_each_seed(0..10_000, |seed| {
-        schedule(seed);
+        run_schedule(seed);
     });
 }
 
 #[test]
-fn a_seed_replays_to_the_same_moment() {
-    assert_eq!(schedule(11), schedule(11));
+fn a_schedule_replays_identically_from_its_seed() {
+    assert_eq!(run_schedule(11), run_schedule(11));
 }
 
 /// 30% of all datagrams are lost for twenty seconds: no false death lasts.
 #[test]
-fn loss_everywhere_leaves_no_false_death_that_lasts() {
+fn false_deaths_are_short_at_30_percent_loss() {
     for_each_seed(0..60, |seed| {
         let n = 12;
-        let mut sim = started(n, seed, 0.0);
+        let mut sim = start_agreed_fleet(n, seed, 0.0);
         sim.loss = 0.3;
         let end = sim.now + 20 * SECOND;
         let mut dead_since = vec![vec![None; n]; n];
@@ -104,17 +105,17 @@
             let until = sim.now + 200 * MILLISECOND;
             sim.run(until);
             for (i, row) in dead_since.iter_mut().enumerate() {
-                let view = sim.fleet(i).view();
+                let view = sim.membership(i).view();
                 for peer in &view.peers {
                     let j = (0..n).find(|j| key(*j) == peer.key).expect("a member");
                     let since = &mut row[j];
                     match peer.health {
                         Health::Dead => {
                             let from = *since.get_or_insert(sim.now);
-                            let held = sim.now - from;
+                            let dead_time = sim.now - from;
                             assert!(
-                                held < 6 * SECOND,
-                                "seed {seed}: {j} held dead by {i} for {held} us"
+                                dead_time < 6 * SECOND,
+                                "seed {seed}: {j} held dead by {i} for {dead_time} us"
                             );
                         }
                         _ => *since = None,
@@ -123,8 +124,8 @@
             }
         }
         sim.heal();
-        let took = sim.until_agreed(20 * SECOND);
-        assert!(took.is_some(), "seed {seed}: no agreement after it");
+        let agreement_time = sim.run_until_agreed(20 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement after it");
     });
 }
 
@@ -134,7 +135,7 @@
 fn a_resumed_member_declares_no_other_dead() {
     for_each_seed(0..300, |seed| {
         let n = 8;
-        let mut sim = started(n, seed, 0.05);
+        let mut sim = start_agreed_fleet(n, seed, 0.05);
         sim.suspend(2, 10 * SECOND);
         let until = sim.now + 10 * SECOND - MILLISECOND;
         sim.run(until);
@@ -145,38 +146,40 @@
             assert!(sim.hosts[i].changes.iter().any(died), "seed {seed}: {i} did not miss it");
         }
         let resumed_at = sim.now;
-        let took = sim.until_agreed(40 * SECOND);
-        assert!(took.is_some(), "seed {seed}: no agreement after it resumed");
+        let agreement_time = sim.run_until_agreed(40 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement after it resumed");
         let until = sim.now + 10 * SECOND;
         sim.run(until);
         let since =
             |i: usize| sim.hosts[i].changes.iter().filter(move |c| c.0 >= resumed_at).map(|c| c.1);
         for i in 0..n {
-            let threw_out =
+            let declared_dead =
                 since(i).find(|c| matches!(c, Change::Died { member, .. } if *member != key(2)));
-            assert_eq!(threw_out, None, "seed {seed}: at {i}");
+            assert_eq!(declared_dead, None, "seed {seed}: at {i}");
         }
-        let own: Vec<Change> = since(2).collect();
-        let resumed = own.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
-        assert!(resumed.is_some(), "seed {seed}: it trusted what it knew: {own:?}");
+        let own_changes: Vec<Change> = since(2).collect();
+        let resumed =
+            own_changes.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
+        assert!(resumed.is_some(), "seed {seed}: it trusted what it knew: {own_changes:?}");
         assert!(
-            own[resumed.unwrap_or(0)..].contains(&Change::Reachability(Reachability::Complete)),
-            "{own:?}"
+            own_changes[resumed.unwrap_or(0)..]
+                .contains(&Change::Reachability(Reachability::Complete)),
+            "{own_changes:?}"
         );
     });
 }
 
 /// 60% are killed at once: the rest know it within the longest suspicion and a round of probes.
 #[test]
-fn a_majority_killed_at_once_is_found_dead_by_the_rest() {
+fn survivors_detect_the_death_of_a_majority() {
     for_each_seed(0..100, |seed| {
         let n = 10;
-        let mut sim = started(n, seed, 0.0);
+        let mut sim = start_agreed_fleet(n, seed, 0.0);
         (0..6).for_each(|i| sim.kill(i));
-        let took = sim.until_agreed(30 * SECOND);
-        assert!(took.is_some(), "seed {seed}: not agreed");
+        let agreement_time = sim.run_until_agreed(30 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}: not agreed");
         for i in 6..n {
-            let view = sim.fleet(i).view();
+            let view = sim.membership(i).view();
             assert_eq!(view.reachability, Reachability::Partial { reachable: 4, listed: 10 });
         }
     });
@@ -187,19 +190,23 @@
 fn partitioned_halves_agree_again_after_the_partition() {
     for_each_seed(0..60, |seed| {
         let n = 8;
-        let mut sim = started(n, seed, 0.02);
+        let mut sim = start_agreed_fleet(n, seed, 0.02);
         for (i, j) in (0..n * n).map(|ij| (ij / n, ij % n)) {
             sim.links[i][j] = i % 2 == j % 2;
         }
         let until = sim.now + 20 * SECOND;
         sim.run(until);
-        for (_, fleet) in sim.fleets() {
-            let standing = fleet.view().reachability;
-            assert_eq!(standing, Reachability::Partial { reachable: 4, listed: 8 }, "seed {seed}");
+        for (_, membership) in sim.memberships() {
+            let reachability = membership.view().reachability;
+            assert_eq!(
+                reachability,
+                Reachability::Partial { reachable: 4, listed: 8 },
+                "seed {seed}"
+            );
         }
         sim.heal();
-        let took = sim.until_agreed(30 * SECOND);
-        assert!(took.is_some(), "seed {seed}: not one again");
+        let agreement_time = sim.run_until_agreed(30 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}: not one again");
     });
 }
 
@@ -208,20 +215,20 @@
 fn a_restart_within_a_second_is_a_new_process_incarnation() {
     for_each_seed(0..100, |seed| {
         let n = 6;
-        let mut sim = started(n, seed, 0.0);
+        let mut sim = start_agreed_fleet(n, seed, 0.0);
         let before = sim.now;
         sim.kill(1);
         let until = sim.now + 700 * MILLISECOND;
         sim.run(until);
         sim.start(1, n);
-        let took = sim.until_agreed(10 * SECOND);
-        assert!(took.is_some(), "seed {seed}: not agreed");
+        let agreement_time = sim.run_until_agreed(10 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}: not agreed");
         let process_incarnation = sim.hosts[1].process_incarnation;
         for i in (0..n).filter(|i| *i != 1) {
-            let new = |c: &(i64, Change)| {
+            let has_joined = |c: &(i64, Change)| {
                 c.0 >= before && c.1 == Change::Joined { member: key(1), process_incarnation }
             };
-            assert!(sim.hosts[i].changes.iter().any(new), "seed {seed}: {i} did not see it");
+            assert!(sim.hosts[i].changes.iter().any(has_joined), "seed {seed}: {i} did not see it");
         }
     });
 }
@@ -232,15 +239,15 @@
 fn a_process_incarnation_that_is_too_early_is_corrected() {
     for_each_seed(0..60, |seed| {
         let n = 5;
-        let mut sim = started(n, seed, 0.0);
+        let mut sim = start_agreed_fleet(n, seed, 0.0);
         sim.kill(3);
         let until = sim.now + 500 * MILLISECOND;
         sim.run(until);
         sim.hosts[3].process_incarnation = 7;
         sim.start(3, n);
-        let took = sim.until_agreed(20 * SECOND);
-        assert!(took.is_some(), "seed {seed}: not agreed");
-        let view = sim.fleet(0).view();
+        let agreement_time = sim.run_until_agreed(20 * SECOND);
+        assert!(agreement_time.is_some(), "seed {seed}: not agreed");
+        let view = sim.membership(0).view();
         let peer = view.peers.iter().find(|p| p.key == key(3)).expect("on the list");
         assert!(
             peer.process_incarnation > 101,
@@ -255,33 +262,33 @@
 fn a_member_that_leaves_is_never_suspected() {
     for_each_seed(0..100, |seed| {
         let n = 7;
-        let mut sim = started(n, seed, 0.0);
+        let mut sim = start_agreed_fleet(n, seed, 0.0);
         sim.leave(4);
         let until = sim.now + 50 * MILLISECOND;
         sim.run(until);
         sim.kill(4);
-        let took = sim.until_agreed(10 * SECOND).expect("agreed");
-        assert!(took < 5 * SECOND, "seed {seed}: {took}");
+        let agreement_time = sim.run_until_agreed(10 * SECOND).expect("agreed");
+        assert!(agreement_time < 5 * SECOND, "seed {seed}: {agreement_time}");
         let suspected =
             |c: &(i64, Change)| matches!(c.1, Change::Suspected { member, .. } if member == key(4));
-        assert!(sim.hosts.iter().all(|place| !place.changes.iter().any(suspected)), "seed {seed}");
+        assert!(sim.hosts.iter().all(|host| !host.changes.iter().any(suspected)), "seed {seed}");
     });
 }
 
 /// A fleet grows from 56 to 300 in three seconds: all know all, and what each sends does not grow with it.
 #[test]
-fn a_fleet_that_grows_fivefold_agrees_at_a_cost_that_does_not_grow() {
+fn a_fleet_that_grows_fivefold_agrees_at_constant_traffic_per_member() {
     let (few, many) = (56, 300);
     let mut sim = Sim::new(many, 5, 0.02);
     (0..few).for_each(|i| sim.start(i, many));
-    assert!(sim.until_agreed(30 * SECOND).is_some(), "the first do not agree");
+    assert!(sim.run_until_agreed(30 * SECOND).is_some(), "the first do not agree");
     for i in few..many {
         sim.start(i, many);
         let until = sim.now + 3 * SECOND / (many - few) as i64;
         sim.run(until);
     }
-    let took = sim.until_agreed(120 * SECOND);
-    assert!(took.is_some(), "no agreement on 300");
+    let agreement_time = sim.run_until_agreed(120 * SECOND);
+    assert!(agreement_time.is_some(), "no agreement on 300");
     let (sent, bytes, from) = (sim.sent, sim.bytes, sim.now);
     let until = sim.now + 10 * SECOND;
     sim.run(until);
@@ -297,19 +304,22 @@
 /// A member reaches a majority, and the rest one way or not at all: members that declare it dead learn of its
 /// refutation from the others soon.
 #[test]
-fn a_member_that_reaches_a_majority_is_not_held_dead_for_long() {
+fn a_member_that_reaches_a_majority_is_soon_refuted_everywhere() {
     for_each_seed(0..200, |seed| {
         let n = 9;
-        let mut sim = started(n, seed, 0.02);
+        let mut sim = start_agreed_fleet(n, seed, 0.02);
         let victim = (seed % n as u64) as usize;
         let mut others: Vec<usize> = (0..n).filter(|i| *i != victim).collect();
         while others.len() > 4 {
-            let lot = sim.rng.rand_range(0..others.len() as u64) as usize;
-            let cut = others.swap_remove(lot);
+            let choice = sim.rng.rand_range(0..others.len() as u64) as usize;
+            let unreachable = others.swap_remove(choice);
             match sim.rng.rand_range(0..3) {
-                0 => sim.links[victim][cut] = false,
-                1 => sim.links[cut][victim] = false,
-                _ => (sim.links[victim][cut], sim.links[cut][victim]) = (false, false),
+                0 => sim.links[victim][unreachable] = false,
+                1 => sim.links[unreachable][victim] = false,
+                _ => {
+                    (sim.links[victim][unreachable], sim.links[unreachable][victim]) =
+                        (false, false)
+                }
             }
         }
         sim.loss = 0.05;
@@ -318,13 +328,16 @@
         while sim.now < end {
             let until = sim.now + 100 * MILLISECOND;
             sim.run(until);
-            for (i, fleet) in sim.fleets() {
+            for (i, membership) in sim.memberships() {
                 let dead = |p: &sableloom_membership::Peer| {
                     p.key == key(victim) && p.health == Health::Dead
                 };
-                if fleet.peers().any(dead) {
-                    let held = sim.now - *since[i].get_or_insert(sim.now);
-                    assert!(held < HELD_DEAD, "seed {seed}: held dead by {i} for {held} us");
+                if membership.peers().any(dead) {
+                    let dead_time = sim.now - *since[i].get_or_insert(sim.now);
+                    assert!(
+                        dead_time < MAX_DEAD_TIME,
+                        "seed {seed}: held dead by {i} for {dead_time} us"
+                    );
                 } else {
                     since[i] = None;
                 }
@@ -334,4 +347,4 @@
 }
 
 /// The longest time for which a member that reaches a majority may be held dead.
-const HELD_DEAD: i64 = 5 * SECOND;
+const MAX_DEAD_TIME: i64 = 5 * SECOND;
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -8,7 +8,7 @@
 };
 use sableloom_types::Time;
 
-const MS: i64 = 1000;
+const MILLISECOND: i64 = 1000;
 
 fn address(i: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, i], 7000))
@@ -22,12 +22,12 @@
 }
 
 fn member(own: &str, process_incarnation: u32, seed: u64) -> Membership {
-    let all = listed(&[("a", 1), ("b", 2), ("c", 3)]);
+    let members = listed(&[("a", 1), ("b", 2), ("c", 3)]);
     Membership::new(
         "points",
         own,
         process_incarnation,
-        MemberList::new(all),
+        MemberList::new(members),
         Timing::default(),
         seed,
         Time(0),
@@ -35,59 +35,59 @@
 }
 
 /// The messages that it sends to this address.
-fn sent(out: &mut Output, to: u8) -> Vec<Message> {
+fn messages_to(out: &mut Output, to: u8) -> Vec<Message> {
     let all = std::mem::take(&mut out.datagrams);
-    let meant = all.into_iter().filter(|(at, _)| *at == address(to));
-    meant.map(|(_, bytes)| decode(&bytes).expect("its own")).collect()
+    let addressed = all.into_iter().filter(|(at, _)| *at == address(to));
+    addressed.map(|(_, bytes)| decode(&bytes).expect("its own")).collect()
 }
 
 /// Two members exchange pings until they know each other's nonces.
-fn met(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
+fn exchange_nonces(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
     let mut out = Output::default();
     a.tick(Time(0), &mut out);
     // All are missing at first: one of them is pinged.
     let mut at = 0;
     let ping = loop {
-        if let Some(ping) = sent(&mut out, 2).pop() {
+        if let Some(ping) = messages_to(&mut out, 2).pop() {
             break ping;
         }
-        at += 200 * MS;
+        at += 200 * MILLISECOND;
         a.tick(Time(at), &mut out);
     };
     assert_eq!(ping.receiver_nonce, 0, "it knows nobody yet");
     b.receive(Time(at), address(1), &encode(&ping).0, &mut out);
-    let ack = sent(&mut out, 1).pop().expect("an answer");
+    let ack = messages_to(&mut out, 1).pop().expect("an answer");
     assert_eq!(ack.receiver_nonce, ping.nonce);
     a.receive(Time(at), address(2), &encode(&ack).0, &mut out);
-    let known = |f: &Membership, name| {
+    let health_of = |f: &Membership, name| {
         f.view().peers.iter().find(|p| p.key == key_of(name)).map(|p| p.health.clone())
     };
-    assert_eq!(known(a, "b"), Some(Health::Alive));
-    assert_eq!(known(b, "a"), Some(Health::Unknown), "a ping with no echo counts for nothing");
+    assert_eq!(health_of(a, "b"), Some(Health::Alive));
+    assert_eq!(health_of(b, "a"), Some(Health::Unknown), "a ping with no echo counts for nothing");
     out.datagrams.clear();
-    at += 400 * MS;
+    at += 400 * MILLISECOND;
     a.tick(Time(at), &mut out);
-    let again = loop {
-        if let Some(again) = sent(&mut out, 2).pop() {
-            break again;
+    let second_ping = loop {
+        if let Some(second_ping) = messages_to(&mut out, 2).pop() {
+            break second_ping;
         }
-        at += 200 * MS;
+        at += 200 * MILLISECOND;
         a.tick(Time(at), &mut out);
     };
-    assert_eq!(again.receiver_nonce, ack.nonce);
-    b.receive(Time(at), address(1), &encode(&again).0, &mut out);
-    assert_eq!(known(b, "a"), Some(Health::Alive));
-    (again, ack, Time(at))
+    assert_eq!(second_ping.receiver_nonce, ack.nonce);
+    b.receive(Time(at), address(1), &encode(&second_ping).0, &mut out);
+    assert_eq!(health_of(b, "a"), Some(Health::Alive));
+    (second_ping, ack, Time(at))
 }
 
-fn deaths(out: &Output) -> usize {
+fn count_deaths(out: &Output) -> usize {
     out.changes.iter().filter(|c| matches!(c, Change::Died { .. })).count()
 }
 
 #[test]
 fn foreign_and_forged_datagrams_are_dropped_and_counted_by_reason() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
-    let (ping, _, now) = met(&mut a, &mut b);
+    let (ping, _, now) = exchange_nonces(&mut a, &mut b);
     let dead = Update {
         member: key_of("c"),
         process_incarnation: 5,
@@ -97,7 +97,7 @@
     };
     let forged = Message { updates: vec![dead], ..ping.clone() };
     let mut out = Output::default();
-    let number = b.view().version;
+    let version = b.view().version;
     let bytes = |m: &Message| encode(m).0;
     b.receive(now, address(9), &bytes(&forged), &mut out);
     b.receive(now, address(3), &bytes(&forged), &mut out);
@@ -116,7 +116,7 @@
     b.receive(now, address(1), &bytes(&forged)[..20], &mut out);
     b.receive(now, address(1), &[1, 1, 1], &mut out);
     b.receive(now, address(1), &[2; MAX_PAGE_BYTES + 1], &mut out);
-    for why in [
+    for reason in [
         DropReason::UnknownAddress,
         DropReason::WrongSender,
         DropReason::OtherFleet,
@@ -125,25 +125,25 @@
         DropReason::OtherVersion,
         DropReason::TooLong,
     ] {
-        assert_eq!(b.count_dropped(why), 1, "{why:?}");
+        assert_eq!(b.count_dropped(reason), 1, "{reason:?}");
     }
-    assert_eq!((deaths(&out), b.view().version), (0, number), "none of it counted");
+    assert_eq!((count_deaths(&out), b.view().version), (0, version), "none of it counted");
     b.receive(now, address(1), &bytes(&forged), &mut out);
-    assert_eq!(deaths(&out), 1, "with the echo and from its address it does");
+    assert_eq!(count_deaths(&out), 1, "with the echo and from its address it does");
 }
 
 /// Datagrams to an earlier process, replayed to the next one.
 #[test]
 fn a_datagram_for_an_earlier_process_has_no_effect() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
-    let (ping, _, _) = met(&mut a, &mut b);
+    let (ping, _, _) = exchange_nonces(&mut a, &mut b);
     let mut next = member("b", 10, 3);
     let mut out = Output::default();
     next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
     assert_eq!(next.count_dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
     // Yet the sender is told the nonce of the new process.
-    let answer = sent(&mut out, 1).pop().expect("an answer");
+    let answer = messages_to(&mut out, 1).pop().expect("an answer");
     assert!(
         answer.receiver_nonce == ping.nonce
             && answer.nonce != ping.receiver_nonce
@@ -153,9 +153,9 @@
 
 /// An update that is wrong about the member itself is refuted by a later incarnation.
 #[test]
-fn a_suspected_member_refutes() {
+fn a_member_refutes_wrong_updates_about_itself() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
-    let (ping, _, now) = met(&mut a, &mut b);
+    let (ping, _, now) = exchange_nonces(&mut a, &mut b);
     let before = b.local_health();
     for (state, incarnation) in
         [(MemberState::Suspect, 0), (MemberState::Dead, 1), (MemberState::Left, 2)]
@@ -171,7 +171,7 @@
             Message { updates: vec![suspected], body: Body::Ping { seq: 70 }, ..ping.clone() };
         let mut out = Output::default();
         b.receive(now, address(1), &encode(&message).0, &mut out);
-        let answer = sent(&mut out, 1).pop().expect("an answer");
+        let answer = messages_to(&mut out, 1).pop().expect("an answer");
         assert_eq!(answer.incarnation, incarnation + 1, "{state:?}");
         a.receive(now, address(2), &encode(&answer).0, &mut out);
     }
@@ -186,14 +186,14 @@
     };
     let mut out = Output::default();
     b.receive(now, address(1), &encode(&Message { updates: vec![old], ..ping }).0, &mut out);
-    assert_eq!(sent(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
+    assert_eq!(messages_to(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
 }
 
 /// Another process acts under its name, with ever later process incarnations.
 #[test]
 fn a_duplicate_identity_is_reported() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
-    let (ping, _, now) = met(&mut a, &mut b);
+    let (ping, _, now) = exchange_nonces(&mut a, &mut b);
     let mut out = Output::default();
     for process_incarnation in [9, 30, 60] {
         let other = Update {
@@ -211,15 +211,15 @@
         );
     }
     assert_eq!(out.changes.iter().filter(|c| **c == Change::DuplicateIdentity).count(), 1);
-    assert_eq!(sent(&mut out, 1).pop().map(|m| m.process_incarnation), Some(61));
+    assert_eq!(messages_to(&mut out, 1).pop().map(|m| m.process_incarnation), Some(61));
 }
 
 /// The list changes: a member that is no longer on it is forgotten, and one with a new address has to state its nonce
 /// again.
 #[test]
-fn the_operators_list_decides_who_can_be_a_member() {
+fn only_members_of_the_current_list_are_accepted() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
-    let (_, ack, now) = met(&mut a, &mut b);
+    let (_, ack, now) = exchange_nonces(&mut a, &mut b);
     let mut out = Output::default();
     a.update_list(now, MemberList::new(listed(&[("b", 4), ("d", 5)])), &mut out);
     let names: Vec<String> =
@@ -238,18 +238,18 @@
         state: MemberState::Alive,
         reported_by: key_of("b"),
     };
-    let number = a.view().version;
+    let version = a.view().version;
     a.receive(now, address(4), &encode(&Message { updates: vec![c], ..ack }).0, &mut out);
     assert_eq!(
         a.view().version,
-        number,
+        version,
         "an update about a member that is not on the list is ignored"
     );
 }
 
 /// The bound that docs/design/members.md states, without the bytes of a name.
 #[test]
-fn bytes_kept_of_a_member_are_bounded() {
+fn memory_per_member_is_bounded() {
     assert!(
         size_of::<sableloom_membership::Peer>() <= 200,
         "{}",
