--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -1,4 +1,4 @@
-//! The state machine: what is heard of other members in, this process's share out.
+//! The state machine that computes a process's share from the messages and proofs of absence that it receives.
 
 use sableloom_types::Time;
 
@@ -9,7 +9,7 @@
 use crate::share::{Share, ShareReason};
 use crate::timing::Timing;
 
-/// One process's share of the servers' capacity, among the members of a list.
+/// The share of the servers' capacity that one process has among the members of a list.
 #[derive(Clone, Debug)]
 pub struct CapacityShare {
     timing: Timing,
@@ -19,12 +19,13 @@
     duplicate_identity: bool,
     queries: QueryBudget,
     probes: ProbeBudget,
-    /// The key of the member, or the one before the member, that is queried next.
+    /// The key from which members are queried next. It need not be the key of a member.
     next_query_key: Key,
 }
 
 impl CapacityShare {
-    /// The share of a process that has just taken its address. `others` are all members of the list but itself.
+    /// Creates the share of a process that has just bound its address. `others` are the keys of all other members of
+    /// the list.
     pub fn new(now: Time, others: impl IntoIterator<Item = Key>, timing: Timing) -> Self {
         let mut members = MemberTable::default();
         members.replace_list(others);
@@ -40,28 +41,28 @@
         }
     }
 
-    /// Replaces the list of the other members. What is known of those that stay is kept.
+    /// Replaces the list of other members. The state of members that are on both lists is kept.
     pub fn update_members(&mut self, others: impl IntoIterator<Item = Key>) {
         self.members.replace_list(others);
     }
 
-    /// Whether a proof of absence that was queried at this time has expired.
+    /// Returns whether a proof of absence whose query was sent at `queried` has expired.
     fn is_expired(&self, now: Time, queried: Time) -> bool {
         now >= queried.plus(self.timing.lease)
     }
 
-    /// When the start wait ends.
+    /// Returns when the start wait ends.
     fn start_wait_end(&self) -> Time {
         self.started.plus(self.timing.start_wait())
     }
 
-    /// How many members this process still waits for.
+    /// Returns how many members this process still waits for before it has a share.
     fn count_awaited(&self, now: Time) -> usize {
         if now >= self.start_wait_end() { 0 } else { self.members.count_unconfirmed() }
     }
 
-    /// A datagram has come from a member's address, whatever it says. That proves nothing, and only ever makes the
-    /// share smaller: a proof of absence that is older has ended.
+    /// Records a datagram from a member's address, whatever its content. A datagram proves nothing; it ends an older
+    /// proof of the member's absence, so that it can only make the share smaller.
     pub fn datagram_received(&mut self, now: Time, key: Key) {
         self.members.change(key, |member| {
             member.last_datagram_at = now;
@@ -69,7 +70,8 @@
         });
     }
 
-    /// A member has acknowledged this very process, and stated the length of its list.
+    /// Records that a member has acknowledged this process, not an earlier one at the same address, and has stated the
+    /// length of its list, itself included.
     pub fn acknowledged(&mut self, now: Time, key: Key, list_length: u16) {
         self.datagram_received(now, key);
         self.members.change(key, |member| {
@@ -78,14 +80,15 @@
         });
     }
 
-    /// A member's system has answered the query of this time that no process holds its address. Returns whether that
-    /// is new: no proof against this member held before.
+    /// Records the answer of a member's operating system, to the query that was sent at `queried`, that no process
+    /// holds the member's address. Returns whether the proof is new, that is, whether no earlier proof of this member's
+    /// absence was valid at `queried`.
     pub fn proved_absent(&mut self, key: Key, queried: Time) -> bool {
         let started = self.started;
         let changed = self.members.change(key, |member| {
             let before = member.absent_since;
             member.cannot_hold_stale_proof |= queried >= started;
-            // A datagram that came since is from a process that has started since.
+            // A datagram that was received later comes from a process that has started since the query.
             if member.last_datagram_at < queried {
                 member.absent_since = before.max(queried);
                 member.list_length = 0;
@@ -95,8 +98,8 @@
         changed.is_some_and(|(before, after)| after != NEVER && self.is_expired(queried, before))
     }
 
-    /// Whether this process was suspended and has heard too few members since. Proofs from before it was suspended
-    /// are dropped: the members may have started in the meantime.
+    /// Sets whether this process was suspended and has received messages from too few members since. If it was, all
+    /// proofs are dropped, because the members may have started in the meantime.
     pub fn set_resumed(&mut self, resumed: bool) {
         self.resumed = resumed;
         if resumed {
@@ -104,27 +107,30 @@
         }
     }
 
-    /// Another process acts under this one's name.
+    /// Records that another process acts under this process's name. From then on, each of the two has half a share.
     pub fn set_duplicate_identity(&mut self) {
         self.duplicate_identity = true;
     }
 
-    /// Queries begin at this key. Processes that began at the same one would all query the same few members.
+    /// Sets the key from which the first members are queried. Processes that start at the same key would all query the
+    /// same few members.
     pub fn start_queries_at(&mut self, key: Key) {
         self.next_query_key = key;
     }
 
-    /// The key from which members are queried next: where there are too many to query, each has its turn.
+    /// Returns the key from which members are queried next. It advances with each query, so that every member is
+    /// queried in turn where there are too many to query at once.
     pub fn next_query_key(&self) -> Key {
         self.next_query_key
     }
 
-    /// The other members in the order in which they are queried.
+    /// Returns the other members in the order in which they are queried.
     pub fn query_order(&self) -> impl Iterator<Item = Key> {
         self.members.cyclic_from(self.next_query_key).map(|member| member.key)
     }
 
-    /// The absence queries to send now: about the first of these candidates that may be queried, `max` at most.
+    /// Returns the absence queries to send now, and counts them as sent. They concern the first of `candidates` that
+    /// may be queried, `max` at most.
     pub fn query_absence(
         &mut self,
         now: Time,
@@ -160,7 +166,8 @@
         queries
     }
 
-    /// The members to probe now: those that have not acknowledged this process, as long as it waits for them.
+    /// Returns the members to probe now, and counts the probes as sent. They are members that have not acknowledged
+    /// this process, as long as it waits for them.
     pub fn due_probes(&mut self, now: Time) -> Vec<Key> {
         let lease = self.timing.lease;
         self.members.discard_proofs(|queried| now >= queried.plus(lease));
@@ -178,28 +185,28 @@
         probed
     }
 
-    /// When the first proof that holds will expire.
+    /// Returns when the first of the valid proofs expires; `None` without a valid proof.
     fn first_proof_expiry(&self, now: Time) -> Option<Time> {
         let mut valid =
             self.members.proof_query_times().filter(|queried| !self.is_expired(now, *queried));
         valid.next().map(|queried| queried.plus(self.timing.lease))
     }
 
-    /// How many members are proved absent.
+    /// Returns how many members are proved absent at `now`.
     pub fn count_absent(&self, now: Time) -> usize {
         let expired =
             self.members.proof_query_times().take_while(|queried| self.is_expired(now, *queried));
         self.members.proof_count() - expired.count()
     }
 
-    /// The length of the longest list that this process knows of, its own included: where lists differ, the longer
-    /// one holds, as the members that a shorter one lacks act too.
+    /// Returns the length of the longest list that this process knows of, its own included. Where lists differ, the
+    /// longest one counts, because the members that a shorter list lacks act too.
     pub fn longest_list_length(&self) -> u32 {
         let own = self.members.len() as u32 + 1;
         own.max(u32::from(self.members.longest_list_length()))
     }
 
-    /// The share now.
+    /// Returns the share at `now`.
     pub fn share(&self, now: Time) -> Share {
         let identity_processes = if self.duplicate_identity { 2 } else { 1 };
         let longest_list = self.longest_list_length();
@@ -219,7 +226,7 @@
         Share { balancers: acting * identity_processes, until, balancers_after, reason }
     }
 
-    /// When the share may change by itself, or a member may be queried or probed again, if nothing happens before.
+    /// Returns when the share may next change without an event, or when a member may next be queried or probed.
     pub fn next_wakeup(&self, now: Time) -> Time {
         let is_waiting = self.count_awaited(now) > 0;
         let start_wait_end = is_waiting.then(|| self.start_wait_end());
--- a/crates/capacity-share/src/capacity_share/tests.rs
+++ b/crates/capacity-share/src/capacity_share/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::member::Member;
 
-/// What the indexes say is what a look at all members says.
+/// Checks that the indexes give the same results as a scan of all members.
 fn check_indexes(share: &CapacityShare, now: Time, seed: u128) {
     let members = || share.members.iter();
     let is_absent = |member: &&Member| !share.is_expired(now, member.absent_since);
@@ -57,8 +57,8 @@
     }
 }
 
-/// A process that starts sends no more probes than these, however many members are on its list and however often it is
-/// called; with a list that is too long to probe all members in time, it probes none.
+/// The number of probes in an interval is bounded for every list length, however often the process is called. With a
+/// list that is too long to probe all members in time, the process sends no probes.
 #[test]
 fn probes_are_bounded_for_every_list_length() {
     let timing = Timing::default();
@@ -72,7 +72,7 @@
             }
             assert_eq!(probes, max_probes, "{others} others");
         }
-        // It acts all the same, once no proof against it can hold any more.
+        // The process still gets a share once every proof against it has expired.
         assert_eq!(share.share(Time(timing.start_wait().0)).balancers, others + 1);
     }
 }
--- a/crates/capacity-share/src/member_table.rs
+++ b/crates/capacity-share/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The other members of the list, with indexes: no call goes over all of them but an update of the list.
+//! The other members of the list, indexed so that only a replacement of the list iterates over all of them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -6,28 +6,29 @@
 
 use crate::member::{Key, Member, NEVER};
 
-/// The longest list whose members are all probed by a process that waits, and whose absence queries are not paced.
-/// A wait ends early only if all members have acknowledged the process; of more than this, not all can be probed
-/// twice within it, and the probes would be wasted.
+/// The maximum number of other members for which a waiting process probes all of them and absence queries are not
+/// paced. A wait ends early only if all members have acknowledged the process. Of more members than this, not all can
+/// be probed twice within the wait, and the probes would be wasted.
 const MAX_PROBED_MEMBERS: usize = 512;
 
 /// The other members of the list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberTable {
-    /// In the order of their keys.
+    /// The members, sorted by key.
     members: Vec<Member>,
-    /// How many may hold a stale proof.
+    /// The number of members that may hold a stale proof.
     unconfirmed_count: usize,
-    /// Those of them that are probed, by the time of the last probe. Empty in a long list.
+    /// The members that may hold a stale proof, ordered by the time of the last probe. It is empty for a long list,
+    /// whose members are not probed.
     probe_order: BTreeSet<(Time, Key)>,
-    /// Proofs of absence by the time of their queries. Expired ones stay until they are discarded.
+    /// The proofs of absence, ordered by the times of their queries. Expired proofs stay until they are discarded.
     proofs: BTreeSet<(Time, Key)>,
-    /// How many members say that their lists have this length.
+    /// How many members state each list length.
     list_lengths: BTreeMap<u16, usize>,
 }
 
 impl MemberTable {
-    /// Replaces the list. What is known of members that stay is kept.
+    /// Replaces the list. The state of members that are on both lists is kept.
     pub(crate) fn replace_list(&mut self, keys: impl IntoIterator<Item = Key>) {
         let before = std::mem::take(&mut self.members);
         let before: HashMap<Key, Member> =
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Whether the list is short enough for all members to be probed.
+    /// Returns whether the list is short enough for all members to be probed.
     pub(crate) fn is_short(&self) -> bool {
         self.members.len() <= MAX_PROBED_MEMBERS
     }
 
-    /// How many there are.
+    /// Returns the number of other members.
     pub(crate) fn len(&self) -> usize {
         self.members.len()
     }
@@ -64,12 +65,12 @@
         self.members.binary_search_by_key(&key, |member| member.key).ok()
     }
 
-    /// A member, if it is on the list.
+    /// Returns a member, or `None` if it is not on the list.
     pub(crate) fn get(&self, key: Key) -> Option<&Member> {
         self.position(key).map(|position| &self.members[position])
     }
 
-    /// Changes what is known of a member, if it is on the list.
+    /// Changes the state of a member and updates the indexes. Returns `None` if the member is not on the list.
     pub(crate) fn change<R>(
         &mut self,
         key: Key,
@@ -106,27 +107,27 @@
         }
     }
 
-    /// How many may hold a stale proof.
+    /// Returns how many members may hold a stale proof.
     pub(crate) fn count_unconfirmed(&self) -> usize {
         self.unconfirmed_count
     }
 
-    /// Members that are probed, the one whose last probe is longest ago first.
+    /// Returns the members to probe with the times of their last probes, the longest ago first.
     pub(crate) fn probe_order(&self) -> impl Iterator<Item = (Time, Key)> {
         self.probe_order.iter().copied()
     }
 
-    /// When the proofs of absence were queried, the oldest first. Expired ones may be among them.
+    /// Returns the query times of the proofs of absence, the oldest first. Expired proofs may be among them.
     pub(crate) fn proof_query_times(&self) -> impl Iterator<Item = Time> {
         self.proofs.iter().map(|(queried, _)| *queried)
     }
 
-    /// How many proofs of absence there are. Expired ones may be among them.
+    /// Returns the number of proofs of absence. Expired proofs may be among them.
     pub(crate) fn proof_count(&self) -> usize {
         self.proofs.len()
     }
 
-    /// Discards proofs from the oldest on, as long as they have expired.
+    /// Discards expired proofs from the index, the oldest first, up to the first one that has not expired.
     pub(crate) fn discard_proofs(&mut self, is_expired: impl Fn(Time) -> bool) {
         while let Some((queried, _)) = self.proofs.first()
             && is_expired(*queried)
@@ -135,9 +136,9 @@
         }
     }
 
-    /// Forgets all proofs.
+    /// Drops all proofs.
     pub(crate) fn forget_proofs(&mut self) {
-        // Proofs that were discarded before are no longer in the index. They have expired and hold nothing.
+        // Proofs that were discarded before are no longer in the index. They have expired and have no effect.
         let proofs = std::mem::take(&mut self.proofs);
         for (_, key) in proofs {
             if let Some(position) = self.position(key) {
@@ -146,18 +147,18 @@
         }
     }
 
-    /// The greatest length of a list that any member states; 0 if there are no members.
+    /// Returns the greatest list length that any member states; 0 if there are no members.
     pub(crate) fn longest_list_length(&self) -> u16 {
         self.list_lengths.last_key_value().map_or(0, |(length, _)| *length)
     }
 
-    /// All members, in the order of their keys.
+    /// Returns all members in the order of their keys.
     #[cfg(test)]
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// All members from this key on, in the order of their keys, and then those before it.
+    /// Returns all members in the order of their keys, from `key` on and then from the first one.
     pub(crate) fn cyclic_from(&self, key: Key) -> impl Iterator<Item = &Member> {
         let first = self.members.partition_point(|member| member.key < key);
         let (before, from) = self.members.split_at(first);
--- a/crates/capacity-share/src/probes.rs
+++ b/crates/capacity-share/src/probes.rs
@@ -1,13 +1,14 @@
-//! How many probes a process that waits may send.
+//! The rate limit for the probes of a process that waits for its share.
 
 use sableloom_types::{Span, Time};
 
 use crate::member::NEVER;
 
-/// Probes in one interval at most. A process that started with a long list would otherwise send hundreds at once.
+/// The maximum number of probes in one probe interval. Without it, a process that starts with a long list would send
+/// hundreds of probes at once.
 const MAX_PROBES_PER_INTERVAL: usize = 64;
 
-/// The probes of the current interval.
+/// Counts the probes of the current interval.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeBudget {
     interval: Span,
@@ -20,7 +21,8 @@
         Self { interval, interval_start: NEVER, sent: 0 }
     }
 
-    /// How many probes the interval leaves; a new one starts when the last is over.
+    /// Returns how many more probes the current interval allows. A new interval starts at `now` if the last one is
+    /// over.
     pub(crate) fn remaining(&mut self, now: Time) -> usize {
         if now.since(self.interval_start) >= self.interval {
             (self.interval_start, self.sent) = (now, 0);
@@ -28,7 +30,7 @@
         MAX_PROBES_PER_INTERVAL.saturating_sub(self.sent)
     }
 
-    /// Counts probes.
+    /// Records probes that are sent in the current interval.
     pub(crate) fn spend(&mut self, probes: usize) {
         self.sent += probes;
     }
--- a/crates/capacity-share/src/share.rs
+++ b/crates/capacity-share/src/share.rs
@@ -1,35 +1,37 @@
-//! The share of the servers' capacity that a balancer has, and why.
+//! The share of the servers' capacity that a balancer has, and the reason for it.
 
 use sableloom_types::Time;
 
-/// Why a share is as large as it is.
+/// The reason for the size of a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareReason {
-    /// The process has no share yet: so many other members might still hold proofs of absence against it.
+    /// The process has no share yet, because this number of other members may still hold proofs of absence against it.
     Waiting(usize),
-    /// It shares with all members of the list but those that are proved absent.
+    /// The process shares the capacity with all members of the list except those that are proved absent.
     Sharing,
-    /// It was suspended and has heard too few members since: it shares with all members of the list.
+    /// The process was suspended and has received messages from too few members since. It shares the capacity with all
+    /// members of the list.
     Resumed,
-    /// Another process acts under its name: each of the two has half a share.
+    /// Another process acts under the same name. Each of the two has half a share.
     DuplicateIdentity,
 }
 
-/// A balancer's share.
+/// The share of the servers' capacity that one balancer has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The number of balancers that divide the capacity, itself included; 0 for no share yet.
+    /// The number of balancers that divide the capacity, this one included; 0 if the process has no share yet.
     pub balancers: u32,
-    /// When the first proof of absence or the start wait ends. From then on [`Self::balancers_after`] holds.
+    /// When the first proof of absence expires or the start wait ends, if any. From then on, [`Self::balancers_after`]
+    /// applies.
     pub until: Option<Time>,
-    /// The number of balancers from [`Self::until`] on, unless something new is learnt before.
+    /// The number of balancers from [`Self::until`] on, unless an event changes the share before.
     pub balancers_after: u32,
-    /// Why.
+    /// The reason for the size of the share.
     pub reason: ShareReason,
 }
 
 impl Share {
-    /// The share as a fraction of all capacity, at this time.
+    /// Returns the share at `now` as a fraction of all capacity, from 0 to 1.
     pub fn fraction(&self, now: Time) -> f64 {
         let expired = self.until.is_some_and(|until| now >= until);
         match if expired { self.balancers_after } else { self.balancers } {
--- a/crates/capacity-share/src/timing.rs
+++ b/crates/capacity-share/src/timing.rs
@@ -5,16 +5,16 @@
 /// Intervals and limits of capacity shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// How long a proof of absence holds, from its query on.
+    /// How long a proof of absence is valid, from the time of its query on.
     pub lease: Span,
-    /// The shortest time between two absence queries about one member.
+    /// The minimum time between two absence queries about the same member.
     pub query_interval: Span,
-    /// The shortest time between two probes of a member that has not acknowledged this process.
+    /// The minimum time between two probes of a member that has not acknowledged this process.
     pub probe_interval: Span,
-    /// Absence queries within one lease at most, about all members together. A proof that can't be renewed expires;
-    /// that makes the share smaller, which is safe.
+    /// The maximum number of absence queries within one lease, about all members together. A proof that cannot be
+    /// renewed expires, which makes the share smaller and is therefore safe.
     pub max_queries_per_lease: usize,
-    /// How far a clock may be off, as a fraction of the time that has passed.
+    /// The maximum drift of a clock, as a fraction of the elapsed time.
     pub clock_drift: f64,
 }
 
@@ -31,10 +31,12 @@
 }
 
 impl Timing {
-    /// How long a process that starts waits for members that don't acknowledge it: until every proof against it has
-    /// expired, by the slowest clock that holds one and the fastest that waits.
+    /// Returns how long a process that starts waits for members that do not acknowledge it. After this time every proof
+    /// against it has expired, even if the slowest clock within the drift measures the lease and the fastest measures
+    /// the wait.
     pub fn start_wait(&self) -> Span {
-        // Rounded up: a wait that is too short by a microsecond lets two members use the same capacity.
+        // The wait is rounded up, because a wait that is too short by a microsecond lets two members use the same
+        // capacity.
         let lease = self.lease.as_micros_f64();
         Span((lease * (1.0 + self.clock_drift) / (1.0 - self.clock_drift)).ceil() as i64)
     }
--- a/crates/capacity-share/tests/share_rules.rs
+++ b/crates/capacity-share/tests/share_rules.rs
@@ -1,5 +1,5 @@
-//! The rules of shares, one by one. That shares add up to one at most in every schedule is shown in simulation by
-//! the crate `fleet`, which joins them with the membership protocol.
+//! Tests of the single rules that determine a share. The simulations of the crate `fleet`, which combines shares with
+//! the membership protocol, test that shares add up to at most one in every schedule.
 
 use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_types::{Span, Time};
@@ -10,7 +10,7 @@
     Time((seconds * SECOND as f64) as i64)
 }
 
-/// The share of one of `n` members, which all others have acknowledged.
+/// Returns the share of one of `n` members after all others have acknowledged it.
 fn share_acknowledged_by_all(n: u16) -> CapacityShare {
     let mut share = CapacityShare::new(at(0.0), 1..u32::from(n), Timing::default());
     (1..n).for_each(|key| share.acknowledged(at(0.1), key.into(), n));
@@ -22,7 +22,7 @@
     (current.balancers, current.reason)
 }
 
-/// The members that are queried, of those that are candidates.
+/// Returns the members that are queried, of those that are candidates.
 fn query(share: &mut CapacityShare, now: f64, is_candidate: impl Fn(u32) -> bool) -> Vec<u32> {
     let candidates: Vec<u32> = share.query_order().filter(|key| is_candidate(*key)).collect();
     share.query_absence(at(now), usize::MAX, candidates).to
@@ -44,7 +44,7 @@
     assert_eq!(
         balancers_and_reason(&share, 0.1),
         (0, ShareReason::Waiting(2)),
-        "a datagram that acknowledges nothing"
+        "a datagram without an acknowledgement does not count"
     );
     share.acknowledged(at(0.2), 2, 4);
     assert_eq!(balancers_and_reason(&share, 0.2), (0, ShareReason::Waiting(1)));
@@ -66,14 +66,14 @@
 fn a_proof_of_absence_makes_the_share_larger_for_one_lease() {
     let mut share = share_acknowledged_by_all(4);
     assert_eq!(balancers_and_reason(&share, 0.2), (4, ShareReason::Sharing));
-    assert!(share.proved_absent(2, at(0.3)), "the proof is new");
+    assert!(share.proved_absent(2, at(0.3)), "the first proof is new");
     let current = share.share(at(0.4));
     assert_eq!((current.balancers, current.until, current.balancers_after), (3, Some(at(2.3)), 4));
-    // A process that does not look again in time shares with all members.
+    // A process that does not recompute its share in time shares with all members.
     assert_eq!((current.fraction(at(2.29)), current.fraction(at(2.3))), (1.0 / 3.0, 0.25));
-    assert!(!share.proved_absent(2, at(0.9)), "it was known before");
-    assert_eq!(balancers_and_reason(&share, 2.8).0, 3, "it was renewed");
-    // An answer that comes late is as old as its query.
+    assert!(!share.proved_absent(2, at(0.9)), "the absence was known before");
+    assert_eq!(balancers_and_reason(&share, 2.8).0, 3, "the proof was renewed");
+    // A late answer is as old as its query.
     share.proved_absent(3, at(0.5));
     assert_eq!(balancers_and_reason(&share, 2.8).0, 3);
     assert_eq!(balancers_and_reason(&share, 2.9).0, 4);
@@ -90,7 +90,7 @@
     share.proved_absent(2, at(0.5));
     assert_eq!(balancers_and_reason(&share, 0.6).0, 4);
     share.proved_absent(2, at(0.7));
-    assert_eq!(balancers_and_reason(&share, 0.8).0, 3, "it is absent again");
+    assert_eq!(balancers_and_reason(&share, 0.8).0, 3, "the member is proved absent again");
 }
 
 #[test]
@@ -115,10 +115,10 @@
     let mut share = share_acknowledged_by_all(3);
     share.acknowledged(at(0.3), 1, 7);
     assert_eq!(balancers_and_reason(&share, 0.3).0, 7);
-    // An absent member counts for nothing, and neither does the list length that it stated.
+    // Neither an absent member nor the list length that it stated counts.
     share.proved_absent(1, at(0.4));
     assert_eq!(balancers_and_reason(&share, 0.5).0, 2);
-    // A member that is added takes its share at once.
+    // A member that is added gets its share at once.
     share.proved_absent(1, at(5.0));
     share.update_members(1..10);
     let current = share.share(at(5.1));
@@ -140,7 +140,11 @@
     let timing = Timing { max_queries_per_lease: 10, ..Timing::default() };
     let mut share = CapacityShare::new(at(0.0), 1..31, timing);
     assert_eq!(query(&mut share, 0.0, |key| key % 2 == 0).len(), 10);
-    assert_eq!(query(&mut share, 1.9, |key| key % 2 == 0), Vec::<u32>::new(), "none is left");
+    assert_eq!(
+        query(&mut share, 1.9, |key| key % 2 == 0),
+        Vec::<u32>::new(),
+        "the lease allows no further query"
+    );
     let mut queried: Vec<u32> = Vec::new();
     let mut now = 0.0;
     for _ in 0..2 {
@@ -150,14 +154,15 @@
     queried.sort_unstable();
     queried.dedup();
     assert_eq!(queried.len(), 15, "{queried:?}");
-    // One member is queried again only after the interval.
+    // The same member is queried again only after the interval.
     let mut share = share_acknowledged_by_all(3);
     assert_eq!(query(&mut share, 1.0, |_| true), [1, 2]);
     assert_eq!(query(&mut share, 1.49, |_| true), Vec::<u32>::new());
     assert_eq!(query(&mut share, 1.5, |_| true), [1, 2]);
 }
 
-/// About a long list few queries are sent in any second, and each member has its turn; about a short one all at once.
+/// Queries about a long list are limited in every second and reach each member in turn. Queries about a short list are
+/// all sent at once.
 #[test]
 fn queries_about_a_long_list_are_paced() {
     let timing = Timing { lease: Span(60 * SECOND), ..Timing::default() };
@@ -170,17 +175,17 @@
     }
     for (from, _) in &queried {
         let within = queried.iter().filter(|(now, _)| now >= from && *now < from + 1.0).count();
-        assert!(within <= 32, "{within} from {from} on");
+        assert!(within <= 32, "{within} queries in the second from {from} s on");
     }
     let mut distinct: Vec<u32> = queried.iter().map(|(_, key)| *key).collect();
     distinct.sort_unstable();
     distinct.dedup();
-    assert_eq!(distinct.len(), 399, "each missing member had its turn");
+    assert_eq!(distinct.len(), 399, "each missing member is queried");
     let mut share = CapacityShare::new(at(0.0), 1..512, Timing::default());
     assert_eq!(query(&mut share, 0.0, |_| true).len(), 511);
 }
 
-/// Shares of lists of any length never overflow, and are never more than all.
+/// A share never overflows and never exceeds all capacity, for any list length and any sequence of events.
 #[test]
 fn a_share_is_never_more_than_all_capacity() {
     let mut rng = oorandom::Rand64::new(5);
@@ -203,11 +208,11 @@
             let Share { balancers, until, balancers_after, reason } = share.share(now);
             assert!(
                 balancers_after >= n && (balancers <= balancers_after),
-                "{balancers} {balancers_after}"
+                "{balancers} balancers now, {balancers_after} afterwards"
             );
             assert!(balancers > 0 || matches!(reason, ShareReason::Waiting(_)));
-            assert!(until.is_none_or(|until| until > now), "an end in the past");
-            assert!(share.next_wakeup(now) > now, "its timer would fire for ever");
+            assert!(until.is_none_or(|until| until > now), "the share ends in the past");
+            assert!(share.next_wakeup(now) > now, "the timer would fire without end");
         }
     }
 }
