--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -1,9 +1,10 @@
-//! How soon a death is known, how many false deaths there are, and what it costs: this crate's protocol, the same
-//! without local health (plain SWIM), and heartbeats of all to all, on one simulated network.
+//! Compares how soon a death is detected, how many false deaths there are, and the traffic, for three protocols on one
+//! simulated network: this crate's protocol, the same without local health (plain SWIM), and heartbeats of all to all.
 //!
-//! `cargo run --release -p sableloom-membership --example detection -- [LARGEST]`. Timing are the model's. Fleets of up
-//! to 100 take one to two minutes on six cores; a thousand are played for two losses, and without
-//! heartbeats, whose cost there is plain: 4,995 packets a second and member.
+//! `cargo run --release -p sableloom-membership --example detection -- [MAX_MEMBERS]` measures fleets of 10, 100 and
+//! 1,000 members, as far as `MAX_MEMBERS` allows. All times are simulated. Fleets of up to 100 members take one to two
+//! minutes on six cores. Fleets of 1,000 are measured at two rates of loss and without heartbeats, whose traffic is
+//! known there: 4,995 packets a second and member.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,13 +19,14 @@
 };
 use sableloom_types::{Span, Time};
 
-/// From one probe, or heartbeat, to the next.
+/// The time from one probe, or heartbeat, to the next, in microseconds.
 const INTERVAL: i64 = 200 * MILLISECOND;
-/// Heartbeats that may be missing in a row: as long as the shortest suspicion among ten.
+/// The number of heartbeats that may be missing in a row. They take as long as the shortest suspicion among ten
+/// members.
 const MAX_MISSED_HEARTBEATS: i64 = 5;
-/// How long a fleet is watched before one is killed,
+/// How long a fleet is observed before a member is killed, in microseconds.
 const OBSERVATION_TIME: i64 = 30 * SECOND;
-/// and after it.
+/// How long a fleet is observed at most after a member is killed, in microseconds.
 const MAX_DETECTION_TIME: i64 = 60 * SECOND;
 
 enum Member {
@@ -32,7 +34,7 @@
     Heartbeats(HeartbeatMember),
 }
 
-/// Sends a heartbeat to all others in each period.
+/// A member that sends a heartbeat to all others in each interval.
 struct HeartbeatMember {
     own: usize,
     last_received: Vec<Time>,
@@ -85,7 +87,7 @@
             Member::Heartbeats(member) => {
                 member.next_heartbeat = now.plus(Span(INTERVAL));
                 for i in (0..member.last_received.len()).filter(|i| *i != member.own) {
-                    // As many bytes as a ping without updates.
+                    // A heartbeat has as many bytes as a ping without updates.
                     sent.datagrams.push((address_of(i), vec![0; 36]));
                     if now.since(member.last_received[i]).0 > MAX_MISSED_HEARTBEATS * INTERVAL
                         && !member.dead[i]
@@ -115,14 +117,17 @@
 }
 
 struct Measurements {
-    /// Until the first, and the last of those that live, knew it; of the kills.
+    /// The times from a kill until the first of the other members detects it, in microseconds.
     first_detections: Vec<i64>,
+    /// The times from a kill until all of the other members have detected it, in microseconds.
     full_detections: Vec<i64>,
-    /// Deaths of members that lived, as declared by any of the others, a member and hour.
+    /// False deaths per member and hour: declarations by any member that another one, which is running, is dead.
     false_deaths: f64,
-    /// How long those were held, in all, a member and hour, in seconds.
+    /// The time for which running members were considered dead, in seconds per member and hour.
     dead_time: f64,
+    /// The packets that each member sends in a second.
     packets_per_second: f64,
+    /// The bytes that each member sends in a second.
     bytes_per_second: f64,
 }
 
@@ -135,19 +140,19 @@
     }
 }
 
-/// One fleet that is watched.
+/// The fleet and the network that are measured.
 #[derive(Clone, Copy, PartialEq)]
 struct Scenario {
     members: usize,
     /// The fraction of datagrams that is lost.
     loss: f64,
-    /// Whether one member in ten does nothing for 600 ms every 2 s.
+    /// Whether one member in ten is suspended for 600 ms every 2 s.
     has_slow_members: bool,
     protocol: Protocol,
     seed: u64,
 }
 
-/// How often the network is looked at.
+/// The simulated time between two inspections of the network, in microseconds.
 const STEP: i64 = 10 * MILLISECOND;
 
 impl Scenario {
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Watches the fleet with no failure, and then kills a member.
+    /// Observes the fleet without a failure, and then kills a member.
     fn measure(&self) -> Measurements {
         let observation_time =
             if self.members > 500 { OBSERVATION_TIME / 3 } else { OBSERVATION_TIME };
@@ -229,7 +234,7 @@
         measurements
     }
 
-    /// Kills a member, and notes when the first and the last of the others know it.
+    /// Kills a member, and measures when the first and the last of the others detect it.
     fn kill_one(&self, network: &mut Network<Member>, measurements: &mut Measurements) {
         let victim = 1;
         network.kill(victim);
@@ -254,7 +259,7 @@
     }
 }
 
-/// How often living members were declared dead, and for how long all together, in microseconds.
+/// Returns how often running members were declared dead, and for how long in all, in microseconds.
 fn false_deaths(network: &Network<Member>) -> (usize, i64) {
     let (mut deaths, mut dead_time) = (0usize, 0i64);
     for host in &network.hosts {
@@ -281,7 +286,7 @@
     times.get(times.len() / 2).map_or("-".to_string(), |us| format!("{:.1}", *us as f64 / 1e6))
 }
 
-/// Plays all of these on all cores, the longest first.
+/// Measures all scenarios on all cores, beginning with the last, which take longest.
 fn measure_all(scenarios: &[Scenario]) -> Vec<Measurements> {
     let next = AtomicUsize::new(scenarios.len());
     let measurements: Vec<Mutex<Option<Measurements>>> =
@@ -334,8 +339,9 @@
     }
     let measurements = measure_all(&scenarios);
     println!(
-        "how, members, loss, one in ten slow | death known to the first and to all, s (middle) | false \
-         deaths told a member and hour, seconds held | packets and bytes a second and member"
+        "protocol, members, loss, one in ten slow | death detected by the first and by all, s (median) | \
+         false deaths per member and hour, seconds considered dead | packets and bytes per second \
+         and member"
     );
     let results: Vec<_> = scenarios.iter().zip(&measurements).collect();
     for row in results
--- a/crates/membership/src/codec/tests.rs
+++ b/crates/membership/src/codec/tests.rs
@@ -26,10 +26,10 @@
     }
 }
 
-/// Keys are part of the wire: they must never change.
+/// Keys are part of the wire format, so that the hash function must never change.
 #[test]
 fn keys_are_fnv_1a_hashes_of_names() {
-    // FNV-1a test vectors, draft-eastlake-fnv, section 8.
+    // The test vectors of FNV-1a are from draft-eastlake-fnv, section 8.
     assert_eq!(
         (key_of(""), key_of("a"), key_of("foobar")),
         (0x811c_9dc5, 0xe40c_292c, 0xbf9c_f968)
@@ -41,7 +41,7 @@
     for updates in 0..40 {
         let (bytes, kept) = encode(&message(updates));
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-        let decoded = decode(&bytes).expect("its own").updates.len();
+        let decoded = decode(&bytes).expect("a valid datagram").updates.len();
         assert!(decoded == kept && (decoded == updates || decoded >= 8), "{decoded} of {updates}");
     }
 }
@@ -52,7 +52,7 @@
     bytes[0] = 1;
     assert_eq!(decode(&bytes), Err(DropReason::OtherVersion));
     assert_eq!(decode(&[VERSION; MAX_PAGE_BYTES + 1]), Err(DropReason::TooLong));
-    // Only pages may be longer than the rest.
+    // Only datagrams with pages may exceed the limit of all others.
     let long_message = |body| Message { body, ..message(12) };
     let encode_unbounded = |message: &Message| {
         let mut bytes = vec![VERSION];
@@ -69,7 +69,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4000, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..Default::default() })]
 
-    /// A datagram that was cut, lengthened or changed is dropped or is a message; it never panics.
+    /// A datagram that was cut, extended or altered is rejected or decodes to a message; decoding never panics.
     #[test]
     fn damaged_datagrams_decode_or_are_rejected_without_panic(
         cut in 0usize..300,
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! Gossip: which updates are sent to other members, how often, and in which order.
+//! The queue of gossip, which determines which updates are sent to other members, how often, and in which order.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use crate::message::{Key, MemberState, Update};
 
-/// How often an update was sent, and a number that grows with each insertion: the update that was sent least comes
-/// first, of equals the one that waits longest.
+/// The sort key of a queued update: how often it was sent, and a number that grows with each insertion. The update that
+/// was sent least often comes first; of equals, the one that has waited longest.
 type Priority = (u32, u64);
 
-/// Updates that are queued at most: what some six thousand datagrams carry in all. Where more happens at once, the
-/// update that was sent most often is discarded first; other members go on sending it.
+/// The maximum number of queued updates. About six thousand datagrams carry all of them. If there are more, the update
+/// that was sent most often is discarded first, since other members go on sending it.
 const MAX_UPDATES: usize = 1024;
 
 /// The queue of updates to send.
@@ -31,7 +31,8 @@
         self.queue.is_empty()
     }
 
-    /// Queues an update. It replaces queued updates of the same member, but for suspicions by other members.
+    /// Queues an update. It replaces the queued updates about the same member, except that a suspicion does not replace
+    /// the suspicions that other members report.
     pub(crate) fn add(&mut self, update: Update) {
         let queue = &mut self.queue;
         let priorities = self.priorities_by_member.entry(update.member).or_default();
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The first so many updates, after those that were sent as often as they may be are discarded.
+    /// Discards the updates that were sent `max_transmissions` times, and returns the first `count` of the others.
     pub(crate) fn next_updates(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
         while let Some(((transmissions, _), _)) = self.queue.last_key_value()
             && *transmissions >= max_transmissions
@@ -62,7 +63,7 @@
         self.queue.values().take(count).copied().collect()
     }
 
-    /// The first so many updates were sent.
+    /// Records that the first `count` updates were sent once more.
     pub(crate) fn record_sent(&mut self, count: usize) {
         let first: Vec<(Priority, Update)> =
             self.queue.iter().take(count).map(|(priority, update)| (*priority, *update)).collect();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Keeps the updates about these members.
+    /// Removes the updates about members for which `is_known` returns false.
     pub(crate) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
         self.queue.retain(|_, update| is_known(update.member));
         self.priorities_by_member.retain(|key, _| is_known(*key));
--- a/crates/membership/src/dissemination/tests.rs
+++ b/crates/membership/src/dissemination/tests.rs
@@ -19,7 +19,7 @@
     assert_eq!(members(queue.next_updates(3, 3)), [2, 3, 1]);
     queue.add(update(4, MemberState::Dead, 1));
     assert_eq!(members(queue.next_updates(1, 3)), [4]);
-    // An update that was sent as often as it may be is discarded.
+    // An update that was sent the maximum number of times is discarded.
     assert_eq!(members(queue.next_updates(9, 2)), [4, 2, 3]);
     (0..3).for_each(|_| queue.record_sent(9));
     assert!(
--- a/crates/membership/src/groups.rs
+++ b/crates/membership/src/groups.rs
@@ -1,20 +1,20 @@
-//! The positions of a member table by group, so that to move one, to count a group and to draw from it at random take
+//! The positions of a member table in groups. To move a position, to count a group and to draw from it at random take
 //! the same time whatever the table's size.
 
 use oorandom::Rand64;
 
 use crate::peer::Health;
 
-/// What a member is counted among.
+/// The group to which a member belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Group {
-    /// It is reachable, suspected or not.
+    /// The member is reachable, suspected or not.
     Reachable,
-    /// It is dead or has left.
+    /// The member is dead or has left.
     DeadOrLeft,
-    /// This process has never heard of it.
+    /// Nothing is known of the member yet.
     Unknown,
-    /// It is this process itself.
+    /// The member is this process itself.
     Own,
 }
 
@@ -30,18 +30,18 @@
     }
 }
 
-/// All positions in one order, one group behind the other.
+/// All positions, in the order of their groups.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Groups {
     order: Vec<u32>,
-    /// Where each position is in that order.
+    /// The index of each position in `order`.
     order_indexes: Vec<u32>,
-    /// Where each group ends.
+    /// The index in `order` at which each group ends.
     group_ends: [usize; GROUP_COUNT],
 }
 
 impl Groups {
-    /// So many positions, all of the first group.
+    /// Creates `positions` positions, all of them in the first group.
     pub(crate) fn new(positions: usize) -> Self {
         let order: Vec<u32> = (0..positions as u32).collect();
         Self { order_indexes: order.clone(), order, group_ends: [positions; GROUP_COUNT] }
@@ -51,7 +51,7 @@
         (group as usize).checked_sub(1).map_or(0, |before| self.group_ends[before])
     }
 
-    /// The positions of a group, in no order that means anything.
+    /// Returns the positions of a group in unspecified order.
     pub(crate) fn positions(&self, group: Group) -> &[u32] {
         &self.order[self.group_start(group)..self.group_ends[group as usize]]
     }
@@ -63,21 +63,22 @@
         }
     }
 
-    /// Moves a position from one group to another, past those between.
+    /// Moves a position from one group to another, through the groups between them.
     pub(crate) fn move_position(&mut self, position: usize, from: Group, to: Group) {
         for group in from as usize..to as usize {
-            // The last of its group becomes the first of the next.
+            // The position becomes the last of its group, and then the first of the next group.
             self.group_ends[group] -= 1;
             self.swap(self.order_indexes[position] as usize, self.group_ends[group]);
         }
         for group in (to as usize..from as usize).rev() {
-            // The first of its group becomes the last of the one before.
+            // The position becomes the first of its group, and then the last of the group before.
             self.swap(self.order_indexes[position] as usize, self.group_ends[group]);
             self.group_ends[group] += 1;
         }
     }
 
-    /// The n-th position of a random order of a group. Calls with 0, 1, 2, … draw each position once.
+    /// Returns the `n`-th position of a random order of a group, or `None` if the group has no more. Calls with 0, 1,
+    /// 2, … draw each position once.
     pub(crate) fn random(&mut self, group: Group, n: usize, rng: &mut Rand64) -> Option<usize> {
         let (first, end) = (self.group_start(group) + n, self.group_ends[group as usize]);
         let remaining = end.checked_sub(first).filter(|remaining| *remaining > 0)?;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,31 +1,32 @@
-//! Which balancers of a fleet are reachable, as one of them knows it.
+//! The membership protocol, by which each balancer of a fleet determines which others are reachable.
 //!
 //! A balancer needs to know the others within seconds, at a cost that does not grow with the fleet, and without
 //! declaring healthy members dead when the network loses datagrams or the balancer itself is slow. The protocol is SWIM
 //! with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar, Phillips, Currey 2018), over
-//! datagrams of at most 256 bytes between the members of a list that operators keep. Gossip spreads changes; member
-//! tables are pulled by pages of at most 1,200 bytes where a process has started or views go on to differ.
+//! datagrams of at most 256 bytes between the members of a list that operators keep. Gossip spreads changes. Processes
+//! that have started, and members whose views remain different, pull member tables by pages of at most 1,200 bytes.
 //!
 //! # States of a member
 //!
 //! ```text
-//! unknown --heard--> alive --a probe failed, or gossip--> suspect --its deadline--> dead
-//!                      ^      refutation (later incarnation) |                       |
-//!                      +-------------------------------------+-- later process, or refutation
+//! unknown --message, or gossip--> alive --a probe failed, or gossip--> suspect --its deadline--> dead
+//!                                   ^      refutation (later incarnation) |                       |
+//!                                   +-------------------------------------+-- later process, or refutation
 //! any --Leave--> left
 //! ```
 //!
 //! # Invariants
 //!
-//! - An update replaces what is known only if it is greater by (process incarnation, incarnation, state). Only the
-//!   member itself increases the first two, so that it can refute whatever others say of it.
-//! - A message has no effect unless it has the nonce that this process drew at its start: what was meant for an earlier
-//!   process at the same address is dropped.
-//! - Nobody becomes a member by gossip: the operators' list names all members.
-//! - No page and no gossip shows that a member is alive at this time; only a message from itself does.
+//! - An update replaces the known state of a member only if its (process incarnation, incarnation, state) is greater.
+//!   Only the member itself increases the first two, so that it can refute all statements of others about it.
+//! - A message has no effect unless it has the nonce that the receiving process drew at its start. A message that was
+//!   meant for an earlier process at the same address is dropped.
+//! - Gossip adds no members. The operators' list names all members.
+//! - No page and no gossip shows that a member is alive at this time; only a message from the member itself does.
 //!
-//! It never does I/O and never reads a clock: datagrams and a monotonic time go in, and [`Output`] says what to send,
-//! what has changed and when to call again. [docs/design/members.md] says why it is as it is.
+//! The crate does no I/O and reads no clock. The caller passes datagrams and a monotonic time; [`Output`] holds the
+//! datagrams to send and the changes of the view, and [`Membership::next_wakeup`] returns when to call
+//! [`Membership::tick`]. [docs/design/members.md] has the reasons for the design.
 //!
 //! ```
 //! use sableloom_membership::{ListedMember, MemberList, Membership, Output, Timing};
@@ -39,7 +40,8 @@
 //! let mut a = Membership::new("fleet", "a", 1, list.clone(), Timing::default(), 1, Time(0));
 //! let mut b = Membership::new("fleet", "b", 1, list, Timing::default(), 2, Time(0));
 //!
-//! // The first ping tells b's process the nonce of a; the second, with b's nonce, makes a known to b.
+//! // The first ping carries the nonce of a, and its ack that of b. Only the second ping, with the nonce of b, makes a
+//! // known to b.
 //! let mut output = Output::default();
 //! let a_address = "127.0.0.1:7000".parse()?;
 //! let b_address = "127.0.0.2:7000".parse()?;
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -10,25 +10,25 @@
 /// A member of the operators' list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedMember {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its address.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
 }
 
-/// An immutable list, indexed by key and by address. Members in one process that have the same list share it: it takes
-/// more memory than what one member knows of the others.
+/// An immutable list of members, indexed by key and by address. Members in the same process that have the same list
+/// share it, because it takes more memory than the state that one member keeps of the others.
 #[derive(Clone, Debug, Default)]
 pub struct MemberList {
     members: Vec<(Key, ListedMember)>,
     by_key: FxHashMap<Key, u32>,
     by_address: FxHashMap<SocketAddr, u32>,
-    /// Keys with their positions, in the order of keys.
+    /// The keys of the members with their positions, sorted by key.
     sorted: Vec<(Key, u32)>,
 }
 
 impl MemberList {
-    /// A list of these members. Of two that share a key the first counts.
+    /// Creates a list of these members. Of members with the same key, only the first is kept.
     pub fn new(members: impl IntoIterator<Item = ListedMember>) -> Arc<Self> {
         let mut list = Self::default();
         for listed in members {
@@ -45,28 +45,28 @@
         Arc::new(list)
     }
 
-    /// Its members in their order, each with its key.
+    /// Returns the members in the order in which they were given, each with its key.
     pub fn members(&self) -> &[(Key, ListedMember)] {
         &self.members
     }
 
-    /// The position of a member.
+    /// Returns the position of a member, or `None` if it is not on the list.
     pub(crate) fn position(&self, key: Key) -> Option<usize> {
         self.by_key.get(&key).map(|position| *position as usize)
     }
 
-    /// The positions of members, in the order of their keys from this one on.
+    /// Returns the positions of the members whose keys are at least `key`, in the order of their keys.
     pub(crate) fn positions_from(&self, key: Key) -> impl Iterator<Item = usize> {
         let first = self.sorted.partition_point(|(other, _)| *other < key);
         self.sorted[first..].iter().map(|(_, position)| *position as usize)
     }
 
-    /// The position of the member at an address.
+    /// Returns the position of the member with this address, or `None` if no member has it.
     pub(crate) fn position_at(&self, address: SocketAddr) -> Option<usize> {
         self.by_address.get(&address).map(|position| *position as usize)
     }
 
-    /// The name and address of a member.
+    /// Returns the name and address of a member, or `None` if it is not on the list.
     pub(crate) fn listed(&self, key: Key) -> Option<&ListedMember> {
         self.position(key).map(|position| &self.members[position].1)
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! One member's state machine: which members it probes, what it believes of each, and how it adapts to being slow
-//! itself.
+//! The state machine of one member: which members it probes, which state of each it has recorded, and how it adapts
+//! when it is slow itself.
 
 mod anti_entropy;
 mod list_update;
@@ -30,28 +30,28 @@
 use crate::timing::Timing;
 use crate::view::{Reachability, View};
 
-/// For so many probe intervals a process with a long list queries no member's system: while many start at once, most
-/// of those that it believes to be missing are there.
+/// The number of probe intervals after its start in which a process with a long list sends no absence queries. While
+/// many processes start at once, most of the members that it considers missing are running.
 const START_PHASE_INTERVALS: i64 = 50;
 
-/// A change of the view. Members by their keys.
+/// A change of the view. Members are identified by their keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// A member is there, with this process.
+    /// A member has become reachable with this process, or has restarted as this process.
     Joined {
         /// The member.
         member: Key,
         /// The incarnation of its process.
         process_incarnation: u32,
     },
-    /// A member is suspected.
+    /// A member is suspected to be dead.
     Suspected {
         /// The member.
         member: Key,
         /// The member that suspected it first.
         reported_by: Key,
     },
-    /// A member has refuted the suspicion.
+    /// A member has refuted the suspicion that it is dead.
     Refuted(Key),
     /// A member was declared dead.
     Died {
@@ -62,22 +62,22 @@
     },
     /// A member has left on purpose.
     Left(Key),
-    /// This member reaches more or less of the fleet.
+    /// The part of the fleet that this member reaches has changed.
     Reachability(Reachability),
     /// Another process acts under this member's own name.
     DuplicateIdentity,
 }
 
-/// What the caller is to do.
+/// The actions that the caller has to perform.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// Datagrams to send, and where.
+    /// The datagrams to send, with their destinations.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Changes of the view, in their order.
+    /// The changes of the view, in the order in which they occurred.
     pub changes: Vec<Change>,
 }
 
-/// One member of the fleet.
+/// The state of one member of the fleet.
 #[derive(Debug)]
 pub struct Membership {
     fleet: Key,
@@ -88,28 +88,28 @@
     timing: Timing,
     table: MemberTable,
     rng: Rand64,
-    /// The members that are still to be probed in this round, the last first.
+    /// The members that remain to be probed in this round. The last one is probed next.
     probe_round: Vec<Key>,
     probe: Option<Probe>,
     next_probe: Time,
-    /// When it sends updates next, if it sends no probe before.
+    /// When updates are sent next if no probe is sent before.
     next_gossip: Time,
     relays: Vec<Relay>,
     gossip: Dissemination,
-    /// What it sends and receives.
+    /// The bytes that this member sends and receives.
     meter: TrafficMeter,
-    /// When it was last called with a time.
+    /// The time that was passed with the last call.
     now: Time,
     started: Time,
     anti_entropy: AntiEntropy,
-    /// How many pings a process that has started may still send to members that it never heard of.
+    /// The number of pings that a process that has started may still send to unknown members.
     start_pings_left: usize,
-    /// 0 for a healthy member, up to 8 for one that is slow or unreachable itself.
+    /// The local health score: 0 for a healthy member, up to 8 for one that is slow or unreachable itself.
     local_health: u32,
-    /// When its timer is due, as it last said.
+    /// When the next call of [`Membership::tick`] is due, as computed by the last call.
     timer_due: Option<Time>,
     is_leaving: bool,
-    /// How often another process of its own name had a later incarnation.
+    /// How often another process of the same name had a later incarnation.
     superseded_count: u32,
     last_seq: u32,
     view_version: u64,
@@ -119,8 +119,9 @@
 }
 
 impl Membership {
-    /// A member whose process has just started. `process_incarnation` has to be greater than that of its process
-    /// before; other members correct one that is not. Whether the list names this member itself makes no difference.
+    /// Creates a member whose process has just started. `process_incarnation` has to be greater than that of the
+    /// member's previous process; other members correct one that is not. The list may or may not name this member
+    /// itself. All random choices depend on `seed`.
     pub fn new(
         fleet: &str,
         own: &str,
@@ -131,7 +132,7 @@
         now: Time,
     ) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
-        // 0 says that a nonce is not known.
+        // A nonce of 0 means that the nonce is not known.
         let nonce = (rng.rand_u64() as u32).max(1);
         let mut membership = Self {
             fleet: key_of(fleet),
@@ -167,13 +168,13 @@
         membership
     }
 
-    /// Whether the list is short enough for all members to be pinged by a process that starts. Budgets of traffic bind
-    /// in longer lists only.
+    /// Returns whether the list is short enough for a process that starts to ping all members. Budgets for updates and
+    /// absence queries apply to longer lists only.
     pub fn has_short_list(&self) -> bool {
         self.table.len() <= self.timing.max_short_list
     }
 
-    /// Whether the process has just started, with a list too long to ping all members.
+    /// Returns whether the process has just started with a list that is too long to ping all members.
     pub fn has_just_started(&self) -> bool {
         let start_phase_end = self.started.plus(self.intervals(START_PHASE_INTERVALS));
         self.now < start_phase_end && !self.has_short_list()
@@ -183,7 +184,7 @@
         Span(self.timing.probe_interval.0 * count)
     }
 
-    /// The view now.
+    /// Returns the current view.
     pub fn view(&self) -> View {
         View {
             version: self.view_version,
@@ -193,54 +194,54 @@
         }
     }
 
-    /// The member that has this address.
+    /// Returns the key of the member with this address, or `None` if no other member has it.
     pub fn member_at(&self, address: SocketAddr) -> Option<Key> {
         self.table.position_at(address).map(|position| self.table.at(position).key)
     }
 
-    /// The other members.
+    /// Returns the other members in the order of the list.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.table.peers()
     }
 
-    /// One of the other members.
+    /// Returns the state of another member, or `None` if it is not on the list.
     pub fn peer(&self, key: Key) -> Option<&Peer> {
         self.table.peer(key)
     }
 
-    /// How many updates are queued.
+    /// Returns how many updates are queued for gossip.
     pub fn queued_updates(&self) -> usize {
         self.gossip.len()
     }
 
-    /// Its own key.
+    /// Returns this member's own key.
     pub fn own_key(&self) -> Key {
         self.own_key
     }
 
-    /// How many others there are on the list.
+    /// Returns how many other members are on the list.
     pub fn count_others(&self) -> usize {
         self.table.len()
     }
 
-    /// How many of the others have left.
+    /// Returns how many of the other members have left.
     pub fn count_left(&self) -> usize {
         self.table.count_left()
     }
 
-    /// How many of the others are reachable, the suspected among them.
+    /// Returns how many of the other members are reachable, suspected ones included.
     pub fn count_reachable(&self) -> usize {
         self.table.count_reachable()
     }
 
-    /// The name and address of a member of the list.
+    /// Returns the name and address of a member, or `None` if it is not on the list.
     pub fn listed(&self, key: Key) -> Option<&ListedMember> {
         self.table.listed(key)
     }
 
-    /// Those that are not confirmed to be alive, as they are missing or suspected, in the order of their keys from this
-    /// one on, and then those before it. Members of a long list that were never heard of are left out as long as this
-    /// process pulls a table.
+    /// Returns the members that are not confirmed to be alive, as they are missing or suspected, in the order of their
+    /// keys from `key` on and then from the first one. While this process pulls a table, members of a long list of
+    /// which nothing is known are left out.
     pub fn unconfirmed_from(&self, key: Key) -> impl Iterator<Item = Key> {
         let skips_unknown = self.anti_entropy.is_pulling() && !self.has_short_list();
         self.table.unconfirmed_from(key).filter(move |key| {
@@ -249,53 +250,56 @@
         })
     }
 
-    /// How many are not confirmed to be alive.
+    /// Returns how many members are not confirmed to be alive.
     pub fn count_unconfirmed(&self) -> usize {
         self.table.count_unconfirmed()
     }
 
-    /// How much of the fleet it reaches.
+    /// Returns how much of the fleet this member reaches.
     pub fn reachability(&self) -> Reachability {
         self.reachability
     }
 
-    /// The incarnation of its process: other members may have made it take a later one than it was given.
+    /// Returns the incarnation of this member's process. It is later than the one that was passed to [`Self::new`] if
+    /// other members knew of a later one.
     pub fn process_incarnation(&self) -> u32 {
         self.process_incarnation
     }
 
-    /// Sets the digest of the endpoint lists that are in force here, which other members are shown.
+    /// Sets the digest of the endpoint lists that this balancer has in force. It is sent to the other members.
     pub fn set_endpoints_digest(&mut self, digest: u32) {
         self.endpoints_digest = digest;
     }
 
-    /// The digest of its endpoint lists.
+    /// Returns the digest of the endpoint lists that this balancer has in force; 0 if it was not set.
     pub fn endpoints_digest(&self) -> u32 {
         self.endpoints_digest
     }
 
-    /// The view's version: one more with each change.
+    /// Returns the version of the view, which increases by one with each change.
     pub fn view_version(&self) -> u64 {
         self.view_version
     }
 
-    /// The view's digest.
+    /// Returns the digest of the view. It is equal at members that agree on which members are reachable, and in which
+    /// process incarnations.
     pub fn digest(&self) -> u32 {
         let own = if self.is_leaving { &Health::Left } else { &Health::Alive };
         self.table.digest() ^ member_digest(self.own_key, self.process_incarnation, own)
     }
 
-    /// How many datagrams were dropped for this reason.
+    /// Returns how many datagrams were dropped for this reason.
     pub fn count_dropped(&self, reason: DropReason) -> u64 {
         self.dropped.get(&reason).copied().unwrap_or(0)
     }
 
-    /// Counts absence queries to so many members' systems as traffic.
+    /// Counts `queries` absence queries and their answers as traffic.
     pub fn count_absence_queries(&mut self, now: Time, queries: usize) {
         self.meter.add(now, queries * ABSENCE_QUERY_BYTES);
     }
 
-    /// Its local health, 0 to 8: 0 is healthy. Its probe interval and timeout are longer by as many times.
+    /// Returns the local health score from 0 (healthy) to 8. The probe interval and the probe timeout are multiplied by
+    /// one more than the score.
     pub fn local_health(&self) -> u32 {
         self.local_health
     }
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: a process that has started pulls one whole member table, and members whose views go on to differ pull
-//! what differs. One pull at a time, page by page, within the budget of bytes.
+//! Anti-entropy: a process that has started pulls one whole member table, and members whose views remain different pull
+//! what differs. A member has one pull at a time in progress, which transfers page by page within the budget of bytes.
 
 use sableloom_types::{Span, Time};
 
@@ -9,34 +9,38 @@
 use crate::meter::HEADER_BYTES;
 use crate::page::{self, Grouping};
 
-/// A page is requested while the last second had so few bytes that it fits below this.
+/// A page is requested only if its expected bytes and those of the last second are together within this number of
+/// bytes.
 const PULL_BELOW_BYTES: usize = 4500;
-/// A page is served while the last second had so few bytes that it fits below this. Without it a member that many
-/// others ask at once would send more than its budget.
+/// A page is sent only as large as its bytes and those of the last second are together within this number of bytes.
+/// Without this bound, a member that many others ask at once would send more than its budget.
 const SERVE_BELOW_BYTES: usize = 4500;
-/// Bytes that a page is expected to have. It has more where all that it names is new, as in a first pull.
+/// The expected size of a page in bytes. A page is larger if all its entries are new to the receiver, as in a first
+/// pull.
 const EXPECTED_PAGE_BYTES: usize = MAX_PAGE_BYTES / 2;
-/// A page that is shorter than this for lack of space is not worth its headers.
+/// The minimum size in bytes to which the budget may limit a page. A smaller page is not worth its headers.
 const MIN_PAGE_BYTES: usize = 256;
-/// A page that did not come within so many probe intervals is requested again, of another member;
+/// The number of probe intervals after which a request for a page times out. The page is then requested from another
+/// member, if one has answered.
 const PAGE_TIMEOUT_INTERVALS: i64 = 3;
-/// so often in one pull.
+/// The number of timeouts that ends a pull.
 const MAX_TIMEOUTS: u32 = 4;
-/// Views differ for so many probe intervals before they are compared: gossip spreads most changes before.
+/// The number of probe intervals for which views have to differ before they are compared. Gossip spreads most changes
+/// within this time.
 const SETTLING_INTERVALS: i64 = 10;
-/// After a pull that brought nothing, the next one waits for so many probe intervals, and twice as many after each
-/// further one between which the view has not changed,
+/// The number of probe intervals that the next pull waits after one that changed nothing. The wait doubles after each
+/// further such pull, as long as the view does not change between them.
 const MIN_BACKOFF_INTERVALS: i64 = 5;
-/// up to so many: where lists differ, views differ for good.
+/// The maximum number of probe intervals that the next pull waits. Where lists differ, views differ permanently.
 const MAX_BACKOFF_INTERVALS: i64 = 160;
 /// How long a member whose budget leaves no space for a page waits before it tries again.
 const BUDGET_RETRY_INTERVAL: Span = Span(100_000);
 
-/// A pull that is under way.
+/// A pull that is in progress.
 #[derive(Clone, Debug)]
 struct CurrentPull {
     server: Key,
-    /// All members before this key were compared.
+    /// The first key whose members were not compared yet.
     next_key: Key,
     salt: u32,
     grouping: Grouping,
@@ -45,31 +49,33 @@
     /// When the next page is requested, or the pending request times out.
     due: Time,
     timeouts: u32,
-    /// A member that has answered since, and is asked next if the server does not answer.
+    /// A member whose view differs too and that has answered since the pull began. The next request goes to it if the
+    /// server does not answer.
     fallback: Option<Key>,
     has_changed_view: bool,
 }
 
-/// The times between which other members stated views that differ. One that agrees ends nothing: of two that lack the
-/// same member neither helps the other.
+/// The period in which other members have stated views that differ. A member that agrees does not end it: of two
+/// members that lack the same member, neither helps the other.
 #[derive(Clone, Copy, Debug)]
 struct Difference {
     since: Time,
     last: Time,
 }
 
-/// When tables are compared.
+/// The schedule of the comparisons of member tables, and the pull in progress.
 #[derive(Clone, Debug)]
 pub(super) struct AntiEntropy {
     current: Option<CurrentPull>,
     difference: Option<Difference>,
-    /// The next pull begins at this time at the earliest,
+    /// The earliest time at which the next pull may begin.
     not_before: Time,
-    /// as the last one brought nothing. Without a backoff the next one begins at once.
+    /// The wait after the next pull that changes nothing. It is `None` after a pull that changed the view: the next
+    /// pull then begins as soon as views are seen to differ.
     backoff: Option<Span>,
-    /// The digest of the view when the last pull ended.
+    /// The digest of the view at the end of the last pull that changed nothing.
     digest_at_last_pull: u32,
-    /// Whether no table was pulled completely since the process has started.
+    /// Whether no table was pulled completely since the process started.
     is_first_pull: bool,
 }
 
@@ -85,22 +91,22 @@
         }
     }
 
-    /// When something is to be done.
+    /// Returns when the pull in progress has to be continued; `None` without a pull.
     pub(super) fn due(&self) -> Option<Time> {
         self.current.as_ref().map(|pull| pull.due)
     }
 
-    /// Whether a table is pulled.
+    /// Returns whether a pull is in progress.
     pub(super) fn is_pulling(&self) -> bool {
         self.current.is_some()
     }
 
-    /// Ends a pull from a member that is no longer known.
+    /// Ends the pull in progress if its server is no longer known.
     pub(super) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
         self.current = self.current.take().filter(|pull| is_known(pull.server));
     }
 
-    /// Notes that a member's view differs. Returns since when views do.
+    /// Records that a member's view differs. Returns the time since which views differ.
     fn note_difference(&mut self, now: Time, settling: Span, min_backoff: Span) -> Time {
         let before = self.difference.filter(|difference| now < difference.last.plus(settling));
         let since = before.map_or(now, |difference| difference.since);
@@ -113,7 +119,8 @@
 }
 
 impl Membership {
-    /// A member has answered, and stated its view's digest.
+    /// Compares this member's view with the digest of the view of another member that has answered. Starts a pull from
+    /// that member if views have differed for long enough and no pull is in progress.
     pub(super) fn compare_view_digests(
         &mut self,
         now: Time,
@@ -149,7 +156,8 @@
         self.continue_pull(now, output);
     }
 
-    /// Requests the next page if the budget leaves space for it, or requests it of another member if none came.
+    /// Requests the next page if it is due and the budget leaves space for it. If a request has timed out, the page is
+    /// requested from another member that has answered, if there is one.
     pub(super) fn continue_pull(&mut self, now: Time, output: &mut Output) {
         let Some(mut pull) = self.anti_entropy.current.take_if(|pull| pull.due <= now) else {
             return;
@@ -176,7 +184,8 @@
         self.anti_entropy.current = Some(pull);
     }
 
-    /// A member requests a page. If the budget leaves no space for one it gets no answer, and asks another member.
+    /// Answers a request for a page. If the budget leaves no space for a page, there is no answer, and the requesting
+    /// member turns to another one.
     pub(super) fn answer_pull(&mut self, now: Time, to: Key, pull: &Pull, output: &mut Output) {
         let remaining = self.meter.remaining(now, SERVE_BELOW_BYTES);
         let max_bytes = remaining.saturating_sub(HEADER_BYTES).min(MAX_PAGE_BYTES);
@@ -189,14 +198,14 @@
         }
     }
 
-    /// A page has come. One that was not requested, or not of this member, or comes again, has no effect; and none
-    /// shows that the members that it names are alive at this time.
+    /// Processes a page. One that was not requested, comes from another member than the server, or is a duplicate has
+    /// no effect. No page shows that the members that it names are alive at this time.
     pub(super) fn receive_page(&mut self, now: Time, from: Key, page: &Page, output: &mut Output) {
         let is_requested =
             |pull: &mut CurrentPull| (pull.server, pull.pending_seq) == (from, Some(page.seq));
         let Some(mut pull) = self.anti_entropy.current.take_if(is_requested) else { return };
         let Some(entries) = page::decode_entries(page, pull.next_key) else {
-            // As if it had not come.
+            // An invalid page is treated like a request that has timed out.
             pull.due = now;
             self.anti_entropy.current = Some(pull);
             return self.continue_pull(now, output);
@@ -221,7 +230,8 @@
         self.continue_pull(now, output);
     }
 
-    /// After a pull that brought something the next one begins as soon as views are seen to differ.
+    /// Ends the pull in progress. After a pull that changed the view, the next one begins as soon as views are seen to
+    /// differ. After another, it waits for the backoff.
     fn end_pull(&mut self, now: Time, has_changed_view: bool) {
         let min_backoff = self.intervals(MIN_BACKOFF_INTERVALS);
         let max_backoff = self.intervals(MAX_BACKOFF_INTERVALS);
@@ -231,7 +241,8 @@
             anti_entropy.backoff = None;
             return;
         }
-        // The backoff is for lists that differ. While a view goes on changing there is more to learn elsewhere.
+        // The backoff is meant for lists that differ. While a view goes on changing, further pulls may change it too,
+        // and the backoff starts again from its minimum.
         let backoff = anti_entropy.backoff.filter(|_| anti_entropy.digest_at_last_pull == digest);
         let backoff = backoff.unwrap_or(min_backoff);
         anti_entropy.digest_at_last_pull = digest;
--- a/crates/membership/src/membership/list_update.rs
+++ b/crates/membership/src/membership/list_update.rs
@@ -1,4 +1,4 @@
-//! Taking over a new list of the operators.
+//! Replacement of the operators' list.
 
 use std::sync::Arc;
 
@@ -10,14 +10,15 @@
 use crate::peer::Peer;
 use crate::table::MemberTable;
 
-/// A process that has started with a short list pings each member that it never heard of so often.
+/// How often a process that has started with a short list pings each unknown member.
 pub(super) const START_PINGS_PER_MEMBER: usize = 2;
-/// With a long list it sends so many pings until the first member has answered.
+/// The maximum number of pings that a process that has started with a long list sends until the first member has
+/// answered.
 const START_PINGS_OF_LONG_LIST: usize = 32;
 
 impl Membership {
-    /// Replaces the operators' list. Members that are no longer on it are forgotten, and updates about them are ignored
-    /// from then on.
+    /// Replaces the operators' list. The state of members that are no longer on it is dropped, and updates about them
+    /// are ignored from then on.
     pub fn update_list(&mut self, now: Time, list: Arc<MemberList>, output: &mut Output) {
         self.now = now;
         let resumed = self.table.resync().map(|resync| resync.since);
--- a/crates/membership/src/membership/local_health.rs
+++ b/crates/membership/src/membership/local_health.rs
@@ -1,14 +1,15 @@
-//! Local health (Lifeguard): a member that is slow, or not heard by others, lengthens its own timeouts in place of
-//! suspecting the others.
+//! Local health (Lifeguard): a member that is slow, or whose messages do not reach others, lengthens its own timeouts
+//! instead of suspecting the others.
 
 use sableloom_types::{Span, Time};
 
 use super::{Membership, Output};
 use crate::peer::Health;
 
-/// The worst local health: nine times the usual timeouts (Lifeguard, section IV-A, has eight).
+/// The worst local health score, at which timeouts are nine times as long as usual (Lifeguard, section IV-A, has
+/// eight).
 pub(super) const MAX_LOCAL_HEALTH: u32 = 8;
-/// A member whose timer fires so many probe intervals late counts as slow.
+/// The delay of its timer, in probe intervals, at which a member counts as slow.
 const LATE_INTERVALS: f64 = 0.5;
 
 impl Membership {
@@ -18,7 +19,8 @@
         }
     }
 
-    /// A process whose timer fires late was suspended, or starved: what it waited for may have come and lie unread.
+    /// Worsens the local health if the timer fires late. The process was then suspended, or did not get enough
+    /// processor time, and the messages that it waited for may be in its socket, unread.
     pub(super) fn detect_late_timer(&mut self, now: Time, output: &mut Output) {
         let Some(due) = self.timer_due else { return };
         let late = now.since(due).as_micros_f64();
@@ -27,21 +29,21 @@
             return;
         }
         self.worsen_local_health(intervals.ceil().min(f64::from(MAX_LOCAL_HEALTH)) as u32);
-        // Once for each time that it was late.
+        // Each delay counts once.
         self.timer_due = Some(now);
-        // The probed member is not to blame.
+        // The delay says nothing about the probed member.
         self.probe = None;
         self.next_probe = self.next_probe.max(now);
         let (shortest_suspicion, _) = self.suspicion_bounds();
         self.postpone_suspicions(now.plus(Span::from_micros_f64(shortest_suspicion)));
-        // Others may have declared it dead by now, and it knows of nothing since.
+        // Others may have declared this member dead by now, and it has received no updates since.
         if late > shortest_suspicion && self.table.count_reachable() > 0 {
             self.table.set_resync(Some(now));
             self.update_reachability(output);
         }
     }
 
-    /// No suspicion ends before this time.
+    /// Postpones the deadlines of all suspicions to this time at the earliest.
     fn postpone_suspicions(&mut self, earliest: Time) {
         for position in self.table.suspected_positions() {
             self.table.change(position, |peer| {
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! What is done by time: probes, indirect probes and pings of members that are missing.
+//! The actions that depend on time: probes, indirect probes and pings of missing members.
 
 use sableloom_types::{Span, Time};
 
@@ -8,14 +8,16 @@
 use crate::message::{Body, Key, MemberState, Update};
 use crate::peer::Health;
 
-/// Members that are pinged at once when a list is new.
+/// The maximum number of members that are pinged at once when a list is new.
 const MAX_LIST_UPDATE_PINGS: usize = 64;
-/// The missing members of a long list are pinged so many times less often: where all members start at once, each ping
-/// and its answer displace pages, by which most members are found.
+/// The factor that reduces the probability of pings of the missing members of a long list. Where all members start at
+/// once, each ping and its answer displace pages, by which most members are found.
 const LONG_LIST_PING_FACTOR: f64 = 0.25;
-/// A process that has started pings so many members in each probe interval that it never heard of,
+/// The maximum number of unknown members that a process that has started with a short list pings in each probe
+/// interval. A member is unknown as long as nothing is known of its state.
 const START_PINGS_PER_INTERVAL: usize = 7;
-/// and so many until the first member has answered if its list is long.
+/// The maximum number of unknown members that a process that has started with a long list pings in each probe interval
+/// until the first member has answered.
 const LONG_LIST_START_PINGS_PER_INTERVAL: usize = 1;
 
 /// A probe that has no answer yet.
@@ -23,22 +25,22 @@
 pub(super) struct Probe {
     pub(super) target: Key,
     pub(super) seq: u32,
-    /// When other members are asked for an indirect probe.
+    /// When indirect probes are requested from other members.
     indirect_at: Time,
     /// When the target is suspected.
     deadline: Time,
-    /// How many others were asked.
+    /// The number of members from which an indirect probe was requested; `None` before that.
     relay_count: Option<u32>,
-    /// How many of them said that they had no answer either.
+    /// The number of these members that have reported that they received no answer either.
     pub(super) nacks: u32,
 }
 
-/// A probe for another member.
+/// An indirect probe that this member sends for another one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Relay {
     pub(super) target: Key,
     pub(super) seq: u32,
-    /// The member that asked for it.
+    /// The member that requested the probe.
     pub(super) requester: Key,
     /// The sequence number of its request.
     pub(super) requester_seq: u32,
@@ -47,7 +49,7 @@
 }
 
 impl Membership {
-    /// When [`Self::tick`] has to be called next.
+    /// Returns when [`Self::tick`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
         let probe = self.probe.map(|probe| match probe.relay_count {
             None => probe.indirect_at,
@@ -63,7 +65,7 @@
         first.map_or(self.next_probe, |at| at.min(self.next_probe))
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due by `now`.
     pub fn tick(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         self.detect_late_timer(now, output);
@@ -92,9 +94,9 @@
                 self.suspect_probe_target(now, output);
             }
         }
-        // Bad local health makes probes rare. Updates must not wait for them, or the refutations of suspected members,
-        // this one among them, come too late: at 30% loss there were seven times as many false deaths as without
-        // local health.
+        // With bad local health, probes are rare. Updates must not wait for them, or the refutations of suspected
+        // members, this one among them, come too late: at 30% loss there were seven times as many false deaths as
+        // without local health.
         if now >= self.next_gossip {
             self.next_gossip = now.plus(self.timing.probe_interval);
             if self.local_health > 0 && now < self.next_probe && !self.gossip.is_empty() {
@@ -119,8 +121,8 @@
         });
     }
 
-    /// Each member once in a round, in a random order drawn for each round (SWIM, section 4.3): a dead member is found
-    /// within a round at the latest.
+    /// Returns the next member to probe. Each round probes each reachable member once, in a random order that is drawn
+    /// for the round (SWIM, section 4.3), so that a dead member is found within a round at the latest.
     fn next_probe_target(&mut self) -> Option<Key> {
         for _ in 0..2 {
             while let Some(key) = self.probe_round.pop() {
@@ -139,12 +141,13 @@
         None
     }
 
-    /// Pings a member that is on the list and not reachable: it may be back, or the partition may be over. Nothing
-    /// follows if it does not answer. Each member does so as seldom as to have each missing one pinged once in a probe
-    /// interval by all together (Serf's reconnector draws at random in the same way): where each member pinged one in
-    /// each interval, a single missing one of 7,600 was sent 38,000 datagrams a second. A process that has started
-    /// pings more of those that it never heard of, for as long as it takes to ping each of them twice, or with a long
-    /// list until the first has answered.
+    /// Pings a random member that is on the list and not reachable, as it may be back, or the partition may be over. A
+    /// missing answer has no consequence. The probability is so low that all members together ping each missing one
+    /// about once in a probe interval (Serf's reconnector draws at random in the same way). When each member pinged one
+    /// in each interval, a single missing member of 7,600 received 38,000 datagrams a second.
+    ///
+    /// A process that has started also pings unknown members, for as long as it takes to ping each of them twice, or
+    /// with a long list until the first member has answered.
     fn ping_random_missing(&mut self, output: &mut Output) {
         let reachable = self.table.count_reachable();
         let missing = self.table.len() - reachable;
@@ -157,8 +160,8 @@
         }
         let unknown = self.table.count_unknown();
         let (left, per_interval) = match self.has_short_list() {
-            // Without the bound by the unknown members the last few would be pinged by all for as long as all were to
-            // be pinged.
+            // Without the bound by the number of unknown members, all members would ping the last few unknown ones for
+            // as long as it takes to ping all.
             true => (
                 self.start_pings_left.min(START_PINGS_PER_MEMBER * unknown),
                 START_PINGS_PER_INTERVAL,
@@ -173,9 +176,9 @@
         self.ping_random(Group::Unknown, pings, output);
     }
 
-    /// Pings members that are not reachable, 64 at once at most: a process that has just started is known to all that
-    /// answer, and knows them, within one round trip. With a long list, which all take over at about the same time, it
-    /// pings none.
+    /// Pings up to 64 members that are not reachable. A process that has just started and the members that answer
+    /// thereby know each other within one round trip. With a long list, which all members take over at about the same
+    /// time, no member is pinged.
     pub fn ping_missing_members(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         if !self.has_short_list() {
@@ -187,7 +190,7 @@
         self.timer_due = Some(self.next_wakeup().max(now));
     }
 
-    /// Pings so many random members of a group, or all if there are fewer.
+    /// Pings `members` random members of a group, or all if there are fewer.
     fn ping_random(&mut self, group: Group, members: usize, output: &mut Output) {
         for n in 0..members {
             let Some(key) = self.table.random_peer(group, n, &mut self.rng) else { break };
@@ -195,7 +198,8 @@
         }
     }
 
-    /// Pings a member: it answers to this very process, whatever is known of it.
+    /// Pings a member, whatever is known of it. Its answer is meant for this process, not for an earlier one at the
+    /// same address.
     pub fn ping(&mut self, key: Key, output: &mut Output) {
         let seq = self.next_seq();
         self.send(key, Body::Ping { seq }, output);
@@ -219,7 +223,8 @@
         }
     }
 
-    /// A member has answered, itself or by another member.
+    /// Ends the probe in progress if it has this target and sequence number. The answer comes from the target itself or
+    /// from a relay.
     pub(super) fn probe_answered(&mut self, from: Key, seq: u32) {
         if self.probe.is_some_and(|probe| (probe.target, probe.seq) == (from, seq)) {
             self.probe = None;
@@ -227,11 +232,11 @@
         }
     }
 
-    /// The probe has ended without an answer.
+    /// Ends the probe in progress without an answer, and suspects its target.
     fn suspect_probe_target(&mut self, now: Time, output: &mut Output) {
         let Some(probe) = self.probe.take() else { return };
-        // Members that were asked say so if they had no answer either. If they say nothing at all, it is more likely
-        // this member that is not heard.
+        // A relay sends a nack if it receives no answer either. If nacks are missing, it is more likely that this
+        // member is not reachable itself.
         if probe.relay_count.unwrap_or(0) > probe.nacks {
             self.worsen_local_health(1);
         }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! Which datagrams count, and what is done about them.
+//! Acceptance and processing of datagrams.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,16 @@
 use crate::codec::{DropReason, decode};
 use crate::message::{Body, Key, MemberState, Message, Update};
 
-/// Indirect probes for other members that are under way at most; requests beyond that are ignored.
+/// The maximum number of indirect probes for other members that are in progress. Further requests are ignored.
 const MAX_RELAYS: usize = 64;
 
 impl Membership {
-    /// A datagram has come.
+    /// Processes a datagram that was received from the address `from`. An invalid datagram is dropped and counted by
+    /// its reason (see [`Self::count_dropped`]).
     pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], output: &mut Output) {
         self.now = now;
         self.meter.add_datagram(now, bytes.len());
-        // A process that goes on after a stop may read its socket before it looks at its clock.
+        // A process that resumes after a suspension may read its socket before its timer fires.
         self.detect_late_timer(now, output);
         match self.authenticate(from, bytes) {
             Ok((position, message)) => self.receive_message(now, position, message, output),
@@ -26,7 +27,8 @@
         self.timer_due = Some(self.next_wakeup().max(now));
     }
 
-    /// The message of a datagram that comes from a member of this fleet, and the member's position.
+    /// Decodes a datagram, and checks that its sender is the member of this fleet with the address `from`. Returns the
+    /// member's position and the message.
     fn authenticate(&self, from: SocketAddr, bytes: &[u8]) -> Result<(usize, Message), DropReason> {
         let message = decode(bytes)?;
         if message.fleet != self.fleet {
@@ -70,7 +72,8 @@
             });
             self.update_reachability(output);
         } else {
-            // An earlier process of that name had a later incarnation: the sender learns of it, and takes a later one.
+            // An earlier process of that name had a later incarnation. That incarnation is sent to the new process, so
+            // that it takes a later one.
             self.table.change(position, |peer| peer.nonce = nonce);
             self.send_known_incarnation(sender, output);
         }
@@ -83,8 +86,8 @@
         self.receive_body(now, sender, message.body, output);
     }
 
-    /// The sender does not know this process yet. Nothing that it says counts, but the sender of a ping is told this
-    /// process's nonce; with that it can say it again.
+    /// Handles a message without this process's nonce, which its sender does not know yet. The message has no effect,
+    /// but a ping is answered with the nonce, so that the sender can repeat its message with it.
     fn answer_with_nonce(&mut self, position: usize, message: &Message, output: &mut Output) {
         let Body::Ping { seq } = message.body else { return };
         let nonce = message.nonce;
@@ -93,7 +96,7 @@
         self.table.change(position, |peer| peer.nonce = before);
     }
 
-    /// Tells a member the incarnations that are known of it.
+    /// Sends a member the incarnations that are known of it.
     fn send_known_incarnation(&mut self, key: Key, output: &mut Output) {
         let Some(peer) = self.peer(key) else { return };
         let update = Update {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Pings a member for another one.
+    /// Pings `target` for `requester`.
     fn relay_ping(
         &mut self,
         now: Time,
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -1,15 +1,15 @@
-//! What is put into datagrams.
+//! Composition of the datagrams that are sent.
 
 use super::{Membership, Output};
 use crate::codec::{encode, update_bytes};
 use crate::groups::Group;
 use crate::message::{Body, Key, MemberState, Message, Update};
 
-/// Updates that are put into a message at most; more never fit.
+/// The maximum number of updates that are put into a message. More never fit.
 const MAX_UPDATES_PER_MESSAGE: usize = 24;
 
 impl Membership {
-    /// Sends updates to some random reachable members.
+    /// Sends updates to `members` random reachable members, or to all if there are fewer.
     pub(super) fn gossip_to(&mut self, members: usize, output: &mut Output) {
         for n in 0..members {
             let Some(key) = self.table.random_peer(Group::Reachable, n, &mut self.rng) else {
@@ -30,12 +30,12 @@
         });
     }
 
-    /// Sends a message, with as many updates as there is space for.
+    /// Sends a message with as many updates as fit. Nothing is sent to a member that is not on the list.
     pub(super) fn send(&mut self, to: Key, body: Body, output: &mut Output) {
         let Some(peer) = self.peer(to) else { return };
         let receiver_nonce = peer.nonce;
         let Some(address) = self.listed(to).map(|listed| listed.address) else { return };
-        // What is believed of the receiver itself comes first, so that it can refute it.
+        // The known state of the receiver itself comes first, so that the receiver can refute it.
         let state = peer.health.state().filter(|state| *state != MemberState::Alive);
         let receiver_update = state.map(|state| Update {
             member: to,
@@ -45,7 +45,7 @@
             reported_by: peer.reported_by,
         });
         let unqueued_count = receiver_update.iter().count();
-        // A receiver that does not know this process yet reads no updates.
+        // A message without the receiver's nonce has no effect, so that updates in it would be lost.
         let updates: Vec<Update> = match (receiver_nonce, &body) {
             (0, _) => Vec::new(),
             (_, Body::Pull(_) | Body::Page(_)) => receiver_update.into_iter().collect(),
@@ -74,11 +74,13 @@
         output.datagrams.push((address, bytes));
     }
 
-    /// The updates of the next message, by what it and the last second have space for. Refutations by this member are
-    /// sent without regard to the budget: all that do not receive them in time declare it dead.
+    /// Returns the updates of the next message, as many as the message and the budget of the last second have space
+    /// for. Refutations by this member are sent without regard to the budget, because all members that do not receive
+    /// them in time declare it dead.
     fn updates_within_budget(&mut self) -> Vec<Update> {
         let is_pulling = self.anti_entropy.is_pulling();
-        // In a short list all members ping all, which the budget is not made for, and few members have few updates.
+        // With a short list all members ping each other, for which the budget is not designed, and few members have few
+        // updates.
         let mut remaining = match self.has_short_list() {
             true => usize::MAX,
             false => self.meter.remaining_for_updates(self.now, is_pulling),
@@ -96,7 +98,7 @@
         updates
     }
 
-    /// How often an update is sent.
+    /// Returns how often each update is sent.
     fn max_transmissions(&self) -> u32 {
         let members = (self.table.len() + 2) as f64;
         (self.timing.retransmit_factor * members.log2()).ceil() as u32
@@ -107,7 +109,7 @@
         self.last_seq
     }
 
-    /// Leaves on purpose, and tells as many members as an update is sent to.
+    /// Leaves the fleet on purpose, and notifies as many random members as the number of times that an update is sent.
     pub fn leave(&mut self, output: &mut Output) {
         self.is_leaving = true;
         self.probe = None;
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicion and refutation: how long a suspected member has to refute, who confirms, and what this member does when it
-//! is suspected itself.
+//! Suspicion and refutation: how long a suspected member has to refute, which members confirm a suspicion, and how this
+//! member reacts when it is suspected itself.
 
 use sableloom_types::{Span, Time};
 
@@ -8,7 +8,8 @@
 use crate::peer::{Health, MAX_CONFIRMERS};
 
 impl Membership {
-    /// The shortest and longest time of a suspicion, in microseconds, for a fleet of this size.
+    /// Returns the minimum and the maximum duration of a suspicion, in microseconds, for the current number of
+    /// reachable members.
     pub(super) fn suspicion_bounds(&self) -> (f64, f64) {
         let members = (self.table.count_reachable() + 1) as f64;
         let interval = self.timing.probe_interval.as_micros_f64();
@@ -16,11 +17,11 @@
         (shortest, shortest * self.timing.max_suspicion_factor)
     }
 
-    /// When a suspicion of this beginning ends with so many confirmers: from the longest time it falls with the
-    /// logarithm of their number.
+    /// Returns when a suspicion that began at `started` ends with this number of confirmers. Its duration falls from
+    /// the maximum with the logarithm of the number of confirmers.
     pub(super) fn suspicion_deadline(&self, started: Time, confirmers: usize) -> Time {
         let (shortest, longest) = self.suspicion_bounds();
-        // In a fleet with fewer members than confirmers are wanted, those that there are suffice.
+        // In a fleet with fewer members than the wanted number of confirmers, all of them suffice.
         let wanted = MAX_CONFIRMERS.min(self.table.count_reachable().saturating_sub(1));
         let fraction = match wanted {
             0 => 1.0,
@@ -30,7 +31,8 @@
         started.plus(Span::from_micros_f64(lasts))
     }
 
-    /// An update that is no more than what is known may still be another member's confirmation of a suspicion.
+    /// Counts an update that does not supersede the known state as another member's confirmation of a suspicion, if it
+    /// is one.
     pub(super) fn confirm_suspicion(&mut self, position: usize, update: Update) {
         let peer = self.table.at(position);
         let is_current = (update.process_incarnation, update.incarnation)
@@ -54,7 +56,7 @@
         self.gossip.add(update);
     }
 
-    /// Declares those dead whose suspicion has ended.
+    /// Declares the members dead whose suspicions have ended.
     pub(super) fn expire_suspicions(&mut self, now: Time, output: &mut Output) {
         for position in self.table.expired_suspicions(now) {
             let peer = self.table.at(position);
@@ -69,8 +71,9 @@
         }
     }
 
-    /// An absence query of this time found that no process holds the member's address: the member is dead at once. One
-    /// that was heard since has started after the query.
+    /// Declares a member dead at once, because the absence query that was sent at `queried` found that no process holds
+    /// its address. A member from which a message was received since is not declared dead, as it has started after the
+    /// query.
     pub fn proved_absent(&mut self, now: Time, key: Key, queried: Time, output: &mut Output) {
         self.now = now;
         let peer = self.peer(key).filter(|peer| peer.health.is_reachable());
@@ -90,7 +93,8 @@
         self.timer_due = Some(self.next_wakeup().max(now));
     }
 
-    /// An update states something of this member itself: if it is wrong, a later incarnation refutes it.
+    /// Processes an update about this member itself. If the update is wrong, this member refutes it with a later
+    /// incarnation.
     pub(super) fn refute(&mut self, update: Update, output: &mut Output) {
         let stated = (update.process_incarnation, update.incarnation);
         let own = (self.process_incarnation, self.incarnation);
@@ -99,7 +103,8 @@
             return;
         }
         if update.process_incarnation > self.process_incarnation {
-            // Once, it is an earlier process with a clock ahead of this one's; the second time, another process runs.
+            // The first time, the later incarnation is that of an earlier process whose clock was ahead. The second
+            // time, another process of this name is running.
             self.process_incarnation = update.process_incarnation.saturating_add(1);
             self.incarnation = 0;
             self.superseded_count += 1;
@@ -108,12 +113,13 @@
             }
         } else {
             self.incarnation = update.incarnation.saturating_add(1);
-            // Others do not hear it in time: that may be its own fault.
+            // The other members do not receive this member's messages in time, which may be its own fault.
             self.worsen_local_health(1);
         }
         self.queue_own_update();
         self.view_changed(output);
-        // A suspicion has a deadline, and this member may be slow: the refutation does not wait for its next probe.
+        // The suspicion has a deadline, and this member may be slow, so that the refutation does not wait for the next
+        // probe.
         self.gossip_to(self.timing.indirect_probes, output);
     }
 }
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -1,4 +1,4 @@
-//! How an update changes what is known of a member, and how much of the fleet this member reaches.
+//! The effect of updates on the known state of members, and on how much of the fleet this member reaches.
 
 use arrayvec::ArrayVec;
 use sableloom_types::Time;
@@ -14,11 +14,11 @@
         self.update_reachability(output);
     }
 
-    /// Determines again how much of the fleet it reaches.
+    /// Recomputes how much of the fleet this member reaches, and reports a change.
     pub(super) fn update_reachability(&mut self, output: &mut Output) {
         let reachable = self.table.count_reachable();
         let listed = self.table.len() - self.table.count_left();
-        // Half of those that it believes to be reachable have answered: gossip corrects the rest of what it knew.
+        // Half of the members that are considered reachable have answered. Gossip corrects the rest of the view.
         if self.table.resync().is_some_and(|resync| resync.responders * 2 >= reachable) {
             self.table.set_resync(None);
         }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Applies an update, from gossip or of its own finding, and queues it.
+    /// Applies an update, from gossip or from this member's own detection, and queues it for gossip.
     pub(super) fn apply_update(&mut self, now: Time, update: Update, output: &mut Output) {
         if update.member == self.own_key {
             return self.refute(update, output);
@@ -50,7 +50,8 @@
         self.gossip.add(update);
     }
 
-    /// Applies an update of a page. It is not queued: each member that pulls a table would have all of it to send.
+    /// Applies an update from a page. It is not queued for gossip, or each member that pulls a table would have all of
+    /// it to send.
     pub(super) fn apply_page_entry(&mut self, now: Time, update: Update, output: &mut Output) {
         if update.member == self.own_key {
             return self.refute(update, output);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Replaces what is known of a member by an update that supersedes it.
+    /// Replaces the known state of a member by an update that supersedes it.
     fn replace_state(&mut self, now: Time, position: usize, update: Update, output: &mut Output) {
         let deadline = self.suspicion_deadline(now, 0);
         let health = match update.state {
@@ -89,7 +90,7 @@
     }
 }
 
-/// The change of the view that an update makes.
+/// Returns the change of the view that an update makes, if any.
 fn view_change(update: &Update, before: &Health, is_same_process: bool) -> Option<Change> {
     let Update { member, process_incarnation, reported_by, .. } = *update;
     match update.state {
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,12 +1,12 @@
-//! What members say to each other. Fields and variants are encoded by their positions: their order is the wire format,
-//! and a change of it needs a new version (see [`crate::encode`]).
+//! The messages between members. Fields and variants are encoded by their positions, so that their order is part of the
+//! wire format and a change of it needs a new version (see [`crate::encode`]).
 
 use serde::{Deserialize, Serialize};
 
-/// A member's name, hashed: the same at every member and in every build.
+/// The hash of a member's name. It is the same at every member and in every build.
 pub type Key = u32;
 
-/// FNV-1a, 32 bits. Two names of a fleet that share a key are rejected when the list is read.
+/// Returns the 32-bit FNV-1a hash of a name. Two names of a fleet that share a key are rejected when the list is read.
 pub fn key_of(name: &str) -> Key {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
@@ -14,13 +14,13 @@
 /// The state of a member, as an update states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// The member answers.
+    /// The member is alive.
     Alive,
-    /// It did not answer a probe of the member that reports it.
+    /// The member did not answer a probe of the member that reports it.
     Suspect,
-    /// It was suspected and did not refute that in time.
+    /// The member was suspected and did not refute that in time, or was proved absent.
     Dead,
-    /// It has left on purpose.
+    /// The member has left on purpose.
     Left,
 }
 
@@ -29,46 +29,46 @@
 pub struct Update {
     /// The member.
     pub member: Key,
-    /// The incarnation of its process: greater with each start.
+    /// The incarnation of its process, which is greater with each start.
     pub process_incarnation: u32,
-    /// SWIM's incarnation number: one more with each refutation of this process.
+    /// SWIM's incarnation number, which is greater by one with each refutation by this process.
     pub incarnation: u32,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// The member that found that first.
+    /// The member that detected this state first.
     pub reported_by: Key,
 }
 
 /// The purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A probe: the receiver answers with an [`Body::Ack`].
+    /// A probe. The receiver answers with an [`Body::Ack`].
     Ping {
-        /// To be returned.
+        /// The sequence number that the answer returns.
         seq: u32,
     },
-    /// The answer to a ping. With a sequence number of 0 it answers nothing and carries updates.
+    /// The answer to a ping. With a sequence number of 0 it answers no ping and only carries updates.
     Ack {
-        /// As it came.
+        /// The sequence number of the ping, or 0.
         seq: u32,
     },
-    /// An indirect probe (SWIM's ping-req): the receiver pings the target for the sender.
+    /// An indirect probe (SWIM's ping-req). The receiver pings the target for the sender.
     PingRequest {
-        /// To be returned.
+        /// The sequence number that the answer returns.
         seq: u32,
         /// The member to ping.
         target: Key,
     },
     /// The target of a ping request has answered.
     IndirectAck {
-        /// As it came.
+        /// The sequence number of the ping request.
         seq: u32,
         /// The member that was pinged.
         target: Key,
     },
-    /// The target of a ping request has not answered (Lifeguard's nack): the relay itself is reachable.
+    /// The target of a ping request has not answered (Lifeguard's nack). The relay itself is reachable.
     Nack {
-        /// As it came.
+        /// The sequence number of the ping request.
         seq: u32,
     },
     /// The sender leaves on purpose.
@@ -82,47 +82,47 @@
 /// A request for a part of the member table, in the order of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
-    /// To be returned.
+    /// The sequence number that the page returns.
     pub seq: u32,
-    /// The first key that is requested.
+    /// The first requested key.
     pub first_key: Key,
-    /// Mixed into the digests.
+    /// The salt of the digests, which differs in each exchange.
     pub salt: u32,
-    /// Members are grouped by so many first bits of their keys.
+    /// The number of leading bits of the keys by which members are grouped.
     pub prefix_bits: u8,
-    /// The sender's digests of the groups from that of the first key on. Members of a group with the same digest are
-    /// not sent. Without digests all members are sent.
+    /// The sender's digests of the groups from that of the first key on. Members of a group for which the receiver has
+    /// the same digest are not sent. Without digests, all members are sent.
     pub digests: Vec<u8>,
 }
 
 /// A part of the member table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// As it came.
+    /// The sequence number of the request.
     pub seq: u32,
-    /// The last key that it covers.
+    /// The last key that the page covers.
     pub last_key: Key,
-    /// Process incarnations of its entries are encoded as differences from this one.
+    /// The process incarnation from which those of the entries are encoded as differences.
     pub base_incarnation: u32,
-    /// What is known of members, in the order of their keys.
+    /// The encoded states of members, in the order of their keys.
     pub entries: Vec<u8>,
 }
 
 /// A message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The fleet's name, hashed.
+    /// The hash of the fleet's name.
     pub fleet: Key,
-    /// The sender.
+    /// The key of the sender.
     pub sender: Key,
     /// The incarnation of the sender's process.
     pub process_incarnation: u32,
     /// The sender's SWIM incarnation number.
     pub incarnation: u32,
-    /// Drawn by the sender's process at its start.
+    /// The number that the sender's process drew at random at its start.
     pub nonce: u32,
-    /// The nonce of the receiver, as the sender knows it; 0 if it does not. A message without the receiver's own nonce
-    /// has no effect: it was meant for an earlier process at the same address.
+    /// The nonce of the receiver as the sender knows it; 0 if the sender does not know it. A message without the
+    /// receiver's own nonce has no effect, because it may be meant for an earlier process at the same address.
     pub receiver_nonce: u32,
     /// The digest of the sender's view.
     pub view_digest: u32,
@@ -130,8 +130,8 @@
     pub list_length: u16,
     /// The digest of the endpoint lists that the sender has in force; 0 if it has none.
     pub endpoints_digest: u32,
-    /// The purpose.
+    /// The purpose of the message, with its data.
     pub body: Body,
-    /// Gossip, as much as there is space for.
+    /// Gossip, with as many updates as fit.
     pub updates: Vec<Update>,
 }
--- a/crates/membership/src/meter/tests.rs
+++ b/crates/membership/src/meter/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// No second, whatever its beginning, has more than what the meter allowed; and what was spent is given back.
+/// No second, whatever its beginning, has more bytes than the meter allows. Once traffic is over a second old, the
+/// whole budget is available again.
 #[test]
 fn no_second_of_any_beginning_exceeds_the_budget() {
     for seed in 0..50u128 {
@@ -26,7 +27,7 @@
     }
 }
 
-/// Other traffic leaves updates their least, and no more.
+/// Other traffic leaves updates their minimum and no more.
 #[test]
 fn updates_get_their_minimum_and_what_the_budget_leaves() {
     let mut meter = TrafficMeter::new(Time(0));
--- a/crates/membership/src/page.rs
+++ b/crates/membership/src/page.rs
@@ -1,4 +1,4 @@
-//! Pages of the member table: entries in the order of members' keys, some six bytes each, and the digests of small
+//! Pages of the member table: entries in the order of the members' keys, about six bytes each, and the digests of small
 //! groups of members by which two tables are compared.
 
 use serde::{Deserialize, Serialize};
@@ -7,19 +7,20 @@
 use crate::message::{Key, MemberState, Page, Pull};
 use crate::peer::Peer;
 
-/// Members of a group on average. Fewer make a request longer; more make two tables that differ in one member send each
-/// other the rest of its group too.
+/// The average number of members in a group. Smaller groups make a request longer; with larger ones, two tables that
+/// differ in one member send each other more of the rest of its group.
 const MEMBERS_PER_GROUP: usize = 4;
-/// Groups whose digests a request has at most; with them it has under 256 bytes.
+/// The maximum number of groups whose digests are in a request. With them, a request has under 256 bytes.
 pub(crate) const MAX_GROUPS: usize = 160;
-/// The finest grouping: 16,384 members, the longest list, in groups of one.
+/// The prefix bits of the finest grouping, which puts 16,384 members, the longest list, into groups of one.
 const MAX_PREFIX_BITS: u8 = 14;
-/// Bits of a state in an entry.
+/// The number of bits of the state in an entry.
 const STATE_BITS: u32 = 2;
-/// Bytes of all of a page but its entries at most, an update about the receiver itself included.
+/// The maximum number of bytes of a datagram with a page besides its entries, an update about the receiver itself
+/// included.
 const PAGE_OVERHEAD_BYTES: usize = 90;
 
-/// What a page says of a member.
+/// The state of a member as a page states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
     pub(crate) member: Key,
@@ -28,24 +29,24 @@
     pub(crate) state: MemberState,
 }
 
-/// An entry as it is encoded: the distance of its key from the one before, and of its process incarnation from the
-/// page's base.
+/// An entry as it is encoded. It holds the distance of its key from that of the entry before, and the distance of its
+/// process incarnation from the page's base.
 #[derive(Serialize, Deserialize)]
 struct PackedEntry {
     key_distance: u32,
     process_incarnation_offset: i64,
-    /// The SWIM incarnation, and the state in the last two bits.
+    /// The SWIM incarnation, with the state in the lowest two bits.
     incarnation_and_state: u64,
 }
 
-/// Members in groups by the first bits of their keys. The two sides need not have the same list.
+/// Groups members by the first bits of their keys. The two sides of a pull need not have the same list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grouping {
     prefix_bits: u8,
 }
 
 impl Grouping {
-    /// The grouping for a list of this length.
+    /// Returns the grouping for a list of `count` members.
     pub(crate) fn for_members(count: usize) -> Self {
         let groups = (count / MEMBERS_PER_GROUP).max(1);
         Self { prefix_bits: (groups.ilog2() as u8).min(MAX_PREFIX_BITS) }
@@ -55,15 +56,16 @@
         key.checked_shr(Key::BITS - u32::from(self.prefix_bits)).unwrap_or(0) as usize
     }
 
-    /// The last key of a group; of a group past the last, the last of all.
+    /// Returns the last key of a group; for a group past the last, the greatest of all keys.
     fn last_key(self, group: usize) -> Key {
         let end = (group as u64 + 1) << (Key::BITS - u32::from(self.prefix_bits));
         Key::try_from(end - 1).unwrap_or(Key::MAX)
     }
 }
 
-/// A group's digest, of one byte. Each exchange has another salt, so that groups that differ and have the same digest
-/// by chance are told apart by the next exchange. Members that are not reachable are left out, as in the view's digest.
+/// Returns the digest of a group, which has one byte. Each exchange has another salt, so that groups that differ and
+/// have the same digest by chance are detected by the next exchange. Members that are not reachable are left out, as in
+/// the view's digest.
 fn group_digest<'a>(peers: impl IntoIterator<Item = &'a Peer>, salt: u32) -> u8 {
     peers.into_iter().fold(0, |digest, peer| {
         let contribution = member_digest(peer.key, peer.process_incarnation, &peer.health);
@@ -72,8 +74,8 @@
     })
 }
 
-/// The request for what another member knows from this key on, of the members that differ from `peers`, which are one's
-/// own from that key on.
+/// Returns the request for those entries of another member, from `first_key` on, that differ from `peers`, this
+/// member's own from that key on.
 pub(crate) fn build_request<'a>(
     seq: u32,
     first_key: Key,
@@ -90,7 +92,8 @@
         known += usize::from(peer.health.is_reachable());
         group.push(peer);
     }
-    // A table that is nearly empty requests all members: its own are fewer bytes on a page than the digests.
+    // A member whose table is nearly empty requests all members, as its own reachable ones take fewer bytes on a page
+    // than the digests in the request.
     let digests = match known * MEMBERS_PER_GROUP * 2 < groups {
         true => Vec::new(),
         false => members.into_iter().map(|group| group_digest(group, salt)).collect(),
@@ -98,8 +101,9 @@
     Pull { seq, first_key, salt, prefix_bits: grouping.prefix_bits, digests }
 }
 
-/// The page that answers a request from `peers`, one's own from the requested key on, in so many bytes at most. `None`
-/// for a request that no member makes, and if there is no space for an entry.
+/// Returns the page that answers a request. Its entries are from `peers`, this member's own from the requested key on,
+/// and its datagram has at most `max_bytes` bytes. Returns `None` for an invalid request, and if there is no space for
+/// an entry.
 pub(crate) fn build_page<'a>(
     pull: &Pull,
     base_incarnation: u32,
@@ -137,8 +141,8 @@
     Some(page)
 }
 
-/// The entry of a member; none for one that was never heard of. A suspected member is sent as alive: a suspicion has a
-/// deadline, and begins with an update.
+/// Encodes the entry of a member; `None` for one of which nothing is known. A suspected member is sent as alive,
+/// because a suspicion has a deadline and begins with an update.
 fn encode_entry(peer: &Peer, previous: Key, base_incarnation: u32) -> Option<Vec<u8>> {
     let state = match peer.health.state()? {
         MemberState::Suspect => MemberState::Alive,
@@ -171,8 +175,9 @@
     }
 }
 
-/// The entries of a page that was requested from this key on. `None` for a page that no member writes: it is cut off,
-/// its keys do not ascend or are past the last key that it covers, or an incarnation is out of range.
+/// Decodes the entries of a page that was requested from `first_key` on. Returns `None` for an invalid page: one that
+/// is cut off, whose keys do not ascend or are past the last key that it covers, or with an incarnation that is out of
+/// range.
 pub(crate) fn decode_entries(page: &Page, first_key: Key) -> Option<Vec<Entry>> {
     if page.last_key < first_key {
         return None;
--- a/crates/membership/src/page/tests.rs
+++ b/crates/membership/src/page/tests.rs
@@ -9,7 +9,7 @@
     Peer { process_incarnation, health, ..Peer::unknown(key, Time(0), 0) }
 }
 
-/// Members in the order of their keys, some of whom nothing was heard.
+/// Returns members in the order of their keys, of which nothing is known for some.
 fn table(rng: &mut Rand64, count: usize) -> Vec<Peer> {
     let mut keys: Vec<Key> = (0..count).map(|_| rng.rand_u64() as Key).collect();
     keys.sort_unstable();
@@ -25,7 +25,7 @@
     keys.into_iter().map(random_peer).collect()
 }
 
-/// Pulls all that differs, and takes it over; how many pages and entries that took.
+/// Pulls and applies all differences. Returns how many pages and entries that took.
 fn pull(own: &mut [Peer], others: &[Peer], salt: u32) -> (usize, usize) {
     let (mut from, mut pages, mut entries) = (0, 0, 0);
     loop {
@@ -39,7 +39,7 @@
         assert!(
             page.entries.len() + PAGE_OVERHEAD_BYTES <= MAX_PAGE_BYTES && page.last_key >= from
         );
-        for entry in decode_entries(&page, from).expect("its own") {
+        for entry in decode_entries(&page, from).expect("a valid page") {
             entries += 1;
             if let Some(known) = own.iter_mut().find(|peer| peer.key == entry.member) {
                 let found = others
@@ -69,8 +69,8 @@
         .count()
 }
 
-/// From an empty table, and from one that differs in some: after a few exchanges, each with a salt of its own,
-/// nothing differs, whatever groups collide by chance.
+/// Pulls start from an empty table, and from one that differs in some members. After a few exchanges, each with a salt
+/// of its own, nothing differs, even if digests of groups collide by chance.
 #[test]
 fn pulls_transfer_what_differs_and_little_else() {
     for seed in 0..300u128 {
@@ -82,7 +82,7 @@
         assert_eq!(
             count_differences(&own, &others),
             0,
-            "seed {seed}: an empty table gets all at once"
+            "seed {seed}: one pull fills an empty table"
         );
         assert!(pages <= count / 100 + 1, "seed {seed}: {pages} pages of {count}");
         let mut changed = 0;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Groups that differ and have the same digest under one salt have not under another.
+/// Groups that differ and have the same digest under one salt have different digests under another.
 #[test]
 fn another_salt_separates_groups_whose_digests_collide() {
     let others: Vec<Peer> = (0..4).map(|i| peer(i << 30, 1000, Health::Alive)).collect();
@@ -113,21 +113,26 @@
     let digest = |peers: &[Peer], salt| group_digest(peers[2..3].iter(), salt);
     let collides = |salt: &u32| digest(&own, *salt) == digest(&others, *salt);
     let salt = (0..100_000).find(collides).expect("a salt under which they collide");
-    assert_eq!(pull(&mut own.clone(), &others, salt).1, 0, "they seem to agree");
-    let other = (salt + 1..).find(|salt| !collides(salt)).expect("another");
+    assert_eq!(
+        pull(&mut own.clone(), &others, salt).1,
+        0,
+        "no entry is transferred under this salt"
+    );
+    let other = (salt + 1..).find(|salt| !collides(salt)).expect("a salt under which they differ");
     assert!(other < salt + 5);
     pull(&mut own, &others, other);
     assert_eq!(count_differences(&own, &others), 0);
 }
 
-/// Pages that are cut off anywhere, changed, or do not fit what was asked for.
+/// Pages that are cut off, altered, or do not match the request are rejected or decode to entries; decoding never
+/// panics.
 #[test]
 fn invalid_pages_are_rejected() {
     let mut rng = Rand64::new(4);
     let others = table(&mut rng, 150);
     let request = Pull { seq: 1, first_key: 0, salt: 0, prefix_bits: 5, digests: Vec::new() };
     let page = build_page(&request, 1000, MAX_PAGE_BYTES, others.iter()).expect("a page");
-    let whole = decode_entries(&page, 0).expect("its own");
+    let whole = decode_entries(&page, 0).expect("a valid page");
     assert!(whole.len() > 100);
     for cut in 0..page.entries.len() {
         let entries = page.entries[..cut].to_vec();
@@ -137,15 +142,15 @@
     let last_key = whole[50].member;
     assert!(
         decode_entries(&Page { last_key, ..page.clone() }, 0).is_none(),
-        "keys beyond what it covers"
+        "a key is past the last one that the page covers"
     );
     assert!(
         decode_entries(&Page { last_key: 5, ..page.clone() }, 6).is_none(),
-        "it ends before its beginning"
+        "the page ends before the first requested key"
     );
     assert!(
         decode_entries(&Page { base_incarnation: u32::MAX, ..page.clone() }, 0).is_none(),
-        "no incarnation is so late"
+        "an incarnation is out of range"
     );
     let packed_entry = |distance| PackedEntry {
         key_distance: distance,
@@ -155,7 +160,7 @@
     let entries =
         [postcard::to_allocvec(&packed_entry(9)), postcard::to_allocvec(&packed_entry(0))];
     let entries: Vec<u8> = entries.into_iter().flatten().flatten().collect();
-    assert!(decode_entries(&Page { entries, ..page.clone() }, 0).is_none(), "one key twice");
+    assert!(decode_entries(&Page { entries, ..page.clone() }, 0).is_none(), "a key occurs twice");
     for _ in 0..20_000 {
         let mut entries = page.entries.clone();
         let at = rng.rand_range(0..entries.len() as u64) as usize;
@@ -164,7 +169,7 @@
     }
 }
 
-/// Requests that no member makes get no answer, and an answer never exceeds its budget of bytes.
+/// Invalid requests get no answer, and an answer never exceeds its limit of bytes.
 #[test]
 fn pages_stay_within_the_byte_limit_and_invalid_requests_get_none() {
     let mut rng = Rand64::new(9);
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,46 +1,47 @@
-//! What is known of each member, and the one rule by which an update replaces it.
+//! The state that is known of each member, and the rule by which an update replaces it.
 
 use arrayvec::ArrayVec;
 use sableloom_types::Time;
 
 use crate::message::{Key, MemberState, Update};
 
-/// How many confirmers of a suspicion are counted, besides the member that suspected first (Lifeguard's K).
+/// The maximum number of confirmers of a suspicion that are counted, besides the member that suspected first
+/// (Lifeguard's K).
 pub const MAX_CONFIRMERS: usize = 3;
 
 /// The suspicion that a member is dead.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
-    /// The members that confirmed it, besides the first.
+    /// The members that confirmed the suspicion, besides the one that suspected first.
     pub confirmers: ArrayVec<Key, MAX_CONFIRMERS>,
-    /// When the member is declared dead, if nobody else confirms the suspicion.
+    /// When the member is declared dead, if no other member confirms the suspicion.
     pub deadline: Time,
     /// When the suspicion began.
     pub started: Time,
 }
 
-/// What is known of a member's health.
+/// What is known of the health of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Health {
-    /// This process has never heard of it.
+    /// Nothing is known of the member yet.
     Unknown,
-    /// It answers.
+    /// The member is alive.
     Alive,
-    /// It is suspected.
+    /// The member is suspected to be dead.
     Suspect(Box<Suspicion>),
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time, or was proved absent.
     Dead,
-    /// It has left on purpose.
+    /// The member has left on purpose.
     Left,
 }
 
 impl Health {
-    /// Whether it counts as reachable: a suspected member does.
+    /// Returns whether the member counts as reachable. A suspected member does.
     pub fn is_reachable(&self) -> bool {
         matches!(self, Health::Alive | Health::Suspect(_))
     }
 
-    /// The state that an update about it states.
+    /// Returns the state that an update about the member states; `None` if nothing is known of it.
     pub(crate) fn state(&self) -> Option<MemberState> {
         Some(match self {
             Health::Unknown => return None,
@@ -55,31 +56,31 @@
 /// Another member, as this process knows it.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its name's key.
+    /// The key of its name.
     pub key: Key,
     /// The incarnation of its process.
     pub process_incarnation: u32,
     /// Its SWIM incarnation number.
     pub incarnation: u32,
-    /// Its health,
+    /// Its health.
     pub health: Health,
-    /// since this time,
+    /// When this process recorded the current state of the member.
     pub health_since: Time,
-    /// as this member found first.
+    /// The member that detected this state first.
     pub reported_by: Key,
-    /// When a message from itself last came, if one ever did.
+    /// When the last message from the member itself was accepted; `None` if none was.
     pub last_message_at: Option<Time>,
     /// The nonce of its process; 0 if it is not known.
     pub nonce: u32,
-    /// The length of its list, as it last stated; 0 if it has not.
+    /// The length of its list as it last stated; 0 if it has stated none.
     pub list_length: u16,
-    /// The digest of the endpoint lists that it has in force, as it last stated; 0 if it has not. Operators are shown
-    /// it and nothing depends on it: a balancer forwards to no server but those of its own list.
+    /// The digest of the endpoint lists that it has in force as it last stated; 0 if it has stated none. The digest is
+    /// shown to operators, and nothing depends on it: a balancer forwards to no server but those of its own list.
     pub endpoints_digest: u32,
 }
 
 impl Peer {
-    /// A member that this process has never heard of.
+    /// Creates the state of a member of which nothing is known.
     pub(crate) fn unknown(key: Key, health_since: Time, reported_by: Key) -> Self {
         Self {
             key,
@@ -96,7 +97,7 @@
     }
 }
 
-/// The precedence of a state among updates with the same incarnations.
+/// Returns the precedence of a state among updates with the same incarnations.
 fn precedence(state: MemberState) -> u8 {
     match state {
         MemberState::Alive => 0,
@@ -106,9 +107,9 @@
     }
 }
 
-/// Whether an update replaces what is known: a later process incarnation supersedes an earlier one, within one process
-/// a later SWIM incarnation does, and within that the worse state. Only the member itself increases its incarnations,
-/// so that it can refute whatever others say of it.
+/// Returns whether an update replaces the known state of a member. A later process incarnation supersedes an earlier
+/// one; within one process a later SWIM incarnation does, and within that the worse state. Only the member itself
+/// increases its incarnations, so that it can refute all statements of others about it.
 pub(crate) fn supersedes(update: &Update, peer: &Peer) -> bool {
     let Some(known) = peer.health.state() else { return true };
     let new = (update.process_incarnation, update.incarnation, precedence(update.state));
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The members of the list and what is known of each, indexed: no call goes over all members, but those that return all.
+//! The members of the list and their known states, indexed so that most calls do not iterate over all members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use crate::message::Key;
 use crate::peer::{Health, Peer};
 
-/// The members that a process which was suspended has heard again.
+/// The members from which a process that was suspended has received messages since it resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Resync {
-    /// When the process was resumed.
+    /// When the process resumed.
     pub(crate) since: Time,
-    /// How many of the reachable members it has heard since.
+    /// The number of reachable members from which a message was received since.
     pub(crate) responders: usize,
 }
 
@@ -26,14 +26,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberTable {
     list: Arc<MemberList>,
-    /// In the order of the list.
+    /// The states of all members of the list, in its order.
     peers: Vec<Peer>,
     /// The position of this process itself, if it is on the list.
     own_position: Option<usize>,
     groups: Groups,
-    /// When each suspicion ends.
+    /// The deadlines of all suspicions, with the positions of the suspected members.
     suspicions: BTreeSet<(Time, usize)>,
-    /// All members that are not confirmed to be alive: missing or suspected.
+    /// The members that are not confirmed to be alive, as they are missing or suspected.
     unconfirmed: BTreeSet<Key>,
     left_count: usize,
     digest: u32,
@@ -41,8 +41,8 @@
 }
 
 impl MemberTable {
-    /// A table of this list, with what `known` says of each member. `own` is the key of this process, which is not one
-    /// of the others.
+    /// Creates the table of a list, with the state that `known` returns of each member. `own` is the key of this
+    /// process, which is not one of the others. If this process was suspended, `resumed` is when it resumed.
     pub(crate) fn new(
         list: Arc<MemberList>,
         own: Key,
@@ -70,21 +70,21 @@
         table
     }
 
-    /// All of them, in the order of the list.
+    /// Returns the other members in the order of the list.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Peer> {
         let own = self.own_position;
         let others = self.peers.iter().enumerate();
         others.filter(move |(position, _)| Some(*position) != own).map(|(_, peer)| peer)
     }
 
-    /// All of them from this key on, in the order of their keys.
+    /// Returns the other members whose keys are at least `key`, in the order of their keys.
     pub(crate) fn peers_from(&self, key: Key) -> impl Iterator<Item = &Peer> {
         let others =
             self.list.positions_from(key).filter(|position| Some(*position) != self.own_position);
         others.map(|position| &self.peers[position])
     }
 
-    /// The list, and what was known of its members.
+    /// Returns the list and the known states of its members.
     pub(crate) fn into_parts(self) -> (Arc<MemberList>, Vec<Peer>) {
         (self.list, self.peers)
     }
@@ -109,42 +109,43 @@
         self.position(key).map(|position| &self.peers[position])
     }
 
-    /// The name and address of a member.
+    /// Returns the name and address of a member, or `None` if it is not on the list.
     pub(crate) fn listed(&self, key: Key) -> Option<&ListedMember> {
         self.list.listed(key)
     }
 
-    /// How many are reachable, the suspected among them.
+    /// Returns how many members are reachable, suspected ones included.
     pub(crate) fn count_reachable(&self) -> usize {
         self.groups.positions(Group::Reachable).len()
     }
 
-    /// How many this process has never heard of.
+    /// Returns of how many members nothing is known.
     pub(crate) fn count_unknown(&self) -> usize {
         self.groups.positions(Group::Unknown).len()
     }
 
-    /// How many have left.
+    /// Returns how many members have left.
     pub(crate) fn count_left(&self) -> usize {
         self.left_count
     }
 
-    /// The others' part of the view's digest.
+    /// Returns the contribution of the other members to the view's digest.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The positions of all that are reachable, in no order that means anything.
+    /// Returns the positions of all reachable members in unspecified order.
     pub(crate) fn reachable_positions(&self) -> impl Iterator<Item = usize> {
         self.groups.positions(Group::Reachable).iter().map(|position| *position as usize)
     }
 
-    /// The n-th member of a random order of a group. Calls with 0, 1, 2, … draw each member once.
+    /// Returns the `n`-th member of a random order of a group, or `None` if the group has no more. Calls with 0, 1, 2,
+    /// … draw each member once.
     pub(crate) fn random_peer(&mut self, group: Group, n: usize, rng: &mut Rand64) -> Option<Key> {
         self.groups.random(group, n, rng).map(|position| self.peers[position].key)
     }
 
-    /// A random one of those that are not reachable.
+    /// Returns a random member that is not reachable, or `None` if there is none.
     pub(crate) fn random_missing_peer(&self, rng: &mut Rand64) -> Option<Key> {
         let dead_or_left = self.groups.positions(Group::DeadOrLeft);
         let unknown = self.groups.positions(Group::Unknown);
@@ -155,33 +156,34 @@
         Some(self.peers[*position as usize].key)
     }
 
-    /// When the first suspicion ends.
+    /// Returns when the first suspicion ends.
     pub(crate) fn first_suspicion_deadline(&self) -> Option<Time> {
         self.suspicions.first().map(|(deadline, _)| *deadline)
     }
 
-    /// The positions of those whose suspicion has ended by now.
+    /// Returns the positions of the members whose suspicions have ended by `now`.
     pub(crate) fn expired_suspicions(&self, now: Time) -> Vec<usize> {
         let expired = self.suspicions.iter().take_while(|(deadline, _)| *deadline <= now);
         expired.map(|(_, position)| *position).collect()
     }
 
-    /// The positions of all that are suspected.
+    /// Returns the positions of all suspected members.
     pub(crate) fn suspected_positions(&self) -> Vec<usize> {
         self.suspicions.iter().map(|(_, position)| *position).collect()
     }
 
-    /// Those that are not confirmed to be alive, in the order of their keys from this one on, and then those before it.
+    /// Returns the members that are not confirmed to be alive, in the order of their keys from `key` on and then from
+    /// the first one.
     pub(crate) fn unconfirmed_from(&self, key: Key) -> impl Iterator<Item = Key> {
         self.unconfirmed.range(key..).chain(self.unconfirmed.range(..key)).copied()
     }
 
-    /// How many those are.
+    /// Returns how many members are not confirmed to be alive.
     pub(crate) fn count_unconfirmed(&self) -> usize {
         self.unconfirmed.len()
     }
 
-    /// Counts which of the reachable members are heard from this time on, or no longer counts them.
+    /// Starts to count the reachable members from which messages are received from `since` on, or stops counting.
     pub(crate) fn set_resync(&mut self, since: Option<Time>) {
         self.resync = since.map(|since| {
             let responders = self.peers().filter(|peer| has_responded_since(peer, since)).count();
@@ -189,12 +191,12 @@
         });
     }
 
-    /// The members heard since this process was resumed, if they are counted.
+    /// Returns the count of members from which messages were received since this process resumed, if they are counted.
     pub(crate) fn resync(&self) -> Option<Resync> {
         self.resync
     }
 
-    /// Changes what is known of a member.
+    /// Changes the state of a member and updates the indexes.
     pub(crate) fn change<R>(&mut self, position: usize, change: impl FnOnce(&mut Peer) -> R) -> R {
         let before = Group::of(&self.peers[position].health);
         self.remove_from_indexes(position);
--- a/crates/membership/src/table/tests.rs
+++ b/crates/membership/src/table/tests.rs
@@ -16,7 +16,7 @@
     )
 }
 
-/// This process is the last of the list.
+/// Returns a table in which this process is the last member of the list.
 fn table() -> MemberTable {
     let own = key_of(&format!("m{MEMBERS}"));
     MemberTable::new(list(), own, |(key, _)| Peer::unknown(*key, Time(0), own), None)
@@ -36,7 +36,7 @@
     }
 }
 
-/// What the indexes say is what a look at each member says.
+/// Checks that the indexes give the same results as a scan of all members.
 fn check_indexes(table: &MemberTable, seed: u128) {
     let peers: Vec<&Peer> = table.peers().collect();
     assert_eq!((peers.len(), table.len()), (MEMBERS, MEMBERS));
@@ -108,7 +108,7 @@
         assert_eq!(drawn.iter().collect::<HashSet<_>>().len(), MEMBERS);
         first[table.position(drawn[0]).expect("a member")] += 1;
     }
-    // A hundred each, give or take five times what chance gives.
+    // A member is expected to be first a hundred times, with a tolerance of five standard deviations.
     assert!(first.iter().all(|count| (50..150).contains(count)), "{first:?}");
     assert_eq!(table.random_peer(Group::Reachable, 0, &mut rng), None);
 }
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -5,29 +5,31 @@
 /// Intervals and factors of probes, suspicion and gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// From one probe to the next (SWIM's protocol period).
+    /// The time from one probe to the next (SWIM's protocol period).
     pub probe_interval: Span,
-    /// How long a probed member may take before it is probed indirectly.
+    /// How long the answer of a probed member may take before the member is probed indirectly.
     pub probe_timeout: Span,
-    /// How many other members are asked for an indirect probe.
+    /// The number of other members from which an indirect probe is requested.
     pub indirect_probes: usize,
-    /// The shortest suspicion, in probe intervals for each power of ten of the fleet's size (Lifeguard's alpha).
+    /// The minimum duration of a suspicion, in probe intervals for each power of ten of the fleet's size (Lifeguard's
+    /// alpha).
     pub suspicion_factor: f64,
-    /// The longest suspicion, in shortest ones (Lifeguard's beta).
+    /// The maximum duration of a suspicion, as a multiple of the minimum (Lifeguard's beta).
     pub max_suspicion_factor: f64,
     /// How often an update is sent, for each doubling of the fleet's size (Lifeguard's lambda).
     pub retransmit_factor: f64,
     /// Whether the member lengthens its own timeouts when it is late, suspected or not answered (Lifeguard's local
-    /// health). Without it the protocol is plain SWIM, which comparisons need.
+    /// health). Without it the protocol is plain SWIM, to which it can be compared.
     pub local_health_enabled: bool,
-    /// The longest list whose members are all pinged by a process that starts. In a longer one, pings of all would
-    /// shorten no wait: a process that starts pulls the table from the first member that answers, and only after that
-    /// queries the systems of members that it never heard of, as a system says nothing if its member is there.
+    /// The maximum number of other members for which a process that starts pings all of them. With a longer list, pings
+    /// of all would shorten no wait: a process that starts pulls the table from the first member that answers, and only
+    /// after that sends absence queries to unknown members, as an operating system does not answer if its member is
+    /// running.
     pub max_short_list: usize,
 }
 
 impl Default for Timing {
-    /// The values of Lifeguard's evaluation (alpha 5, beta 6, K 3), with a probe interval of 200 ms.
+    /// Returns the values of Lifeguard's evaluation (alpha 5, beta 6, K 3), with a probe interval of 200 ms.
     fn default() -> Self {
         Self {
             probe_interval: Span(200_000),
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -2,33 +2,34 @@
 
 use crate::peer::Peer;
 
-/// How much of the fleet a member reaches itself.
+/// How much of the fleet a member reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It reaches all members that have not left.
+    /// The member reaches all members that have not left.
     Complete,
-    /// It reaches some of them.
+    /// The member reaches some of the members that have not left.
     Partial {
-        /// How many it reaches, itself included.
+        /// The number of members that it reaches, itself included.
         reachable: usize,
-        /// How many have not left, itself included.
+        /// The number of members that have not left, itself included.
         listed: usize,
     },
-    /// It reaches no other member of its list.
+    /// The member reaches no other member of its list.
     Isolated,
-    /// It was suspended and has heard too few members since to trust what it knew.
+    /// The member was suspended and has received messages from too few members since to trust its view.
     Resumed,
 }
 
 /// The view of the fleet at one time.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// One more with each change.
+    /// The version of the view, which increases by one with each change.
     pub version: u64,
-    /// The same at two members that agree on which members are reachable, and in which process incarnations.
+    /// The digest of the view. It is equal at two members that agree on which members are reachable, and in which
+    /// process incarnations.
     pub digest: u32,
     /// How much of the fleet the member reaches.
     pub reachability: Reachability,
-    /// The other members.
+    /// The other members, in the order of the list.
     pub peers: Vec<Peer>,
 }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: member tables pulled page by page. Which pages have an effect, members that die while they serve a
-//! pull, lists that differ, and thousands of schedules in which views agree by pulls alone.
+//! Tests of anti-entropy, which pulls member tables page by page: which pages have an effect, members that die while
+//! they serve a pull, lists that differ, and thousands of schedules in which views agree by pulls alone.
 
 mod sim;
 
@@ -14,15 +14,16 @@
 
 use sim::{MILLISECOND, SECOND, Sim};
 
-/// Names on the lists; the table takes several pages.
+/// The length of the lists. A table of this length takes several pages.
 const LIST_LENGTH: usize = 600;
-/// All but those that send messages.
+/// Returns the members that send no messages.
 fn others() -> std::ops::Range<usize> {
     4..LIST_LENGTH
 }
 
+/// The default probe interval, in microseconds.
 const PROBE_INTERVAL: i64 = 200 * MILLISECOND;
-/// When the pull begins: over a second after all updates before it, so that the budget leaves space for pages.
+/// When pulls begin. This is over a second after all updates before them, so that the budget leaves space for pages.
 const PULL_START: Time = Time(10 * SECOND);
 
 fn name(i: usize) -> String {
@@ -33,19 +34,19 @@
     let list = MemberList::new(
         (0..list_length).map(|i| ListedMember { name: name(i), address: address_of(i) }),
     );
-    // The updates before the pull began must not worsen its local health.
+    // The updates before the pull must not worsen the member's local health.
     let timing = Timing { local_health_enabled: false, ..Timing::default() };
     Membership::new("points", &name(own), 9, list, timing, own as u64 + 1, Time(0))
 }
 
-/// The messages to this address.
+/// Takes all datagrams from `out`, and returns the messages to host `at`.
 fn messages_to(out: &mut Output, at: usize) -> Vec<Message> {
     let is_addressed = |(to, _): &(SocketAddr, Vec<u8>)| *to == address_of(at);
     let datagrams: Vec<_> = std::mem::take(&mut out.datagrams);
     datagrams
         .iter()
         .filter(|sent| is_addressed(sent))
-        .map(|(_, bytes)| decode(bytes).expect("its own"))
+        .map(|(_, bytes)| decode(bytes).expect("a valid datagram"))
         .collect()
 }
 
@@ -55,7 +56,8 @@
     out
 }
 
-/// A member that knows all others from one of them, all alive with this process incarnation.
+/// Returns a member with a view in which all others are alive with this process incarnation, by updates from one of
+/// them.
 fn member_knowing_all(own: usize, process_incarnation: u32) -> Membership {
     let mut membership = member(own, LIST_LENGTH);
     let informant = 3;
@@ -89,7 +91,7 @@
     membership
 }
 
-/// The first pings the second, which answers; the pull that the first sends then.
+/// Makes `first` ping `second`, which answers. Returns the pull request that `first` then sends.
 fn start_pull(
     first: &mut Membership,
     second: &mut Membership,
@@ -102,24 +104,24 @@
     let answer = messages_to(&mut deliver(second, now, 0, &ping), 0).remove(0);
     let mut output = deliver(first, now, second_index, &answer);
     let requests = messages_to(&mut output, second_index);
-    requests.into_iter().find(|m| matches!(m.body, Body::Pull(_))).expect("it pulls")
+    requests.into_iter().find(|m| matches!(m.body, Body::Pull(_))).expect("a pull request")
 }
 
 fn page_of(message: &Message) -> Page {
     match &message.body {
         Body::Page(page) => page.clone(),
-        other => panic!("no page: {other:?}"),
+        other => panic!("not a page: {other:?}"),
     }
 }
 
 fn pull_of(message: &Message) -> Pull {
     match &message.body {
         Body::Pull(pull) => pull.clone(),
-        other => panic!("no pull: {other:?}"),
+        other => panic!("not a pull request: {other:?}"),
     }
 }
 
-/// Carries the messages of both until the first knows all, with its timer.
+/// Exchanges the messages of both, with the timer of `first`, until `first` knows all members.
 fn complete_pull(
     first: &mut Membership,
     second: &mut Membership,
@@ -141,10 +143,10 @@
         }
         request = messages_to(&mut out, second_index).remove(0);
     }
-    panic!("no end");
+    panic!("the pull does not end");
 }
 
-/// The next request for a page, to this one, and when it comes.
+/// Returns the next request for a page to host `at`, and when it is sent.
 fn next_pull(membership: &mut Membership, at: usize, mut now: Time) -> (Message, Time) {
     for _ in 0..30 {
         now = now.plus(Span(PROBE_INTERVAL / 2));
@@ -156,30 +158,34 @@
             return (request, now);
         }
     }
-    panic!("it gave up");
+    panic!("no page is requested");
 }
 
-/// A process that starts pulls the whole table from the first member that answers. No entry counts as heard, and none
-/// is sent on as gossip.
+/// A process that starts pulls the whole table from the first member that answers. No entry counts as a message from
+/// its member, and none is sent on as gossip.
 #[test]
 fn a_starting_process_pulls_the_table_of_the_first_responder() {
     let (mut a, mut b) = (member(0, LIST_LENGTH), member_knowing_all(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
-    assert!(a.count_reachable() < 30, "but for what its answer has room for");
+    assert!(a.count_reachable() < 30, "only the updates in the answer are known");
     complete_pull(&mut a, &mut b, 1, request, PULL_START);
     for i in others() {
         let known = a.peer(key_of(&name(i))).expect("on the list");
         assert_eq!((known.health.is_reachable(), known.process_incarnation), (true, 5));
-        assert_eq!((known.last_message_at, known.nonce), (None, 0), "it was not heard itself");
+        assert_eq!(
+            (known.last_message_at, known.nonce),
+            (None, 0),
+            "no message came from the member itself"
+        );
     }
-    assert!(a.queued_updates() < 30, "{} to pass on", a.queued_updates());
+    assert!(a.queued_updates() < 30, "{} updates are queued", a.queued_updates());
     assert!(
         b.peer(key_of(&name(0))).is_some_and(|peer| peer.last_message_at.is_some()),
-        "b knows a"
+        "b has received messages from a"
     );
 }
 
-/// Pages that were not requested, late ones, of another member, and duplicates.
+/// Late pages, pages from another member than the server, and duplicates have no effect.
 #[test]
 fn only_the_requested_page_has_an_effect_and_only_once() {
     let (mut a, mut b) = (member(0, LIST_LENGTH), member_knowing_all(1, 5));
@@ -199,19 +205,19 @@
     deliver(&mut a, PULL_START, 1, &late);
     let from_other_member = Message { sender: key_of(&name(2)), ..answer.clone() };
     deliver(&mut a, PULL_START, 2, &from_other_member);
-    assert_eq!(known(&a), known_before, "neither counts");
+    assert_eq!(known(&a), known_before, "neither page has an effect");
     deliver(&mut a, PULL_START, 1, &answer);
     let known_after_page = known(&a);
     assert!(known_after_page > 100, "{known_after_page}");
     assert!(a.view_version() > version);
     let (next, now) = next_pull(&mut a, 1, PULL_START);
-    assert_eq!(pull_of(&next).first_key, page.last_key + 1, "from behind the page on");
+    assert_eq!(pull_of(&next).first_key, page.last_key + 1, "the request starts after the page");
     let version = a.view_version();
     let out = deliver(&mut a, now, 1, &answer);
-    assert!(a.view_version() == version && out.datagrams.is_empty(), "it came twice");
+    assert!(a.view_version() == version && out.datagrams.is_empty(), "a duplicate has no effect");
 }
 
-/// The first pings another member, which answers, while it pulls from the second.
+/// Makes `first` ping a further member, which answers, while it pulls from the second.
 fn exchange_ping(first: &mut Membership, other: &mut Membership, other_index: usize, now: Time) {
     let mut out = Output::default();
     first.ping(key_of(&name(other_index)), &mut out);
@@ -221,7 +227,7 @@
     assert!(out.datagrams.is_empty(), "one pull at a time");
 }
 
-/// A page that is truncated or invalid is discarded completely, and another member is asked.
+/// A page that is truncated or invalid is discarded completely, and the pull continues with another member.
 #[test]
 fn an_invalid_page_is_discarded_completely() {
     for defect in 0..3 {
@@ -234,18 +240,22 @@
         match defect {
             0 => page.entries.truncate(page.entries.len() - 1),
             1 => page.last_key = 0,
-            // No incarnation can be less than 0.
+            // With this base, incarnations are less than 0.
             _ => page.base_incarnation = 0,
         }
         let version = a.view_version();
         deliver(&mut a, PULL_START, 1, &Message { body: Body::Page(page), ..answer });
-        assert_eq!(a.view_version(), version, "broken in way {defect}");
+        assert_eq!(a.view_version(), version, "defect {defect}");
         let (request, _) = next_pull(&mut a, 2, PULL_START);
-        assert_eq!(pull_of(&request).first_key, 0, "of another, from the beginning");
+        assert_eq!(
+            pull_of(&request).first_key,
+            0,
+            "another member receives a request from the first key on"
+        );
     }
 }
 
-/// The server of a pull dies after a page: the rest comes from another, and nothing is requested twice.
+/// If the server of a pull dies after a page, the rest comes from another member, and nothing is requested twice.
 #[test]
 fn a_server_that_dies_during_a_pull_is_replaced() {
     let (mut a, mut b, mut c) =
@@ -257,20 +267,20 @@
     deliver(&mut a, PULL_START, 1, &answer);
     let (request, now) = next_pull(&mut a, 2, PULL_START);
     assert_eq!(pull_of(&request).first_key, last_covered_key + 1);
-    // The page of the dead server comes late.
+    // A late page of the dead server has no effect.
     let version = a.view_version();
     deliver(&mut a, now, 1, &answer);
     assert_eq!(a.view_version(), version);
     complete_pull(&mut a, &mut c, 2, request, now);
 }
 
-/// Members have restarted since a page was written: their later incarnations stand.
+/// A page from before the restarts of members does not replace their later incarnations.
 #[test]
 fn a_page_with_earlier_process_incarnations_replaces_nothing() {
     let (mut a, mut b) = (member_knowing_all(0, 8), member_knowing_all(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
-    assert!(page_of(&answer).entries.len() > 500, "they differ in all");
+    assert!(page_of(&answer).entries.len() > 500, "all entries differ");
     let version = a.view_version();
     deliver(&mut a, PULL_START, 1, &answer);
     assert_eq!(a.view_version(), version);
@@ -280,17 +290,21 @@
     );
 }
 
-/// Members that a page names and the own list does not are ignored.
+/// Members on a page that are not on the receiver's own list are ignored.
 #[test]
 fn a_page_of_a_longer_list_adds_no_member() {
     let (mut a, mut b) = (member(0, 100), member_knowing_all(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
     deliver(&mut a, PULL_START, 1, &answer);
-    assert!(a.count_reachable() > 10 && a.peers().count() == 99, "{} there", a.count_reachable());
+    assert!(
+        a.count_reachable() > 10 && a.peers().count() == 99,
+        "{} are reachable",
+        a.count_reachable()
+    );
 }
 
-/// Members with long lists; in every second schedule they send no gossip.
+/// Starts a member for which every list is long. With an even seed it sends no gossip.
 fn start_without_short_list(sim: &mut Sim, i: usize, list_length: usize, seed: u64) {
     let retransmit_factor =
         if seed.is_multiple_of(2) { 0.0 } else { Timing::default().retransmit_factor };
@@ -301,11 +315,11 @@
     );
 }
 
-/// The longest time in which all have to agree once the network is healed: as with short lists, and the longest
-/// backoff between two pulls.
+/// The maximum time, in microseconds, until all members agree once the network is healed. It is that with short lists,
+/// and the longest backoff between two pulls.
 const MAX_AGREEMENT_TIME: i64 = 150 * SECOND;
 
-/// The views of all members, for the message of a failure.
+/// Formats the views of all members for a failure message.
 fn format_views(sim: &Sim) -> Vec<String> {
     let health = |membership: &Membership| -> Vec<String> {
         membership
@@ -320,7 +334,8 @@
         .collect()
 }
 
-/// Nine seconds of loss, late and duplicated datagrams, cuts, stops, kills and restarts, some with a shorter list.
+/// Runs nine seconds of loss, late and duplicated datagrams, broken links, suspensions, kills and restarts, some with a
+/// shorter list. Then heals the network and checks that all views become correct.
 fn run_schedule(seed: u64) {
     let n = 4 + (seed % 9) as usize;
     let mut sim = Sim::new(n, seed, 0.1);
@@ -351,7 +366,7 @@
     }
     sim.heal();
     sim.max_delay = 30 * MILLISECOND;
-    // A member that is not on a list gets no answer: operators make the lists the same.
+    // All members get the same list, as a member that is not on a list gets no answer.
     (0..n).for_each(|i| sim.update_list(i, n));
     let end = sim.now + MAX_AGREEMENT_TIME;
     while !sim.views_are_correct() {
@@ -366,8 +381,8 @@
     for_each_seed(0..3000, run_schedule);
 }
 
-/// Without gossip, members learn of most others by pulls alone: a fleet that starts at once knows itself within
-/// seconds.
+/// Without gossip, members learn of most others by pulls alone. The members of a fleet that starts at once know each
+/// other within seconds.
 #[test]
 fn pulls_alone_make_a_starting_fleet_agree() {
     for_each_seed(0..100, |seed| {
@@ -379,7 +394,7 @@
     });
 }
 
-/// Lists that differ make views differ for good: pulls become rare.
+/// Lists that differ make views differ permanently, and pulls become rare.
 #[test]
 fn pulls_back_off_where_lists_differ() {
     let n = 8;
@@ -389,6 +404,6 @@
     let from = sim.hosts[0].traffic;
     sim.run(180 * SECOND);
     let bytes_per_second = (sim.hosts[0].traffic - from) / 60;
-    // 20 datagrams of some 70 bytes are its probes and their answers.
+    // Its probes and their answers are 20 datagrams of about 70 bytes a second.
     assert!(bytes_per_second < 1600, "{bytes_per_second} bytes a second");
 }
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -1,5 +1,6 @@
-//! Datagrams as an earlier build has written them: members of two versions send each other datagrams during a roll-out, so
-//! that each is read as the same message and written with the same bytes.
+//! Compatibility with datagrams of an earlier build. Members of two versions send each other datagrams during a
+//! roll-out, so that each recorded datagram must decode to the same message, and each message must encode to the same
+//! bytes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +11,8 @@
 };
 use sableloom_types::Time;
 
-/// Lines of a name and the bytes in hexadecimal digits, written by the encoder of commit c6abd24.
+/// The recorded datagrams. Each line has a name and the bytes in hexadecimal digits, as written by the encoder of
+/// commit c6abd24.
 const RECORDED: &str = include_str!("data/datagrams.txt");
 
 fn update(member: &str, state: MemberState, offset: u32) -> Update {
@@ -23,7 +25,7 @@
     }
 }
 
-/// An update of each state.
+/// Returns an update of each state.
 fn updates() -> Vec<Update> {
     vec![
         update("c", MemberState::Alive, 0),
@@ -49,7 +51,7 @@
     }
 }
 
-/// A message of each kind.
+/// Returns a message of each kind, with its name in the recording.
 fn messages() -> Vec<(&'static str, Message)> {
     let digests: Vec<u8> = (0..60).map(|number| number * 4 + 1).collect();
     let pull =
@@ -87,7 +89,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The recorded bytes by name.
+/// Returns the recorded bytes by name.
 fn recorded() -> BTreeMap<&'static str, Vec<u8>> {
     let lines = RECORDED.lines().map(|line| line.split_once(' ').expect("a name and bytes"));
     let byte = |pair: &[u8]| {
@@ -101,14 +103,14 @@
     SocketAddr::from(([127, 0, 0, number], 7000))
 }
 
-/// What a member answers to this message from `b`.
+/// Returns the datagrams with which a member answers this message from `b`.
 fn answers_to(member: &mut Membership, message: &Message) -> Vec<Vec<u8>> {
     let mut out = Output::default();
     member.receive(Time(0), address(2), &encode(message).0, &mut out);
     out.datagrams.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
-/// The page that a member sends of a table with a member in each state, and the answer to a first ping.
+/// Returns the answer of a member to a first ping, and the page that it sends of a table with a member in each state.
 fn recorded_answers_of_a_member() -> Vec<(&'static str, Vec<u8>)> {
     let listed = |(number, name): (usize, &str)| ListedMember {
         name: name.to_string(),
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,5 +1,5 @@
 //! Members on a simulated network.
-#![allow(dead_code, reason = "each test file uses what it needs of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,12 +13,15 @@
 
 pub(crate) use sableloom_simulated_network::{MILLISECOND, SECOND};
 
-/// A member alone, without a capacity share.
+/// A member without a capacity share.
 pub(crate) struct Member(pub(crate) Membership);
 
 fn forward_output(out: Output, sent: &mut NetworkOutput<Change>) {
     // Receivers reject datagrams of more than 256 bytes, and pages of more than 1,200.
-    assert!(out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()), "a datagram too long");
+    assert!(
+        out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()),
+        "a datagram is too long or invalid"
+    );
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
 }
@@ -84,12 +87,12 @@
         Self { network: Network::new(n, seed, drift), keys: (0..n).map(|i| (key(i), i)).collect() }
     }
 
-    /// Starts a member's process with a list of so many names.
+    /// Starts the process of member `i` with a list of `list_length` members.
     pub(crate) fn start(&mut self, i: usize, list_length: usize) {
         self.start_with_timing(i, list_length, Timing::default());
     }
 
-    /// The same with another timing.
+    /// Starts the process of member `i` with a list of `list_length` members and this timing.
     pub(crate) fn start_with_timing(&mut self, i: usize, list_length: usize, timing: Timing) {
         self.network.start(i, |process_incarnation, seed, now| {
             Member(Membership::new(
@@ -104,17 +107,17 @@
         });
     }
 
-    /// The members whose processes run.
+    /// Returns the members whose processes run, with their indexes.
     pub(crate) fn memberships(&self) -> impl Iterator<Item = (usize, &Membership)> {
         let hosts = self.hosts.iter().enumerate();
         hosts.filter_map(|(i, host)| Some((i, &host.process.as_ref()?.0)))
     }
 
     pub(crate) fn membership(&self, i: usize) -> &Membership {
-        &self.hosts[i].process.as_ref().expect("it runs").0
+        &self.hosts[i].process.as_ref().expect("a running member").0
     }
 
-    /// Gives a member a list of so many names.
+    /// Replaces the list of member `i` by one of `list_length` members.
     pub(crate) fn update_list(&mut self, i: usize, list_length: usize) {
         self.call(i, |member, now, sent| {
             let mut out = Output::default();
@@ -132,7 +135,7 @@
         });
     }
 
-    /// Whether all that run have the same view, and it is true.
+    /// Returns whether all running members have the same view, and it is correct.
     pub(crate) fn views_agree(&self) -> bool {
         let mut digests = self.memberships().map(|(_, membership)| membership.digest());
         let first = digests.next();
@@ -140,7 +143,7 @@
         are_equal && self.views_are_correct()
     }
 
-    /// Whether the views of all that run are true.
+    /// Returns whether the views of all running members are correct.
     pub(crate) fn views_are_correct(&self) -> bool {
         self.memberships().all(|(own, membership)| {
             membership.peers().all(|peer| {
@@ -150,7 +153,8 @@
         })
     }
 
-    /// Runs until all agree; how long that took, or `None` if it took longer than this.
+    /// Runs until all views agree. Returns how long that took in microseconds, or `None` if it takes longer than
+    /// `max_time`.
     pub(crate) fn run_until_agreed(&mut self, max_time: i64) -> Option<i64> {
         let from = self.now;
         while self.now < from + max_time {
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Thousands of schedules of loss, cuts, stops, crashes and drift, each made by one seed, which a failure
-//! names. Times are the model's.
+//! Thousands of schedules of loss, broken links, suspensions, crashes and clock drift. Each is generated from one seed,
+//! which a failure names. All times are simulated.
 
 mod sim;
 
@@ -8,19 +8,21 @@
 
 use sim::{MILLISECOND, SECOND, Sim, key};
 
-/// The longest time in which all have to agree once the network is healed: rounds of pings of the missing, one in a
-/// probe interval of up to nine times its length while local health is bad, and the longest suspicion.
+/// The maximum time, in microseconds, until all members agree once the network is healed. It covers rounds of pings of
+/// missing members, one in a probe interval of up to nine times its length while local health is bad, and the longest
+/// suspicion.
 const MAX_AGREEMENT_TIME: i64 = 90 * SECOND;
 
 fn start_agreed_fleet(n: usize, seed: u64, drift: f64) -> Sim {
     let mut sim = Sim::new(n, seed, drift);
     (0..n).for_each(|i| sim.start(i, n));
     let agreement_time = sim.run_until_agreed(20 * SECOND);
-    assert!(agreement_time.is_some(), "seed {seed}: {n} that start at once do not agree");
+    assert!(agreement_time.is_some(), "seed {seed}: {n} members that start at once do not agree");
     sim
 }
 
-/// One schedule: twelve seconds of random events, and a healed network after them.
+/// Runs twelve seconds of random events, and then heals the network. Returns how long it takes until all views agree,
+/// in microseconds.
 fn run_schedule(seed: u64) -> i64 {
     let n = 3 + (seed % 7) as usize;
     let mut sim = start_agreed_fleet(n, seed, 0.1);
@@ -92,7 +94,7 @@
     assert_eq!(run_schedule(11), run_schedule(11));
 }
 
-/// 30% of all datagrams are lost for twenty seconds: no false death lasts.
+/// With 30% of all datagrams lost for twenty seconds, no false death lasts.
 #[test]
 fn false_deaths_are_short_at_30_percent_loss() {
     for_each_seed(0..60, |seed| {
@@ -115,7 +117,7 @@
                             let dead_time = sim.now - from;
                             assert!(
                                 dead_time < 6 * SECOND,
-                                "seed {seed}: {j} held dead by {i} for {dead_time} us"
+                                "seed {seed}: {i} considers {j} dead for {dead_time} us"
                             );
                         }
                         _ => *since = None,
@@ -125,12 +127,12 @@
         }
         sim.heal();
         let agreement_time = sim.run_until_agreed(20 * SECOND);
-        assert!(agreement_time.is_some(), "seed {seed}: no agreement after it");
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement after the loss");
     });
 }
 
-/// A member is suspended for ten seconds and resumed with an old view: it mistrusts itself first, and declares nobody
-/// dead.
+/// A member that is suspended for ten seconds and resumes with an old view distrusts itself first, and declares no
+/// other member dead.
 #[test]
 fn a_resumed_member_declares_no_other_dead() {
     for_each_seed(0..300, |seed| {
@@ -143,7 +145,10 @@
         for i in others.clone() {
             let died =
                 |c: &(i64, Change)| matches!(c.1, Change::Died { member, .. } if member == key(2));
-            assert!(sim.hosts[i].changes.iter().any(died), "seed {seed}: {i} did not miss it");
+            assert!(
+                sim.hosts[i].changes.iter().any(died),
+                "seed {seed}: {i} did not declare it dead"
+            );
         }
         let resumed_at = sim.now;
         let agreement_time = sim.run_until_agreed(40 * SECOND);
@@ -155,21 +160,24 @@
         for i in 0..n {
             let declared_dead =
                 since(i).find(|c| matches!(c, Change::Died { member, .. } if *member != key(2)));
-            assert_eq!(declared_dead, None, "seed {seed}: at {i}");
+            assert_eq!(declared_dead, None, "seed {seed}: {i} declared another member dead");
         }
         let own_changes: Vec<Change> = since(2).collect();
         let resumed =
             own_changes.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
-        assert!(resumed.is_some(), "seed {seed}: it trusted what it knew: {own_changes:?}");
+        assert!(
+            resumed.is_some(),
+            "seed {seed}: it did not report that it resumed: {own_changes:?}"
+        );
         assert!(
             own_changes[resumed.unwrap_or(0)..]
                 .contains(&Change::Reachability(Reachability::Complete)),
-            "{own_changes:?}"
+            "seed {seed}: it is not complete again: {own_changes:?}"
         );
     });
 }
 
-/// 60% are killed at once: the rest know it within the longest suspicion and a round of probes.
+/// If 60% of the members are killed at once, the others know it within the longest suspicion and a round of probes.
 #[test]
 fn survivors_detect_the_death_of_a_majority() {
     for_each_seed(0..100, |seed| {
@@ -177,7 +185,7 @@
         let mut sim = start_agreed_fleet(n, seed, 0.0);
         (0..6).for_each(|i| sim.kill(i));
         let agreement_time = sim.run_until_agreed(30 * SECOND);
-        assert!(agreement_time.is_some(), "seed {seed}: not agreed");
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement");
         for i in 6..n {
             let view = sim.membership(i).view();
             assert_eq!(view.reachability, Reachability::Partial { reachable: 4, listed: 10 });
@@ -185,7 +193,7 @@
     });
 }
 
-/// A partition into halves: each half declares the other dead, and all views agree again after it.
+/// During a partition into halves, each half declares the other dead. All views agree again after it.
 #[test]
 fn partitioned_halves_agree_again_after_the_partition() {
     for_each_seed(0..60, |seed| {
@@ -206,11 +214,11 @@
         }
         sim.heal();
         let agreement_time = sim.run_until_agreed(30 * SECOND);
-        assert!(agreement_time.is_some(), "seed {seed}: not one again");
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement after the partition");
     });
 }
 
-/// A restart under the same name within a second is a new process incarnation.
+/// The other members report a restart under the same name within a second as a new process incarnation.
 #[test]
 fn a_restart_within_a_second_is_a_new_process_incarnation() {
     for_each_seed(0..100, |seed| {
@@ -222,19 +230,22 @@
         sim.run(until);
         sim.start(1, n);
         let agreement_time = sim.run_until_agreed(10 * SECOND);
-        assert!(agreement_time.is_some(), "seed {seed}: not agreed");
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement");
         let process_incarnation = sim.hosts[1].process_incarnation;
         for i in (0..n).filter(|i| *i != 1) {
             let has_joined = |c: &(i64, Change)| {
                 c.0 >= before && c.1 == Change::Joined { member: key(1), process_incarnation }
             };
-            assert!(sim.hosts[i].changes.iter().any(has_joined), "seed {seed}: {i} did not see it");
+            assert!(
+                sim.hosts[i].changes.iter().any(has_joined),
+                "seed {seed}: {i} did not report the new process"
+            );
         }
     });
 }
 
-/// A process whose clock went back starts with an earlier process incarnation than the one before: others tell it,
-/// and it takes a later one.
+/// A process whose clock went back starts with an earlier process incarnation than the one before. The other members
+/// tell it, and it takes a later one.
 #[test]
 fn a_process_incarnation_that_is_too_early_is_corrected() {
     for_each_seed(0..60, |seed| {
@@ -246,7 +257,7 @@
         sim.hosts[3].process_incarnation = 7;
         sim.start(3, n);
         let agreement_time = sim.run_until_agreed(20 * SECOND);
-        assert!(agreement_time.is_some(), "seed {seed}: not agreed");
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement");
         let view = sim.membership(0).view();
         let peer = view.peers.iter().find(|p| p.key == key(3)).expect("on the list");
         assert!(
@@ -268,27 +279,28 @@
         sim.run(until);
         sim.kill(4);
         let agreement_time = sim.run_until_agreed(10 * SECOND).expect("agreed");
-        assert!(agreement_time < 5 * SECOND, "seed {seed}: {agreement_time}");
+        assert!(agreement_time < 5 * SECOND, "seed {seed}: agreement took {agreement_time} us");
         let suspected =
             |c: &(i64, Change)| matches!(c.1, Change::Suspected { member, .. } if member == key(4));
         assert!(sim.hosts.iter().all(|host| !host.changes.iter().any(suspected)), "seed {seed}");
     });
 }
 
-/// A fleet grows from 56 to 300 in three seconds: all know all, and what each sends does not grow with it.
+/// If a fleet grows from 56 to 300 members in three seconds, all members know each other, and what each sends does not
+/// grow with the fleet.
 #[test]
 fn a_fleet_that_grows_fivefold_agrees_at_constant_traffic_per_member() {
     let (few, many) = (56, 300);
     let mut sim = Sim::new(many, 5, 0.02);
     (0..few).for_each(|i| sim.start(i, many));
-    assert!(sim.run_until_agreed(30 * SECOND).is_some(), "the first do not agree");
+    assert!(sim.run_until_agreed(30 * SECOND).is_some(), "the first 56 members do not agree");
     for i in few..many {
         sim.start(i, many);
         let until = sim.now + 3 * SECOND / (many - few) as i64;
         sim.run(until);
     }
     let agreement_time = sim.run_until_agreed(120 * SECOND);
-    assert!(agreement_time.is_some(), "no agreement on 300");
+    assert!(agreement_time.is_some(), "the 300 members do not agree");
     let (sent, bytes, from) = (sim.sent, sim.bytes, sim.now);
     let until = sim.now + 10 * SECOND;
     sim.run(until);
@@ -297,12 +309,12 @@
         ((sim.sent - sent) as f64 / seconds, (sim.bytes - bytes) as f64 / seconds);
     assert!(
         packets < 12.0 && bytes < 12.0 * 256.0,
-        "{packets} packets, {bytes} bytes a second and member"
+        "{packets} packets and {bytes} bytes per second and member"
     );
 }
 
-/// A member reaches a majority, and the rest one way or not at all: members that declare it dead learn of its
-/// refutation from the others soon.
+/// A member reaches a majority of the others, and the rest in one direction or not at all. Members that declare it dead
+/// soon learn of its refutation from the others.
 #[test]
 fn a_member_that_reaches_a_majority_is_soon_refuted_everywhere() {
     for_each_seed(0..200, |seed| {
@@ -336,7 +348,7 @@
                     let dead_time = sim.now - *since[i].get_or_insert(sim.now);
                     assert!(
                         dead_time < MAX_DEAD_TIME,
-                        "seed {seed}: held dead by {i} for {dead_time} us"
+                        "seed {seed}: {i} considers it dead for {dead_time} us"
                     );
                 } else {
                     since[i] = None;
@@ -346,5 +358,6 @@
     });
 }
 
-/// The longest time for which a member that reaches a majority may be held dead.
+/// The maximum time, in microseconds, for which a member that reaches a majority may be considered dead by another
+/// member.
 const MAX_DEAD_TIME: i64 = 5 * SECOND;
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -1,4 +1,5 @@
-//! Which datagrams a member accepts and which it drops: unknown addresses, other fleets, earlier processes, forgery.
+//! Which datagrams a member accepts, and which it drops: those from unknown addresses, of other fleets, for earlier
+//! processes, and forged ones.
 
 use std::net::SocketAddr;
 
@@ -34,18 +35,19 @@
     )
 }
 
-/// The messages that it sends to this address.
+/// Takes all datagrams from `out`, and returns the messages to this address.
 fn messages_to(out: &mut Output, to: u8) -> Vec<Message> {
     let all = std::mem::take(&mut out.datagrams);
     let addressed = all.into_iter().filter(|(at, _)| *at == address(to));
-    addressed.map(|(_, bytes)| decode(&bytes).expect("its own")).collect()
+    addressed.map(|(_, bytes)| decode(&bytes).expect("a valid datagram")).collect()
 }
 
-/// Two members exchange pings until they know each other's nonces.
+/// Makes two members exchange pings until they know each other's nonces. Returns the second ping of `a`, the answer of
+/// `b` to the first, and the time.
 fn exchange_nonces(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
     let mut out = Output::default();
     a.tick(Time(0), &mut out);
-    // All are missing at first: one of them is pinged.
+    // All members are missing at first, so that one of them is pinged.
     let mut at = 0;
     let ping = loop {
         if let Some(ping) = messages_to(&mut out, 2).pop() {
@@ -54,7 +56,7 @@
         at += 200 * MILLISECOND;
         a.tick(Time(at), &mut out);
     };
-    assert_eq!(ping.receiver_nonce, 0, "it knows nobody yet");
+    assert_eq!(ping.receiver_nonce, 0, "a does not know the nonce of b yet");
     b.receive(Time(at), address(1), &encode(&ping).0, &mut out);
     let ack = messages_to(&mut out, 1).pop().expect("an answer");
     assert_eq!(ack.receiver_nonce, ping.nonce);
@@ -63,7 +65,11 @@
         f.view().peers.iter().find(|p| p.key == key_of(name)).map(|p| p.health.clone())
     };
     assert_eq!(health_of(a, "b"), Some(Health::Alive));
-    assert_eq!(health_of(b, "a"), Some(Health::Unknown), "a ping with no echo counts for nothing");
+    assert_eq!(
+        health_of(b, "a"),
+        Some(Health::Unknown),
+        "a ping without the nonce of b has no effect"
+    );
     out.datagrams.clear();
     at += 400 * MILLISECOND;
     a.tick(Time(at), &mut out);
@@ -127,12 +133,12 @@
     ] {
         assert_eq!(b.count_dropped(reason), 1, "{reason:?}");
     }
-    assert_eq!((count_deaths(&out), b.view().version), (0, version), "none of it counted");
+    assert_eq!((count_deaths(&out), b.view().version), (0, version), "no datagram had an effect");
     b.receive(now, address(1), &bytes(&forged), &mut out);
-    assert_eq!(count_deaths(&out), 1, "with the echo and from its address it does");
+    assert_eq!(count_deaths(&out), 1, "with the nonce and from the address of a it has an effect");
 }
 
-/// Datagrams to an earlier process, replayed to the next one.
+/// A datagram to an earlier process is replayed to the next one.
 #[test]
 fn a_datagram_for_an_earlier_process_has_no_effect() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
@@ -142,7 +148,7 @@
     next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
     assert_eq!(next.count_dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
-    // Yet the sender is told the nonce of the new process.
+    // The sender is told the nonce of the new process all the same.
     let answer = messages_to(&mut out, 1).pop().expect("an answer");
     assert!(
         answer.receiver_nonce == ping.nonce
@@ -151,7 +157,7 @@
     );
 }
 
-/// An update that is wrong about the member itself is refuted by a later incarnation.
+/// A member refutes an update that is wrong about itself by a later incarnation.
 #[test]
 fn a_member_refutes_wrong_updates_about_itself() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
@@ -175,8 +181,8 @@
         assert_eq!(answer.incarnation, incarnation + 1, "{state:?}");
         a.receive(now, address(2), &encode(&answer).0, &mut out);
     }
-    assert_eq!(b.local_health(), before + 3, "each worsened its local health");
-    // A suspicion of an earlier incarnation needs no refutation.
+    assert_eq!(b.local_health(), before + 3, "each update worsens the local health");
+    // An update about an earlier incarnation needs no refutation.
     let old = Update {
         member: key_of("b"),
         process_incarnation: 9,
@@ -189,7 +195,7 @@
     assert_eq!(messages_to(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
 }
 
-/// Another process acts under its name, with ever later process incarnations.
+/// A member reports that another process acts under its name, with ever later process incarnations.
 #[test]
 fn a_duplicate_identity_is_reported() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
@@ -214,8 +220,8 @@
     assert_eq!(messages_to(&mut out, 1).pop().map(|m| m.process_incarnation), Some(61));
 }
 
-/// The list changes: a member that is no longer on it is forgotten, and one with a new address has to state its nonce
-/// again.
+/// When the list changes, a member that is no longer on it is dropped, and one with a new address has to state its
+/// nonce again.
 #[test]
 fn only_members_of_the_current_list_are_accepted() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
@@ -229,7 +235,7 @@
     assert_eq!(
         a.count_dropped(DropReason::UnknownAddress),
         1,
-        "where it was before is nobody's address"
+        "no member has the previous address of b"
     );
     let c = Update {
         member: key_of("c"),
@@ -247,7 +253,7 @@
     );
 }
 
-/// The bound that docs/design/members.md states, without the bytes of a name.
+/// The bound is stated in docs/design/members.md, without the bytes of a name.
 #[test]
 fn memory_per_member_is_bounded() {
     assert!(
