--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -77,8 +77,8 @@
     pub fn proved_absent(&mut self, now: Time, key: Key, queried: Time, output: &mut Output) {
         self.now = now;
         let peer = self.peer(key).filter(|peer| peer.health.is_reachable());
-        let Some(peer) =
-            peer.filter(|peer| peer.last_message_at.is_none_or(|heard| heard < queried))
+        let Some(peer) = peer
+            .filter(|peer| peer.last_message_at.is_none_or(|received_at| received_at < queried))
         else {
             return;
         };
--- a/crates/membership/src/page.rs
+++ b/crates/membership/src/page.rs
@@ -86,15 +86,15 @@
     let first_group = grouping.group_of(first_key);
     let groups = (grouping.group_of(Key::MAX) - first_group + 1).min(MAX_GROUPS);
     let mut members: Vec<Vec<&Peer>> = vec![Vec::new(); groups];
-    let mut known = 0;
+    let mut reachable_count = 0;
     for peer in peers {
         let Some(group) = members.get_mut(grouping.group_of(peer.key) - first_group) else { break };
-        known += usize::from(peer.health.is_reachable());
+        reachable_count += usize::from(peer.health.is_reachable());
         group.push(peer);
     }
     // A member whose table is nearly empty requests all members, as its own reachable ones take fewer bytes on a page
     // than the digests in the request.
-    let digests = match known * MEMBERS_PER_GROUP * 2 < groups {
+    let digests = match reachable_count * MEMBERS_PER_GROUP * 2 < groups {
         true => Vec::new(),
         false => members.into_iter().map(|group| group_digest(group, salt)).collect(),
     };
