--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -19,7 +19,7 @@
 //! use sableloom_types::{Span, Time};
 //!
 //! let options = ScheduleOptions {
-//!     pushed: false,
+//!     local_agent: false,
 //!     poll_interval: Span(10_000_000),
 //!     drain_grace: Span(1_000_000),
 //!     position: 0,
@@ -41,7 +41,7 @@
 mod service_time;
 
 pub use notification::{
-    CONTINUES_WITHIN, NOTIFIED_AFTER_FAILURE, NOTIFIED_AFTER_MOVE, NOTIFIED_AFTER_SILENCE,
+    MAX_CONTINUATION_GAP, NOTIFIED_AFTER_FAILURE, NOTIFIED_AFTER_MOVE, NOTIFIED_AFTER_SILENCE,
     NOTIFIED_AFTER_WAIT,
 };
 pub use poll::{PollOutcome, PollRequest};
--- a/crates/distribution/tests/frames/main.rs
+++ b/crates/distribution/tests/frames/main.rs
@@ -18,7 +18,7 @@
     text.lines().map(line).collect()
 }
 
-fn check<M: Message + PartialEq + Debug + Clone>(
+fn check_frames<M: Message + PartialEq + Debug + Clone>(
     messages: Vec<(&'static str, M)>,
     mut recorded: BTreeMap<&'static str, Vec<u8>>,
 ) {
@@ -27,7 +27,7 @@
         let mut reader = FrameReader::new();
         reader.push(&frame);
         assert_eq!(reader.next_message(), Ok(Some(message.clone())), "{name} is decoded");
-        assert_eq!(reader.buffered(), 0, "{name} is decoded to its end");
+        assert_eq!(reader.buffered_bytes(), 0, "{name} is decoded to its end");
         assert_eq!(encode(&message), frame, "{name} is encoded");
     }
     assert!(recorded.is_empty(), "recorded and not compared: {:?}", recorded.keys());
@@ -35,12 +35,12 @@
 
 #[test]
 fn recorded_frames_of_subscribers_decode_and_encode_to_the_same_bytes() {
-    check(subscriber_messages(), recorded(include_str!("../data/subscriber-frames.hex")));
+    check_frames(subscriber_messages(), recorded(include_str!("../data/subscriber-frames.hex")));
 }
 
 #[test]
 fn recorded_frames_of_publishers_decode_and_encode_to_the_same_bytes() {
-    check(publisher_messages(), recorded(include_str!("../data/publisher-frames.hex")));
+    check_frames(publisher_messages(), recorded(include_str!("../data/publisher-frames.hex")));
 }
 
 #[test]
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sableloom_policy::Balancer;
-use sableloom_types::settings::{DeploymentSettings, span};
+use sableloom_types::settings::{DeploymentSettings, span_from_ms};
 use sableloom_types::{
     Action, AttemptResult, Endpoint, EndpointStatus, Idempotency, ListKind, ListedEndpoint,
     LoadReport, Outcome, PolicySettingsError, Request, RequestId, ServerId, Span, Time,
@@ -20,10 +20,10 @@
 use crate::attempt_context::AttemptContext;
 use crate::attempt_run::PendingAttempt;
 use crate::clock::{Clock, duration_of};
-use crate::fate::{self, AttemptEnd};
 use crate::idle::{IdleState, Timer};
 use crate::message::{Message, Reply, RequestContext, RequestRejection};
 use crate::open_requests::{OpenRequest, OpenRequests};
+use crate::outcome::{self, AttemptEnd};
 use crate::ports::{
     AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
@@ -152,7 +152,7 @@
         let now = self.clock.now();
         state.expire_share(now);
         let mut actions = Vec::new();
-        state.end_idle(now, &mut actions);
+        state.run_deferred_timer(now, &mut actions);
         call(&mut state.balancer, now, &mut actions);
         for action in actions {
             self.apply_action(&mut state, now, action);
@@ -232,9 +232,9 @@
             return None;
         }
         let first = request.first_possible_execution()?;
-        let class = self.settings.services.get(request.class);
+        let class = self.settings.classes.get(request.class);
         let window = class.map_or(0.0, |class| class.dedup_window);
-        Some(first + duration_of(span(window)))
+        Some(first + duration_of(span_from_ms(window)))
     }
 
     fn set_timer(self: &Rc<Self>, state: &mut State, now: Time, timer: Timer) {
@@ -242,14 +242,15 @@
             return;
         }
         let any_open = !state.requests.is_empty();
-        if state.idle.hold_back(now, any_open, timer) {
+        if state.idle.defer_timer_if_idle(now, any_open, timer) {
             return;
         }
         let (exchange, due) = (self.clone(), self.clock.instant_of(timer.at));
         spawn_local(async move {
             sleep_until(due).await;
-            exchange
-                .with_policy(|balancer, now, actions| balancer.timer(now, timer.token, actions));
+            exchange.with_policy(|balancer, now, actions| {
+                balancer.timer_fired(now, timer.token, actions)
+            });
         });
     }
 
@@ -288,7 +289,7 @@
     ) {
         let id = request.id;
         request.attempts_in_flight.set(request.attempts_in_flight.get() - 1);
-        let outcome = fate::judge(fate::AttemptFacts {
+        let outcome = outcome::classify(outcome::AttemptFacts {
             ended: attempt_outcome.ended,
             fully_written: attempt.context.as_ref().is_some_and(|context| context.fully_written()),
             not_executed: attempt_outcome.not_executed,
@@ -308,7 +309,7 @@
             server: attempt.server,
             outcome,
             latency,
-            last: request.finished.get(),
+            ends_request: request.finished.get(),
             report: attempt_outcome.report,
         };
         self.with_policy(|balancer, now, actions| balancer.attempt_ended(now, result, actions));
@@ -368,7 +369,7 @@
     /// Forgets the servers that are gone and that the policy has forgotten.
     fn forget_departed(&self) {
         let state = &mut *self.state.borrow_mut();
-        for server in state.endpoints.forget_unlisted(|server| state.balancer.knows(server)) {
+        for server in state.endpoints.forget_unlisted(|server| state.balancer.has_server(server)) {
             self.transport.forget(server);
         }
     }
@@ -384,9 +385,11 @@
     }
 
     /// Makes up for the timer that was held back while the pool was idle.
-    fn end_idle(&mut self, now: Time, actions: &mut Vec<Action>) {
-        match self.idle.end() {
-            Some(Timer { token, at }) if at <= now => self.balancer.timer(now, token, actions),
+    fn run_deferred_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        match self.idle.take_deferred_timer() {
+            Some(Timer { token, at }) if at <= now => {
+                self.balancer.timer_fired(now, token, actions)
+            }
             Some(Timer { token, at }) => actions.push(Action::SetTimer { token, at }),
             None => {}
         }
@@ -395,7 +398,7 @@
     /// Removes a request that is finished and has no attempt in flight.
     fn remove_if_done(&mut self, now: Time, id: RequestId) {
         if self.requests.remove_if_done(id) {
-            self.idle.requests_changed(now);
+            self.idle.record_request_change(now);
         }
     }
 }
@@ -414,12 +417,12 @@
             let mut state = self.state.borrow_mut();
             let limit = self.settings.policy_limits.max_open;
             let id = state.requests.open(&context, message, sender, limit)?;
-            state.idle.requests_changed(self.clock.now());
+            state.idle.record_request_change(self.clock.now());
             id
         };
         let RequestContext { class, tenant, key, deadline } = context;
         let request = Request { id, class, tenant, key, deadline };
-        self.with_policy(|balancer, now, actions| balancer.request(now, request, actions));
+        self.with_policy(|balancer, now, actions| balancer.request_arrived(now, request, actions));
         Ok(Box::pin(ReplyFuture::new(receiver, move || self.client_disconnected(id))))
     }
 }
@@ -440,6 +443,6 @@
 
 /// The longest deadline of any class.
 pub fn longest_deadline(settings: &DeploymentSettings) -> Duration {
-    let longest = settings.services.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    duration_of(span(longest))
+    let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    duration_of(span_from_ms(longest))
 }
--- a/crates/testkit/examples/trace_digest/distribution.rs
+++ b/crates/testkit/examples/trace_digest/distribution.rs
@@ -157,7 +157,7 @@
         balancer.applying.clear();
         let scope = balancer.scope.iter().cloned().collect();
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
-        options.restored = Some(balancer.saved.clone());
+        options.saved_state = Some(balancer.saved.clone());
         options.max_transaction_bytes = 9_000;
         options.timing =
             SubscriberTiming { backoff_max: Span(2 * SECOND), ..SubscriberTiming::default() };
@@ -185,11 +185,11 @@
 
     fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
         match output {
-            SubscriberOutput::Connect { control } => {
+            SubscriberOutput::Connect { control_machine } => {
                 let id = self.next_link;
                 self.next_link += 1;
                 let delay = self.below(80) as i64 * MILLISECOND;
-                self.links.insert(id, Link::new(index, control, self.now + delay));
+                self.links.insert(id, Link::new(index, control_machine, self.now + delay));
                 self.balancers[index].link = Some(id);
             }
             SubscriberOutput::Send(message) => {
@@ -431,7 +431,7 @@
         max_transaction_bytes: 4_500,
         chunk_bytes: [400, 90][seed as usize % 2],
         max_queued_bytes: 300 + rng.rand_range(0..2_000) as usize,
-        max_snapshots: 1 + rng.rand_range(0..2) as usize,
+        max_concurrent_snapshots: 1 + rng.rand_range(0..2) as usize,
         max_unacknowledged: 1 + rng.rand_range(0..3) as usize,
         ..PublisherOptions::default()
     };
