--- a/crates/membership/src/membership/list_update.rs
+++ b/crates/membership/src/membership/list_update.rs
@@ -1,4 +1,4 @@
-//! Taking over a new list of the operators.
+//! Replacement of the operators' list.
 
 use std::sync::Arc;
 
@@ -10,19 +10,20 @@
 use crate::peer::Peer;
 use crate::table::MemberTable;
 
-/// A process that has started with a short list pings each member that it never heard of so often.
+/// How often a process that has started with a short list pings each unknown member.
 pub(super) const START_PINGS_PER_MEMBER: usize = 2;
-/// With a long list it sends so many pings until the first member has answered.
+/// The maximum number of pings that a process that has started with a long list sends until the first member has
+/// answered.
 const START_PINGS_OF_LONG_LIST: usize = 32;
 
 impl Membership {
-    /// Replaces the operators' list. Members that are no longer on it are forgotten, and updates about them are ignored
-    /// from then on.
+    /// Replaces the operators' list. The state of members that are no longer on it is dropped, and updates about them
+    /// are ignored from then on.
     pub fn update_list(&mut self, now: Time, list: Arc<MemberList>, output: &mut Output) {
         self.now = now;
         let resumed = self.table.resync().map(|resync| resync.since);
         let (old_list, peers) = std::mem::take(&mut self.table).into_parts();
-        let own = self.own;
+        let own = self.own_key;
         let known = |(key, listed): &(Key, ListedMember)| {
             let before = old_list.position(*key).filter(|_| *key != own);
             let Some(before) = before else { return Peer::unknown(*key, now, own) };
@@ -36,7 +37,7 @@
         self.table = MemberTable::new(list, own, known, resumed);
         self.forget_removed_members();
         self.start_pings_left = match self.has_short_list() {
-            true => START_PINGS_PER_MEMBER * self.table.unknown(),
+            true => START_PINGS_PER_MEMBER * self.table.count_unknown(),
             false => START_PINGS_OF_LONG_LIST,
         };
         self.probe_round.clear();
@@ -46,7 +47,7 @@
     fn forget_removed_members(&mut self) {
         let table = &self.table;
         let is_known = |key: Key| table.position(key).is_some();
-        self.gossip.retain(|key| key == self.own || is_known(key));
+        self.gossip.retain(|key| key == self.own_key || is_known(key));
         self.relays.retain(|relay| is_known(relay.target) && is_known(relay.requester));
         self.probe = self.probe.take().filter(|probe| is_known(probe.target));
         self.anti_entropy.retain(is_known);
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,5 +1,5 @@
 //! Members on a simulated network.
-#![allow(dead_code, reason = "each test file uses what it needs of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,12 +13,15 @@
 
 pub(crate) use sableloom_simulated_network::{MILLISECOND, SECOND};
 
-/// A member alone, without a capacity share.
+/// A member without a capacity share.
 pub(crate) struct Member(pub(crate) Membership);
 
-fn carry(out: Output, sent: &mut NetworkOutput<Change>) {
+fn forward_output(out: Output, sent: &mut NetworkOutput<Change>) {
     // Receivers reject datagrams of more than 256 bytes, and pages of more than 1,200.
-    assert!(out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()), "a datagram too long");
+    assert!(
+        out.datagrams.iter().all(|(_, bytes)| decode(bytes).is_ok()),
+        "a datagram is too long or invalid"
+    );
     sent.datagrams.extend(out.datagrams);
     sent.changes.extend(out.changes);
 }
@@ -35,13 +38,13 @@
     ) {
         let mut out = Output::default();
         self.0.receive(now, from, bytes, &mut out);
-        carry(out, sent);
+        forward_output(out, sent);
     }
 
     fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
         let mut out = Output::default();
         self.0.tick(now, &mut out);
-        carry(out, sent);
+        forward_output(out, sent);
     }
 
     fn next_wakeup(&self) -> Time {
@@ -84,19 +87,19 @@
         Self { network: Network::new(n, seed, drift), keys: (0..n).map(|i| (key(i), i)).collect() }
     }
 
-    /// Starts a member's process with a list of so many names.
-    pub(crate) fn start(&mut self, i: usize, of: usize) {
-        self.start_as(i, of, Timing::default());
+    /// Starts the process of member `i` with a list of `list_length` members.
+    pub(crate) fn start(&mut self, i: usize, list_length: usize) {
+        self.start_with_timing(i, list_length, Timing::default());
     }
 
-    /// The same with another timing.
-    pub(crate) fn start_as(&mut self, i: usize, of: usize, timing: Timing) {
+    /// Starts the process of member `i` with a list of `list_length` members and this timing.
+    pub(crate) fn start_with_timing(&mut self, i: usize, list_length: usize, timing: Timing) {
         self.network.start(i, |process_incarnation, seed, now| {
             Member(Membership::new(
                 "points",
                 &name(i),
                 process_incarnation,
-                MemberList::new(listed(of)),
+                MemberList::new(listed(list_length)),
                 timing,
                 seed,
                 now,
@@ -104,22 +107,22 @@
         });
     }
 
-    /// The members whose processes run.
-    pub(crate) fn fleets(&self) -> impl Iterator<Item = (usize, &Membership)> {
-        let places = self.hosts.iter().enumerate();
-        places.filter_map(|(i, place)| Some((i, &place.process.as_ref()?.0)))
+    /// Returns the members whose processes run, with their indexes.
+    pub(crate) fn memberships(&self) -> impl Iterator<Item = (usize, &Membership)> {
+        let hosts = self.hosts.iter().enumerate();
+        hosts.filter_map(|(i, host)| Some((i, &host.process.as_ref()?.0)))
     }
 
-    pub(crate) fn fleet(&self, i: usize) -> &Membership {
-        &self.hosts[i].process.as_ref().expect("it runs").0
+    pub(crate) fn membership(&self, i: usize) -> &Membership {
+        &self.hosts[i].process.as_ref().expect("a running member").0
     }
 
-    /// Gives a member a list of so many names.
-    pub(crate) fn takes_list(&mut self, i: usize, of: usize) {
+    /// Replaces the list of member `i` by one of `list_length` members.
+    pub(crate) fn update_list(&mut self, i: usize, list_length: usize) {
         self.call(i, |member, now, sent| {
             let mut out = Output::default();
-            member.0.update_list(now, MemberList::new(listed(of)), &mut out);
-            carry(out, sent);
+            member.0.update_list(now, MemberList::new(listed(list_length)), &mut out);
+            forward_output(out, sent);
         });
     }
 
@@ -128,35 +131,36 @@
         self.call(i, |member, _, sent| {
             let mut out = Output::default();
             member.0.leave(&mut out);
-            carry(out, sent);
+            forward_output(out, sent);
         });
     }
 
-    /// Whether all that run have the same view, and it is true.
-    pub(crate) fn agree(&self) -> bool {
-        let mut digests = self.fleets().map(|(_, fleet)| fleet.digest());
+    /// Returns whether all running members have the same view, and it is correct.
+    pub(crate) fn views_agree(&self) -> bool {
+        let mut digests = self.memberships().map(|(_, membership)| membership.digest());
         let first = digests.next();
-        let same = digests.all(|d| Some(d) == first);
-        same && self.views_are_true()
+        let are_equal = digests.all(|d| Some(d) == first);
+        are_equal && self.views_are_correct()
     }
 
-    /// Whether the views of all that run are true.
-    pub(crate) fn views_are_true(&self) -> bool {
-        self.fleets().all(|(own, fleet)| {
-            fleet.peers().all(|peer| {
+    /// Returns whether the views of all running members are correct.
+    pub(crate) fn views_are_correct(&self) -> bool {
+        self.memberships().all(|(own, membership)| {
+            membership.peers().all(|peer| {
                 let i = self.keys[&peer.key];
                 i == own || peer.health.is_reachable() == self.hosts[i].process.is_some()
             })
         })
     }
 
-    /// Runs until all agree; how long that took, or `None` if it took longer than this.
-    pub(crate) fn until_agreed(&mut self, most: i64) -> Option<i64> {
+    /// Runs until all views agree. Returns how long that took in microseconds, or `None` if it takes longer than
+    /// `max_time`.
+    pub(crate) fn run_until_agreed(&mut self, max_time: i64) -> Option<i64> {
         let from = self.now;
-        while self.now < from + most {
+        while self.now < from + max_time {
             let until = self.now + 100 * MILLISECOND;
             self.run(until);
-            if self.agree() {
+            if self.views_agree() {
                 return Some(self.now - from);
             }
         }
