--- a/crates/distribution/src/publisher/session/sending.rs
+++ b/crates/distribution/src/publisher/session/sending.rs
@@ -1,4 +1,4 @@
-//! What a session sends next: pending groups become transactions, and transactions become frames.
+//! The sending of a session: pending groups become transactions, and transactions become frames.
 
 use super::Session;
 use super::pending::{GroupId, GroupState};
@@ -6,7 +6,7 @@
 use super::transaction::OpenTransaction;
 use crate::name::ServiceName;
 use crate::position::Position;
-use crate::publisher::bandwidth::Urgency;
+use crate::publisher::bandwidth::Priority;
 use crate::publisher::options::PublisherOptions;
 use crate::publisher::shared::{FrameSink, Shared};
 use crate::publisher::snapshot_slots::SnapshotSlot;
@@ -14,10 +14,12 @@
 use crate::store::Store;
 
 impl Session {
+    /// Returns the next step of the session. Frames of the open transaction come first, then groups of deltas, then
+    /// groups that need a snapshot; a group waits while one of its services is in flight.
     pub(in crate::publisher) fn next_step(&self, options: &PublisherOptions) -> NextStep {
         if let Some(open) = &self.open {
-            let urgency = if open.has_snapshot { Urgency::Snapshot } else { Urgency::Delta };
-            return NextStep::SendFrame(urgency);
+            let priority = if open.has_snapshot { Priority::Snapshot } else { Priority::Delta };
+            return NextStep::SendFrame(priority);
         }
         let in_flight_bytes: usize = self.unacknowledged.values().map(|sent| sent.bytes).sum();
         if self.unacknowledged.len() >= options.max_unacknowledged
@@ -26,28 +28,29 @@
             return NextStep::Nothing;
         }
         if let Some(group) = self.first_free_group(GroupState::Delta) {
-            return NextStep::Open(group, Urgency::Delta);
+            return NextStep::Open(group, Priority::Delta);
         }
         match (self.first_free_group(GroupState::Snapshot), self.snapshot_slot) {
-            (Some(group), SnapshotSlot::Held) => NextStep::Open(group, Urgency::Snapshot),
+            (Some(group), SnapshotSlot::Held) => NextStep::Open(group, Priority::Snapshot),
             (Some(_), SnapshotSlot::None) => NextStep::RequestSnapshotSlot,
             _ => NextStep::Nothing,
         }
     }
 
-    /// Whether a group waits for a snapshot.
-    pub(in crate::publisher) fn wants_snapshot(&self) -> bool {
+    /// Returns whether any pending group needs a snapshot.
+    pub(in crate::publisher) fn has_pending_snapshot(&self) -> bool {
         self.pending.has_snapshots()
     }
 
-    /// Whether the session still needs a snapshot slot: for what is pending, being sent or unanswered.
+    /// Returns whether the session still needs a snapshot slot: a snapshot is pending, being sent or unanswered.
     pub(in crate::publisher) fn needs_snapshot_slot(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_snapshot)
-            || self.wants_snapshot()
+            || self.has_pending_snapshot()
             || self.unacknowledged.values().any(|sent| sent.has_snapshot)
     }
 
-    /// Opens a transaction for a group, unless the group needs a snapshot slot first or has to be split.
+    /// Opens a transaction for a group. If the group needs a snapshot and the session holds no snapshot slot, the group
+    /// only changes its state; if it is too large for one transaction, it is split instead.
     pub(in crate::publisher) fn open_transaction(
         &mut self,
         group: GroupId,
@@ -82,7 +85,8 @@
         shared.transaction_opened();
     }
 
-    /// Queues the next frame of the open transaction, if there is one.
+    /// Queues the next frame of the open transaction, if there is one. After the last frame, the transaction is
+    /// unacknowledged.
     pub(in crate::publisher) fn send_next_frame(
         &mut self,
         position: Position,
@@ -103,9 +107,10 @@
         self.unacknowledged.insert(open.id, open.into_unacknowledged(sink.now));
     }
 
-    /// Adds the latest change to the transaction that is being sent, if all services that it touches are in there: so
-    /// a server that is removed while a snapshot is being sent is never applied by the subscriber.
-    pub(super) fn absorb(
+    /// Adds the latest change, which touched `services`, to the open transaction if the transaction contains all of
+    /// them, none of them is pending, and the size limit allows it. Returns whether it was added. As a result, a server
+    /// that is removed while a snapshot is being sent is never applied by the subscriber.
+    pub(super) fn merge_into_open(
         &mut self,
         services: &[ServiceName],
         max_transaction_bytes: usize,
@@ -125,7 +130,7 @@
         let mut changes = Vec::new();
         for service in services {
             let latest = store.latest_changes(service);
-            // A log that is too short for even one change does not hold the latest one.
+            // A log whose limits do not allow even one change does not hold the latest one.
             if latest.is_empty() {
                 return false;
             }
@@ -135,11 +140,11 @@
         if open.bytes + bytes > max_transaction_bytes {
             return false;
         }
-        open.absorb(services, changes, store);
+        open.merge(services, changes, store);
         true
     }
 
-    /// The first group of this state of which no service is in flight.
+    /// Returns the first group of a state that has no service in flight.
     fn first_free_group(&self, state: GroupState) -> Option<GroupId> {
         let is_in_flight = |service: &ServiceName| {
             let subscription = self.subscriptions.get(service);
@@ -148,6 +153,7 @@
         self.pending.first(state, |services| !services.iter().any(is_in_flight))
     }
 
+    /// Builds a transaction of these services from their applied versions, or as snapshots, to their latest versions.
     fn make_transaction(
         &self,
         services: &[ServiceName],
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers: a subscriber, the part that applies transactions, and the saved state.
+//! The balancers of the simulation: the subscriber, the application of transactions, and the saved state.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,12 @@
 };
 use sableloom_types::{Span, Time};
 
-use super::coverage::{event_name, reason_name};
-use super::link::{Connection, Way};
-use super::world::{Event, MS, SECOND, World};
+use super::connection::{Connection, Direction};
+use super::coverage::{disconnect_reason_name, event_name};
+use super::world::{Event, MILLISECOND, SECOND, World};
 
 impl World {
+    /// Starts the process of a balancer from its saved state, unless it is running.
     pub(crate) fn start_subscriber(&mut self, index: usize) {
         if self.balancers[index].subscriber.is_some() {
             return;
@@ -21,9 +22,10 @@
         let machines = self.controls.len();
         let balancer = &mut self.balancers[index];
         balancer.incarnation += 1;
-        balancer.seen = balancer.saved.as_ref().map_or(Position::default(), |saved| saved.position);
+        balancer.seen_position =
+            balancer.saved.as_ref().map_or(Position::default(), |saved| saved.position);
         balancer.corrupted = false;
-        balancer.applying.clear();
+        balancer.apply_queue.clear();
         let scope = balancer.scope.iter().cloned().collect();
         let mut options = SubscriberOptions::new(balancer.name.clone(), machines, scope, seed);
         options.saved_state = balancer.saved.clone();
@@ -46,6 +48,7 @@
         }
     }
 
+    /// Calls a method of a running subscriber, checks its invariants, carries out its outputs and sets its timer.
     pub(crate) fn with_subscriber(
         &mut self,
         index: usize,
@@ -59,13 +62,16 @@
         act(subscriber, Time(now), &mut out);
         assert!(
             subscriber.buffered_bytes() <= 20_000,
-            "{} bytes are buffered",
+            "{} bytes are buffered, at most 20000 are expected",
             subscriber.buffered_bytes()
         );
         let seen = subscriber.status(Time(now)).position;
         let due = subscriber.due();
-        assert!(!seen.is_before(self.balancers[index].seen), "a position goes back");
-        self.balancers[index].seen = seen;
+        assert!(
+            !seen.is_before(self.balancers[index].seen_position),
+            "the position of balancer {index} goes back"
+        );
+        self.balancers[index].seen_position = seen;
         for output in out {
             self.subscriber_output(index, output);
         }
@@ -73,21 +79,23 @@
             && self.balancers[index].timer.is_none_or(|timer| due < timer)
         {
             self.balancers[index].timer = Some(due);
-            self.at(due, Event::SubscriberTimer { subscriber: index });
+            self.schedule(due, Event::SubscriberTimer { subscriber: index });
         }
     }
 
+    /// Calls the tick of a subscriber, or postpones it while the process is paused.
     pub(crate) fn subscriber_timer(&mut self, index: usize) {
         self.balancers[index].timer = None;
-        let thaw = self.balancers[index].frozen_until;
-        if thaw > self.now {
-            self.balancers[index].timer = Some(thaw);
-            self.at(thaw, Event::SubscriberTimer { subscriber: index });
+        let resume_at = self.balancers[index].paused_until;
+        if resume_at > self.now {
+            self.balancers[index].timer = Some(resume_at);
+            self.schedule(resume_at, Event::SubscriberTimer { subscriber: index });
             return;
         }
         self.with_subscriber(index, |subscriber, now, out| subscriber.tick(now, out));
     }
 
+    /// Carries out an output of a subscriber.
     pub(crate) fn subscriber_output(&mut self, index: usize, output: SubscriberOutput) {
         match output {
             SubscriberOutput::Connect { control_machine } => {
@@ -100,33 +108,33 @@
                     accepted_by: None,
                     to_control: Default::default(),
                     to_subscriber: Default::default(),
-                    left_by_subscriber: false,
-                    left_by_control: false,
+                    closed_by_subscriber: false,
+                    closed_by_control: false,
                 };
                 self.connections.insert(id, connection);
-                let at = self.after(MS, 100 * MS);
-                self.at(at, Event::Connect { connection: id });
+                let at = self.random_time(MILLISECOND, 100 * MILLISECOND);
+                self.schedule(at, Event::Connect { connection: id });
             }
             SubscriberOutput::Send(message) => {
                 let Some(connection) = self.balancers[index].connection else {
-                    panic!("a message without a connection");
+                    panic!("balancer {index} sends a message without a connection");
                 };
-                self.send(connection, Way::SubscriberMessage, encode(&message));
+                self.send(connection, Direction::ToControl, encode(&message));
             }
             SubscriberOutput::Close { reason } => {
-                self.count(&reason_name(&reason));
+                self.count_occurrence(&disconnect_reason_name(&reason));
                 if let Some(connection) = self.balancers[index].connection.take() {
-                    self.leave(connection, Way::SubscriberMessage);
+                    self.close_side(connection, Direction::ToControl);
                 }
             }
             SubscriberOutput::Apply(transaction) => {
-                let at = self.after(0, 60 * MS);
+                let at = self.random_time(0, 60 * MILLISECOND);
                 let balancer = &mut self.balancers[index];
-                balancer.applying.push_back(transaction);
+                balancer.apply_queue.push_back(transaction);
                 let incarnation = balancer.incarnation;
-                self.at(at, Event::Apply { subscriber: index, incarnation });
+                self.schedule(at, Event::Apply { subscriber: index, incarnation });
             }
-            SubscriberOutput::Event(event) => self.count(event_name(&event)),
+            SubscriberOutput::Event(event) => self.count_occurrence(event_name(&event)),
             SubscriberOutput::Save => {
                 let balancer = &mut self.balancers[index];
                 balancer.saved = balancer.subscriber.as_ref().map(Subscriber::saved_state);
@@ -134,13 +142,15 @@
         }
     }
 
+    /// Applies the oldest transaction in the queue, unless the process has restarted since it was queued, and checks
+    /// that subscriber and applier have the same resources.
     pub(crate) fn apply(&mut self, index: usize, incarnation: u32) {
-        let checks_atomicity = self.kinds.checks_atomicity;
+        let checks_atomicity = self.schedule_options.checks_atomicity;
         let balancer = &mut self.balancers[index];
         if balancer.incarnation != incarnation || balancer.subscriber.is_none() {
             return;
         }
-        let Some(transaction) = balancer.applying.pop_front() else {
+        let Some(transaction) = balancer.apply_queue.pop_front() else {
             return;
         };
         let result: Result<(), Vec<Rejection>> =
@@ -152,10 +162,10 @@
         if let (Some(subscriber), false) = (&balancer.subscriber, balancer.corrupted) {
             for (service, applied) in &balancer.applier.services {
                 let resources: Vec<_> = subscriber.resources(service).collect();
-                // A service that has left the scope and returned is empty until its snapshot comes.
+                // A service that was removed from the scope and added again is empty until its snapshot is received.
                 assert!(
                     resources.is_empty() || resources.iter().copied().eq(applied.contents.values()),
-                    "applier and subscriber differ"
+                    "the resources of {service} differ between applier and subscriber {index}"
                 );
             }
         }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! Gossip: which updates are sent to other members, how often, and in which order.
+//! The queue of gossip, which determines which updates are sent to other members, how often, and in which order.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 
 use crate::message::{Key, MemberState, Update};
 
-/// How often an update was sent, and a number that grows with each insertion: the update that was sent least comes
-/// first, of equals the one that waits longest.
+/// The sort key of a queued update: how often it was sent, and a number that grows with each insertion. The update that
+/// was sent least often comes first; of equals, the one that has waited longest.
 type Priority = (u32, u64);
 
-/// Updates that are queued at most: what some six thousand datagrams carry in all. Where more happens at once, the
-/// update that was sent most often is discarded first; other members go on sending it.
+/// The maximum number of queued updates. About six thousand datagrams carry all of them. If there are more, the update
+/// that was sent most often is discarded first, since other members go on sending it.
 const MAX_UPDATES: usize = 1024;
 
 /// The queue of updates to send.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dissemination {
     queue: BTreeMap<Priority, Update>,
-    by_member: FxHashMap<Key, Vec<Priority>>,
-    next: u64,
+    priorities_by_member: FxHashMap<Key, Vec<Priority>>,
+    next_insertion: u64,
 }
 
 impl Dissemination {
@@ -31,10 +31,11 @@
         self.queue.is_empty()
     }
 
-    /// Queues an update. It replaces queued updates of the same member, but for suspicions by other members.
+    /// Queues an update. It replaces the queued updates about the same member, except that a suspicion does not replace
+    /// the suspicions that other members report.
     pub(crate) fn add(&mut self, update: Update) {
         let queue = &mut self.queue;
-        let priorities = self.by_member.entry(update.member).or_default();
+        let priorities = self.priorities_by_member.entry(update.member).or_default();
         priorities.retain(|priority| {
             let is_stale = queue.get(priority).is_none_or(|queued| {
                 queued.state != MemberState::Suspect
@@ -48,22 +49,22 @@
         });
         self.insert(0, update);
         if self.queue.len() > MAX_UPDATES {
-            self.remove_last();
+            self.remove_most_sent();
         }
     }
 
-    /// The first so many updates, after those that were sent as often as they may be are discarded.
-    pub(crate) fn first(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
+    /// Discards the updates that were sent `max_transmissions` times, and returns the first `count` of the others.
+    pub(crate) fn next_updates(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
         while let Some(((transmissions, _), _)) = self.queue.last_key_value()
             && *transmissions >= max_transmissions
         {
-            self.remove_last();
+            self.remove_most_sent();
         }
         self.queue.values().take(count).copied().collect()
     }
 
-    /// The first so many updates were sent.
-    pub(crate) fn sent(&mut self, count: usize) {
+    /// Records that the first `count` updates were sent once more.
+    pub(crate) fn record_sent(&mut self, count: usize) {
         let first: Vec<(Priority, Update)> =
             self.queue.iter().take(count).map(|(priority, update)| (*priority, *update)).collect();
         for (priority, update) in first {
@@ -72,20 +73,20 @@
         }
     }
 
-    /// Keeps the updates about these members.
+    /// Removes the updates about members for which `is_known` returns false.
     pub(crate) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
         self.queue.retain(|_, update| is_known(update.member));
-        self.by_member.retain(|key, _| is_known(*key));
+        self.priorities_by_member.retain(|key, _| is_known(*key));
     }
 
     fn insert(&mut self, transmissions: u32, update: Update) {
-        let priority = (transmissions, self.next);
-        self.next += 1;
+        let priority = (transmissions, self.next_insertion);
+        self.next_insertion += 1;
         self.queue.insert(priority, update);
-        self.by_member.entry(update.member).or_default().push(priority);
+        self.priorities_by_member.entry(update.member).or_default().push(priority);
     }
 
-    fn remove_last(&mut self) {
+    fn remove_most_sent(&mut self) {
         let last = self.queue.last_key_value().map(|(priority, update)| (*priority, update.member));
         if let Some((priority, member)) = last {
             self.remove(priority, member);
@@ -94,10 +95,10 @@
 
     fn remove(&mut self, priority: Priority, member: Key) {
         self.queue.remove(&priority);
-        if let Some(priorities) = self.by_member.get_mut(&member) {
+        if let Some(priorities) = self.priorities_by_member.get_mut(&member) {
             priorities.retain(|other| *other != priority);
             if priorities.is_empty() {
-                self.by_member.remove(&member);
+                self.priorities_by_member.remove(&member);
             }
         }
     }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,41 +1,41 @@
-//! Slow start: a server that warms up gets requests by tokens, at the rate of a warm server of its kind times the
-//! share of its capacity that it has for certain.
+//! Slow start: a server that warms up gets requests by tokens. Its tokens are refilled at the rate of a warm server of
+//! its machine type, multiplied by the share of its capacity that it has at least at its age.
 
 use sableloom_types::{SafetyRules, Span, Time};
 
 use crate::server::Server;
 use crate::token_bucket::TokenBucket;
 
-/// Requests of a server that warms up, over all balancers and per service time, while no warm server has shown
-/// what it serves. Failure: with every server cold, or nothing observed yet, none got any work.
+/// The requests per service time, over all balancers, that a server that warms up gets before any warm server has
+/// answered. Without this rate, no server got a request while all were cold.
 const INITIAL_CONCURRENCY: f64 = 4.0;
-/// Tokens that a server may save up: it never gets two requests for the time of one.
+/// The largest number of tokens that a server accumulates. With one, it never gets two requests at once.
 const MAX_TOKENS: f64 = 1.0;
 
-/// Answers of warm servers of one machine kind.
+/// The answers of the warm servers of one machine type.
 #[derive(Clone, Copy, Debug, Default)]
-struct KindRate {
-    /// Decaying count of answers.
+struct MachineTypeRate {
+    /// The exponentially decaying count of answers.
     served: f64,
-    /// The highest rate lately, in answers a microsecond per unit of weight.
+    /// The decaying peak of the rate, in answers a microsecond per unit of weight.
     peak: f64,
 }
 
-/// What warm servers were seen to serve.
+/// The rules of slow start, and the rates of warm servers.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
     initial_share: f64,
     duration: Span,
     /// The time over which answers are counted.
     window: Span,
-    /// By machine kind.
-    kinds: Vec<KindRate>,
-    /// The highest rate of all kinds together lately.
+    /// The rates by machine type.
+    machine_types: Vec<MachineTypeRate>,
+    /// The decaying peak of the rate of all machine types together, in the same unit.
     overall_peak: f64,
 }
 
-/// Rate at which a server that warms up gets requests while nothing is known, in requests a microsecond;
-/// `service_time` is in microseconds.
+/// The rate, in requests a microsecond, at which a server that warms up gets requests before any warm server has
+/// answered; `service_time` is in microseconds.
 pub(crate) fn initial_rate(balancers: u32, service_time: f64) -> f64 {
     INITIAL_CONCURRENCY / f64::from(balancers) / service_time
 }
@@ -46,12 +46,12 @@
             initial_share: rules.slow_start_initial_share,
             duration: rules.slow_start,
             window: rules.overload_window,
-            kinds: Vec::new(),
+            machine_types: Vec::new(),
             overall_peak: 0.0,
         }
     }
 
-    /// Share of its capacity that a server has for certain; `None` once it is warm.
+    /// The share of its capacity, 0 to 1, that a server has at least at its age; `None` once it is warm.
     pub(crate) fn share(&self, now: Time, server: &Server) -> Option<f64> {
         let age = now.since(server.started?);
         if age >= self.duration {
@@ -65,71 +65,74 @@
         self.share(now, server).is_none()
     }
 
-    /// Whether a server may get a request now, as far as its slow start goes.
+    /// Whether the slow start permits a request to a server now.
     pub(crate) fn permits(&self, now: Time, server: &Server, initial_rate: f64) -> bool {
         self.tokens(now, server, initial_rate).is_none_or(|tokens| tokens >= 1.0)
     }
 
-    /// Requests that a server may get by now, one at most; `None` once it is warm.
+    /// The tokens of a server now, [`MAX_TOKENS`] at most; `None` once it is warm.
     fn tokens(&self, now: Time, server: &Server, initial_rate: f64) -> Option<f64> {
         let share = self.share(now, server)?;
         let rate = self.warm_rate(server, initial_rate) * share;
         Some(server.slow_start_tokens.available(now, rate, MAX_TOKENS))
     }
 
-    /// Answers a microsecond that one warm server like this one was seen to give.
+    /// The rate of answers, per microsecond, of a warm server of this machine type and weight; `initial_rate` before
+    /// any warm server has answered.
     fn warm_rate(&self, server: &Server, initial_rate: f64) -> f64 {
-        let of_kind = self.kinds.get(server.kind as usize).map_or(0.0, |kind| kind.peak);
-        let rate = if of_kind > 0.0 { of_kind } else { self.overall_peak };
+        let of_type =
+            self.machine_types.get(server.machine_type as usize).map_or(0.0, |rate| rate.peak);
+        let rate = if of_type > 0.0 { of_type } else { self.overall_peak };
         if rate > 0.0 { rate * server.weight } else { initial_rate }
     }
 
-    /// Counts a request that was forwarded to a server.
-    pub(crate) fn forwarded(&self, now: Time, server: &mut Server, initial_rate: f64) {
+    /// Takes a token for a request that was forwarded to a server.
+    pub(crate) fn record_forwarded(&self, now: Time, server: &mut Server, initial_rate: f64) {
         if let Some(tokens) = self.tokens(now, server, initial_rate) {
-            server.slow_start_tokens = TokenBucket::holding(tokens - 1.0, now);
+            server.slow_start_tokens = TokenBucket::with_tokens(tokens - 1.0, now);
         }
     }
 
-    /// Makes room for this many machine kinds.
-    pub(crate) fn know_kinds(&mut self, kinds: usize) {
-        self.kinds.resize(self.kinds.len().max(kinds), KindRate::default());
+    /// Extends the table to `count` machine types.
+    pub(crate) fn ensure_machine_types(&mut self, count: usize) {
+        self.machine_types.resize(self.machine_types.len().max(count), MachineTypeRate::default());
     }
 
-    /// Counts an answer of a warm server. Answers count and not requests: in a storm of rejections the requests of
-    /// all balancers add up to a multiple of what any server can do.
-    pub(crate) fn served(&mut self, now: Time, server: &Server) {
+    /// Counts an answer, if the server is warm. Requests are not counted: while many are rejected, those of all
+    /// balancers add up to a multiple of what the servers can serve.
+    pub(crate) fn record_served(&mut self, now: Time, server: &Server) {
         let warm = self.is_warm(now, server);
-        self.kinds[server.kind as usize].served += f64::from(u8::from(warm));
+        self.machine_types[server.machine_type as usize].served += f64::from(u8::from(warm));
     }
 
-    /// Weight of the warm servers, by machine kind.
+    /// The sum of the weights of the warm servers, by machine type.
     pub(crate) fn warm_weights(&self, now: Time, servers: &[Server]) -> Vec<f64> {
-        let mut weights = vec![0.0; self.kinds.len()];
+        let mut weights = vec![0.0; self.machine_types.len()];
         for server in servers.iter().filter(|server| server.is_live()) {
-            if let Some(weight) = weights.get_mut(server.kind as usize) {
+            if let Some(weight) = weights.get_mut(server.machine_type as usize) {
                 *weight += if self.is_warm(now, server) { server.weight } else { 0.0 };
             }
         }
         weights
     }
 
-    /// Follows a list that changed the warm weights from `before`: what was counted or seen of many warm servers
-    /// does not hold for few, nor that of few for many. Failure: a balancer with a stale list of ten took their
-    /// rate to the two hundred that it then heard of, and sent each new one as much as all other balancers
+    /// Scales the counts and peaks after a list changed the warm weights from `before`. The answers of many warm
+    /// servers must not count as those of the few that remain, and the rate of each of a few servers is too high once
+    /// the same requests are spread over many. Without this, a balancer with a stale list of ten servers applied their
+    /// rate to the two hundred of the next list, and sent each cold server as many requests as all other balancers
     /// together.
     pub(crate) fn list_changed(&mut self, now: Time, servers: &[Server], before: &[f64]) {
         let after = self.warm_weights(now, servers);
         let growth = |before: f64, after: f64| if before > 0.0 { after / before } else { 1.0 };
         self.overall_peak /= growth(before.iter().sum(), after.iter().sum()).max(1.0);
-        for (kind, (before, after)) in self.kinds.iter_mut().zip(before.iter().zip(after)) {
+        for (rate, (before, after)) in self.machine_types.iter_mut().zip(before.iter().zip(after)) {
             let growth = growth(*before, after);
-            kind.served *= growth.min(1.0);
-            kind.peak /= growth.max(1.0);
+            rate.served *= growth.min(1.0);
+            rate.peak /= growth.max(1.0);
         }
     }
 
-    /// Refills the tokens and brings the rates of warm servers up to date.
+    /// Refills the tokens and refreshes the rates of warm servers.
     pub(crate) fn refresh(
         &mut self,
         now: Time,
@@ -138,28 +141,30 @@
         initial_rate: f64,
     ) {
         for server in servers.iter_mut().filter(|server| server.is_live()) {
-            // Only by rates that stand. Failure: refilled by sums that were still half made, the first servers of
-            // the list had the whole fleet's rate, and were overloaded.
+            // Tokens are refilled at the rates of the last refresh, before these change below. When they were refilled
+            // while the sums over the servers were incomplete, the first servers of the list got the rate of the whole
+            // pool and were overloaded.
             if let Some(tokens) = self.tokens(now, server, initial_rate) {
-                server.slow_start_tokens = TokenBucket::holding(tokens, now);
+                server.slow_start_tokens = TokenBucket::with_tokens(tokens, now);
             }
         }
         let elapsed = elapsed.as_micros_f64();
         let weights = self.warm_weights(now, servers);
         let window = self.window.as_micros_f64().max(1.0);
-        let memory = self.duration.as_micros_f64().max(1.0);
+        let decay_time = self.duration.as_micros_f64().max(1.0);
         let remaining = (-elapsed / window).exp();
-        self.kinds.iter_mut().for_each(|kind| kind.served *= remaining);
-        // A peak that fades. Failure: when the warm servers slowed, the cold ones, which did not, were held back
-        // with them.
+        self.machine_types.iter_mut().for_each(|rate| rate.served *= remaining);
+        // The decaying peak is used instead of the current rate. With the current rate, when the warm servers slowed
+        // down, the cold ones got fewer requests as well, although they had not slowed down.
         let update = |peak: &mut f64, served: f64, weight: f64| {
-            let seen = if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
-            *peak = (*peak * (-elapsed / memory).exp()).max(seen);
+            let observed =
+                if weight > 0.0 && served >= 1.0 { served / window / weight } else { 0.0 };
+            *peak = (*peak * (-elapsed / decay_time).exp()).max(observed);
         };
-        let served = self.kinds.iter().map(|kind| kind.served).sum();
+        let served = self.machine_types.iter().map(|rate| rate.served).sum();
         update(&mut self.overall_peak, served, weights.iter().sum());
-        for (kind, weight) in self.kinds.iter_mut().zip(weights) {
-            update(&mut kind.peak, kind.served, weight);
+        for (rate, weight) in self.machine_types.iter_mut().zip(weights) {
+            update(&mut rate.peak, rate.served, weight);
         }
     }
 }
