--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -8,13 +8,13 @@
 
 use crate::attempt_context::DispatchAddress;
 
-/// A server that a list named.
+/// A server that an endpoint list has named.
 struct KnownServer {
     name: Box<str>,
     address: SocketAddr,
-    /// Its address while it accepts new attempts.
+    /// The address of the server while it accepts new attempts, shared with the attempts.
     dispatch_address: DispatchAddress,
-    /// Whether the list in force has it, live or draining.
+    /// Whether the current list contains the server, as live or draining.
     listed: bool,
 }
 
@@ -27,7 +27,7 @@
     next_id: u32,
 }
 
-/// What an entry of a list changed.
+/// The result of recording an entry of a list.
 pub(crate) struct RecordedEndpoint {
     /// The server as the policy sees it.
     pub(crate) endpoint: Endpoint,
@@ -43,12 +43,12 @@
         self.servers.get(&server).map(|known| &known.dispatch_address)
     }
 
-    /// A full list follows: only what it names is listed.
+    /// Marks all servers as not listed, before the entries of a full list are recorded.
     pub(crate) fn begin_full_list(&mut self) {
         self.servers.values_mut().for_each(|known| known.listed = false);
     }
 
-    /// Takes in one entry of a list.
+    /// Records one entry of a list.
     pub(crate) fn record(
         &mut self,
         settings: &DeploymentSettings,
@@ -71,7 +71,7 @@
         known.address = entry.address;
         let endpoint = Endpoint {
             id,
-            // Not of the address, which differs from one balancer to the next.
+            // The hash is of the name and not of the address, which differs from one balancer to the next.
             name_hash: stable_hash(&known.name),
             zone: index_of(&settings.zones, &entry.zone),
             machine_type: index_of(&settings.machine_types, &entry.machine_type),
@@ -83,7 +83,7 @@
         RecordedEndpoint { endpoint, address_changed }
     }
 
-    /// Withdraws the dispatch addresses of the servers that no list in force has, and returns their ids.
+    /// Withdraws the dispatch addresses of the servers that the current list does not contain, and returns their ids.
     pub(crate) fn withdraw_unlisted(&self) -> Vec<ServerId> {
         let unlisted = self.servers.iter().filter(|(_, known)| !known.listed);
         unlisted
@@ -94,8 +94,8 @@
             .collect()
     }
 
-    /// Forgets the servers that are neither listed nor `in_use`, and returns their ids. Guards against growth:
-    /// over a long run there are ever new servers.
+    /// Forgets the servers that are neither listed nor `in_use`, and returns their ids. Without this the address book
+    /// would grow without bound, as new servers keep appearing over a long run.
     pub(crate) fn forget_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
         let mut forgotten = Vec::new();
         self.servers.retain(|id, known| {
--- a/crates/exchange/src/attempt.rs
+++ b/crates/exchange/src/attempt.rs
@@ -11,13 +11,15 @@
 
 /// One forwarding of a request to a server.
 pub(crate) struct Attempt {
+    /// The index of the attempt among those of its request.
     pub(crate) number: usize,
     pub(crate) server: ServerId,
-    /// When the policy forwarded it.
+    /// When the policy decided to forward the request.
     pub(crate) sent: Instant,
-    /// `None` if the server accepted nothing new by the time that the attempt was decided.
+    /// The context for the transport; `None` if the server accepted no new attempts when this one was decided.
     pub(crate) context: Option<Rc<AttemptContext>>,
     /// True until it is proven that the attempt was not executed.
     pub(crate) may_have_executed: Cell<bool>,
+    /// Notified when the policy cancels the attempt.
     pub(crate) cancel: Notify,
 }
--- a/crates/exchange/src/attempt_context.rs
+++ b/crates/exchange/src/attempt_context.rs
@@ -1,4 +1,4 @@
-//! What a transport is given for one attempt, and the permission to send each of its bytes.
+//! The context that a transport receives for one attempt, and the checks that permit each of its bytes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 
 use crate::message::Message;
 
-/// The address at which a server accepts new attempts; `None` while it is draining or gone. All attempts at a
-/// server share the cell, so that a change after an attempt was decided is seen at its first byte.
+/// The address at which a server accepts new attempts; `None` while it is draining or gone. All attempts at a server
+/// share the cell, so that a change after the decision for an attempt is seen before its first byte.
 pub type DispatchAddress = Rc<Cell<Option<SocketAddr>>>;
 
 /// A connection on which the bytes of an attempt are sent.
@@ -19,7 +19,7 @@
     fn fully_written(&self) -> bool;
 }
 
-/// One attempt, as a transport is given it.
+/// One attempt, as it is passed to a transport.
 pub struct AttemptContext {
     /// The request.
     pub message: Rc<Message>,
@@ -27,9 +27,10 @@
     pub server: ServerId,
     /// The server's address when the attempt was decided.
     pub address: SocketAddr,
-    /// After this nobody waits for an answer.
+    /// The time after which the answer is no longer awaited.
     pub deadline: Instant,
-    /// A retry whose last byte is written later than this may not be recognized as one.
+    /// The time after which the last byte of a retry must not be written, because the server may not recognize it as
+    /// a retry.
     complete_before: Option<Instant>,
     dispatch_address: DispatchAddress,
     request_finished: Rc<Cell<bool>>,
@@ -37,8 +38,8 @@
 }
 
 impl AttemptContext {
-    /// An attempt at this server, of a request that is finished once `request_finished` says so. `None` if the
-    /// server accepts nothing new.
+    /// Returns an attempt at this server for a request that is finished once `request_finished` is true, or `None` if
+    /// the server accepts no new attempts.
     pub fn new(
         message: Rc<Message>,
         server: ServerId,
@@ -58,21 +59,22 @@
         })
     }
 
-    /// The same attempt, but its last byte must be written before this time. Guards against a retry that arrives
-    /// after the server's deduplication window and is executed a second time.
+    /// Requires the last byte of the attempt to be written before this time. This prevents a retry from arriving
+    /// after the server's deduplication window and being executed a second time.
     pub fn complete_before(mut self, time: Option<Instant>) -> Self {
         self.complete_before = time;
         self
     }
 
     /// Whether the first byte may be sent now: the request is not finished, its client has not disconnected, and the
-    /// server accepts new attempts at the address that was decided on. This is the one place that permits the
-    /// first byte. A transport asks right before that byte, whatever it waited for until then.
+    /// server accepts new attempts at the address that was decided on. No other function permits the first byte. A
+    /// transport must call this right before it sends that byte, whatever it waited for before.
     pub fn may_send_first_byte(&self) -> bool {
         self.is_dispatchable() && !self.message.client_is_gone()
     }
 
-    /// The same, but without the look at the client's socket, which costs a system call.
+    /// Like [`may_send_first_byte`](Self::may_send_first_byte), but without the check of the client's socket, which
+    /// costs a system call.
     pub fn is_dispatchable(&self) -> bool {
         self.may_send_more() && self.dispatch_address.get() == Some(self.address)
     }
@@ -84,7 +86,7 @@
             && self.complete_before.is_none_or(|time| Instant::now() < time)
     }
 
-    /// From now on the request is written to this connection. To be called before the first byte.
+    /// Sets the connection to which the request is written. Must be called before the first byte is sent.
     pub fn set_connection(&self, connection: Rc<dyn AttemptConnection>) {
         *self.connection.borrow_mut() = Some(connection);
     }
--- a/crates/exchange/src/attempt_run.rs
+++ b/crates/exchange/src/attempt_run.rs
@@ -1,4 +1,4 @@
-//! The run of one attempt, from its first step to the one outcome that the policy gets.
+//! Runs one attempt until its single outcome is reported to the policy.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -10,8 +10,8 @@
 use crate::outcome::AttemptEnd;
 use crate::ports::{AttemptOutcome, Transport};
 
-/// An attempt that owes its one outcome to `report`. If its task panics it reports a lost connection: unless
-/// the request was not written completely, it may have been executed.
+/// An attempt that reports exactly one outcome to `report`. If its task panics, it reports a lost connection, so that
+/// the request counts as possibly executed if it was written completely.
 pub(crate) struct PendingAttempt<R>
 where
     R: FnOnce(&OpenRequest, &Attempt, AttemptOutcome),
@@ -30,7 +30,7 @@
         Self { request, attempt, report: Some(report) }
     }
 
-    /// Runs the attempt to its end, if it is within the number of attempts, and reports its outcome.
+    /// Runs the attempt to its end and reports its outcome. An attempt beyond `max_attempts` is not started.
     pub(crate) async fn run_attempt(mut self, transport: Rc<dyn Transport>, max_attempts: usize) {
         let outcome = self.outcome(transport, max_attempts).await;
         self.report_once(outcome);
@@ -52,8 +52,8 @@
         };
         tokio::select! {
             biased;
-            // First of all, as the transport may be about to write in this very turn: no byte is sent after
-            // the final answer, and a request that is written in part stays so.
+            // This branch is polled first, because the transport may be about to write in the same poll: no byte is
+            // sent after the final answer, and a partly written request stays incomplete.
             () = request_finished => AttemptOutcome::without_answer(AttemptEnd::RequestFinished),
             outcome = transport.attempt(context.clone()) => outcome,
             () = attempt.cancel.notified() => AttemptOutcome::without_answer(AttemptEnd::Cancelled),
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,5 +1,5 @@
-//! The facade of a pool: the only owner of its policy. It tells the policy what happens, and carries out the actions
-//! that the policy returns. It makes no decision itself.
+//! The facade of a pool and the only owner of its policy. It reports events to the policy and carries out the actions
+//! that the policy returns. It makes no decisions itself.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,12 +29,12 @@
 };
 use crate::reply_future::ReplyFuture;
 
-/// The end of a share of the servers that was proven to belong to this balancer.
+/// The expiry of the share of the servers that was proven to belong to this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareExpiry {
-    /// When it ends.
+    /// When the share expires.
     pub at: Time,
-    /// How many balancers share the servers from then on.
+    /// The number of balancers that count as sharing the servers from then on.
     pub balancers_after: u32,
 }
 
@@ -46,17 +46,17 @@
     idle: IdleState,
 }
 
-/// The parts of an exchange.
+/// The settings and components from which an [`Exchange`] is started.
 pub struct ExchangeOptions {
     /// The deployment's settings.
     pub settings: Rc<DeploymentSettings>,
     /// The seed of the policy's random numbers.
     pub seed: u64,
-    /// The clock that all parts share.
+    /// The clock that all components share.
     pub clock: Clock,
     /// Runs the attempts.
     pub transport: Rc<dyn Transport>,
-    /// Names the servers.
+    /// Provides the endpoint list.
     pub source: Rc<dyn EndpointSource>,
 }
 
@@ -67,18 +67,18 @@
     settings: Rc<DeploymentSettings>,
     transport: Rc<dyn Transport>,
     source: Rc<dyn EndpointSource>,
-    /// No timer of the policy is started any more.
+    /// Whether the exchange was closed, so that no further timer of the policy is started.
     closed: Cell<bool>,
-    /// The process is about to end: new requests are rejected at once.
+    /// Whether the process is about to terminate, so that new requests are rejected at once.
     shutting_down: Cell<bool>,
 }
 
 impl Exchange {
-    /// Starts an exchange that knows no server yet: its policy's timers run, and it subscribes to its source.
+    /// Starts an exchange without any servers: its policy's timers run, and it subscribes to its endpoint source.
     ///
     /// # Errors
     ///
-    /// The setting that the policy can't work with.
+    /// Returns the setting that the policy does not support.
     pub fn start(options: ExchangeOptions) -> Result<Rc<Self>, PolicySettingsError> {
         let ExchangeOptions { settings, seed, clock, transport, source } = options;
         let now = clock.now();
@@ -99,27 +99,28 @@
             shutting_down: Cell::new(false),
         });
         exchange.with_policy(|balancer, now, actions| balancer.start(now, actions));
-        // At once, also where the policy polls for the list: the source knows whether it has to wait for that.
+        // The exchange subscribes at once, even if the policy polls for the list: the source knows whether it has to
+        // wait for that.
         exchange.source.clone().subscribe(exchange.clone());
         Ok(exchange)
     }
 
-    /// Stops the policy's timers, after which no task holds the exchange any more. To be called once no request is
-    /// open and no further one comes.
+    /// Starts no further timer of the policy, so that no task keeps a reference to the exchange once the pending
+    /// timer has fired. Must be called only when no request is open and no further one will arrive.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// Sets the number of balancers that share the servers, and until when it holds.
+    /// Sets the number of balancers that share the servers, and when that number expires.
     pub fn set_balancers(&self, balancers: u32, expires: Option<ShareExpiry>) {
         let mut state = self.state.borrow_mut();
-        // First the end of the share before it: in an idle pool it was not looked at.
+        // The previous share may have expired while the pool was idle, during which its expiry is not checked.
         state.expire_share(self.clock.now());
         state.balancer.set_balancers(balancers);
         state.share_expires = expires;
     }
 
-    /// Whether the pool is idle, so that no timer of it runs.
+    /// Whether the pool is idle, in which case none of its timers runs.
     pub fn is_idle(&self) -> bool {
         self.state.borrow().idle.is_idle()
     }
@@ -129,9 +130,10 @@
         self.state.borrow().requests.unfinished().count()
     }
 
-    /// Answers all open requests, as the process is about to end: those that were never forwarded are rejected, the
-    /// others have failed. Nothing is forwarded afterwards, and new requests are rejected at once. Failure: a
-    /// request that was read in the last 60 ms was forwarded, and its answer found no process.
+    /// Answers all open requests because the process is about to terminate: requests that were never forwarded are
+    /// rejected, the others fail. Afterwards nothing is forwarded, and new requests are rejected at once. Without
+    /// this, a request that was read in the last 60 ms was forwarded, and its answer arrived after the process had
+    /// terminated.
     pub fn abort_open_requests(self: &Rc<Self>) {
         self.shutting_down.set(true);
         let open: Vec<_> = {
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Makes one call of the policy and carries out the actions that it returns.
+    /// Calls the policy once and carries out the actions that it returns.
     fn with_policy(self: &Rc<Self>, call: impl FnOnce(&mut Balancer, Time, &mut Vec<Action>)) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
@@ -180,7 +182,8 @@
             Action::SetTimer { token, at } => self.set_timer(state, now, Timer { token, at }),
             Action::CheckHealth { server } => self.check_health(state, server),
             Action::Subscribe => {
-                // Not within this call: a source may report a list at once.
+                // The subscription is opened in a task of its own: a source may report a list at once, while this
+                // call still borrows the state.
                 let exchange = self.clone();
                 spawn_local(async move {
                     exchange.source.clone().subscribe(exchange.clone());
@@ -224,9 +227,10 @@
         spawn_local(pending.run_attempt(self.transport.clone(), max_attempts));
     }
 
-    /// Until when servers recognize a further attempt as a retry: they drop what comes within the class's
-    /// deduplication window of the first attempt that may have been executed. The policy checks it when it
-    /// decides, but a connection may come up, or a blocked one take the last byte, long after that.
+    /// The time until which servers recognize a further attempt as a retry: they drop attempts that arrive within the
+    /// class's deduplication window of the first attempt that may have been executed. The policy checks the window
+    /// when it decides, but the connection may be established, or a blocked connection may accept the last byte, long
+    /// after that.
     fn dedup_window_end(&self, request: &OpenRequest) -> Option<Instant> {
         if request.message.idempotency != Idempotency::Keyed {
             return None;
@@ -280,7 +284,7 @@
         });
     }
 
-    /// Tells the policy the outcome of an attempt, and answers its request if the attempt succeeded.
+    /// Reports the outcome of an attempt to the policy, and answers the request if the attempt succeeded.
     fn attempt_ended(
         self: &Rc<Self>,
         request: &OpenRequest,
@@ -316,7 +320,7 @@
         self.state.borrow_mut().remove_if_done(self.clock.now(), id);
     }
 
-    /// The one place that gives a request its final answer, once.
+    /// Sends the final answer to a request unless one was sent before. No other function sends final answers.
     fn send_final_answer(&self, state: &mut State, id: RequestId, reply: Reply) {
         let Some(request) = state.requests.get(id) else { return };
         let Some(sender) = request.finish() else { return };
@@ -326,7 +330,7 @@
         state.remove_if_done(self.clock.now(), id);
     }
 
-    /// The client of this request has disconnected: no further byte is sent for it.
+    /// Finishes a request whose client has disconnected: no further byte is sent for it.
     fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let was_open = {
             let mut state = self.state.borrow_mut();
@@ -341,8 +345,8 @@
         }
     }
 
-    /// Takes the entries of a list into the address book, and tells the transport which servers moved or left the
-    /// list.
+    /// Records the entries of a list in the address book, and reports to the transport which servers changed their
+    /// address or left the list.
     fn record_endpoints(&self, kind: ListKind, entries: &[ListedEndpoint]) -> Vec<Endpoint> {
         let mut state = self.state.borrow_mut();
         if kind != ListKind::Update {
@@ -358,15 +362,15 @@
         }
         let full = matches!(kind, ListKind::Full | ListKind::Restored);
         state.idle.endpoints_updated(full, &endpoints);
-        // Only what a full list leaves out is gone. To retire all servers first would close every idle connection,
-        // and each full list would cost as many new ones.
+        // Only the servers that a full list omits are retired. Retiring all servers first would close every idle
+        // connection, and each full list would cost as many new connections.
         for server in state.endpoints.withdraw_unlisted() {
             self.transport.set_retired(server, true);
         }
         endpoints
     }
 
-    /// Forgets the servers that are gone and that the policy has forgotten.
+    /// Forgets the servers that are not listed and that the policy has forgotten.
     fn forget_departed(&self) {
         let state = &mut *self.state.borrow_mut();
         for server in state.endpoints.forget_unlisted(|server| state.balancer.has_server(server)) {
@@ -376,15 +380,16 @@
 }
 
 impl State {
-    /// Applies the end of the balancer's share. It is checked before each call of the policy and not by a timer:
-    /// a process that was stopped and resumed may get a request before any of its timers fires.
+    /// Applies the expiry of the balancer's share if it is due. The expiry is checked before each call of the policy
+    /// rather than by a timer, because a process that was stopped and resumed may receive a request before any of its
+    /// timers fires.
     fn expire_share(&mut self, now: Time) {
         if let Some(expiry) = self.share_expires.take_if(|expiry| now >= expiry.at) {
             self.balancer.set_balancers(expiry.balancers_after);
         }
     }
 
-    /// Makes up for the timer that was held back while the pool was idle.
+    /// Ends the idle period of the pool: runs the deferred timer if it is due, and sets it again otherwise.
     fn run_deferred_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         match self.idle.take_deferred_timer() {
             Some(Timer { token, at }) if at <= now => {
@@ -430,7 +435,7 @@
 impl EndpointListener for Exchange {
     fn endpoints_updated(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>) {
         let endpoints = self.record_endpoints(kind, &entries);
-        // Idle connections to a draining server would only delay its shutdown.
+        // Draining servers are retired too, because idle connections to them would only delay their shutdown.
         for endpoint in &endpoints {
             self.transport.set_retired(endpoint.id, endpoint.status != EndpointStatus::Live);
         }
--- a/crates/exchange/src/fields.rs
+++ b/crates/exchange/src/fields.rs
@@ -18,8 +18,8 @@
 }
 
 impl Fields {
-    /// Collects names and values. `pairs` is called twice: to measure them, and to copy them into a buffer of
-    /// that size. What does not fit into 4 GiB is left out.
+    /// Copies names and values into one buffer. `pairs` is called twice: to measure them, and to copy them into a
+    /// buffer of that size. Fields that do not fit into 4 GiB are left out.
     pub fn collect<'a, I>(pairs: impl Fn() -> I) -> Self
     where
         I: Iterator<Item = (&'a [u8], &'a [u8])>,
@@ -44,7 +44,7 @@
         Self { text: text.freeze(), ends }
     }
 
-    /// Each name and value; a value shares the buffer.
+    /// Iterates over the names and values in their order. The values share the buffer.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], Bytes)> {
         let mut start = 0;
         self.ends.iter().map(move |end| {
@@ -55,7 +55,7 @@
         })
     }
 
-    /// The first value of a name.
+    /// The value of the first field with this name, which must be in lower case.
     pub fn get(&self, name: &str) -> Option<Bytes> {
         self.iter().find(|(n, _)| *n == name.as_bytes()).map(|(_, value)| value)
     }
--- a/crates/exchange/src/idle.rs
+++ b/crates/exchange/src/idle.rs
@@ -1,9 +1,10 @@
-//! When a pool without requests stops its timers, so that it costs nothing until it is needed again.
+//! Detects that a pool is idle and stops its timers, so that a pool without requests costs nothing until it is needed
+//! again.
 //!
-//! The policy sets one timer after the other and brings its sums up to date at each. While no request is open and no
-//! server is in slow start, all that those timers do is to let sums decay, and one decay over a long time leaves what
-//! many over short times leave. So the timer is held back, and made up for before the next call of the policy.
-//! `docs/design/exchange.md`, "Idle pools", has the reasons.
+//! The policy sets one timer after another and updates its sums at each. While no request is open and no server is in
+//! slow start, the timers only let those sums decay, and one decay over a long time has the same result as many
+//! decays over short times. The timer of an idle pool is therefore deferred, and run before the next call of the
+//! policy. `docs/design/exchange.md`, "Idle pools", gives the reasons.
 
 use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, span_from_ms};
 use sableloom_types::{Endpoint, EndpointStatus, Span, Time};
@@ -15,26 +16,26 @@
 /// A timer that the policy has set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Timer {
-    /// The policy's name for it.
+    /// The token by which the policy identifies the timer.
     pub(crate) token: u64,
-    /// When it is due.
+    /// When the timer is due.
     pub(crate) at: Time,
 }
 
-/// Whether a pool is idle, and the timer with which it resumes.
+/// Whether a pool is idle, and the deferred timer with which it resumes.
 #[derive(Debug)]
 pub(crate) struct IdleState {
-    /// Whether the settings allow it at all.
+    /// Whether the settings allow the pool to become idle.
     allowed: bool,
-    /// For how long no request must have been open.
+    /// How long no request must have been open before the pool is idle.
     idle_after: Span,
     /// How long the slow start of a server lasts.
     slow_start: Span,
     /// When a request was last opened or removed.
     last_request: Time,
-    /// When the last server of the list has ended its slow start.
+    /// When the slow start of the last listed server ends.
     slow_starts_end: Time,
-    /// The timer that is held back while the pool is idle.
+    /// The timer that is deferred while the pool is idle.
     deferred_timer: Option<Timer>,
 }
 
@@ -44,8 +45,9 @@
             settings.classes.iter().map(|class| span_from_ms(class.deadline).0).max().unwrap_or(0);
         let slow_start = span_from_ms(settings.safety.slow_start);
         let overload_window = span_from_ms(settings.safety.overload_window);
-        // With `Poll` the policy polls for its list by the timer. And the highest rate that warm servers were
-        // seen to serve decays in one step as in many only if the count behind it decays sooner.
+        // With `Poll` the policy polls for its list by the timer, which must therefore keep running. The second
+        // condition is needed because the highest rate that warm servers were seen to serve decays in one step as in
+        // many only if the count behind it decays sooner.
         let allowed = settings.endpoint_list_delivery != EndpointListDelivery::Poll
             && overload_window <= slow_start;
         let idle_after = Span(longest.saturating_mul(IDLE_AFTER_DEADLINES));
@@ -59,23 +61,23 @@
         }
     }
 
-    /// A request was opened or removed.
+    /// Records that a request was opened or removed.
     pub(crate) fn record_request_change(&mut self, now: Time) {
         self.last_request = now;
     }
 
-    /// The endpoint list, or a part of it, has changed.
+    /// Records a change of the endpoint list; `full` tells whether `endpoints` is a full list or a part of one.
     pub(crate) fn endpoints_updated(&mut self, full: bool, endpoints: &[Endpoint]) {
         let listed = endpoints.iter().filter(|server| server.status != EndpointStatus::Gone);
         let slow_starts_end =
             listed.filter_map(|server| Some(server.started?.plus(self.slow_start))).max();
-        // After a full list of servers that have long ended their slow start there is nothing to wait for.
+        // A full list replaces all servers: only the slow starts of its own servers count.
         let before = (!full).then_some(self.slow_starts_end);
         self.slow_starts_end =
             before.into_iter().chain(slow_starts_end).max().unwrap_or(Time(i64::MIN));
     }
 
-    /// Holds the timer back if the pool may be idle now; whether it did.
+    /// Defers the timer if the pool is idle now, and returns whether it did.
     pub(crate) fn defer_timer_if_idle(&mut self, now: Time, any_open: bool, timer: Timer) -> bool {
         let unused = !any_open && now >= self.last_request.plus(self.idle_after);
         let idle = self.allowed && unused && now >= self.slow_starts_end;
@@ -83,7 +85,7 @@
         idle
     }
 
-    /// Ends the idle time: the timer that was held back.
+    /// Ends the idle period and returns the deferred timer, if there is one.
     pub(crate) fn take_deferred_timer(&mut self) -> Option<Timer> {
         self.deferred_timer.take()
     }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,15 +1,15 @@
-//! From a complete request over its attempts to exactly one final answer.
+//! Runs a complete request through its attempts to exactly one final answer, independent of the protocol.
 //!
 //! Every protocol needs the same rules: a request gets one final answer, a request that is not idempotent is
 //! forwarded again only with proof that it was not executed, and no byte of a request is sent after its answer. This
-//! crate has them once, whatever the protocol. An [`Exchange`] owns the policy of one pool of servers: it tells the
-//! policy what happens and carries out the actions that it returns. A front hands it complete requests through
-//! [`Service`], a [`Transport`] runs single attempts, and an [`EndpointSource`] names the servers.
+//! crate implements them once for all protocols. An [`Exchange`] owns the policy of one pool of servers: it reports
+//! events to the policy and carries out the actions that the policy returns. A front passes complete requests to it
+//! through [`Service`], a [`Transport`] runs single attempts, and an [`EndpointSource`] provides the endpoint list.
 //!
-//! It never decides anything itself, reads no protocol and opens no socket.
+//! The exchange makes no decisions of its own, parses no protocol and opens no socket.
 //!
-//! A request is open, then finished (answered, or its client has disconnected), and is removed when its last attempt has
-//! ended. Three invariants have one place each:
+//! A request is open until it is finished, which means that it was answered or that its client has disconnected. A
+//! finished request is removed when its last attempt has ended. Three invariants are enforced in one place each:
 //!
 //! - the final answer is sent by `Exchange::send_final_answer`, which takes the only sender;
 //! - whether an attempt may have been executed is decided by [`outcome::classify`], from facts that transports report;
@@ -18,13 +18,13 @@
 //! | module | concern |
 //! | --- | --- |
 //! | `exchange` | the facade, which owns the policy |
-//! | `open_requests`, `reply_future` | the open requests and their ids; the wait for a final answer |
+//! | `open_requests`, `reply_future` | the open requests and their ids; the future of a final answer |
 //! | `attempt`, `attempt_run` | an attempt and its run to one outcome |
-//! | `attempt_context` | what a transport is given, and the permission for each byte |
+//! | `attempt_context` | what a transport receives for an attempt, and the checks that permit each byte |
 //! | `outcome` | whether an attempt may have been executed |
 //! | `address_book` | ids and addresses of the servers |
-//! | `idle` | when a pool without requests stops its timers |
-//! | `fields`, `message`, `ports` | requests and answers of no protocol, and the traits at which protocols meet |
+//! | `idle` | when a pool without requests is idle and its timers stop |
+//! | `fields`, `message`, `ports` | requests and answers independent of protocols, and the traits between protocols and the crate |
 //!
 //! ```
 //! use sableloom_exchange::outcome::{AttemptEnd, AttemptFacts, classify};
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests and answers in a form that belongs to no protocol.
+//! Requests and answers in a protocol-independent form.
 
 use std::any::Any;
 use std::rc::Weak;
@@ -12,69 +12,70 @@
 
 /// The client that waits for the answer to a request.
 pub trait Client {
-    /// Whether it has closed its connection or cancelled its request, as far as the system can tell now, also
-    /// if the front has not read that far yet.
+    /// Whether the client has closed its connection or cancelled its request, as far as the operating system can tell
+    /// now, even if the front has not read that far yet.
     fn is_gone(&self) -> bool;
 }
 
 /// A complete request as it is forwarded to servers.
 pub struct Message {
-    /// Its id, as the client named it.
+    /// The id that the client gave to the request.
     pub id: Bytes,
-    /// Whether it may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The method, named as HTTP names it.
+    /// The method, by its HTTP name.
     pub method: Bytes,
-    /// Its target, in the form of a path with its query.
+    /// The target, in the form of a path with its query.
     pub target: Bytes,
     /// The other fields that the client sent, the id included.
     pub fields: Fields,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Lives as long as the message: the permit for its body's share of a memory budget.
+    /// A value that is dropped with the message: the permit for the body's share of a memory budget.
     pub attachment: Option<Box<dyn Any>>,
-    /// The client, or `None` for one that can't disconnect. A weak reference, as attempts outlive connections.
+    /// The client, or `None` for one that can't disconnect. The reference is weak because attempts outlive client
+    /// connections.
     pub client: Option<Weak<dyn Client>>,
 }
 
 impl Message {
-    /// Whether its client has disconnected.
+    /// Whether the client of the request has disconnected.
     pub fn client_is_gone(&self) -> bool {
         let gone = |client: &Weak<dyn Client>| client.upgrade().is_none_or(|c| c.is_gone());
         self.client.as_ref().is_some_and(gone)
     }
 }
 
-/// What the policy sees of a request.
+/// The properties of a request that are passed to the policy.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
-    /// Its class, by index.
+    /// The index of the request's class.
     pub class: usize,
-    /// Its tenant, by index.
+    /// The index of the request's tenant.
     pub tenant: usize,
-    /// The hash of its affinity key, if it has one.
+    /// The hash of the request's affinity key, if it has one.
     pub key: Option<u64>,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Time,
 }
 
 /// A complete answer of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// Its fields.
+    /// The header fields.
     pub fields: Fields,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A server's answer.
+    /// The answer of a server.
     Served(Answer),
-    /// It was not executed and may be sent again, after the time of Retry-After if there is one.
+    /// The request was not executed and may be sent again, after this time (Retry-After) if one is given.
     Rejected(Option<Duration>),
-    /// It failed, and may have been executed.
+    /// The request failed and may have been executed.
     Failed,
 }
 
@@ -87,10 +88,10 @@
     /// Another open request has the same id.
     #[error("another open request has the same id")]
     DuplicateId,
-    /// No route leads to a pool; the status to answer with, numbered as HTTP numbers them.
+    /// No route leads to a pool. The value is the HTTP status code to answer with.
     #[error("no route leads to a pool (status {0})")]
     NoRoute(u16),
-    /// Its tenant is over its limit; after this time a request is within it again.
+    /// The tenant is over its limit. After this time a request of the tenant is within the limit again.
     #[error("the tenant is over its limit for {0:?}")]
     OverTenantLimit(Duration),
 }
--- a/crates/exchange/src/open_requests.rs
+++ b/crates/exchange/src/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests of one pool that are open, by id.
+//! The open requests of one pool, by id.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,12 +20,13 @@
     pub(crate) deadline: Time,
     /// Taken to send the final answer, so that a second answer is impossible.
     reply_sender: RefCell<Option<oneshot::Sender<Reply>>>,
-    /// Its final answer is sent or its client has disconnected. Shared with the contexts of its attempts.
+    /// Whether the final answer was sent or the client has disconnected. The contexts of the attempts share this
+    /// cell.
     pub(crate) finished: Rc<Cell<bool>>,
     pub(crate) attempts: RefCell<Vec<Rc<Attempt>>>,
-    /// How many of the attempts have not ended.
+    /// The number of attempts that have not ended.
     pub(crate) attempts_in_flight: Cell<usize>,
-    /// Wakes the attempts when the request is finished: one that was not written completely ends.
+    /// Wakes the attempts when the request is finished, so that each one that was not written completely ends.
     pub(crate) finish_signal: Notify,
 }
 
@@ -42,7 +43,7 @@
         attempts.iter().filter(|attempt| attempt.may_have_executed.get()).map(|a| a.sent).min()
     }
 
-    /// Whether it was never forwarded.
+    /// Whether the request was never forwarded.
     pub(crate) fn has_no_attempt(&self) -> bool {
         self.attempts.borrow().is_empty()
     }
@@ -53,13 +54,13 @@
 pub(crate) struct OpenRequests {
     by_id: FxHashMap<RequestId, Rc<OpenRequest>>,
     next_id: u64,
-    /// The ids that the clients gave them.
+    /// The ids that clients gave to the open requests.
     trace_ids: FxHashSet<Bytes>,
 }
 
 impl OpenRequests {
-    /// Opens a request; its final answer goes to `reply_sender`. `limit` bounds how many are open, 0 being no
-    /// bound.
+    /// Opens a request whose final answer goes to `reply_sender`. `limit` bounds the number of open requests; 0 means
+    /// that there is no bound.
     pub(crate) fn open(
         &mut self,
         context: &RequestContext,
@@ -70,8 +71,8 @@
         if limit > 0 && self.by_id.len() >= limit {
             return Err(RequestRejection::TooManyOpen);
         }
-        // Two requests with one id could be mixed up: an answer, a retry or a reset of one be taken for the
-        // other's. That holds as long as an attempt is in flight, also after the final answer.
+        // Two requests with the same id could be confused: an answer, a retry or a reset of one could be taken for
+        // that of the other. This holds for as long as an attempt is in flight, even after the final answer.
         if !self.trace_ids.insert(message.id.clone()) {
             return Err(RequestRejection::DuplicateId);
         }
@@ -105,7 +106,7 @@
         self.by_id.values().filter(|request| !request.finished.get())
     }
 
-    /// Removes a request that is finished and has no attempt in flight; whether it did.
+    /// Removes a request that is finished and has no attempt in flight, and returns whether it did.
     pub(crate) fn remove_if_done(&mut self, id: RequestId) -> bool {
         let done = |request: &Rc<OpenRequest>| {
             request.finished.get() && request.attempts_in_flight.get() == 0
--- a/crates/exchange/src/outcome.rs
+++ b/crates/exchange/src/outcome.rs
@@ -1,52 +1,54 @@
-//! May the attempt have been executed? This is the one place that decides it, whatever the protocol.
+//! Decides whether an attempt may have been executed. No other module decides it, whatever the protocol.
 //!
-//! A transport reports facts: how the attempt ended, whether the request was written completely, and whether the server
-//! stated that it did not execute it. It never judges them. In doubt, an attempt may have been executed.
+//! A transport reports facts: how the attempt ended, whether the request was written completely, and whether the
+//! server stated that it did not execute the request. The transport does not interpret them. In doubt, an attempt may
+//! have been executed.
 
 use sableloom_types::Outcome;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With a complete answer that succeeded.
+    /// A complete and successful answer arrived.
     Answered,
-    /// With an answer that reports an error, or that can't be used: unreadable, too long, corrupt.
+    /// An answer arrived that reports an error, or that can't be used because it is unreadable, too long or corrupt.
     UnusableAnswer,
-    /// Its connection was closed or reset before a complete answer.
+    /// The connection was closed or reset before a complete answer arrived.
     ConnectionLost,
     /// No connection could be opened.
     ConnectFailed,
-    /// The transport did not start it: the request was finished, or its server accepts nothing new.
+    /// The transport did not start the attempt: the request was finished, or the server accepts no new attempts.
     NotStarted,
-    /// Its deadline passed.
+    /// The deadline of the attempt passed.
     TimedOut,
-    /// The policy cancelled it.
+    /// The policy cancelled the attempt.
     Cancelled,
-    /// The request was finished, by another attempt's answer or because its client disconnected.
+    /// The request was finished by the answer of another attempt, or because its client disconnected.
     RequestFinished,
 }
 
 /// What is known of an attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptFacts {
-    /// How it ended.
+    /// How the attempt ended.
     pub ended: AttemptEnd,
-    /// The last byte of the request was written to a connection. A server executes no request before its last byte
-    /// has come.
+    /// Whether the last byte of the request was written to a connection. A server executes no request before it has
+    /// received the last byte.
     pub fully_written: bool,
-    /// The server stated that it did not execute the request: rejected it unseen (`X-Never-Ran`), or refused
-    /// its stream or went away before it (RFC 9113, sections 6.8 and 8.7).
+    /// Whether the server stated that it did not execute the request: it rejected the request unseen (`X-Never-Ran`),
+    /// refused its stream, or sent a GOAWAY frame that excludes it (RFC 9113, sections 6.8 and 8.7).
     pub not_executed: bool,
 }
 
-/// The outcome that the facts prove, or else the one that allows for an execution.
+/// Returns the outcome that the facts prove. Without proof, it is an outcome under which the request may have been
+/// executed.
 pub fn classify(facts: AttemptFacts) -> Outcome {
     let AttemptFacts { ended, fully_written, not_executed } = facts;
     match (ended, fully_written) {
         (AttemptEnd::Answered, true) => Outcome::Ok,
-        // The server's statement counts, but not against an answer that it made.
+        // The server's statement counts, except against a successful answer of that server.
         _ if not_executed => Outcome::Rejected,
-        // An answer to a request that the server can't have seen completely belongs to another one.
+        // An answer to a request that the server can't have received completely belongs to another request.
         (
             AttemptEnd::Answered
             | AttemptEnd::UnusableAnswer
@@ -61,7 +63,7 @@
         (AttemptEnd::UnusableAnswer, true) => Outcome::Error,
         (AttemptEnd::TimedOut, true) => Outcome::Timeout,
         (AttemptEnd::Cancelled | AttemptEnd::RequestFinished, true) => Outcome::Cancelled,
-        // The last two contradict themselves: then nothing is proven.
+        // The last two combinations are contradictory, so that nothing is proven.
         (AttemptEnd::ConnectionLost | AttemptEnd::ConnectFailed | AttemptEnd::NotStarted, true) => {
             Outcome::Reset
         }
--- a/crates/exchange/src/outcome/tests.rs
+++ b/crates/exchange/src/outcome/tests.rs
@@ -14,7 +14,8 @@
 #[test]
 fn every_combination_of_facts_has_its_outcome() {
     use Outcome::{Cancelled, ConnectFailed, Error, Ok, Rejected, Reset, Superseded, Timeout};
-    // Not fully written; fully written; stated as not executed, and not fully written; the same, and fully written.
+    // The columns are: not fully written; fully written; not fully written and stated as not executed; fully written
+    // and stated as not executed.
     let table = [
         (AttemptEnd::Answered, [ConnectFailed, Ok, Rejected, Ok]),
         (AttemptEnd::UnusableAnswer, [ConnectFailed, Error, Rejected, Rejected]),
--- a/crates/exchange/src/ports.rs
+++ b/crates/exchange/src/ports.rs
@@ -1,4 +1,4 @@
-//! The traits at which protocols meet the exchange: services, transports and sources of endpoints.
+//! The traits between protocols and the exchange: services, transports and endpoint sources.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -10,16 +10,17 @@
 use crate::message::{Answer, Message, Reply, RequestContext, RequestRejection};
 use crate::outcome::AttemptEnd;
 
-/// A future that runs on this thread.
+/// A boxed future that runs on the current thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Takes complete requests from a front, and gives one final answer to each.
+/// Accepts complete requests from a front, and returns one final answer to each.
 pub trait Service {
-    /// Accepts a request. Dropping the future before it is ready says that the client has disconnected.
+    /// Accepts a request and returns the future of its final answer. Dropping the future before it is ready means
+    /// that the client has disconnected.
     ///
     /// # Errors
     ///
-    /// Why the request is not accepted; nothing was done for it.
+    /// Returns why the request is not accepted; in that case nothing was done for it.
     fn call(
         self: Rc<Self>,
         context: RequestContext,
@@ -29,9 +30,9 @@
 
 /// The outcome of an attempt, as its transport reports it.
 pub struct AttemptOutcome {
-    /// How it ended.
+    /// How the attempt ended.
     pub ended: AttemptEnd,
-    /// The server stated that it did not execute the request.
+    /// Whether the server stated that it did not execute the request.
     pub not_executed: bool,
     /// The server's load report.
     pub report: LoadReport,
@@ -40,44 +41,43 @@
 }
 
 impl AttemptOutcome {
-    /// An end without an answer.
+    /// Returns the outcome of an attempt that ended without an answer.
     pub fn without_answer(ended: AttemptEnd) -> Self {
         Self { ended, not_executed: false, report: LoadReport::default(), answer: None }
     }
 }
 
-/// Carries single attempts to servers. It reports facts and decides nothing; above all it never sends a request
-/// again of which more than all but the last byte was sent.
+/// Sends single attempts to servers. A transport reports facts and decides nothing; in particular it never sends a
+/// request again once its last byte was sent.
 pub trait Transport {
     /// Runs one attempt. Once the future is dropped, no further byte of the request is sent.
     fn attempt(self: Rc<Self>, context: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome>;
 
-    /// Checks the health of a server: its load report, or `None` if it does not answer.
+    /// Checks the health of a server and returns its load report, or `None` if the server does not answer.
     fn check_health(
         self: Rc<Self>,
         server: ServerId,
         address: SocketAddr,
     ) -> LocalFuture<Option<LoadReport>>;
 
-    /// Says whether a server is retired, which is to say draining or gone. No idle connection to such a server
-    /// is kept.
+    /// Sets whether a server is retired, that is, draining or gone. No idle connection to a retired server is kept.
     fn set_retired(&self, server: ServerId, retired: bool);
 
-    /// The server has another address: the open connections lead to the old one.
+    /// Reports that a server has another address: the open connections lead to the old one.
     fn address_changed(&self, server: ServerId);
 
-    /// Drops everything that is kept of a server.
+    /// Drops all state of a server.
     fn forget(&self, server: ServerId);
 }
 
-/// Hears of changes of the endpoint list.
+/// Receives changes of the endpoint list.
 pub trait EndpointListener {
-    /// A list has come, or a part of one.
+    /// Receives a list or a part of one, as `kind` tells.
     fn endpoints_updated(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>);
 }
 
-/// Names the servers of a pool.
+/// Provides the endpoint list of a pool.
 pub trait EndpointSource {
-    /// Opens the standing subscription to the endpoint list, unless there is one.
+    /// Opens the subscription to the endpoint list, unless it is open already.
     fn subscribe(self: Rc<Self>, listener: Rc<dyn EndpointListener>);
 }
--- a/crates/exchange/src/reply_future.rs
+++ b/crates/exchange/src/reply_future.rs
@@ -1,4 +1,4 @@
-//! The wait for the final answer to a request.
+//! The future of the final answer to a request.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,7 +7,7 @@
 
 use crate::message::Reply;
 
-/// Waits for a final answer. `on_drop` is called when the wait ends, for whatever reason: without an answer by then, the
+/// Waits for a final answer. `on_drop` is called when the future is dropped; if no answer was received by then, the
 /// client has disconnected.
 pub(crate) struct ReplyFuture<F: Fn() + Unpin> {
     receiver: oneshot::Receiver<Reply>,
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -1,5 +1,6 @@
-//! Pools without requests: when they are idle, what that costs, and that decisions afterwards are those of a pool
-//! whose timers ran all along. In simulated time; counts, no durations.
+//! Tests of pools without requests: when they are idle, that they have no timer and no task then, and that decisions
+//! afterwards equal those of a pool whose timers never stopped. The tests run in simulated time and check counts, not
+//! durations.
 
 mod support;
 
@@ -29,9 +30,10 @@
 /// Longer than a pool takes to become idle, its last timer included.
 const TIME_TO_IDLE: Duration = Duration::from_millis(3 * DEADLINE_MS);
 
-/// Answers each attempt, a server of a higher number later, and records the server and the time.
+/// Answers each attempt, later for a server of a higher number, and records the server and the start time.
 #[derive(Default)]
 struct CountingTransport {
+    /// The server of each attempt, and when the attempt started after `epoch`.
     started: RefCell<Vec<(ServerId, Duration)>>,
     epoch: Option<Instant>,
     /// Whether no attempt is answered.
@@ -133,11 +135,11 @@
         let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
         let pools: Vec<_> = (0..300).map(|_| start(clock, "automatic", &transport)).collect();
         pools.iter().for_each(|pool| report_full_list(pool, warm_servers(20)));
-        assert!(pools.iter().all(|pool| !pool.is_idle()), "the timers of all run at first");
+        assert!(pools.iter().all(|pool| !pool.is_idle()), "the timers of all pools run at first");
         sleep(TIME_TO_IDLE).await;
         assert!(pools.iter().all(|pool| pool.is_idle()));
         assert_eq!(Handle::current().metrics().num_alive_tasks(), 0);
-        // A request to one of them: it alone resumes.
+        // A request to one pool resumes that pool alone.
         let reply = send(&pools[7], clock, 1).await;
         assert!(matches!(reply, Reply::Served(_)));
         sleep(Duration::from_millis(DEADLINE_MS)).await;
@@ -145,7 +147,7 @@
         assert_eq!(pools.iter().filter(|pool| !pool.is_idle()).count(), 1);
         sleep(TIME_TO_IDLE).await;
         assert!(pools[7].is_idle());
-        // An endpoint list alone is applied, and the pool is idle again at once.
+        // An endpoint list without a request is applied, and the pool is idle again at once.
         report_full_list(&pools[3], warm_servers(5));
         assert!(pools[3].is_idle());
     });
@@ -168,7 +170,7 @@
         assert!(!pool.is_idle());
         sleep(2 * TIME_TO_IDLE).await;
         assert!(pool.is_idle());
-        // A server that leaves during its slow start, or an empty list, leaves nothing to wait for.
+        // After an empty list, the slow start of a server that was removed does not delay the idle state.
         let mut list = warm_servers(3);
         list.push(endpoint(4, PORT, EndpointStatus::Live, clock.now().0 as f64 / 1000.0));
         report_full_list(&pool, list);
@@ -231,8 +233,9 @@
 /// The answers to a burst, and the servers and start times of its attempts.
 type Burst = (Vec<Reply>, Vec<(ServerId, Duration)>);
 
-/// The result of a burst after busy seconds and a time without requests, in which a share of the servers may expire and
-/// be replaced. A pool that is `refreshed` has its sums brought up to date every millisecond.
+/// Returns the result of a burst of requests after some busy seconds and a time without requests. If `share_expires`,
+/// a share of the servers expires in that time and is replaced. If `refreshed`, the pool's sums are brought up to
+/// date every millisecond of that time.
 fn run_burst(idle: Duration, share_expires: bool, refreshed: bool) -> Burst {
     let outcome = Rc::new(RefCell::new(Burst::default()));
     let result = outcome.clone();
@@ -274,7 +277,7 @@
     outcome.take()
 }
 
-/// A short description of what differs between two bursts.
+/// Returns a short description of the difference between two bursts.
 fn describe_difference(a: &Burst, b: &Burst) -> String {
     let served = |burst: &Burst| burst.0.iter().filter(|r| matches!(r, Reply::Served(_))).count();
     let first = a.1.iter().zip(&b.1).position(|(a, b)| a != b);
--- a/crates/exchange/tests/simulation/main.rs
+++ b/crates/exchange/tests/simulation/main.rs
@@ -1,12 +1,13 @@
-//! Thousands of seeded schedules of requests over a transport that fails in every way it can, in simulated time,
-//! while servers drain, leave and move, and clients disconnect, noticed by their front or not. In each schedule:
+//! Runs thousands of seeded schedules of requests in simulated time. The transport fails in every way it can, servers
+//! drain, leave and change their addresses, and clients disconnect, whether or not their front notices. In each
+//! schedule:
 //!
 //! - each request gets one final answer, in time, and no byte of it is sent afterwards;
 //! - no attempt starts for a client that has disconnected, or at a server that is draining, gone or at another address;
 //! - no request that is not idempotent is executed twice, and no keyed one after its deduplication window;
 //! - no request that may have been executed is rejected.
 //!
-//! A failure names its seed; `SEED=17 cargo test -p sableloom-exchange --test simulation` replays it.
+//! A failure reports its seed; `SEED=17 cargo test -p sableloom-exchange --test simulation` replays it.
 
 mod schedule;
 #[path = "../support/mod.rs"]
@@ -22,12 +23,12 @@
 use world::World;
 
 const SEEDS: u64 = 3000;
-/// The ways in which an attempt can go, and the idle pools.
+/// The number of paths that attempts can take, plus one for idle pools.
 const PATH_COUNT: usize = 12;
 
 #[test]
 fn no_seeded_schedule_violates_an_invariant() {
-    // The transport panics on purpose: that is not to fill the log.
+    // The transport panics on purpose; its panics are not printed.
     std::panic::set_hook(Box::new(|_| ()));
     let single_seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok());
     let seeds = single_seed.map_or(0..SEEDS, |seed: u64| seed..seed + 1);
--- a/crates/exchange/tests/simulation/schedule.rs
+++ b/crates/exchange/tests/simulation/schedule.rs
@@ -21,7 +21,7 @@
 use crate::world::World;
 
 const DEADLINE_MS: i64 = 400;
-/// For so long servers recognize the retry of a keyed request.
+/// How long servers recognize a retry of a keyed request, in milliseconds.
 pub(crate) const DEDUP_WINDOW_MS: u64 = 120;
 const REQUESTS: u64 = 25;
 const CLASSES: [(&str, Idempotency); 3] = [
@@ -30,7 +30,7 @@
     ("redeem", Idempotency::NonIdempotent),
 ];
 
-/// A client that is connected, as far as its socket tells.
+/// A client whose socket tells whether it is connected.
 struct ConnectedClient {
     connected: Cell<bool>,
 }
@@ -58,7 +58,7 @@
     .expect("settings")
 }
 
-/// A server that has moved this many times.
+/// Returns the endpoint of a server whose address has changed this many times.
 fn server(number: u64, address_changes: u16, status: EndpointStatus) -> ListedEndpoint {
     endpoint(number as u8, 9000 + address_changes, status, 0.0)
 }
@@ -78,10 +78,10 @@
     }
     for client in clients {
         if let Err(e) = client.await {
-            schedule.world.record_violation(format!("a client: {e}"));
+            schedule.world.record_violation(format!("a client task failed: {e}"));
         }
     }
-    // What is still in flight ends; nothing of it may show later.
+    // Attempts that are still in flight end in this time, and must not break a rule either.
     sleep(Duration::from_secs(3)).await;
     schedule.check_end();
 }
@@ -120,7 +120,7 @@
         self.rng.rand_range(0..bound)
     }
 
-    /// One in `n`: a time in milliseconds below `max_ms`.
+    /// Returns a random time below `max_ms` milliseconds in one of `n` cases.
     fn random_time_one_in(&mut self, n: u64, max_ms: u64) -> Option<Duration> {
         (self.random_below(n) == 0).then(|| Duration::from_millis(self.random_below(max_ms)))
     }
@@ -159,7 +159,7 @@
         let deadline = self.clock.now().plus(Span(DEADLINE_MS * 1000));
         let context = RequestContext { class, tenant: 0, key: None, deadline };
         let drop_reply_after = self.random_time_one_in(8, 150);
-        // Some clients disconnect behind bytes that no front reads past: the wait goes on.
+        // Some clients disconnect after sending bytes that no front reads: the front keeps waiting for the reply.
         if let Some(after) = self.random_time_one_in(8, 150) {
             let client = client.clone();
             spawn_local(async move {
@@ -188,13 +188,16 @@
             self.world.record_violation("the pool is not idle at the end".into());
         }
         if self.exchange.open_requests() > 0 {
-            self.world
-                .record_violation(format!("{} are still open", self.exchange.open_requests()));
+            self.world.record_violation(format!(
+                "{} requests are still open",
+                self.exchange.open_requests()
+            ));
         }
         for (id, times) in self.world.executions.borrow().iter().filter(|(_, times)| **times > 1) {
             if id.starts_with(b"redeem") {
-                self.world
-                    .record_violation(format!("{id:?} is not idempotent, executed {times} times"));
+                self.world.record_violation(format!(
+                    "{id:?} is not idempotent and was executed {times} times"
+                ));
             }
         }
     }
@@ -208,7 +211,7 @@
     latency: Duration,
 ) {
     let executions = world.executions.borrow().get(id).copied().unwrap_or(0);
-    // Its deadline, and a tick of the policy's clock.
+    // The answer is due by the deadline, plus a margin for a tick of the policy's clock.
     if latency > Duration::from_millis(DEADLINE_MS as u64 + 20) {
         world.record_violation(format!("{id:?} was answered after {latency:?}"));
     }
@@ -217,7 +220,7 @@
             world.record_violation(format!("{id:?} got the answer of {:?}", answer.body));
         }
         Reply::Served(_) if executions == 0 => {
-            world.record_violation(format!("{id:?} was never executed"));
+            world.record_violation(format!("{id:?} was answered and never executed"));
         }
         Reply::Rejected(_) if idempotency == Idempotency::NonIdempotent && executions > 0 => {
             world.record_violation(format!("{id:?} was executed {executions} times and rejected"));
--- a/crates/exchange/tests/simulation/transport.rs
+++ b/crates/exchange/tests/simulation/transport.rs
@@ -1,4 +1,4 @@
-//! A transport that fails in every way it can, by seed.
+//! A transport that fails in every way it can, as determined by a seed.
 
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -17,7 +17,7 @@
 use crate::schedule::DEDUP_WINDOW_MS;
 use crate::world::World;
 
-/// A connection that is told when the request was written completely.
+/// A connection that records whether the request was written completely.
 struct SimulatedConnection {
     fully_written: Cell<bool>,
 }
@@ -95,12 +95,14 @@
         }
         if !self.world.live_servers.borrow().values().any(|at| *at == context.address) {
             let (address, server) = (context.address, context.server);
-            self.world.record_violation(format!("{id:?} started at {address} of {server:?}"));
+            self.world.record_violation(format!(
+                "{id:?} started at {address} of {server:?}, where no server accepts requests"
+            ));
         }
         let connection = Rc::new(SimulatedConnection { fully_written: Cell::new(false) });
         context.set_connection(connection.clone());
         if self.random_below(3) == 0 {
-            // The last byte is sent later.
+            // The last byte is sent after a pause.
             self.pause(30).await;
         }
         if self.random_below(12) == 0 {
@@ -108,7 +110,7 @@
             return Err(AttemptEnd::ConnectionLost);
         }
         if !context.may_send_more() {
-            // A real connection asks at each byte; a request that was started stays incomplete.
+            // A real connection checks this before each byte; a request that was started stays incomplete.
             self.world.count_path("finished before it was complete");
             return Err(AttemptEnd::ConnectionLost);
         }
--- a/crates/exchange/tests/simulation/world.rs
+++ b/crates/exchange/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! What really happens in a schedule: the executions at the servers, and the rules that were violated.
+//! Records what happens in a schedule: the executions at the servers, and the violations of the rules.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,8 +15,9 @@
     pub(crate) first_execution: RefCell<BTreeMap<Bytes, Instant>>,
     /// The addresses of the servers that accept requests.
     pub(crate) live_servers: RefCell<BTreeMap<Box<str>, SocketAddr>>,
+    /// A description of each violation of a rule.
     pub(crate) violations: RefCell<Vec<String>>,
-    /// How often each path of an attempt was taken, to know that all were.
+    /// How often each path of an attempt was taken, to check that all of them were.
     pub(crate) paths: RefCell<BTreeMap<&'static str, usize>>,
 }
 
--- a/crates/exchange/tests/support/mod.rs
+++ b/crates/exchange/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share: a source that says nothing, requests and endpoints.
+//! Helpers that the tests of this crate share: an endpoint source that reports nothing, requests and endpoints.
 
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -9,14 +9,14 @@
 };
 use sableloom_types::{EndpointStatus, Idempotency};
 
-/// A source in whose place the test reports lists.
+/// An endpoint source that reports nothing; the test reports lists to the exchange itself.
 pub(crate) struct SilentSource;
 
 impl EndpointSource for SilentSource {
     fn subscribe(self: Rc<Self>, _: Rc<dyn EndpointListener>) {}
 }
 
-/// A request without a body.
+/// Returns a request without a body.
 pub(crate) fn message(
     id: Bytes,
     idempotency: Idempotency,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The server of this number.
+/// Returns the endpoint of the server with this number.
 pub(crate) fn endpoint(
     number: u8,
     port: u16,
