--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! The facade: what happens on connections in, decisions out.
+//! The facade: it takes the events of connections and returns decisions.
 
 use std::net::IpAddr;
 
@@ -12,26 +12,28 @@
 use crate::hazard_estimate::WaitOutcome;
 use crate::headroom::Headroom;
 
-/// How often [`Admission::tick`] is to be called.
+/// The interval at which [`Admission::tick`] is to be called.
 pub const TICK_INTERVAL: Span = Span(250_000);
 /// The least number of slots to which a lack of descriptors lowers the limit.
 const MIN_LIMIT: usize = 8;
-/// A lack of descriptors takes one in this many of the slots in use.
+/// A lack of descriptors lowers the limit by the slots in use divided by this, by one slot at least.
 const SHED_DIVISOR: usize = 16;
-/// While others are closing, a new connection has this long to send something: as long as closing takes.
+/// While other connections are closing, a new connection is not closed for this long, so that its client can send
+/// something. Closing a connection takes as long.
 const NEW_CONNECTION_GRACE: Span = Span(500_000);
 /// The least Retry-After of a rejected client.
 const MIN_RETRY_AFTER: Span = Span(50_000);
-/// Time constant with which observations decay, in seconds: long enough to know rare kinds, short enough that a new
-/// crowd is known within some seconds.
+/// The time constant with which observations decay, in seconds. It is long enough to learn rare kinds of connections,
+/// and short enough to learn a new set of clients within some seconds.
 const OBSERVATION_DECAY_S: f64 = 10.0;
-/// A close that is announced with an answer crosses no request; one on an idle connection may. So the connection that
-/// is being answered is closed if its value is at most this many times the least.
+/// The connection that is being answered is closed if its value is at most this many times the least value of an idle
+/// connection. A close that is announced with an answer crosses no request of the client, whereas the close of an
+/// idle connection may cross one.
 const MAX_ANSWERED_VALUE_RATIO: f64 = 1.25;
-/// The weight of one busy time in its mean.
+/// The weight of each new busy time in the moving mean of busy times.
 const BUSY_TIME_GAIN: f64 = 0.05;
 
-/// The decisions about client connections.
+/// Decides which client connections hold a slot and which of them are closed.
 ///
 /// ```
 /// use std::net::{IpAddr, Ipv4Addr};
@@ -73,7 +75,7 @@
 }
 
 impl Admission {
-    /// Starts with no connections.
+    /// Creates an admission without any connections.
     pub fn new(bounds: Bounds, now: Time) -> Self {
         let mut estimates = HazardEstimates::default();
         estimates.iter_mut().for_each(|estimate| estimate.update_values(std::iter::empty()));
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Whether nothing is kept of any connection.
+    /// Whether no state of any connection is kept.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
@@ -109,12 +111,12 @@
         self.table.get(id).map(|connection| connection.stage.into())
     }
 
-    /// When the current request of a connection began to arrive.
+    /// When the current request of a connection began to arrive; `None` once the connection is closed.
     pub fn request_started(&self, id: ConnectionId) -> Option<Time> {
         self.table.get(id).map(|connection| connection.request_started)
     }
 
-    /// A client has connected, and asks for a slot.
+    /// Decides on a client that has connected from `source` and asks for a slot.
     pub fn arrive(&mut self, now: Time, source: IpAddr) -> Arrival {
         if self.table.len() < self.limit {
             self.full_since = None;
@@ -133,13 +135,14 @@
         mean.min(self.bounds.max_retry_after)
     }
 
-    /// Bytes have come that are not read yet: the connection is spared until they are.
+    /// Reports that bytes have arrived and are not read yet. Until they are read, the connection is not closed to
+    /// make room.
     pub fn bytes_waiting(&mut self, now: Time, id: ConnectionId) {
         self.cancel_close(now, id);
         self.table.update(id, |connection| connection.has_unread_bytes = true);
     }
 
-    /// Bytes of a request were read.
+    /// Reports that bytes of a request were read.
     pub fn bytes_read(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.table.get(id).copied() else { return };
         if connection.has_unread_bytes {
@@ -148,7 +151,7 @@
         match connection.stage {
             Stage::Waiting(WaitKind::Reading) | Stage::Busy => return,
             Stage::Waiting(kind) => self.observe(kind, connection, now, WaitOutcome::Completed),
-            // A request crossed the close.
+            // The request was sent before the client saw the close.
             Stage::Closing => {}
         }
         if connection.stage != Stage::Waiting(WaitKind::New) {
@@ -157,7 +160,7 @@
         self.table.set_stage(now, id, Stage::Waiting(WaitKind::Reading));
     }
 
-    /// A pipelined request, which came before the last answer was written, begins now.
+    /// Reports that a pipelined request begins now, whose bytes arrived before the last answer was written.
     pub fn pipelined_request(&mut self, now: Time, id: ConnectionId) {
         let reading = Stage::Waiting(WaitKind::Reading);
         if self.table.get(id).is_some_and(|connection| connection.stage != reading) {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// The request of a connection is complete, and is handed to the service.
+    /// Reports that the request of a connection is complete and is passed to the service.
     pub fn request_complete(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.table.get(id).copied() else { return };
         if let Stage::Waiting(kind) = connection.stage {
@@ -178,11 +181,11 @@
         self.table.set_stage(now, id, Stage::Busy);
     }
 
-    /// The answer of a connection is about to be written: whether the connection is kept alive.
+    /// Decides whether a connection is kept alive after the answer that is about to be written.
     pub fn before_answer(&mut self, now: Time, id: ConnectionId) -> KeepAlive {
         let Some(connection) = self.table.get(id) else { return KeepAlive::Close };
         let kind = WaitKind::idle_after(connection.answers + 1);
-        // It is busy itself until it is idle.
+        // The connection itself counts as busy until it is idle.
         let busy = self.table.busy() - usize::from(connection.stage == Stage::Busy);
         if self.table.idle() < self.max_idle(busy) {
             return KeepAlive::Keep;
@@ -198,7 +201,8 @@
         }
     }
 
-    /// The answer was handed over to be written. From now on the connection is idle, or it is closing.
+    /// Reports that the answer was handed over to be written. From now on the connection is closing if `closes`, and
+    /// idle otherwise.
     pub fn answer_handed_over(&mut self, now: Time, id: ConnectionId, closes: bool) {
         let Some(connection) = self.table.get(id).copied() else { return };
         if connection.stage != Stage::Busy {
@@ -212,7 +216,8 @@
         self.table.set_stage(now, id, if closes { Stage::Closing } else { idle });
     }
 
-    /// The client accepts none of what is written. A close that was decided is cancelled: it was not announced.
+    /// Reports that the client accepts none of the written bytes. A close that was decided is cancelled, because it
+    /// was not announced.
     pub fn write_blocked(&mut self, now: Time, id: ConnectionId) {
         self.cancel_close(now, id);
         if self.table.get(id).is_some_and(|connection| connection.blocked_since.is_none()) {
@@ -220,7 +225,7 @@
         }
     }
 
-    /// The client accepts what is written again.
+    /// Reports that the client accepts written bytes again.
     pub fn write_resumed(&mut self, id: ConnectionId) {
         if self.table.get(id).is_some_and(|connection| connection.blocked_since.is_some()) {
             self.table.update(id, |connection| connection.blocked_since = None);
@@ -236,7 +241,7 @@
         }
     }
 
-    /// The end of a connection was announced to the client, or by it if `by_client`.
+    /// Reports that the end of a connection was announced to the client, or by the client if `by_client`.
     pub fn close_started(&mut self, now: Time, id: ConnectionId, by_client: bool) {
         let Some(connection) = self.table.get(id).copied() else { return };
         if let Stage::Waiting(kind) = connection.stage {
@@ -246,14 +251,14 @@
         self.table.set_stage(now, id, Stage::Closing);
     }
 
-    /// The connection is closed, and its slot free.
+    /// Reports that the connection is closed, which frees its slot.
     pub fn closed(&mut self, now: Time, id: ConnectionId) {
         self.close_started(now, id, false);
         self.table.remove(id);
     }
 
-    /// The system has no descriptor for a new connection: fewer slots are used for a while. Returns the connections that
-    /// make room.
+    /// Reports that the system has no descriptor for a new connection, so that fewer slots are used for a while.
+    /// Returns the connections to close to make room.
     pub fn out_of_descriptors(&mut self, now: Time) -> Vec<Release> {
         let connections = self.table.len();
         let fewer = connections - (connections / SHED_DIVISOR).max(1).min(connections);
@@ -265,9 +270,9 @@
             let evictable = self.table.evictable();
             let least = evictable.least_valuable(now, &self.estimates, &WaitKind::ALL);
             let Some(least) = least else { break };
-            // A closing connection releases its descriptor only at its end, and until then this is called again and
-            // again. Failure: all idle connections were closed within that time, and after them the one that had
-            // just been opened and had not sent anything yet.
+            // A closing connection releases its descriptor only once it is closed, and until then this method is
+            // called again and again. Without this check, all idle connections were closed within that time, and
+            // after them the one that had just been opened and had not sent anything yet.
             if any_closing && self.is_within_grace(now, least.id) {
                 break;
             }
@@ -284,8 +289,9 @@
         })
     }
 
-    /// To be called about every [`TICK_INTERVAL`]. Returns the connections that are to be closed: the caller closes each,
-    /// or says why it can't.
+    /// Updates the estimates and checks the timeouts; to be called about every [`TICK_INTERVAL`]. Returns the
+    /// connections to close. The caller closes each, or reports why it can't with
+    /// [`bytes_waiting`](Self::bytes_waiting) or [`write_blocked`](Self::write_blocked).
     pub fn tick(&mut self, now: Time) -> Vec<Release> {
         let passed_s = (now.since(self.last_tick).as_micros_f64() / 1e6).max(0.0);
         self.last_tick = now;
@@ -309,10 +315,10 @@
         releases
     }
 
-    /// The timeout that a connection has exceeded.
+    /// The timeout that a connection has exceeded, if any.
     fn timeout_of(&self, now: Time, connection: &Connection) -> Option<ReleaseReason> {
         if let Some(since) = connection.blocked_since {
-            // Also while a request is busy: its answer could not be given.
+            // This timeout also applies while a request is busy, because its answer could not be written.
             let exceeded = now.since(since) > self.bounds.write_timeout;
             return exceeded.then_some(ReleaseReason::WriteTimeout);
         }
@@ -331,7 +337,7 @@
         }
     }
 
-    /// Closes idle connections for the new clients that are about to come.
+    /// Closes idle connections to free slots for the new clients that are expected.
     fn close_idle_for_headroom(&mut self, now: Time, releases: &mut Vec<Release>) {
         for _ in self.max_idle(self.table.busy())..self.table.idle() {
             let evictable = self.table.evictable();
@@ -346,7 +352,7 @@
         self.headroom.max_idle(self.bounds.max_client_connections.min(self.limit), busy)
     }
 
-    /// Takes the end of a connection's wait into the estimate of its kind.
+    /// Adds the end of a connection's wait to the estimate of its kind.
     fn observe(&mut self, kind: WaitKind, connection: Connection, now: Time, outcome: WaitOutcome) {
         self.estimates[kind as usize].observe(now.since(connection.since), outcome);
     }
--- a/crates/admission/src/bounds.rs
+++ b/crates/admission/src/bounds.rs
@@ -7,17 +7,18 @@
 pub struct Bounds {
     /// The largest number of connections.
     pub max_connections: usize,
-    /// The largest number that clients with requests can hold, where it is bounded lower on the clients' side.
+    /// The largest number of connections that clients with requests can hold, if their number is bounded lower on the
+    /// clients' side.
     pub max_client_connections: usize,
     /// A request must be complete this long after its first byte, and on a new connection after the accept.
     pub request_timeout: Span,
     /// An idle connection is closed after this time.
     pub idle_timeout: Span,
-    /// A client that accepts none of an answer for this time is cut off.
+    /// A connection is closed if its client accepts none of an answer for this time.
     pub write_timeout: Span,
-    /// How long a new client waits for a slot while all are busy. After that it and those behind it are rejected until
-    /// a slot is free.
+    /// How long a new client waits for a slot while all are busy. After that, this client and those after it are
+    /// rejected until a slot is free.
     pub max_wait: Span,
-    /// The longest Retry-After.
+    /// The longest Retry-After that a rejected client is given.
     pub max_retry_after: Span,
 }
--- a/crates/admission/src/connection.rs
+++ b/crates/admission/src/connection.rs
@@ -1,28 +1,28 @@
-//! What is kept of one connection.
+//! The state of one connection.
 
 use std::net::IpAddr;
 
 use sableloom_types::Time;
 
-/// The id of a connection; it is never used again.
+/// The id of a connection. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
 /// What a connection waits for; each kind has a hazard estimate of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitKind {
-    /// For its first byte.
+    /// The connection waits for its first byte.
     New,
-    /// For the rest of a request.
+    /// The connection waits for the rest of a request.
     Reading,
-    /// For the next request after its first answer.
+    /// The connection waits for the next request after its first answer.
     IdleAfterFirstAnswer,
-    /// For the next request after a later answer.
+    /// The connection waits for the next request after a later answer.
     IdleAfterLaterAnswer,
 }
 
 impl WaitKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants, which index the estimates.
     pub(crate) const ALL: [Self; 4] =
         [Self::New, Self::Reading, Self::IdleAfterFirstAnswer, Self::IdleAfterLaterAnswer];
 
@@ -39,31 +39,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     Waiting(WaitKind),
-    /// Its request is complete, and the answer not yet handed over to be written.
+    /// The request is complete, and its answer has not been handed over to be written.
     Busy,
-    /// Its end was announced to the client, or by it.
+    /// The end of the connection was announced to the client or by the client.
     Closing,
 }
 
-/// The state of one connection.
+/// What admission knows of one connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Connection {
     pub(crate) source: IpAddr,
     pub(crate) stage: Stage,
-    /// When its stage began.
+    /// When the stage began.
     pub(crate) since: Time,
-    /// When its current request began to arrive.
+    /// When the current request began to arrive.
     pub(crate) request_started: Time,
+    /// The number of answers that were handed over.
     pub(crate) answers: u32,
-    /// Since when its peer has accepted none of what is written. Such a connection is not evicted, which would cut
-    /// off an answer.
+    /// Since when the client has accepted none of the written bytes. Such a connection is not evicted, because that
+    /// would cut off an answer.
     pub(crate) blocked_since: Option<Time>,
-    /// Bytes of its client wait to be read: they may be a complete request.
+    /// Whether bytes of the client have arrived and are not read yet; they may be a complete request.
     pub(crate) has_unread_bytes: bool,
 }
 
 impl Connection {
-    /// Whether it may be closed to make room for others, as far as its stage allows.
+    /// Whether the connection may be closed to make room for others, as far as its stage allows it.
     pub(crate) fn is_evictable(&self) -> bool {
         self.blocked_since.is_none() && !self.has_unread_bytes
     }
@@ -72,15 +73,15 @@
 /// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No byte has come on it yet.
+    /// No byte has arrived on the connection yet.
     New,
-    /// A part of a request has come.
+    /// A part of a request has arrived.
     Reading,
-    /// Between requests.
+    /// The connection is between requests.
     Idle,
-    /// Its request is complete, and the answer not yet handed over to be written.
+    /// The request is complete, and its answer has not been handed over to be written.
     Busy,
-    /// Its end was announced to the client, or by it.
+    /// The end of the connection was announced to the client or by the client.
     Closing,
 }
 
--- a/crates/admission/src/connection_table.rs
+++ b/crates/admission/src/connection_table.rs
@@ -29,7 +29,7 @@
 }
 
 impl ConnectionTable {
-    /// Adds a connection on which no byte has come.
+    /// Adds a connection on which no byte has arrived.
     pub(crate) fn insert(&mut self, now: Time, source: IpAddr) -> ConnectionId {
         let id = ConnectionId(self.next_id);
         self.next_id += 1;
@@ -67,18 +67,18 @@
         self.connections.len()
     }
 
-    /// Whether nothing at all is kept.
+    /// Whether no connection and no entry of any set is kept.
     pub(crate) fn is_empty(&self) -> bool {
         let sources = self.by_source.len() + self.sources_by_count.len();
         self.evictable.len() + self.connections.len() + sources + self.busy == 0
     }
 
-    /// How many connections have a request that is complete and not answered.
+    /// The number of connections with a request that is complete and not answered.
     pub(crate) fn busy(&self) -> usize {
         self.busy
     }
 
-    /// How many idle connections could be closed.
+    /// The number of idle connections that could be closed.
     pub(crate) fn idle(&self) -> usize {
         WaitKind::IDLE.iter().map(|kind| self.evictable.waiting(*kind).len()).sum()
     }
@@ -92,7 +92,7 @@
         self.update(id, |connection| (connection.stage, connection.since) = (stage, now));
     }
 
-    /// Changes a connection, and the sets that it is in.
+    /// Changes a connection, and moves it between the sets accordingly.
     pub(crate) fn update(&mut self, id: ConnectionId, change: impl FnOnce(&mut Connection)) {
         let Some(mut connection) = self.connections.get(&id).copied() else { return };
         self.remove_from_sets(id, connection);
@@ -101,9 +101,9 @@
         self.add_to_sets(id, connection);
     }
 
-    /// The connection that makes room for a new one from `source`: one that is closing; else the least valuable of a
-    /// source that holds more than its even share of `limit` slots, the new connection's own if it does; else the least
-    /// valuable of all.
+    /// Returns the connection to close to make room for a new one from `source`. It is a connection that is closing,
+    /// if there is one. Otherwise it is the least valuable connection of a source that holds more than its even share
+    /// of `limit` slots, of `source` itself if that is such a source. Otherwise it is the least valuable of all.
     pub(crate) fn eviction_candidate(
         &self,
         now: Time,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The sets of all connections and those of one source.
+    /// The sets of all connections, and those of one source.
     fn sets_of(&mut self, source: IpAddr) -> impl Iterator<Item = &mut EvictableConnections> {
         let of_source = self.by_source.get_mut(&source).map(|source| &mut source.evictable);
         [Some(&mut self.evictable), of_source].into_iter().flatten()
--- a/crates/admission/src/decisions.rs
+++ b/crates/admission/src/decisions.rs
@@ -4,34 +4,36 @@
 
 use crate::connection::ConnectionId;
 
-/// What is decided on a new connection.
+/// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It has a slot, under this id.
+    /// The connection has a slot, under this id.
     Admitted(ConnectionId),
-    /// This connection has to make room. Close it and call [`closed`], or say why it can't be closed
-    /// ([`bytes_waiting`], [`write_blocked`]); then ask again.
+    /// This connection has to make room. The caller closes it and calls [`closed`], or reports why it can't be closed
+    /// ([`bytes_waiting`], [`write_blocked`]); then it calls [`arrive`] again.
     ///
+    /// [`arrive`]: crate::Admission::arrive
     /// [`closed`]: crate::Admission::closed
     /// [`bytes_waiting`]: crate::Admission::bytes_waiting
     /// [`write_blocked`]: crate::Admission::write_blocked
     Evict(ConnectionId),
-    /// All slots are busy: ask again when anything has changed, or at this time.
+    /// All slots are busy. The caller calls [`Admission::arrive`](crate::Admission::arrive) again when anything has
+    /// changed, or at this time.
     Wait(Time),
-    /// All slots have been busy for too long: reject the client, with this Retry-After.
+    /// All slots have been busy for too long. The client is rejected with this Retry-After.
     Reject(Span),
 }
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// It was idle for longer than the idle timeout.
+    /// The connection was idle for longer than the idle timeout.
     IdleTimeout,
-    /// Its request was not complete within the request timeout.
+    /// The request was not complete within the request timeout.
     RequestTimeout,
-    /// Its client accepts none of its answer.
+    /// The client accepted none of its answer within the write timeout.
     WriteTimeout,
-    /// Its slot has more value for others.
+    /// The slot has more value for other connections.
     MakeRoom,
 }
 
@@ -40,17 +42,17 @@
 pub struct Release {
     /// The connection.
     pub id: ConnectionId,
-    /// Why.
+    /// Why it is to be closed.
     pub reason: ReleaseReason,
 }
 
 /// Whether a connection is kept alive after its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepAlive {
-    /// It becomes idle.
+    /// The connection becomes idle.
     Keep,
-    /// It is closed, and the answer says so.
+    /// The connection is closed, which the answer announces.
     Close,
-    /// It becomes idle, and this other connection is to be closed.
+    /// The connection becomes idle, and this other connection is to be closed.
     CloseOther(ConnectionId),
 }
--- a/crates/admission/src/evictable.rs
+++ b/crates/admission/src/evictable.rs
@@ -16,7 +16,9 @@
 /// The connections that could be closed to make room.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EvictableConnections {
+    /// Connections whose end was announced.
     pub(crate) closing: WaitOrder,
+    /// Connections that wait, by kind of wait.
     waiting: [WaitOrder; WaitKind::ALL.len()],
 }
 
@@ -28,12 +30,12 @@
 }
 
 impl EvictableConnections {
-    /// The connections that wait for this.
+    /// The connections with this kind of wait.
     pub(crate) fn waiting(&self, kind: WaitKind) -> &WaitOrder {
         &self.waiting[kind as usize]
     }
 
-    /// The set of the connections in this stage; a busy one can't make room.
+    /// The set of the connections in this stage; `None` for busy ones, which can't make room.
     pub(crate) fn in_stage_mut(&mut self, stage: Stage) -> Option<&mut WaitOrder> {
         match stage {
             Stage::Closing => Some(&mut self.closing),
@@ -46,8 +48,8 @@
         self.waiting.iter().chain([&self.closing]).map(BTreeSet::len).sum()
     }
 
-    /// The connection of these kinds whose slot has the least value. Within an age bucket all have the same value, and
-    /// the longest waiting is taken.
+    /// The connection of these kinds whose slot has the least value. Within an age bucket all slots have the same
+    /// value, and the longest waiting connection is taken.
     pub(crate) fn least_valuable(
         &self,
         now: Time,
@@ -77,7 +79,7 @@
         bucket: usize,
     ) -> Option<(Time, ConnectionId)> {
         let youngest = match bucket {
-            // A connection from before the caller's clock was set back counts as new.
+            // A connection that seems to start in the future, because the caller's clock was set back, counts as new.
             0 => Time(i64::MAX),
             _ => Time(now.0 - bucket_start(bucket).0),
         };
--- a/crates/admission/src/hazard_estimate.rs
+++ b/crates/admission/src/hazard_estimate.rs
@@ -1,23 +1,25 @@
-//! How likely the clients of one kind of connection are to do what is awaited, by how long they have waited.
+//! Estimates how likely the awaited event is on one kind of connection, by how long the connection has waited.
 //!
-//! The estimate is a piecewise constant hazard (the occurrences over exposure estimator of event history analysis, e.g.
-//! Aalen, Borgan, Gjessing 2008, section 5.1): in each bucket of age, how often the awaited event happened, and how often
-//! the client disconnected instead, for each second that a connection spent there. Connections that were closed early
-//! are censored: they count for as long as they were seen, so that the estimate holds under this crate's own closing.
+//! The estimate is a piecewise constant hazard (the occurrences over exposure estimator of event history analysis,
+//! e.g. Aalen, Borgan, Gjessing 2008, section 5.1): in each age bucket, how often the awaited event happened, and how
+//! often the client disconnected instead, per second that connections spent there. Connections that were closed early
+//! are censored: they count for as long as they were observed, so that the estimate stays valid although this crate
+//! closes connections.
 
 use sableloom_types::Span;
 
-/// Where the age buckets end, in seconds; the last one has no end of its own.
+/// Where the age buckets end, in seconds. The last bucket follows these and has no end.
 const BUCKET_ENDS_S: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0];
 /// The number of age buckets.
 pub(crate) const AGE_BUCKETS: usize = BUCKET_ENDS_S.len() + 1;
-/// The length that is assumed for the last bucket when its value is estimated.
+/// The length that is assumed for the last bucket when its value is estimated, in seconds.
 const LAST_BUCKET_S: f64 = 2.0;
-/// The prior of each bucket: this many connections passed through it, and for this fraction of them the awaited event
-/// happened. As buckets get longer with age, the value of an unknown connection falls with its age. Failure: with one
-/// rate for all ages, the few that were idle first kept their slots, and every later client, being unknown, was closed at
-/// its first answer.
+/// The number of connections that the prior of each bucket assumes to have passed through it.
 const PRIOR_CONNECTIONS: f64 = 4.0;
+/// The fraction of the prior's connections on which the awaited event happened. As buckets get longer with age, the
+/// value of a connection of which nothing is known falls with its age. With one rate for all ages, the few
+/// connections that were idle first kept their slots, and every later client, of which nothing was known, was closed
+/// at its first answer.
 const PRIOR_COMPLETED_FRACTION: f64 = 0.2;
 
 /// How a wait ended.
@@ -27,28 +29,30 @@
     Completed,
     /// The client disconnected.
     Abandoned,
-    /// The connection was closed from here, so that nothing is known of what would have happened.
+    /// The balancer closed the connection, so that it is unknown what would have happened.
     Censored,
 }
 
-/// The history of one kind of connection.
+/// The observations of one kind of connection, and the values that follow from them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HazardEstimate {
-    /// Seconds that connections spent in each bucket.
+    /// The time that connections spent in each bucket, in seconds.
     exposure: [f64; AGE_BUCKETS],
+    /// The number of awaited events in each bucket.
     completed: [f64; AGE_BUCKETS],
+    /// The number of clients that disconnected in each bucket.
     abandoned: [f64; AGE_BUCKETS],
-    /// The value of a slot that is held from each bucket on: awaited events a second.
+    /// The value of a slot that is held from each bucket on, in awaited events per second.
     value: [f64; AGE_BUCKETS],
 }
 
-/// The bucket of an age.
+/// Returns the bucket of an age.
 pub(crate) fn age_bucket(age: Span) -> usize {
     let seconds = age.as_micros_f64() / 1e6;
     BUCKET_ENDS_S.iter().position(|end| seconds < *end).unwrap_or(BUCKET_ENDS_S.len())
 }
 
-/// The age at which a bucket begins.
+/// Returns the age at which a bucket begins.
 pub(crate) fn bucket_start(bucket: usize) -> Span {
     Span::from_micros_f64(if bucket == 0 { 0.0 } else { BUCKET_ENDS_S[bucket - 1] * 1e6 })
 }
@@ -75,7 +79,7 @@
 }
 
 impl HazardEstimate {
-    /// Takes in a wait of this length.
+    /// Adds a wait of this length with this outcome.
     pub(crate) fn observe(&mut self, age: Span, outcome: WaitOutcome) {
         add_exposure(&mut self.exposure, age);
         match outcome {
@@ -85,15 +89,15 @@
         }
     }
 
-    /// Lets earlier observations decay to this fraction of their weight.
+    /// Reduces the weight of earlier observations to this fraction.
     pub(crate) fn decay(&mut self, fraction: f64) {
         for sums in [&mut self.exposure, &mut self.completed, &mut self.abandoned] {
             sums.iter_mut().for_each(|sum| *sum *= fraction);
         }
     }
 
-    /// Estimates the value of a slot at each age. `waiting` are the ages of the connections that wait now: without
-    /// them, a crowd of silent clients would count for nothing until it is closed.
+    /// Updates the value of a slot at each age. `waiting` gives the ages of the connections that wait now: without
+    /// them, many silent clients would count for nothing until their connections are closed.
     pub(crate) fn update_values(&mut self, waiting: impl Iterator<Item = Span>) {
         let mut exposure = self.exposure;
         waiting.for_each(|age| add_exposure(&mut exposure, age));
@@ -102,8 +106,8 @@
                 / (exposure[bucket] + PRIOR_CONNECTIONS * bucket_length(bucket))
         };
         for from in 0..AGE_BUCKETS {
-            // Later ages may be better than the next one: the value is the best ratio of awaited events to time, over
-            // every age at which the wait could be ended.
+            // The rate of awaited events may be higher at a later age than in the next bucket. The value is therefore
+            // the best ratio of awaited events to time, over every age at which the wait could be ended.
             let (mut alive, mut events, mut time, mut best) = (1.0, 0.0, 0.0, 0.0f64);
             for bucket in from..AGE_BUCKETS {
                 let completion_rate = rate(&self.completed, PRIOR_COMPLETED_FRACTION, bucket);
@@ -120,7 +124,7 @@
         }
     }
 
-    /// The value of a slot whose connection has an age in this bucket: awaited events a second.
+    /// The value of a slot whose connection has an age in this bucket, in awaited events per second.
     pub(crate) fn value(&self, bucket: usize) -> f64 {
         self.value[bucket]
     }
--- a/crates/admission/src/hazard_estimate/tests.rs
+++ b/crates/admission/src/hazard_estimate/tests.rs
@@ -2,7 +2,7 @@
 
 const MS: i64 = 1000;
 
-/// An estimate from waits of so many milliseconds, each seen so many times.
+/// Returns an estimate from waits, each given by its milliseconds, its outcome and how often it was observed.
 fn estimate_of(waits: &[(i64, WaitOutcome, usize)]) -> HazardEstimate {
     let mut estimate = HazardEstimate::default();
     for (ms, outcome, times) in waits {
@@ -45,7 +45,7 @@
 #[test]
 fn a_wait_that_completes_late_has_its_value_from_the_start() {
     let late = estimate_of(&[(300, WaitOutcome::Completed, 500)]);
-    // One event for each 0.3 s, though none ever happens in the first 200 ms.
+    // There is one event per 0.3 s, though none ever happens in the first 200 ms.
     assert!((2.5..4.5).contains(&late.value(0)), "{}", late.value(0));
     assert!(late.value(age_bucket(Span(250 * MS))) > late.value(0));
 }
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -1,25 +1,27 @@
-//! How many slots are kept free for new clients, by the rate at which they come.
+//! Decides how many slots are kept free for new clients, by the rate at which they arrive.
 
-/// Time constant with which the rate follows, in seconds.
+/// The time constant of the moving average of the rate, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 1.0;
-/// Slots are kept free for the new clients of this time, in seconds,
+/// Slots are kept free for the new clients that arrive in this time, in seconds.
 const HEADROOM_S: f64 = 0.25;
-/// within these fractions of the slots that clients can hold. Less than an eighth is used up by one burst; more than
-/// half would close the connections that honest clients keep open on a day with many new ones.
+/// The least fraction of the slots that clients can hold that is kept free. A fraction below
+/// an eighth is used up by a single burst.
 const MIN_HEADROOM_FRACTION: f64 = 0.125;
+/// The largest fraction of the slots that clients can hold that is kept free. More than half would close the
+/// connections that honest clients keep open on a day with many new clients.
 const MAX_HEADROOM_FRACTION: f64 = 0.5;
 
 /// The rate of new clients.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Headroom {
-    /// First requests of connections since the last update.
+    /// The number of first requests of connections since the last update.
     first_requests: f64,
-    /// Their rate, a second.
+    /// The moving average of first requests per second.
     rate: f64,
 }
 
 impl Headroom {
-    /// A connection has sent its first request.
+    /// Counts the first request of a connection.
     pub(crate) fn count_first_request(&mut self) {
         self.first_requests += 1.0;
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,14 +1,14 @@
-//! Which client connections hold a slot, and which are closed to make room.
+//! Decides which client connections hold a slot, and which are closed to make room.
 //!
-//! A balancer has a bounded number of slots for client connections: descriptors, and the memory behind them. A crowd of
-//! clients that send one request each and keep their connections open can hold all of them, and the balancer sees
-//! nothing of those that are shut out. This crate values a slot by what it will bring: requests a second, learnt from what
-//! connections of the same kind and age did before. When slots run short, those of least value are closed first; while
-//! they don't, no connection is closed before its timeout.
+//! A balancer has a bounded number of slots for client connections, because each connection takes a descriptor and
+//! memory. Many clients that send one request each and keep their connections open can hold all slots, and the
+//! balancer sees nothing of the clients that find no slot. This crate estimates the value of a slot: the requests per
+//! second that it will bring, learnt from what connections of the same kind and age did before. When slots run short,
+//! the connections of least value are closed first; while they don't, no connection is closed before its timeout.
 //!
-//! The caller reports what happens on its connections and carries out the decisions. The crate does no I/O and reads no
-//! clock. It never chooses a connection with a complete request, with an answer that is being written, or with unread
-//! bytes; and what it keeps is bounded by the number of slots.
+//! The caller reports what happens on its connections and carries out the decisions. The crate does no I/O and reads
+//! no clock. To make room, it never chooses a connection with a complete request, with an answer that is being
+//! written, or with unread bytes. Its state is bounded by the number of slots.
 //!
 //! ```text
 //! arrive -> New -> Reading -> Busy -> (before_answer) -> Idle -> Reading ...
@@ -18,11 +18,11 @@
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `admission` | the facade: events in, decisions out |
+//! | `admission` | the facade, which takes events and returns decisions |
 //! | `connection`, `connection_table` | the state of one connection; all of them, by stage and by source |
 //! | `evictable` | the connections that could make room, and the least valuable of them |
 //! | `hazard_estimate` | the value of a slot by kind and age |
-//! | `headroom` | the slots that are kept free for new clients |
+//! | `headroom` | the number of slots that are kept free for new clients |
 
 mod admission;
 mod bounds;
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -1,4 +1,4 @@
-//! Thousands of random histories against a plain model of what must hold at every step.
+//! Runs thousands of random histories against a simple model, which tells what must hold at every step.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -35,7 +35,7 @@
         index: usize,
         by_client: bool,
     },
-    /// The caller uses an id that was closed long ago.
+    /// The caller uses the id of a connection that was closed long ago.
     StaleId(u64),
     OutOfDescriptors,
     AdvanceClock(i64),
@@ -81,7 +81,7 @@
         self.phase != ModelPhase::Busy && !self.blocked && !self.unread
     }
 
-    /// Bytes that come behind the announced end cancel it.
+    /// Bytes that arrive after the end was announced cancel the close.
     fn cancel_close(&mut self) {
         if self.phase == ModelPhase::Closing {
             self.phase = ModelPhase::Waiting;
@@ -121,13 +121,16 @@
     fn arrive(&mut self, source: u8) {
         let source = IpAddr::V4(Ipv4Addr::new(127, 0, 0, source));
         let limit = self.admission.limit();
-        // More connections may be open than a lack of descriptors leaves slots.
+        // After a lack of descriptors, more connections may be open than there are slots.
         let any_evictable =
             self.model.values().any(ModelConnection::is_evictable) && self.model.len() <= limit;
         let mut rounds = 0;
         loop {
             rounds += 1;
-            assert!(rounds <= self.max_connections + 2, "an arrival is settled in bounded steps");
+            assert!(
+                rounds <= self.max_connections + 2,
+                "an arrival is decided in a bounded number of steps"
+            );
             match self.admission.arrive(self.now, source) {
                 Arrival::Admitted(id) => {
                     let connection = ModelConnection {
@@ -175,7 +178,7 @@
         self.model_of(id).phase = phase;
     }
 
-    /// A step of one connection.
+    /// Applies a step of one connection.
     fn connection_step(&mut self, step: Step, id: ConnectionId) {
         let now = self.now;
         match step {
@@ -210,7 +213,7 @@
                 self.admission.closed(now, id);
                 self.model.remove(&id);
             }
-            other => unreachable!("no step of one connection: {other:?}"),
+            other => unreachable!("not a step of one connection: {other:?}"),
         }
     }
 
@@ -246,7 +249,7 @@
                 ReleaseReason::WriteTimeout => {
                     assert!(connection.blocked, "its client accepts none of its answer");
                 }
-                // It has exceeded its time, whatever is still unread.
+                // The request has exceeded its timeout, whatever is still unread.
                 ReleaseReason::RequestTimeout => assert_ne!(connection.phase, ModelPhase::Busy),
                 ReleaseReason::IdleTimeout | ReleaseReason::MakeRoom => {
                     self.check_evictable(release.id);
@@ -276,7 +279,11 @@
             Step::AdvanceClock(us) => self.now = self.now.plus(Span(us)),
             Step::Tick => self.tick(),
         }
-        assert_eq!(self.admission.connections(), self.model.len(), "nothing is kept of the closed");
+        assert_eq!(
+            self.admission.connections(),
+            self.model.len(),
+            "no state of a closed connection is kept"
+        );
         assert!(self.admission.connections() <= self.max_connections);
     }
 
@@ -288,7 +295,7 @@
     }
 }
 
-/// A failure prints the steps, which replay it.
+/// A failure prints the steps that reproduce it.
 #[test]
 fn no_history_exceeds_a_bound_or_closes_a_connection_with_a_complete_request() {
     let config = Config { cases: 4000, failure_persistence: None, ..Config::default() };
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Scripted histories: one for each rule that an operator would ask about.
+//! Scripted histories, one for each rule of admission that an operator would ask about.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
@@ -29,6 +29,7 @@
     IpAddr::V4(Ipv4Addr::new(127, 0, 0, n))
 }
 
+/// Admits a new connection from source `from`, and closes the connections that have to make room.
 fn admit(admission: &mut Admission, now: Time, from: u8) -> ConnectionId {
     loop {
         match admission.arrive(now, source(from)) {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Sends a request that is answered at once; `false` if the connection is closed with the answer.
+/// Sends a request that is answered at once. Returns `false` if the connection is closed with the answer.
 fn send_request(admission: &mut Admission, now: Time, id: ConnectionId) -> bool {
     admission.bytes_read(now, id);
     admission.request_complete(now, id);
@@ -58,8 +59,9 @@
     reuses: bool,
 }
 
-/// Clients that are bounded to `CLIENT_SLOTS` connections at once on their own side, as the platform's are: some send one
-/// request and keep their connection open, others reuse an idle one, the last used first.
+/// Simulated clients that are limited to `CLIENT_SLOTS` connections at once on their own side, as those of the
+/// platform are. Some send one request and keep their connection open; others reuse an idle connection, the most
+/// recently used first.
 struct ClientLoad {
     admission: Admission,
     now: Time,
@@ -68,9 +70,11 @@
     /// Idle connections of clients that reuse them.
     reused: VecDeque<ConnectionId>,
     busy: VecDeque<BusyConnection>,
-    /// Requests of each kind of client that were served, found no slot, or took a new connection.
+    /// The number of requests that were served, by whether the client reuses connections.
     served: [usize; 2],
+    /// The number of requests that found no slot, by the same index.
     no_slot: [usize; 2],
+    /// The number of requests that took a new connection, by the same index.
     opened: [usize; 2],
 }
 
@@ -116,7 +120,7 @@
         }
     }
 
-    /// A request that takes `busy_ms`.
+    /// Sends a request whose answer takes `busy_ms`.
     fn request(&mut self, reuses: bool, busy_ms: i64) {
         self.hand_over_due_answers();
         let reusable = if reuses { self.reused.pop_back() } else { None };
@@ -183,7 +187,7 @@
 fn without_a_shortage_of_slots_no_connection_is_closed_before_its_timeout() {
     let mut load = ClientLoad::new();
     load.run(20, 320, 1);
-    // As many as were ever busy at once, and not one more.
+    // No more connections were opened than were ever busy at once.
     assert!(load.opened[1] <= 11, "{} opened", load.opened[1]);
     assert_eq!(load.no_slot, [0, 0]);
 }
@@ -252,7 +256,7 @@
     now = until;
     let Arrival::Reject(advice) = admission.arrive(now, source(1)) else { panic!("busy") };
     assert!(advice > Span(0));
-    // A client that comes behind it waits no second time.
+    // A client that arrives after it does not wait again.
     assert!(matches!(admission.arrive(now, source(1)), Arrival::Reject(_)));
     admission.answer_handed_over(now, ids[0], false);
     let Arrival::Evict(id) = admission.arrive(now, source(1)) else { panic!("one is evictable") };
@@ -261,7 +265,7 @@
     assert!(matches!(admission.arrive(now, source(1)), Arrival::Admitted(_)));
     // A slot was free: the next client would wait again.
     let next = admission.arrive(now, source(1));
-    assert!(matches!(next, Arrival::Evict(_)), "the new one has sent nothing yet: {next:?}");
+    assert!(matches!(next, Arrival::Evict(_)), "the new connection has sent nothing yet: {next:?}");
 }
 
 #[test]
@@ -276,12 +280,12 @@
         now = now.plus(Span(MS));
         admit(&mut admission, now, 1);
     }
-    // The greedy source evicted only its own connections.
+    // The large source evicted only its own connections.
     for id in &small {
         admission.bytes_read(now, *id);
         admission.request_complete(now, *id);
     }
-    // And a third source gets a slot of the greedy one, not of the small one.
+    // A third source gets slots of the large source, not of the small one.
     small.iter().for_each(|id| admission.answer_handed_over(now, *id, false));
     for _ in 0..20 {
         let Arrival::Evict(id) = admission.arrive(now, source(3)) else { panic!("full") };
@@ -310,7 +314,8 @@
     assert_eq!(admission.limit(), SLOTS);
 }
 
-/// A closing connection holds its descriptor until its end, and the lack lasts as long.
+/// Guards against closing a connection that was just opened: a closing connection holds its descriptor until it is
+/// closed, and the lack of descriptors lasts as long.
 #[test]
 fn during_a_lasting_lack_of_descriptors_a_new_connection_is_not_closed_within_its_grace() {
     let mut now = Time(1_000_000_000);
@@ -326,7 +331,7 @@
     }
     assert!(!closed.is_empty() && !closed.contains(&fresh), "{closed:?}");
     assert!(closed.iter().all(|id| idle.contains(id)));
-    // A silent one is spared for a short time only, and not where no other connection is closing.
+    // A silent connection is kept for a short time only, and not if no other connection is closing.
     now = now.plus(Span(20 * MS));
     closed.extend(admission.out_of_descriptors(now).into_iter().map(|release| release.id));
     assert!(closed.contains(&fresh));
@@ -362,7 +367,7 @@
         [Release { id: idle, reason: ReleaseReason::IdleTimeout }]
     );
     admission.closed(at(2501), idle);
-    // A complete request has no timeout here, but a client that accepts none of its answer has.
+    // A complete request has no timeout in admission, but a client that accepts none of its answer has one.
     assert_eq!(
         admission.tick(at(3001)),
         [Release { id: blocked, reason: ReleaseReason::WriteTimeout }]
@@ -410,7 +415,7 @@
     admission.request_complete(now, second);
     let later = now.plus(Span(5 * MS));
     assert_eq!(admission.before_answer(later, second), KeepAlive::CloseOther(first));
-    // Its socket shows that its answer is still being written: it is not closed.
+    // The socket of the first connection shows that its answer is still being written, so that it is not closed.
     admission.write_blocked(later, first);
     admission.write_resumed(first);
     admission.answer_handed_over(later, second, true);
