--- a/crates/discovery-schedule/src/backoff.rs
+++ b/crates/discovery-schedule/src/backoff.rs
@@ -3,14 +3,14 @@
 use oorandom::Rand64;
 use sableloom_types::{Span, Time};
 
-/// The most doublings of the longest backoff.
+/// The largest number of times that the longest backoff is doubled.
 pub(crate) const MAX_DOUBLINGS: u32 = 2;
-/// A backoff is drawn between this fraction of the longest one
+/// The least backoff, as a fraction of the longest one.
 const MIN_BACKOFF_FRACTION: f64 = 0.2;
-/// and that plus this.
+/// The random part that is added to the least backoff, as a fraction of the longest one.
 const JITTER_FRACTION: f64 = 0.8;
 
-/// Until when no poll is made.
+/// The time before which no poll is made, and the failures that lengthen the next backoff.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     rng: Rand64,
@@ -27,17 +27,18 @@
         self.until
     }
 
-    /// No poll is made before this.
+    /// Sets the time before which no poll is made.
     pub(crate) fn set_until(&mut self, until: Time) {
         self.until = until;
     }
 
-    /// The last poll did not fail.
+    /// Records that the last poll did not fail, so that the next backoff is not doubled.
     pub(crate) fn reset_failures(&mut self) {
         self.failures = 0;
     }
 
-    /// A poll has failed. Each failure doubles the longest backoff, unless it is `urgent` to be answered.
+    /// Records a failed poll and draws the backoff after it. Each failure doubles the longest backoff, unless an
+    /// answer is `urgent`.
     pub(crate) fn record_failure(&mut self, now: Time, longest: Span, urgent: bool) {
         let jitter = self.rng.rand_float();
         let longest = longest.as_micros_f64();
--- a/crates/discovery-schedule/src/notification.rs
+++ b/crates/discovery-schedule/src/notification.rs
@@ -1,4 +1,5 @@
-//! When a change of the endpoint list counts as notified, whether or not it has arrived.
+//! The times after which the platform counts a balancer as notified of a change of the endpoint list, whether or not
+//! the change has arrived.
 
 use sableloom_types::Span;
 
@@ -6,14 +7,16 @@
     Span(ms * 1000)
 }
 
-/// What a silent long poll misses counts as notified this long after it went silent (platform's page),
+/// A change that a silent long poll misses counts as notified this long after the poll went silent, or at the time of
+/// [`NOTIFIED_AFTER_WAIT`] if that is later. The platform specifies this value.
 pub const NOTIFIED_AFTER_SILENCE: Span = ms(6000);
-/// or this long after the wait of the poll has ended, if that is later.
+/// A change that a silent long poll misses does not count as notified before this long after the end of the poll's
+/// wait. The platform specifies this value.
 pub const NOTIFIED_AFTER_WAIT: Span = ms(2000);
-/// After a poll that failed, was rejected or abandoned, a change counts as notified this long after discovery had it and
-/// could be reached, whatever is allowed otherwise (users' fourth letter).
+/// After a poll that failed, was rejected or was abandoned, a change counts as notified this long after discovery had
+/// it and could be reached, whatever is allowed otherwise. The users of the balancer specify this value.
 pub const NOTIFIED_AFTER_FAILURE: Span = ms(6000);
-/// The changes that discovery has count as notified this long after SIGHUP.
+/// The changes that discovery has count as notified this long after the SIGHUP that reports its move.
 pub const NOTIFIED_AFTER_MOVE: Span = ms(4000);
-/// A poll continues the watch if it comes this soon after the last answer.
+/// The longest time after an answer in which the next poll continues the watch.
 pub const MAX_CONTINUATION_GAP: Span = ms(200);
--- a/crates/discovery-schedule/src/poll.rs
+++ b/crates/discovery-schedule/src/poll.rs
@@ -1,28 +1,28 @@
-//! One poll of discovery: what is asked, and how it ended.
+//! One poll of discovery: its request and its outcome.
 
 use sableloom_types::{Span, Time};
 
-/// A poll to be made.
+/// A poll that is to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollRequest {
     /// How long discovery is asked to wait for a change; `None` for the full list at once.
     pub wait: Option<Span>,
-    /// After this the poll counts as silent.
+    /// The time after which the poll counts as silent.
     pub deadline: Time,
-    /// When to hedge it: to make the same poll again beside it, on a connection of its own.
+    /// When to hedge the poll, that is, to make the same poll again on a connection of its own; `None` for no hedge.
     pub hedge_at: Option<Time>,
 }
 
 /// How a poll ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// With an answer.
+    /// An answer arrived.
     Answered {
-        /// Whether it has entries, or another version.
+        /// Whether the answer has entries, or another version of the list.
         changed: bool,
     },
-    /// No byte of an answer came by its deadline.
+    /// No byte of an answer arrived by the deadline.
     Silent,
-    /// It was rejected, its connection was lost, or its answer can't be used.
+    /// The poll was rejected, its connection was lost, or its answer can't be used.
     Failed,
 }
--- a/crates/discovery-schedule/src/poll_timing.rs
+++ b/crates/discovery-schedule/src/poll_timing.rs
@@ -1,4 +1,4 @@
-//! How long each step of polling may take, computed from the settings.
+//! The time limits of each step of polling, computed from the settings.
 
 use sableloom_types::Span;
 
@@ -7,41 +7,45 @@
     NOTIFIED_AFTER_FAILURE, NOTIFIED_AFTER_SILENCE, NOTIFIED_AFTER_WAIT, ms,
 };
 
-/// The grace of a drain where the settings state none.
+/// The drain grace if the settings state none.
 const DEFAULT_DRAIN_GRACE: Span = ms(1000);
-/// Of the time in which silence has to be detected and answered, the short wait takes this fraction; the rest is for the
-/// answer.
+/// The fraction of the budget that the short wait takes, where the budget is the time in which silence has to be
+/// detected and answered. The rest is for the answer.
 const SHORT_WAIT_FRACTION_OF_BUDGET: f64 = 0.72;
-/// A service that takes this fraction of that time for a poll of each balancer can answer all of them in time though they
-/// all detect the silence within one short wait. Failure where it takes longer: the last of six, at 1.3 s for each, was
-/// answered later than with long waits, which end further apart.
+/// The fraction of the same budget in which a fast service handles a poll of each balancer. Such a service can answer
+/// all of them in time although they all detect the silence within one short wait. With short waits at a service that
+/// takes longer, 1.3 s for each poll, the last of six balancers was answered later than with long waits, which end
+/// further apart.
 const FAST_SERVICE_FRACTION_OF_BUDGET: f64 = 0.88;
-/// A fleet that starts in one moment polls over this fraction of the poll interval.
+/// The fraction of the poll interval over which the first polls of a fleet that starts at once are spread.
 const START_SPREAD_FRACTION_OF_INTERVAL: f64 = 0.05;
-/// The start is spread over no more of the poll interval than this, in microseconds.
+/// The longest poll interval of which that fraction is taken, in microseconds.
 const MAX_START_SPREAD_INTERVAL_US: f64 = 10e6;
-/// The least and the longest wait of a poll.
+/// The least wait of a long poll at a service.
 const MIN_WAIT: Span = ms(500);
+/// The longest wait of a long poll at a service.
 const MAX_WAIT: Span = ms(10_000);
-/// The longest backoff is this fraction of the poll interval,
+/// The longest backoff, as a fraction of the poll interval.
 const BACKOFF_FRACTION_OF_INTERVAL: f64 = 0.1;
-/// and at most this. It is bounded by no more of the interval, as what counts as notified after a failure does not depend
-/// on that. Failure: backoffs of up to four tenths of the interval, and a service that came back meanwhile.
+/// The upper bound of the longest backoff, whatever the poll interval. It does not grow with the interval, because
+/// the time at which a change counts as notified after a failure does not depend on the interval. With backoffs of up
+/// to four tenths of the interval, a service came back during a backoff and was polled too late.
 const MAX_BACKOFF: Span = ms(250);
-/// A poll is hedged after this fraction of the time that is left for its answer,
+/// The fraction of the time left for an answer after which a poll is hedged.
 const HEDGE_FRACTION_OF_BUDGET: f64 = 0.65;
-/// and at the latest after this.
+/// The upper bound of the time after which a poll is hedged.
 const MAX_HEDGE_DELAY: Span = ms(1500);
 
-/// What the settings say about discovery, and which balancer of how many this one is.
+/// The settings of discovery, and the number of this balancer among all balancers.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleOptions {
-    /// Whether an agent on this machine has the list, which answers at once and at no cost; else one service has it for
-    /// all balancers, which handles new polls one after the other.
+    /// Whether an agent on this machine has the list, which answers at once and at no cost. Otherwise one service has
+    /// it for all balancers, and handles new polls one after the other.
     pub local_agent: bool,
-    /// The longest time between polls, where discovery has to be polled.
+    /// The longest time between polls if a service has the list.
     pub poll_interval: Span,
-    /// For how long after the notification of a drain a request to the server may still begin; zero if not stated.
+    /// For how long after the notification of a drain a request to the server may still begin. Zero means that it is
+    /// not stated, and selects the default of 1 s.
     pub drain_grace: Span,
     /// The number of this balancer, from 0.
     pub position: u32,
@@ -49,45 +53,48 @@
     pub balancers: u32,
 }
 
-/// How long each step may take.
+/// The time limits of each step of polling.
 #[derive(Clone, Copy, Debug)]
 pub struct PollTiming {
     /// The longest wait that a poll asks for: the period of the polls.
     pub wait: Span,
-    /// The same at a service that is fast enough: short enough for silence to be detected, and answered, in the time that
-    /// counts after a poll that was abandoned.
+    /// The wait at a service that is fast enough for it. It is short enough for silence to be detected, and a new
+    /// poll to be answered, before a change that an abandoned poll misses becomes binding.
     pub short_wait: Span,
-    /// A service is fast enough if it takes no longer than this for a poll of each balancer.
+    /// The longest time that a service may take for a poll of each balancer to be fast enough for the short wait.
     pub fast_service_limit: Span,
     /// The fraction of each period at which this balancer's waits end.
     pub phase: f64,
-    /// How long after its start this balancer polls first. A fleet that starts in one moment polls in the order of its
-    /// numbers, so that each balancer can conclude from its own answer how long all polls take together.
+    /// How long after its start this balancer polls first. The balancers of a fleet that starts at once poll in the
+    /// order of their numbers, so that each can conclude from its own answer how long all polls take together.
     pub start_delay: Span,
     /// The number of balancers.
     pub balancers: f64,
-    /// How long past its wait an answer may come. One that is due comes within a round trip and this process's own delay.
+    /// How long after the end of its wait a poll may still be answered. An answer that is due arrives within a round
+    /// trip and the scheduling delay of this process.
     pub answer_slack: Span,
-    /// The timeout of a poll that asks for no wait: its turn at the service.
+    /// The timeout of a poll without a wait, which is answered when its turn comes at the service.
     pub poll_timeout: Span,
-    /// The same after a poll that took longer, or a service that always does would never be heard.
+    /// The timeout of a poll without a wait after one that timed out. Without a longer timeout, no answer of a
+    /// service that always takes longer would ever be received.
     pub extended_poll_timeout: Span,
-    /// A poll that has to be answered soon is hedged after this time.
+    /// How long after its start a poll that has to be answered soon is hedged.
     pub hedge_delay: Span,
-    /// The timeout of a connect.
+    /// The timeout for opening a connection.
     pub connect_timeout: Span,
-    /// How long an answer that has begun may pause.
+    /// How long an answer may pause once it has begun.
     pub read_timeout: Span,
     /// The longest backoff between polls after silence or a move of discovery.
     pub max_urgent_backoff: Span,
-    /// The longest backoff after the first failure otherwise; it doubles with each further one.
+    /// The longest backoff after the first failure in all other cases. It doubles with each further failure, twice at
+    /// most.
     pub max_backoff: Span,
     /// For how long after the notification of a drain a request to the server may still begin.
     pub drain_grace: Span,
 }
 
 impl PollTiming {
-    /// The timing that follows from these options.
+    /// Computes the timing from these options.
     pub fn new(options: &ScheduleOptions) -> Self {
         let stated = options.drain_grace;
         let drain_grace = if stated.0 > 0 { stated } else { DEFAULT_DRAIN_GRACE };
@@ -97,8 +104,9 @@
         }
     }
 
-    /// What an agent has counts as notified at once, also what it gets while a poll hangs that it will never answer: wait,
-    /// slack and a new poll have to fit into the grace of a drain.
+    /// Computes the timing for a local agent. A change that an agent has counts as notified at once, even if the
+    /// agent gets it while a poll hangs that it will never answer. Wait, slack and a new poll therefore have to fit
+    /// into the drain grace.
     fn for_agent(drain_grace: Span) -> Self {
         let fraction_of_grace = |fraction: f64, max: Span| {
             Span::from_micros_f64(drain_grace.as_micros_f64() * fraction).min(max).max(ms(20))
@@ -122,10 +130,11 @@
         }
     }
 
-    /// A service can handle one poll of each balancer in the poll interval, or the interval could not be kept. So the ends
-    /// of all waits are spread evenly over that time: when all long polls go silent in one moment, the polls that detect it
-    /// still come one by one. Failure: all started in one moment, and polled again in one moment, 1.5 s late, at a service
-    /// that took 0.35 s for each.
+    /// Computes the timing for a service. A service can handle one poll of each balancer in the poll interval, or
+    /// else the interval could not be kept. The ends of all waits are therefore spread evenly over the interval: when
+    /// all long polls go silent at once, the polls that detect it still arrive one by one. Without the spread,
+    /// balancers that had started at once polled again at once, 1.5 s late, at a service that took 0.35 s for each
+    /// poll.
     fn for_service(options: &ScheduleOptions, drain_grace: Span) -> Self {
         let wait = options.poll_interval.max(MIN_WAIT).min(MAX_WAIT);
         let position = f64::from(options.position % options.balancers.max(1));
@@ -159,15 +168,15 @@
                 * START_SPREAD_FRACTION_OF_INTERVAL
                 * timing.phase,
         );
-        // Late, as a service that is merely slow is made slower by a hedge.
+        // The hedge is sent late, because it slows down a service that is merely slow.
         let answer_budget_us = timing.answer_budget_after_silence().as_micros_f64();
         timing.hedge_delay =
             Span::from_micros_f64(answer_budget_us * HEDGE_FRACTION_OF_BUDGET).min(MAX_HEDGE_DELAY);
         timing
     }
 
-    /// The time that is left for the answer to a new poll once a long poll is known to be silent, until a request to a
-    /// draining server would break the rule.
+    /// The time that is left for the answer to a new poll once a long poll is known to be silent. After that time, a
+    /// request to a draining server could begin after the drain grace.
     pub fn answer_budget_after_silence(&self) -> Span {
         let notified = (NOTIFIED_AFTER_SILENCE.0 - self.wait.0).max(NOTIFIED_AFTER_WAIT.0);
         let after_short_wait = NOTIFIED_AFTER_FAILURE.0 - self.longest_short_wait().0;
@@ -175,13 +184,13 @@
         Span(notified.min(after_short_wait) + self.drain_grace.0 - detection)
     }
 
-    /// The longest wait at a service that is fast enough: one may be a twentieth longer than its period.
+    /// The longest wait at a service that is fast enough. A wait may be a twentieth longer than its period.
     pub(crate) fn longest_short_wait(&self) -> Span {
         Span(self.short_wait.0 * 21 / 20)
     }
 
-    /// Where lists are pushed: the time that is left for the answer of an agent that has come back, if a poll hangs that
-    /// was made just before.
+    /// The time that is left for the answer of a local agent that has come back, if a poll hangs that was made just
+    /// before its return.
     pub fn answer_budget_after_agent_return(&self) -> Span {
         let hanging = (self.wait.0 + self.answer_slack.0)
             .max(self.poll_timeout.0 + (self.max_backoff.0 << MAX_DOUBLINGS));
--- a/crates/discovery-schedule/src/schedule.rs
+++ b/crates/discovery-schedule/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The polls of one balancer.
+//! The schedule of one balancer's polls.
 
 use sableloom_types::{Span, Time};
 
@@ -10,29 +10,32 @@
 use crate::poll_timing::PollTiming;
 use crate::service_time::FleetServiceTime;
 
-/// The wait of a poll that is to be answered in its turn: the shortest that can be asked for.
+/// The wait of a poll that is to be answered as soon as its turn comes at the service. It is the shortest wait that
+/// can be asked for.
 const SHORTEST_WAIT: Span = ms(1);
-/// A poll was answered quickly, as by a service with no others before it, if this many times its latency are less than the
-/// hedge delay.
+/// A poll was answered quickly, as by a service without other polls queued before it, if its latency is less than the
+/// hedge delay divided by this.
 const QUICK_ANSWER_DIVISOR: i64 = 4;
-/// The answer to a long poll is early within this time; and the backoff where early answers follow each other.
+/// An answer to a long poll is early if it arrives within this time, which is also the backoff after repeated early
+/// answers.
 const EARLY_ANSWER_LIMIT: Span = ms(100);
-/// A wait that would end within one in this many parts of its period is prolonged by a period.
+/// A wait that is shorter than its period divided by this is prolonged by a period.
 const MIN_WAIT_DIVISOR: i64 = 20;
 
 /// Whether the list of the balancer is in sync with discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncState {
-    /// No answer has come yet, and none is overdue.
+    /// No answer has arrived yet, and none is overdue.
     Syncing,
     /// A long poll is open, and on time as far as can be known.
     Watching,
     /// A poll was silent or failed, or discovery has moved: changes will count as notified soon, and it is not known
-    /// whether there are any. The servers of the last list are used: a change that is not notified yet binds nobody.
+    /// whether there are any. The servers of the last list are used, because a change that does not count as notified
+    /// yet is not binding.
     Resyncing,
-    /// The same, and the time by which an answer had to be in has passed. The servers of the last list are still used: a
-    /// service that answers nobody hides a drain less often than it is lost, and to reject everything whenever discovery
-    /// is lost would turn each of its outages into one of the whole service.
+    /// The list is not in sync, and the time by which an answer was due has passed. The servers of the last list are
+    /// still used: a discovery service that answers nobody is down more often than it hides a drain, and rejecting
+    /// every request whenever it is down would turn each of its outages into an outage of the whole service.
     Stale,
 }
 
@@ -43,33 +46,34 @@
     started: Time,
 }
 
-/// When one balancer polls discovery.
+/// Decides when one balancer polls discovery.
 #[derive(Debug)]
 pub struct PollSchedule {
     timing: PollTiming,
-    /// Whether an answer has come since the last silence or failure: a long poll continues the watch.
+    /// Whether an answer has arrived since the last silence or failure, so that a long poll continues the watch.
     watch_open: bool,
-    /// Whether the full list is wanted, as versions known here mean nothing there.
+    /// Whether the next poll asks for the full list, because the version known here means nothing to discovery.
     needs_full_list: bool,
     in_flight: Option<InFlightPoll>,
-    /// By when an answer has to be in.
+    /// When an answer is due; `None` while the list is in sync or no answer was expected yet.
     answer_due: Option<Time>,
     backoff: Backoff,
     /// The latency of the last poll without a wait.
     last_latency: Option<Span>,
     fleet_service_time: FleetServiceTime,
-    /// Whether a long poll went silent or discovery has moved, and no answer has come since.
+    /// Whether a long poll went silent or discovery has moved, and no answer has arrived since.
     urgent: bool,
     /// Whether the last poll had no wait and timed out.
     last_poll_timed_out: bool,
     /// Whether the last poll had no wait and was queued behind others.
     last_poll_was_queued: bool,
-    /// Early answers in a row.
+    /// The number of early answers in a row.
     early_answers: u32,
 }
 
 impl PollSchedule {
-    /// A schedule without a poll yet; `needs_full_list` if no version of the list is known.
+    /// Creates a schedule without a poll. `needs_full_list` is set if no version of the list is known; `seed`
+    /// determines the backoffs.
     pub fn new(timing: PollTiming, seed: u64, needs_full_list: bool) -> Self {
         Self {
             timing,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The first poll is made in this balancer's turn of a fleet that starts now.
+    /// Schedules the first poll for this balancer's turn in a fleet that starts now.
     pub fn start(&mut self, now: Time) {
         self.fleet_service_time.start_in_turn(now);
         self.backoff.set_until(now.plus(self.timing.start_delay));
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Discovery has another address from now on; a poll that was in flight has been dropped.
+    /// Reports that discovery has another address from now on, and that a poll that was in flight has been dropped.
     pub fn discovery_moved(&mut self, now: Time) {
         self.watch_open = false;
         self.needs_full_list = true;
@@ -123,17 +127,17 @@
         self.answer_due = Some(now.plus(NOTIFIED_AFTER_MOVE).plus(self.timing.drain_grace));
     }
 
-    /// The next poll asks for the full list.
+    /// Makes the next poll ask for the full list.
     pub fn request_full_list(&mut self) {
         self.needs_full_list = true;
     }
 
-    /// When the next poll is to be made.
+    /// When the next poll is to be made; `now` if no backoff is left.
     pub fn next_poll_at(&self, now: Time) -> Time {
         self.backoff.until().max(now)
     }
 
-    /// Makes the next poll.
+    /// Starts the next poll and returns what the caller is to send.
     pub fn start_poll(&mut self, now: Time) -> PollRequest {
         let request = match self.watch_open && !self.needs_full_list {
             true => self.long_poll(now),
@@ -149,11 +153,12 @@
         PollRequest { wait: Some(wait), deadline, hedge_at: None }
     }
 
-    /// A poll that is answered in its turn. A long poll would not tell a slow service from one without changes.
+    /// Returns a poll that is answered when its turn comes at the service. With a long poll, a slow service could not
+    /// be told from one without changes.
     fn immediate_poll(&self, now: Time) -> PollRequest {
         let timing = &self.timing;
-        // Hedged only at a service that has answered quickly: the queue of a slow one grows with each hedge. Not after a
-        // move either: all balancers move at once.
+        // A poll is hedged only at a service that has answered quickly, because each hedge lengthens the queue of a
+        // slow service. It is not hedged after a move either, because all balancers move at once.
         let answers_quickly = self.last_latency.is_some_and(|latency| self.is_quick(latency));
         let hedged = answers_quickly && !self.needs_full_list && self.answer_due.is_some();
         let timeout = if self.last_poll_timed_out {
@@ -168,20 +173,21 @@
         }
     }
 
-    /// The wait that ends where this balancer's waits end in each period.
+    /// Returns the wait that ends where this balancer's waits end in each period.
     fn wait_to_own_phase(&self, now: Time) -> Span {
         let period = self.period().0;
         let offset = (period as f64 * self.timing.phase) as i64;
         let passed = (now.0 - offset).rem_euclid(period);
         let left = period - passed;
-        // After a poll that was queued others still are. Should this watch go silent now, that has to be detected once
-        // they are through. Failure: of six balancers that started together at a service that took 1.3 s for each, the
-        // first had to poll again before the last had polled once. No wait may be longer than the period: it may count as
-        // a balancer that does not watch.
+        // After a poll that was queued, polls of other balancers are still queued. If this watch goes silent now,
+        // that has to be detected only after they were handled. Without this rule, of six balancers that started
+        // together at a service that took 1.3 s for each poll, the first had to poll again before the last had polled
+        // once. No wait may be longer than the period here, because the balancer may then count as one that does not
+        // watch.
         if self.last_poll_was_queued && left < period / 2 {
             return Span(period);
         }
-        // An answer that came a moment early would lead to two polls for one end.
+        // Without this, an answer that arrives just before the end of its wait would lead to two polls for one end.
         let too_short = left * MIN_WAIT_DIVISOR < period;
         Span(if too_short { left + period } else { left })
     }
@@ -194,12 +200,12 @@
         }
     }
 
-    /// Whether a poll was answered as by a service with no others before it.
+    /// Whether a poll with this latency was answered as by a service without other polls queued before it.
     fn is_quick(&self, latency: Span) -> bool {
         latency.0 * QUICK_ANSWER_DIVISOR < self.timing.hedge_delay.0
     }
 
-    /// The poll that was in flight has ended.
+    /// Reports how the poll in flight has ended.
     pub fn poll_ended(&mut self, now: Time, outcome: PollOutcome) {
         let Some(poll) = self.in_flight.take() else { return };
         match outcome {
@@ -228,15 +234,16 @@
         self.fleet_service_time.observe(now, latency, &self.timing);
         let early = is_long_poll && passed < EARLY_ANSWER_LIMIT;
         self.early_answers = if early { self.early_answers + 1 } else { 0 };
-        // A service that answers long polls at once, again and again, is polled no faster than this; still soon enough to
-        // continue the watch.
+        // A service that keeps answering long polls at once is polled no faster than this, which is still soon enough
+        // to continue the watch.
         let too_fast = self.early_answers > u32::from(changed);
         self.backoff.set_until(if too_fast { now.plus(EARLY_ANSWER_LIMIT) } else { now });
     }
 
     fn handle_silence(&mut self, now: Time, poll: InFlightPoll) {
-        // It is not known when it went silent: the earliest time counts. It was abandoned here, so that the shorter of the
-        // two clocks is kept wherever the waits are short enough for it.
+        // It is not known when the poll went silent, so the earliest possible time counts. The poll was abandoned by
+        // this balancer, so the time limit after an abandoned poll, which is the shorter one, is kept wherever the
+        // waits are short enough for it.
         let notified_after = match poll.request.wait {
             Some(wait) if wait > self.timing.longest_short_wait() => {
                 NOTIFIED_AFTER_SILENCE.max(Span(wait.0 + NOTIFIED_AFTER_WAIT.0))
@@ -253,7 +260,8 @@
         }
     }
 
-    /// Changes that discovery has may count as notified from then on.
+    /// Sets when an answer is due, as changes that discovery has may count as notified from `notified` on. An earlier
+    /// due time is kept.
     fn expect_answer(&mut self, notified: Time) {
         let due = notified.plus(self.timing.drain_grace);
         self.answer_due = Some(self.answer_due.map_or(due, |before| before.min(due)));
--- a/crates/discovery-schedule/tests/simulation/main.rs
+++ b/crates/discovery-schedule/tests/simulation/main.rs
@@ -1,8 +1,8 @@
-//! Thousands of seeded schedules: balancers that poll a discovery service (or each an agent of its own) through silence,
-//! resets, outages, moves and late answers, while servers begin to drain. By the platform's page each drain counts as
-//! notified to each balancer at some time; by the end of the grace after it the balancer must know of it, or a request
-//! would be forwarded to a server that is shutting down. A failure names its seed;
-//! `SEED=17 cargo test -p sableloom-discovery-schedule --test simulation` replays it.
+//! Runs thousands of seeded schedules in which balancers poll a discovery service, or each an agent of its own,
+//! through silence, resets, outages, moves and late answers, while servers begin to drain. By the rules of the
+//! platform, each drain counts as notified to each balancer at some time. By the end of the grace after that time the
+//! balancer must know of the drain; otherwise a request could be forwarded to a server that is shutting down. A
+//! failure reports its seed; `SEED=17 cargo test -p sableloom-discovery-schedule --test simulation` replays it.
 
 mod plan;
 mod world;
@@ -17,7 +17,7 @@
 use world::{END, World};
 
 const SEEDS: u64 = 6000;
-/// Events that must have happened in some schedule.
+/// Events that must happen in at least one schedule.
 const REQUIRED_EVENTS: [&str; 5] = ["silence", "poll silent", "reset", "poll rejected", "hedged"];
 
 fn seeds() -> Vec<u64> {
@@ -27,15 +27,15 @@
     }
 }
 
-/// The schedules in which a drain was known too late.
+/// The result of running all schedules.
 struct Summary {
-    /// Their seeds, and by how many microseconds.
+    /// The seeds of the schedules in which a drain was known too late, and by how many microseconds.
     late: Vec<(u64, i64)>,
-    /// How often each event happened in all schedules.
+    /// How often each event happened, in all schedules together.
     events: BTreeMap<&'static str, usize>,
 }
 
-/// Runs all seeds with this timing.
+/// Runs the schedules of all seeds with this timing.
 fn run_all(timing: impl Fn(&ScheduleOptions) -> PollTiming) -> Summary {
     let mut summary = Summary { late: Vec::new(), events: BTreeMap::new() };
     for seed in seeds() {
@@ -56,7 +56,11 @@
 fn each_drain_is_known_by_the_end_of_the_grace_after_its_notification() {
     let Summary { late, events } = run_all(PollTiming::new);
     let some = &late[..late.len().min(10)];
-    assert!(late.is_empty(), "{} of {SEEDS}; seed and us late: {some:?}", late.len());
+    assert!(
+        late.is_empty(),
+        "late in {} of {SEEDS} schedules; seeds and us late: {some:?}",
+        late.len()
+    );
     if seeds().len() > 1 {
         for event in REQUIRED_EVENTS {
             assert!(events.contains_key(event), "no {event} in all schedules: {events:?}");
@@ -64,7 +68,7 @@
     }
 }
 
-/// The timing that was in force when requests were forwarded to servers whose drain had been announced.
+/// An earlier timing, with which requests were forwarded to servers whose drain had been announced.
 fn earlier_timing(options: &ScheduleOptions) -> PollTiming {
     let timing = PollTiming::new(options);
     let slack = Span(1500 * MS);
@@ -77,7 +81,7 @@
         max_backoff: backoff,
         max_urgent_backoff: backoff,
         hedge_delay: Span(END),
-        // The waits of all balancers ended in step.
+        // The waits of all balancers ended at the same time.
         phase: 0.0,
         poll_timeout: slack,
         ..timing
--- a/crates/discovery-schedule/tests/simulation/plan.rs
+++ b/crates/discovery-schedule/tests/simulation/plan.rs
@@ -1,32 +1,38 @@
-//! What happens to discovery and to the servers in one schedule.
+//! What happens to discovery and to the servers in one schedule. All times are in microseconds.
 
 use oorandom::Rand64;
 
-/// Microseconds in a second, and in a millisecond.
+/// Microseconds in a second.
 pub(crate) const S: i64 = 1_000_000;
+/// Microseconds in a millisecond.
 pub(crate) const MS: i64 = 1000;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Plan {
+    /// Whether each balancer polls an agent of its own, instead of one service for all.
     pub(crate) local_agent: bool,
     pub(crate) balancers: usize,
-    /// How long the service handles one new poll, and how long a poll may be queued there.
+    /// How long the service takes for one new poll.
     pub(crate) poll_time: i64,
+    /// How long a poll may be queued at the service; a poll that would be queued for longer is rejected.
     pub(crate) max_queue_time: i64,
-    /// Changes come on a long poll up to this late.
+    /// The longest time after a change at which it is written to a long poll.
     pub(crate) max_delay: i64,
-    /// When all open long polls go silent, or are reset.
+    /// When all open long polls go silent.
     pub(crate) silences: Vec<i64>,
+    /// When the connections of all polls are reset.
     pub(crate) resets: Vec<i64>,
     /// From when to when discovery is down.
     pub(crate) outage: Option<(i64, i64)>,
     /// When all balancers are told that discovery has moved.
     pub(crate) move_at: Option<i64>,
+    /// When servers begin to drain, in ascending order.
     pub(crate) drains: Vec<i64>,
-    /// Whether a poll that failed or was rejected counts by the clock for such polls: where the service can handle a poll
-    /// of each balancer within that clock.
+    /// Whether `NOTIFIED_AFTER_FAILURE` applies to a poll that failed or was rejected. It does where the service can
+    /// handle a poll of each balancer within that time.
     pub(crate) failure_counts: bool,
-    /// Whether a wait that a balancer abandons counts by that clock: where the service can handle all in half of it.
+    /// Whether the same limit applies to a long poll that a balancer abandons. It does where the service can handle a
+    /// poll of each balancer in half of that time.
     pub(crate) abandon_counts: bool,
 }
 
@@ -35,8 +41,8 @@
         let mut below = |n: i64| rng.rand_range(0..n as u64) as i64;
         let local_agent = below(3) == 0;
         let balancers = [1, 3, 6, 20, 60][below(5) as usize];
-        // The service handles a poll of each in a fifth to six tenths of the poll interval. With up to seven tenths ten of
-        // 40,000 schedules were late, by 0.04 to 0.4 s, one by 1.6 s.
+        // The service handles a poll of each balancer in a fifth to six tenths of the poll interval. With up to seven
+        // tenths, ten of 40,000 schedules were late, by 0.04 to 0.4 s, and one by 1.6 s.
         let all_polls = (2 + below(5)) * S;
         let mut plan = Self {
             local_agent,
--- a/crates/discovery-schedule/tests/simulation/world.rs
+++ b/crates/discovery-schedule/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! Discovery and its balancers as a queue of events in simulated time.
+//! Simulates discovery and its balancers by a queue of events. All times are in microseconds of simulated time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,36 +10,48 @@
 
 use crate::plan::{MS, Plan, S};
 
+/// How long after the notification of a drain a request to the server may still begin.
 const DRAIN_GRACE: i64 = S;
 const POLL_INTERVAL: i64 = 10 * S;
+/// When the simulation ends.
 pub(crate) const END: i64 = 75 * S;
 /// The one-way delay to discovery.
 const NETWORK_DELAY: i64 = 2 * MS;
-/// What a silent long poll misses counts as notified this long after, or this long after its wait.
+/// A change that a silent long poll misses counts as notified this long after the poll went silent, or at the time of
+/// `NOTIFIED_AFTER_WAIT` if that is later.
 const NOTIFIED_AFTER_SILENCE: i64 = 6 * S;
+/// A change that a silent long poll misses does not count as notified before this long after the poll's wait.
 const NOTIFIED_AFTER_WAIT: i64 = 2 * S;
-/// After a poll that failed a change counts as notified this long after.
+/// After a poll that failed, a change counts as notified this long after discovery had it and could be reached.
 const NOTIFIED_AFTER_FAILURE: i64 = 6 * S;
-/// What discovery has counts as notified this long after a move.
+/// The changes that discovery has count as notified this long after a move.
 const NOTIFIED_AFTER_MOVE: i64 = 4 * S;
 
+/// An event of the simulation. The first number is the index of a balancer; the second is the number of a poll, or for
+/// `PollDue` the number of polls of the balancer that had ended when the event was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A balancer makes its next poll.
+    /// A balancer makes its next poll, unless another poll has ended since.
     PollDue(usize, u64),
-    /// Discovery handles a poll: its turn has come.
+    /// Discovery handles a poll, whose turn has come.
     PollHandled(usize, u64),
-    /// The wait of a poll has ended, or there is a change for it.
+    /// Discovery answers a poll, because its wait has ended or there is a change for it.
     AnswerWritten(usize, u64),
-    /// An answer with this many drains reaches the balancer.
+    /// An answer that contains this many drains reaches the balancer.
     AnswerReceived(usize, u64, usize),
+    /// A rejection or a reset of a poll reaches the balancer.
     PollRejected(usize, u64),
-    /// A balancer's own deadline of a poll, and its hedge.
+    /// The balancer's own deadline of a poll has passed.
     PollDeadline(usize, u64),
+    /// The balancer hedges a poll, if it has not ended.
     HedgeDue(usize, u64),
+    /// All open polls go silent.
     OpenPollsSilenced,
+    /// The connections of all polls are reset.
     OpenPollsReset,
+    /// A server begins to drain.
     DrainBegun,
+    /// All balancers are told that discovery has moved.
     DiscoveryMoved,
 }
 
@@ -49,24 +61,28 @@
     number: u64,
     started: i64,
     wait: i64,
-    /// Whether discovery handles it and it waits.
+    /// Whether discovery has handled the poll, which waits for a change.
     open: bool,
-    /// Whether it will never be answered.
+    /// Whether the poll will never be answered.
     silent: bool,
+    /// Whether discovery has answered the poll.
     answered: bool,
 }
 
 struct SimulatedBalancer {
     schedule: PollSchedule,
     in_flight: Vec<InFlightPoll>,
-    /// How many drains it knows.
+    /// The number of drains that the balancer knows.
     known_drains: usize,
+    /// When the last answer arrived.
     last_answer: i64,
+    /// The number of polls that have ended.
     polls_ended: u64,
-    /// Whether its last poll failed, was rejected or abandoned.
+    /// Whether the last poll failed, was rejected or was abandoned.
     poll_lost: bool,
-    /// When each drain counts as notified, and when it was known.
+    /// When each drain counts as notified to the balancer.
     notified_at: Vec<i64>,
+    /// When the balancer knew of each drain.
     known_at: Vec<i64>,
 }
 
@@ -89,13 +105,16 @@
     plan: Plan,
     now: i64,
     rng: Rand64,
+    /// The events to come, by time and then in the order in which they were queued.
     queue: BTreeSet<(i64, u64, Event)>,
+    /// The number of events that were queued; it also numbers the polls.
     queued: u64,
     balancers: Vec<SimulatedBalancer>,
     /// When the service can handle the next new poll.
     free_at: i64,
+    /// The number of servers that have begun to drain.
     drains_begun: usize,
-    /// How often each event happened, to know that all did.
+    /// How often each event happened, to check that all of them did.
     pub(crate) events: BTreeMap<&'static str, usize>,
 }
 
@@ -133,7 +152,7 @@
         world
     }
 
-    /// All balancers start in one moment, or nearly.
+    /// Starts all balancers at nearly the same time.
     fn queue_starts(&mut self) {
         for i in 0..self.balancers.len() {
             let at = self.random_below(20 * MS);
@@ -201,8 +220,9 @@
         self.balancers[i].in_flight.iter_mut().find(|poll| poll.number == number)
     }
 
-    /// A poll of this balancer failed, was rejected or abandoned: what it does not know counts as notified a while after,
-    /// from then on.
+    /// Records that a poll of this balancer failed, was rejected or was abandoned. From then on, the drains that the
+    /// balancer does not know count as notified `NOTIFIED_AFTER_FAILURE` after discovery had them and could be
+    /// reached.
     fn lose_poll(&mut self, i: usize) {
         self.balancers[i].poll_lost = true;
         for drain in self.balancers[i].known_drains..self.drains_begun {
@@ -212,7 +232,7 @@
         }
     }
 
-    /// A balancer makes its next poll.
+    /// Starts the next poll of a balancer.
     fn start_poll(&mut self, i: usize) {
         let request = self.balancers[i].schedule.start_poll(Time(self.now));
         let wait = request.wait.map_or(0, |wait| wait.0);
@@ -276,7 +296,7 @@
             return;
         };
         poll.answered = true;
-        // A drain counts as notified when it is written.
+        // A drain counts as notified when an answer that contains it is written.
         let drains_begun = self.drains_begun;
         let notified = self.balancers[i].notified_at[..drains_begun].iter_mut();
         notified.for_each(|at| *at = (*at).min(now));
@@ -344,8 +364,8 @@
             for poll in balancer.in_flight.iter_mut().filter(|poll| poll.open) {
                 (poll.silent, poll.open) = (true, false);
                 silenced += 1;
-                // What it misses counts as notified a while after, whether or not it arrives; and what changes until a new
-                // poll is open.
+                // A change that the poll misses counts as notified after a time, whether or not it arrives. So does
+                // each change until a new poll is open.
                 let after_wait = poll.started + poll.wait + NOTIFIED_AFTER_WAIT;
                 let notified = (now + NOTIFIED_AFTER_SILENCE).max(after_wait);
                 let drains = self.plan.drains.iter().zip(&mut balancer.notified_at);
@@ -403,11 +423,12 @@
         self.queue_event(due, Event::PollDue(i, polls));
     }
 
-    /// When a drain counts as notified at the latest, whatever became of the polls.
+    /// The latest time at which a drain counts as notified, whatever became of the polls.
     fn notified_at_latest(&self, drain: i64) -> i64 {
         let plan = &self.plan;
-        // Where lists are pushed: as soon as the agent has it, a silent poll apart; where discovery is polled, a poll
-        // interval after the change, and counted anew when discovery is back.
+        // With a local agent, a drain counts as notified as soon as the agent has it, except after silence. With a
+        // service, it counts as notified a poll interval after the change, and that time is counted anew when
+        // discovery is back.
         let available = plan.available_at(drain);
         let mut notified = if plan.local_agent { available } else { available + POLL_INTERVAL };
         let hides_drain =
@@ -424,7 +445,7 @@
         notified
     }
 
-    /// The greatest time by which a balancer knew a drain too late; negative if none did.
+    /// The greatest time by which a balancer knew of a drain too late; negative if none was late.
     pub(crate) fn greatest_lateness(&self) -> i64 {
         let mut greatest = i64::MIN;
         for balancer in &self.balancers {
--- a/crates/discovery-schedule/tests/timing.rs
+++ b/crates/discovery-schedule/tests/timing.rs
@@ -1,4 +1,4 @@
-//! The limits that the timing of polls has to keep, for many settings.
+//! Checks the limits that the timing of polls has to keep, for many settings.
 
 use sableloom_discovery_schedule::{
     MAX_CONTINUATION_GAP, PollOutcome, PollSchedule, PollTiming, ScheduleOptions, SyncState,
@@ -8,7 +8,7 @@
 const CHANGED: PollOutcome = PollOutcome::Answered { changed: true };
 const UNCHANGED: PollOutcome = PollOutcome::Answered { changed: false };
 
-/// Options with times in milliseconds.
+/// Returns options, with times in milliseconds.
 fn options(
     local_agent: bool,
     poll_interval_ms: i64,
@@ -29,7 +29,7 @@
     Time(ms * 1000)
 }
 
-/// A schedule of a single balancer whose first poll was answered at once.
+/// Returns the schedule of a single balancer whose first poll was answered at once.
 fn synced() -> PollSchedule {
     let timing = PollTiming::new(&options(false, 10_000, 1000, 0, 1));
     let mut schedule = PollSchedule::new(timing, 1, false);
@@ -47,7 +47,7 @@
                 timing.wait <= Span(10_000_000),
                 "a silent poll hides changes no longer than this"
             );
-            // 6 s and the grace, less the longest short wait, 0.25 s of slack and 0.5 s to connect.
+            // The budget is 6 s and the grace, less the longest short wait, 0.25 s of slack and 0.5 s to connect.
             let least = if grace == 500 { 1_400_000 } else { 1_520_000 };
             assert!(
                 timing.answer_budget_after_silence() >= Span(least),
@@ -81,7 +81,7 @@
         for position in 0..balancers {
             let timing = PollTiming::new(&options(false, 10_000, 1000, position, balancers));
             let mut schedule = PollSchedule::new(timing, u64::from(position), false);
-            // All begin in one moment.
+            // All balancers begin at once.
             let now = Time(1_796_173_636_695_000 + i64::from(position % 3));
             assert_eq!(schedule.start_poll(now).wait, Some(Span(1000)), "first without a wait");
             schedule.poll_ended(now, CHANGED);
@@ -89,7 +89,7 @@
             assert!(wait > Span(0) && wait < Span(10_600_000), "{wait:?}");
             let end = now.plus(wait);
             ends.push(end.0.rem_euclid(10_000_000));
-            // The next one takes the whole period.
+            // The next wait takes the whole period.
             schedule.poll_ended(end, UNCHANGED);
             assert_eq!(schedule.start_poll(end).wait, Some(Span(10_000_000)));
         }
@@ -112,7 +112,7 @@
     assert_eq!(schedule.next_poll_at(at(10_250)), at(10_250));
     let poll = schedule.start_poll(at(10_250));
     assert_eq!((poll.wait, poll.hedge_at), (Some(Span(1000)), Some(Time(11_241_250))));
-    // Notified at 12 s, and a second of grace.
+    // Changes count as notified at 12 s, and a second of grace follows.
     assert_eq!(schedule.state(at(12_999)), SyncState::Resyncing);
     assert_eq!(schedule.state(at(13_000)), SyncState::Stale);
     schedule.poll_ended(at(13_000), CHANGED);
@@ -150,7 +150,7 @@
     assert_eq!(schedule.state(at(9_999)), SyncState::Resyncing);
     assert_eq!(schedule.state(at(10_000)), SyncState::Stale);
     let poll = schedule.start_poll(at(5000));
-    assert_eq!((poll.wait, poll.hedge_at), (None, None), "no hedge: all move at once");
+    assert_eq!((poll.wait, poll.hedge_at), (None, None), "no hedge: all balancers move at once");
     schedule.poll_ended(at(5100), CHANGED);
     assert_eq!(schedule.state(at(5100)), SyncState::Watching);
 }
@@ -173,8 +173,8 @@
     }
 }
 
-/// The wait of a later poll, in ms, of a balancer of a fleet that starts in one moment at a service that takes this long
-/// for a poll of each, in ms.
+/// Returns the wait in milliseconds of a later poll of one balancer. The fleet starts at once, at a service that
+/// takes `all_polls_ms` for a poll of each balancer.
 fn later_wait_ms(position: u32, balancers: u32, all_polls_ms: i64) -> i64 {
     let timing = PollTiming::new(&options(false, 10_000, 1000, position, balancers));
     let mut schedule = PollSchedule::new(timing, 1, false);
@@ -183,7 +183,7 @@
     schedule.start_poll(due);
     let turn = Time(all_polls_ms * 1000 * i64::from(position + 1) / i64::from(balancers));
     schedule.poll_ended(due.max(turn), UNCHANGED);
-    // The first waits lead to where all of this balancer's end.
+    // The first waits lead to the phase at which all later waits of this balancer end.
     let mut now = at(20_000);
     for _ in 0..3 {
         now = now.plus(schedule.start_poll(now).wait.expect("a long poll"));
