--- a/crates/discovery-schedule/tests/simulation/main.rs
+++ b/crates/discovery-schedule/tests/simulation/main.rs
@@ -55,10 +55,10 @@
 #[test]
 fn each_drain_is_known_by_the_end_of_the_grace_after_its_notification() {
     let Summary { late, events } = run_all(PollTiming::new);
-    let some = &late[..late.len().min(10)];
+    let examples = &late[..late.len().min(10)];
     assert!(
         late.is_empty(),
-        "late in {} of {SEEDS} schedules; seeds and us late: {some:?}",
+        "late in {} of {SEEDS} schedules; seeds and us late: {examples:?}",
         late.len()
     );
     if seeds().len() > 1 {
--- a/crates/discovery-schedule/tests/simulation/plan.rs
+++ b/crates/discovery-schedule/tests/simulation/plan.rs
@@ -22,7 +22,7 @@
     pub(crate) silences: Vec<i64>,
     /// When the connections of all polls are reset.
     pub(crate) resets: Vec<i64>,
-    /// From when to when discovery is down.
+    /// The start and the end of an outage of discovery.
     pub(crate) outage: Option<(i64, i64)>,
     /// When all balancers are told that discovery has moved.
     pub(crate) move_at: Option<i64>,
@@ -38,33 +38,33 @@
 
 impl Plan {
     pub(crate) fn random(rng: &mut Rand64) -> Self {
-        let mut below = |n: i64| rng.rand_range(0..n as u64) as i64;
-        let local_agent = below(3) == 0;
-        let balancers = [1, 3, 6, 20, 60][below(5) as usize];
+        let mut random_below = |n: i64| rng.rand_range(0..n as u64) as i64;
+        let local_agent = random_below(3) == 0;
+        let balancers = [1, 3, 6, 20, 60][random_below(5) as usize];
         // The service handles a poll of each balancer in a fifth to six tenths of the poll interval. With up to seven
         // tenths, ten of 40,000 schedules were late, by 0.04 to 0.4 s, and one by 1.6 s.
-        let all_polls = (2 + below(5)) * S;
+        let all_polls = (2 + random_below(5)) * S;
         let mut plan = Self {
             local_agent,
             balancers,
             poll_time: all_polls / balancers.max(6) as i64,
             failure_counts: all_polls <= 6 * S,
             abandon_counts: all_polls <= 3 * S,
-            max_queue_time: (2 + below(2)) * S,
-            max_delay: below(590 * MS),
+            max_queue_time: (2 + random_below(2)) * S,
+            max_delay: random_below(590 * MS),
             ..Self::default()
         };
-        let at = 10 * S + below(15 * S);
-        match below(5) {
+        let at = 10 * S + random_below(15 * S);
+        match random_below(5) {
             0 => plan.silences = vec![at],
             1 => plan.resets = vec![at],
-            2 => plan.outage = Some((at, at + 2 * S + below(7 * S))),
+            2 => plan.outage = Some((at, at + 2 * S + random_below(7 * S))),
             3 if all_polls <= 4 * S => plan.move_at = Some(at),
-            4 => plan.silences = vec![2 * S + below(4 * S)],
+            4 => plan.silences = vec![2 * S + random_below(4 * S)],
             _ => {}
         }
-        let about = plan.silences.first().copied().unwrap_or(at);
-        plan.drains = (0..1 + below(3)).map(|_| about + below(9 * S)).collect();
+        let drains_from = plan.silences.first().copied().unwrap_or(at);
+        plan.drains = (0..1 + random_below(3)).map(|_| drains_from + random_below(9 * S)).collect();
         plan.drains.sort_unstable();
         plan
     }
@@ -76,6 +76,6 @@
     /// When discovery had this drain and could be reached.
     pub(crate) fn available_at(&self, drain: i64) -> i64 {
         let outage = self.outage.filter(|(from, to)| (*from..*to).contains(&drain));
-        outage.map_or(drain, |(_, back)| back)
+        outage.map_or(drain, |(_, end)| end)
     }
 }
--- a/crates/discovery-schedule/tests/timing.rs
+++ b/crates/discovery-schedule/tests/timing.rs
@@ -48,9 +48,9 @@
                 "a silent poll hides changes no longer than this"
             );
             // The budget is 6 s and the grace, less the longest short wait, 0.25 s of slack and 0.5 s to connect.
-            let least = if grace == 500 { 1_400_000 } else { 1_520_000 };
+            let least_us = if grace == 500 { 1_400_000 } else { 1_520_000 };
             assert!(
-                timing.answer_budget_after_silence() >= Span(least),
+                timing.answer_budget_after_silence() >= Span(least_us),
                 "{poll_interval} {grace}: {timing:?}"
             );
             assert!(
@@ -65,9 +65,9 @@
 fn the_answer_of_a_returned_agent_arrives_within_the_grace_of_a_drain() {
     for grace in [0, 300, 500, 1000, 5000] {
         let timing = PollTiming::new(&options(true, 0, grace, 0, 300));
-        let part = if grace == 0 { 1000 } else { grace } * 1000 / 5;
+        let fifth_of_grace_us = if grace == 0 { 1000 } else { grace } * 1000 / 5;
         assert!(
-            timing.answer_budget_after_agent_return() >= Span(part.min(250_000)),
+            timing.answer_budget_after_agent_return() >= Span(fifth_of_grace_us.min(250_000)),
             "{grace}: {timing:?}"
         );
         assert!(timing.answer_budget_after_silence() >= Span(4_000_000), "{grace}: {timing:?}");
