--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -1,4 +1,4 @@
-//! Control machines: each reads the operators' files at its own pace, and publishes them.
+//! The control machines of the simulation: each reads the operators' log at its own pace and publishes it.
 
 use oorandom::Rand64;
 use sableloom_distribution::{
@@ -7,11 +7,12 @@
 };
 use sableloom_types::{Span, Time};
 
-use super::coverage::control_reason_name;
-use super::link::Way;
-use super::world::{Event, FRAME_SLACK, MS, SECOND, World};
+use super::connection::Direction;
+use super::coverage::close_reason_name;
+use super::world::{Event, LARGEST_FRAME_BYTES, MILLISECOND, SECOND, World};
 
 impl World {
+    /// Starts the process of a control machine with the log that it can read, unless it is running.
     pub(crate) fn start_control(&mut self, control: usize) {
         if self.controls[control].publisher.is_some() {
             return;
@@ -22,31 +23,37 @@
         state.publisher = Some(Publisher::new(store, self.options));
     }
 
+    /// Returns a store with the changes that a control machine can read.
     pub(crate) fn read_store(&mut self, control: usize) -> Store {
         let mut store = Store::new(self.limits);
         let state = &self.controls[control];
         let history = &self.histories[state.history];
         let up_to = state.read_up_to.unwrap_or(u64::MAX).min(history.number());
         for entry in history.entries.iter().take(up_to as usize) {
-            store.append(entry.clone()).expect("the operator's change");
+            store.append(entry.clone()).expect("a valid change of the operators");
         }
         store
     }
 
-    pub(crate) fn read(&mut self, control: usize) {
-        let again = self.after(5 * MS, 150 * MS);
-        self.at(again, Event::Read { control });
+    /// Reads the new changes of the log, and replaces the store if the operators' log is another than the one that was
+    /// read. A control machine with a fork of the same epoch keeps the fork while faults are injected.
+    pub(crate) fn read_log(&mut self, control: usize) {
+        let next_time = self.random_time(5 * MILLISECOND, 150 * MILLISECOND);
+        self.schedule(next_time, Event::Read { control });
         let now = self.now;
         let state = &self.controls[control];
-        if state.publisher.is_none() || state.lags_until > now || state.frozen_until > now {
+        if state.publisher.is_none() || state.reading_paused_until > now || state.paused_until > now
+        {
             return;
         }
-        let forked = self.kinds.forks && !self.quiet && state.history != self.head_log;
-        if state.history != self.head_log
+        let forked = self.schedule_options.allows_forks
+            && !self.faults_ended
+            && state.history != self.head_history;
+        if state.history != self.head_history
             && !(forked
-                && self.histories[state.history].epoch == self.histories[self.head_log].epoch)
+                && self.histories[state.history].epoch == self.histories[self.head_history].epoch)
         {
-            self.controls[control].history = self.head_log;
+            self.controls[control].history = self.head_history;
             let store = self.read_store(control);
             self.with_publisher(control, |publisher, now, out| {
                 publisher.replace_store(now, store, out)
@@ -65,11 +72,12 @@
             .collect();
         for entry in entries {
             self.with_publisher(control, |publisher, now, out| {
-                publisher.append(now, entry, out).expect("the operator's change");
+                publisher.append(now, entry, out).expect("a valid change of the operators");
             });
         }
     }
 
+    /// Calls a method of a running publisher, checks its invariants, carries out its outputs and sets its timer.
     pub(crate) fn with_publisher(
         &mut self,
         control: usize,
@@ -83,9 +91,12 @@
         let status = publisher.status();
         assert!(
             status.snapshots as usize <= self.options.max_concurrent_snapshots,
-            "more snapshots than turns"
+            "more sessions hold a snapshot slot than there are slots"
+        );
+        assert!(
+            publisher.store().log_entries() <= self.limits.log_entries,
+            "the log exceeds its limit"
         );
-        assert!(publisher.store().log_entries() <= self.limits.log_entries, "the log has no bound");
         let due = publisher.due();
         for output in out {
             self.publisher_output(control, output);
@@ -94,16 +105,17 @@
             && self.controls[control].timer.is_none_or(|timer| due < timer)
         {
             self.controls[control].timer = Some(due);
-            self.at(due, Event::ControlTimer { control });
+            self.schedule(due, Event::ControlTimer { control });
         }
     }
 
+    /// Calls the tick of a publisher, or postpones it while the process is paused.
     pub(crate) fn control_timer(&mut self, control: usize) {
         self.controls[control].timer = None;
-        let thaw = self.controls[control].frozen_until;
-        if thaw > self.now {
-            self.controls[control].timer = Some(thaw);
-            self.at(thaw, Event::ControlTimer { control });
+        let resume_at = self.controls[control].paused_until;
+        if resume_at > self.now {
+            self.controls[control].timer = Some(resume_at);
+            self.schedule(resume_at, Event::ControlTimer { control });
             return;
         }
         self.with_publisher(control, |publisher, now, out| {
@@ -111,41 +123,42 @@
         });
     }
 
+    /// Carries out an output of a publisher.
     pub(crate) fn publisher_output(&mut self, control: usize, output: PublisherOutput) {
         match output {
             PublisherOutput::Send { session, frame } => {
-                let frame = self.watch_frame(session.0, frame);
-                self.send(session.0, Way::PublisherMessage, frame);
+                let frame = self.process_frame(session.0, frame);
+                self.send(session.0, Direction::ToSubscriber, frame);
                 let bytes = self.connections.get(&session.0).map_or(0, |c| c.to_subscriber.bytes);
                 assert!(
-                    bytes <= self.options.max_queued_bytes + FRAME_SLACK,
-                    "{bytes} bytes are queued"
+                    bytes <= self.options.max_queued_bytes + LARGEST_FRAME_BYTES,
+                    "{bytes} bytes are queued for a session, over the limit and a frame"
                 );
             }
             PublisherOutput::Close { session, reason } => {
-                self.count(&control_reason_name(reason));
-                self.leave(session.0, Way::PublisherMessage);
+                self.count_occurrence(&close_reason_name(reason));
+                self.close_side(session.0, Direction::ToSubscriber);
             }
         }
         let _ = control;
     }
 
-    /// Counts the transactions that begin, and sometimes flips a bit of a body.
-    pub(crate) fn watch_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
+    /// Counts the transactions that begin, and corrupts the bodies of some frames of changes by flipping a bit in each.
+    pub(crate) fn process_frame(&mut self, connection: u64, frame: Vec<u8>) -> Vec<u8> {
         let mut reader = FrameReader::new();
         reader.push(&frame);
         let Ok(Some(message)) = reader.next_message::<PublisherMessage>() else {
-            panic!("a publisher sends no message");
+            panic!("a publisher sends a frame that can't be decoded");
         };
         match message {
             PublisherMessage::Begin { .. } => {
                 if let Some(subscriber) = self.connections.get(&connection).map(|c| c.subscriber) {
-                    self.balancers[subscriber].begun += 1;
+                    self.balancers[subscriber].begun_transactions += 1;
                 }
                 frame
             }
             PublisherMessage::Changes { transaction, mut changes }
-                if !self.quiet && self.below(50) == 0 =>
+                if !self.faults_ended && self.random_below(50) == 0 =>
             {
                 for change in &mut changes {
                     if let Change::Set(resource) = change {
@@ -161,7 +174,12 @@
     }
 }
 
-pub(crate) fn publisher_options(random: &mut Rand64, checks_atomicity: bool) -> PublisherOptions {
+/// Returns options with random limits, small enough that the schedules reach them. With `checks_atomicity`, the
+/// limit of a transaction's bytes is always 8,000.
+pub(crate) fn random_publisher_options(
+    random: &mut Rand64,
+    checks_atomicity: bool,
+) -> PublisherOptions {
     let mut pick = |from: u64, to: u64| random.rand_range(from..to);
     PublisherOptions {
         bytes_per_second: pick(4_000, 200_000),
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -11,19 +11,23 @@
 use sableloom_types::Time;
 
 use super::applier::Applier;
-use super::controls::publisher_options;
-use super::coverage::{Coverage, add_publisher, add_subscriber};
-use super::history::{History, limits};
-use super::link::{Connection, Way};
+use super::connection::{Connection, Direction};
+use super::controls::random_publisher_options;
+use super::coverage::{Coverage, add_publisher_counters, add_subscriber_counters};
+use super::history::{History, random_limits};
 
-pub(crate) const MS: i64 = 1_000;
-pub(crate) const SECOND: i64 = 1_000 * MS;
-/// Bytes of the largest frame that a publisher makes here: its queue exceeds its limit by no more.
-pub(crate) const FRAME_SLACK: usize = 3_000;
+/// One millisecond in microseconds.
+pub(crate) const MILLISECOND: i64 = 1_000;
+/// One second in microseconds.
+pub(crate) const SECOND: i64 = 1_000 * MILLISECOND;
+/// The most bytes of a frame that a publisher sends in a schedule. A session's queue exceeds its limit by at most one
+/// frame.
+pub(crate) const LARGEST_FRAME_BYTES: usize = 3_000;
 
+/// A simulated event. Control machines and balancers are identified by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    Arrive { connection: u64, to_control: bool },
+    Deliver { connection: u64, to_control: bool },
     Connect { connection: u64 },
     ControlTimer { control: usize },
     SubscriberTimer { subscriber: usize },
@@ -34,147 +38,185 @@
     Fault,
 }
 
-/// What may happen in a schedule.
+/// The faults that a schedule may contain, and the check that requires their absence.
 #[derive(Clone, Copy)]
-pub(crate) struct Kinds {
-    /// Changes of several services are checked to be applied at once: the log holds all, and no scope or state is lost.
+pub(crate) struct ScheduleOptions {
+    /// Whether changes of several services are checked to be applied together. This requires a log that holds all
+    /// changes, and excludes forks, new epochs, changes of scopes, and lost or altered state.
     pub(crate) checks_atomicity: bool,
-    pub(crate) forks: bool,
-    pub(crate) new_epoch: bool,
+    /// Whether a control machine may read a fork of the operators' log.
+    pub(crate) allows_forks: bool,
+    /// Whether the operators may continue the log in a new epoch.
+    pub(crate) allows_new_epochs: bool,
 }
 
+/// A control machine. All times are in microseconds.
 pub(crate) struct Control {
+    /// The publisher; none while the process is not running.
     pub(crate) publisher: Option<Publisher>,
+    /// The number of starts of the process.
     pub(crate) incarnation: u32,
+    /// The index of the history that it reads.
     pub(crate) history: usize,
+    /// The number of the last change that it can read; none if it can read all.
     pub(crate) read_up_to: Option<u64>,
-    pub(crate) lags_until: i64,
-    pub(crate) frozen_until: i64,
+    /// The time until which it reads no new changes.
+    pub(crate) reading_paused_until: i64,
+    /// The time until which the process is paused.
+    pub(crate) paused_until: i64,
+    /// The time of the scheduled timer event.
     pub(crate) timer: Option<i64>,
 }
 
+/// A balancer. All times are in microseconds.
 pub(crate) struct Balancer {
+    /// The subscriber; none while the process is not running.
     pub(crate) subscriber: Option<Subscriber>,
     pub(crate) applier: Applier,
+    /// The state that the subscriber saved last.
     pub(crate) saved: Option<SavedState>,
     pub(crate) scope: BTreeSet<ServiceName>,
     pub(crate) name: SubscriberName,
+    /// The number of starts of the process.
     pub(crate) incarnation: u32,
+    /// The id of the current connection.
     pub(crate) connection: Option<u64>,
-    pub(crate) applying: VecDeque<Transaction>,
-    pub(crate) frozen_until: i64,
+    /// The transactions that are being applied, the oldest first.
+    pub(crate) apply_queue: VecDeque<Transaction>,
+    /// The time until which the process is paused.
+    pub(crate) paused_until: i64,
+    /// The time of the scheduled timer event.
     pub(crate) timer: Option<i64>,
-    pub(crate) seen: Position,
+    /// The furthest position that the process has seen.
+    pub(crate) seen_position: Position,
+    /// Whether a body in the memory of the subscriber has been altered since the process started.
     pub(crate) corrupted: bool,
-    /// Transactions that were begun for the balancer.
-    pub(crate) begun: u64,
+    /// The number of transactions that publishers have begun to send to the balancer.
+    pub(crate) begun_transactions: u64,
 }
 
+/// The state of a schedule.
 pub(crate) struct World {
     pub(crate) random: Rand64,
+    /// The virtual time in microseconds.
     pub(crate) now: i64,
-    pub(crate) kinds: Kinds,
+    pub(crate) schedule_options: ScheduleOptions,
+    /// The operators' log with its earlier epochs and forks.
     pub(crate) histories: Vec<History>,
-    pub(crate) head_log: usize,
+    /// The index of the history that the operators append to.
+    pub(crate) head_history: usize,
     pub(crate) controls: Vec<Control>,
     pub(crate) balancers: Vec<Balancer>,
     pub(crate) coverage: Coverage,
-    pub(crate) quiet: bool,
+    /// Whether [`Self::end_faults`] has been called.
+    pub(crate) faults_ended: bool,
+    /// The connections by id.
     pub(crate) connections: BTreeMap<u64, Connection>,
     pub(crate) next_connection: u64,
-    pub(crate) cuts: HashMap<(usize, usize, bool), i64>,
+    /// The end of each partition, in microseconds, by control machine, balancer and whether it holds back the bytes to
+    /// the control machine.
+    pub(crate) partitions: HashMap<(usize, usize, bool), i64>,
+    /// The scheduled events, ordered by time and sequence number.
     pub(crate) queue: BinaryHeap<Reverse<(i64, u64, Event)>>,
+    /// The sequence number of the last scheduled event.
     pub(crate) sequence: u64,
     pub(crate) options: PublisherOptions,
     pub(crate) limits: StoreLimits,
 }
 
 impl World {
+    /// Creates the schedule of a seed, with random options, control machines and balancers.
     pub(crate) fn new(seed: u64) -> World {
         let mut random = Rand64::new(u128::from(seed));
-        let limits = limits(&mut random);
+        let limits = random_limits(&mut random);
         let checks_atomicity = limits.log_entries > 1_000 && random.rand_range(0..2) == 0;
-        let kinds = Kinds {
+        let schedule_options = ScheduleOptions {
             checks_atomicity,
-            forks: !checks_atomicity && random.rand_range(0..3) == 0,
-            new_epoch: !checks_atomicity && random.rand_range(0..4) == 0,
+            allows_forks: !checks_atomicity && random.rand_range(0..3) == 0,
+            allows_new_epochs: !checks_atomicity && random.rand_range(0..4) == 0,
         };
-        let options = publisher_options(&mut random, checks_atomicity);
+        let options = random_publisher_options(&mut random, checks_atomicity);
         let mut world = World {
             random,
             now: 0,
-            kinds,
-            histories: vec![History::of_epoch(1)],
-            head_log: 0,
+            schedule_options,
+            histories: vec![History::with_epoch(1)],
+            head_history: 0,
             controls: Vec::new(),
             balancers: Vec::new(),
             coverage: Coverage::default(),
-            quiet: false,
+            faults_ended: false,
             connections: BTreeMap::new(),
             next_connection: 1,
-            cuts: HashMap::new(),
+            partitions: HashMap::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
             options,
             limits,
         };
-        for _ in 0..world.below(10) + 1 {
-            world.operator_writes();
+        for _ in 0..world.random_below(10) + 1 {
+            world.append_operator_change();
         }
-        for control in 0..world.below(3) + 1 {
+        for control in 0..world.random_below(3) + 1 {
             world.controls.push(Control {
                 publisher: None,
                 incarnation: 0,
                 history: 0,
                 read_up_to: None,
-                lags_until: 0,
-                frozen_until: 0,
+                reading_paused_until: 0,
+                paused_until: 0,
                 timer: None,
             });
-            world.at(0, Event::StartControl { control });
-            world.at(0, Event::Read { control });
+            world.schedule(0, Event::StartControl { control });
+            world.schedule(0, Event::Read { control });
         }
-        for index in 0..world.below(4) + 1 {
+        for index in 0..world.random_below(4) + 1 {
             world.add_balancer(index);
         }
-        world.at(10 * MS, Event::Fault);
+        world.schedule(10 * MILLISECOND, Event::Fault);
         world
     }
 
+    /// Adds a balancer with a random scope, and schedules its start.
     pub(crate) fn add_balancer(&mut self, index: usize) {
         let scope = self.random_scope();
-        let validates = self.below(3) == 0;
+        let validates = self.random_below(3) == 0;
         self.balancers.push(Balancer {
             subscriber: None,
             applier: Applier { validates, ..Applier::default() },
             saved: None,
             scope,
-            name: SubscriberName::try_from(format!("balancer-{index}").as_str()).expect("a name"),
+            name: SubscriberName::try_from(format!("balancer-{index}").as_str())
+                .expect("a valid name"),
             incarnation: 0,
             connection: None,
-            applying: VecDeque::new(),
-            frozen_until: 0,
+            apply_queue: VecDeque::new(),
+            paused_until: 0,
             timer: None,
-            seen: Position::default(),
+            seen_position: Position::default(),
             corrupted: false,
-            begun: 0,
+            begun_transactions: 0,
         });
-        self.at(0, Event::StartSubscriber { subscriber: index });
+        self.schedule(0, Event::StartSubscriber { subscriber: index });
     }
 
-    pub(crate) fn below(&mut self, limit: u64) -> usize {
+    /// Returns a random number below a limit.
+    pub(crate) fn random_below(&mut self, limit: u64) -> usize {
         self.random.rand_range(0..limit) as usize
     }
 
-    pub(crate) fn at(&mut self, at: i64, event: Event) {
+    /// Schedules an event at a time in microseconds, or now if that time has passed.
+    pub(crate) fn schedule(&mut self, at: i64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at.max(self.now), self.sequence, event)));
     }
 
-    pub(crate) fn after(&mut self, from: i64, to: i64) -> i64 {
-        self.now + from + self.below((to - from).max(1) as u64) as i64
+    /// Returns a random time from `from` to `to` microseconds after now, without `to`.
+    pub(crate) fn random_time(&mut self, from: i64, to: i64) -> i64 {
+        self.now + from + self.random_below((to - from).max(1) as u64) as i64
     }
 
+    /// Handles all events up to a time, and sets the virtual time to it.
     pub(crate) fn run_until(&mut self, end: i64) {
         while let Some(Reverse((at, _, _))) = self.queue.peek()
             && *at <= end
@@ -189,62 +231,64 @@
         self.now = end;
     }
 
+    /// Handles one event.
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive { connection, to_control: true } => {
-                self.arrive(connection, Way::SubscriberMessage)
+            Event::Deliver { connection, to_control: true } => {
+                self.deliver(connection, Direction::ToControl)
             }
-            Event::Arrive { connection, to_control: false } => {
-                self.arrive(connection, Way::PublisherMessage)
+            Event::Deliver { connection, to_control: false } => {
+                self.deliver(connection, Direction::ToSubscriber)
             }
             Event::Connect { connection } => self.connect(connection),
             Event::ControlTimer { control } => self.control_timer(control),
             Event::SubscriberTimer { subscriber } => self.subscriber_timer(subscriber),
             Event::Apply { subscriber, incarnation } => self.apply(subscriber, incarnation),
-            Event::Read { control } => self.read(control),
+            Event::Read { control } => self.read_log(control),
             Event::StartControl { control } => self.start_control(control),
             Event::StartSubscriber { subscriber } => self.start_subscriber(subscriber),
-            Event::Fault => self.fault(),
+            Event::Fault => self.inject_fault(),
         }
     }
 
-    /// Ends all faults; no further fault happens.
-    pub(crate) fn heal(&mut self) {
-        self.quiet = true;
-        if self.kinds.forks {
-            // A subscriber that has followed a diverged control machine follows no other before the epoch is raised.
-            let head_log = &mut self.histories[self.head_log];
-            head_log.epoch += 1;
-            let number = head_log.number();
-            while head_log.number() == number {
-                head_log.push_random(&mut self.random);
+    /// Ends all faults, restarts all processes that are not running, and lets no further fault happen.
+    pub(crate) fn end_faults(&mut self) {
+        self.faults_ended = true;
+        if self.schedule_options.allows_forks {
+            // A subscriber that has followed a diverged control machine follows no other until the epoch is raised.
+            let head_history = &mut self.histories[self.head_history];
+            head_history.epoch += 1;
+            let number = head_history.number();
+            while head_history.number() == number {
+                head_history.push_random(&mut self.random);
             }
         }
-        self.cuts.clear();
+        self.partitions.clear();
         for index in 0..self.balancers.len() {
-            self.balancers[index].frozen_until = 0;
-            self.at(self.now, Event::StartSubscriber { subscriber: index });
+            self.balancers[index].paused_until = 0;
+            self.schedule(self.now, Event::StartSubscriber { subscriber: index });
         }
         for control in 0..self.controls.len() {
             let state = &mut self.controls[control];
             state.read_up_to = None;
-            state.lags_until = 0;
-            state.frozen_until = 0;
-            self.at(self.now, Event::StartControl { control });
+            state.reading_paused_until = 0;
+            state.paused_until = 0;
+            self.schedule(self.now, Event::StartControl { control });
         }
     }
 
-    pub(crate) fn finish(&mut self) {
+    /// Adds the counters of all running processes to the coverage.
+    pub(crate) fn collect_counters(&mut self) {
         for control in &self.controls {
             let counters = control
                 .publisher
                 .as_ref()
                 .map_or(PublisherCounters::default(), Publisher::counters);
-            add_publisher(&mut self.coverage.publisher, counters);
+            add_publisher_counters(&mut self.coverage.publisher, counters);
         }
         for balancer in &self.balancers {
             if let Some(subscriber) = &balancer.subscriber {
-                add_subscriber(
+                add_subscriber_counters(
                     &mut self.coverage.subscriber,
                     subscriber.status(Time(self.now)).counters,
                 );
@@ -252,7 +296,7 @@
         }
     }
 
-    /// Whether a balancer is in a session and its last bookmark is at the head of the log.
+    /// Returns whether a balancer is connected and its last bookmark is at the end of the operators' log.
     pub(crate) fn is_current(&self, index: usize) -> bool {
         let status = self.balancers[index]
             .subscriber
@@ -260,11 +304,11 @@
             .map(|subscriber| subscriber.status(Time(self.now)));
         status.is_some_and(|status| {
             matches!(status.connection, ConnectionState::Current { .. })
-                && status.bookmark.number == self.histories[self.head_log].number()
+                && status.bookmark.number == self.histories[self.head_history].number()
         })
     }
 
-    /// The state of a balancer and of the control machines, for the message of a failure.
+    /// Returns the state of a balancer and of the control machines, for the message of a failed check.
     pub(crate) fn describe(&self, index: usize) -> String {
         let now = Time(self.now);
         let subscriber =
@@ -275,12 +319,13 @@
             .filter_map(|c| c.publisher.as_ref())
             .map(Publisher::status)
             .collect();
-        let reasons = &self.coverage.reasons;
-        let head = self.histories[self.head_log].number();
-        format!("head {head}, {subscriber:#?}, {publishers:#?}, {reasons:#?}")
+        let occurrences = &self.coverage.occurrences;
+        let head = self.histories[self.head_history].number();
+        format!("head {head}, {subscriber:#?}, {publishers:#?}, {occurrences:#?}")
     }
 
-    pub(crate) fn count(&mut self, what: &str) {
-        *self.coverage.reasons.entry(what.to_owned()).or_default() += 1;
+    /// Counts a close reason or an event under its name.
+    pub(crate) fn count_occurrence(&mut self, name: &str) {
+        *self.coverage.occurrences.entry(name.to_owned()).or_default() += 1;
     }
 }
