--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -100,10 +100,10 @@
 fn start(network: &mut Network<Member>, i: usize, listed: &Arc<MemberList>) {
     network.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
-            fleet: "points".to_string(),
-            own: name(i),
-            membership: Default::default(),
-            share: Default::default(),
+            fleet_name: "points".to_string(),
+            own_name: name(i),
+            membership_timing: Default::default(),
+            share_timing: Default::default(),
         };
         let core = FleetMember::new(&settings, process_incarnation, listed.clone(), seed, now);
         Member { core, time: Duration::ZERO, events: 0, received: 0 }
@@ -122,10 +122,10 @@
 fn bytes_a_member(listed: &Arc<MemberList>) -> f64 {
     let count = (4_000_000 / listed.members().len()).clamp(1, 1000);
     let settings = |i| MemberSettings {
-        fleet: "points".to_string(),
-        own: name(i),
-        membership: Default::default(),
-        share: Default::default(),
+        fleet_name: "points".to_string(),
+        own_name: name(i),
+        membership_timing: Default::default(),
+        share_timing: Default::default(),
     };
     let before = resident_bytes();
     let members: Vec<FleetMember> = (0..count)
--- a/crates/fleet/src/absence_query.rs
+++ b/crates/fleet/src/absence_query.rs
@@ -13,10 +13,10 @@
 /// How long the answer may take. It comes from the member's operating system, if at all.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Absence queries that wait for their answers at once, each with a descriptor of its own.
-pub const MAX_ABSENCE_QUERIES: usize = 32;
+pub const MAX_CONCURRENT_ABSENCE_QUERIES: usize = 32;
 /// Queries that wait for one of those to end. One beyond that is lost, as by the network: it is repeated in its turn.
 /// Without a bound they pile up where hundreds of members that live are queried, as none of those answers.
-const MAX_WAITING_QUERIES: usize = 4 * MAX_ABSENCE_QUERIES;
+const MAX_WAITING_QUERIES: usize = 4 * MAX_CONCURRENT_ABSENCE_QUERIES;
 
 /// The places of queries that are sent and of those that wait.
 pub(crate) struct QuerySlots {
@@ -39,8 +39,8 @@
 impl QuerySlots {
     pub(crate) fn new() -> Self {
         Self {
-            sent: Semaphore::new(MAX_ABSENCE_QUERIES),
-            all: Semaphore::new(MAX_ABSENCE_QUERIES + MAX_WAITING_QUERIES),
+            sent: Semaphore::new(MAX_CONCURRENT_ABSENCE_QUERIES),
+            all: Semaphore::new(MAX_CONCURRENT_ABSENCE_QUERIES + MAX_WAITING_QUERIES),
         }
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,10 +19,10 @@
 //! use sableloom_types::Time;
 //!
 //! let settings = MemberSettings {
-//!     fleet: "points".to_string(),
-//!     own: "a".to_string(),
-//!     membership: Default::default(),
-//!     share: Default::default(),
+//!     fleet_name: "points".to_string(),
+//!     own_name: "a".to_string(),
+//!     membership_timing: Default::default(),
+//!     share_timing: Default::default(),
 //! };
 //! let b = ListedMember { name: "b".to_string(), address: "127.0.0.2:7000".parse()? };
 //! let mut member = FleetMember::new(&settings, 1, MemberList::new([b]), 7, Time(0));
@@ -43,9 +43,9 @@
 mod status;
 mod traffic;
 
-pub use crate::absence_query::MAX_ABSENCE_QUERIES;
+pub use crate::absence_query::MAX_CONCURRENT_ABSENCE_QUERIES;
 pub use crate::member::{FleetMember, MemberSettings, Output};
 pub use crate::operator_query::{QueryError, query_status};
 pub use crate::running_member::{FleetObserver, RunOptions, RunningMember};
-pub use crate::status::{Drops, MemberStatus, ShareStatus, Status};
+pub use crate::status::{DropCounts, MemberStatus, ShareStatus, Status};
 pub use crate::traffic::Traffic;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -26,13 +26,13 @@
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
     /// The fleet's name.
-    pub fleet: String,
+    pub fleet_name: String,
     /// The member's own name.
-    pub own: String,
+    pub own_name: String,
     /// The timing of the membership protocol.
-    pub membership: MembershipTiming,
+    pub membership_timing: MembershipTiming,
     /// The timing of the capacity share.
-    pub share: ShareTiming,
+    pub share_timing: ShareTiming,
 }
 
 /// What the caller is to do.
@@ -68,11 +68,18 @@
         seed: u64,
         now: Time,
     ) -> Self {
-        let MemberSettings { fleet, own, membership, share } = settings;
-        let membership =
-            Membership::new(fleet, own, process_incarnation, list, *membership, seed, now);
+        let MemberSettings { fleet_name, own_name, membership_timing, share_timing } = settings;
+        let membership = Membership::new(
+            fleet_name,
+            own_name,
+            process_incarnation,
+            list,
+            *membership_timing,
+            seed,
+            now,
+        );
         let others = membership.peers().map(|peer| peer.key);
-        let mut capacity_share = CapacityShare::new(now, others, *share);
+        let mut capacity_share = CapacityShare::new(now, others, *share_timing);
         capacity_share.start_queries_at(seed as Key);
         let pacing = QueryPacing::new(now, seed);
         let share = capacity_share.share(now);
--- a/crates/fleet/src/running_member.rs
+++ b/crates/fleet/src/running_member.rs
@@ -29,7 +29,7 @@
 /// What is notified as it happens.
 pub trait FleetObserver {
     /// The share has changed.
-    fn share(&self, share: Share);
+    fn share_changed(&self, share: Share);
     /// A line for the log.
     fn log(&self, line: &str);
 }
@@ -41,7 +41,7 @@
     /// Its own address, where it listens.
     pub address: SocketAddr,
     /// Queries of its status are answered if they come from this address.
-    pub operator: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
     /// The operators' list. Members of one process share it; it may name the member itself.
     pub list: Arc<MemberList>,
     /// Greater than that of its process before.
@@ -66,7 +66,7 @@
     /// The time of the next wakeup may have changed.
     wakeup_changed: Notify,
     query_slots: QuerySlots,
-    operator: Option<SocketAddr>,
+    operator_address: Option<SocketAddr>,
     /// The status that the operator queries page by page.
     status_text: RefCell<Vec<u8>>,
     task: RefCell<Option<Task>>,
@@ -80,12 +80,13 @@
     ///
     /// The socket's error if the address can't be taken: another process holds it, or it is not this machine's.
     pub async fn start(options: RunOptions) -> io::Result<Rc<Self>> {
-        let RunOptions { settings, address, operator, list, process_incarnation, .. } = options;
+        let RunOptions { settings, address, operator_address, list, process_incarnation, .. } =
+            options;
         let RunOptions { seed, clock, observer, .. } = options;
         let socket = UdpSocket::bind(address).await?;
         let member = FleetMember::new(&settings, process_incarnation, list, seed, clock.now());
         let share = member.share();
-        observer.share(share);
+        observer.share_changed(share);
         let running = Rc::new(Self {
             member: RefCell::new(member),
             socket,
@@ -96,7 +97,7 @@
             last_share: Cell::new(share),
             wakeup_changed: Notify::new(),
             query_slots: QuerySlots::new(),
-            operator,
+            operator_address,
             status_text: RefCell::default(),
             task: RefCell::default(),
             traffic: Cell::default(),
@@ -147,7 +148,7 @@
 
     /// Its status.
     pub fn status(&self) -> Status {
-        let (fleet, own) = (&self.settings.fleet, &self.settings.own);
+        let (fleet, own) = (&self.settings.fleet_name, &self.settings.own_name);
         Status::of(&self.member.borrow(), fleet, own, self.clock.now())
     }
 
@@ -174,7 +175,7 @@
         let mut buffer = [0; MAX_PAGE_BYTES + 1];
         for _ in 0..DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut buffer) {
-                Ok((length, from)) if Some(from) == self.operator => {
+                Ok((length, from)) if Some(from) == self.operator_address => {
                     self.answer_operator(from, &buffer[..length]);
                 }
                 Ok((length, from)) => {
@@ -226,7 +227,7 @@
         if (before.balancers, before.reason) != (share.balancers, share.reason) {
             self.observer.log(&ShareLine(share).to_string());
         }
-        self.observer.share(share);
+        self.observer.share_changed(share);
     }
 
     fn log_changes(&self, changes: &[Change]) {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -12,9 +12,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The fleet's name.
-    pub fleet: String,
+    #[serde(rename = "fleet")]
+    pub fleet_name: String,
     /// The member's own name.
-    pub own: String,
+    #[serde(rename = "own")]
+    pub own_name: String,
     /// The incarnation of its process.
     #[serde(rename = "life")]
     pub process_incarnation: u32,
@@ -32,10 +34,10 @@
     pub reachability: String,
     /// How many members it reaches, itself included.
     #[serde(rename = "hears")]
-    pub reachable: usize,
+    pub reachable_members: usize,
     /// How many are on its list, itself included, without those that left.
     #[serde(rename = "of")]
-    pub listed: usize,
+    pub listed_members: usize,
     /// Its local health: 0 is healthy, 8 the worst.
     #[serde(rename = "doubt")]
     pub local_health: u32,
@@ -45,7 +47,7 @@
     /// The other members.
     pub members: Vec<MemberStatus>,
     /// Datagrams that were dropped.
-    pub dropped: Drops,
+    pub dropped: DropCounts,
 }
 
 /// A share of the servers' capacity.
@@ -55,7 +57,7 @@
     pub balancers: u32,
     /// The length of the longest list that it knows of.
     #[serde(rename = "listed")]
-    pub longest_list: u32,
+    pub longest_list_length: u32,
     /// How many members are proved absent.
     #[serde(rename = "absent")]
     pub absent_members: usize,
@@ -80,7 +82,7 @@
     pub reported_by: String,
     /// How many members suspect it, the first included; 0 if none does.
     #[serde(rename = "accusers")]
-    pub suspected_by: usize,
+    pub suspecting_members: usize,
     /// The incarnation of its process.
     #[serde(rename = "life")]
     pub process_incarnation: u32,
@@ -97,7 +99,7 @@
 
 /// Datagrams that were dropped, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Drops {
+pub struct DropCounts {
     /// Longer than a datagram may be.
     pub too_long: u64,
     /// Of another version.
@@ -119,7 +121,7 @@
     pub stale_nonce: u64,
 }
 
-impl Drops {
+impl DropCounts {
     fn of(membership: &Membership) -> Self {
         Self {
             too_long: membership.count_dropped(DropReason::TooLong),
@@ -144,7 +146,7 @@
         };
         Self {
             balancers: share.balancers,
-            longest_list: member.capacity_share().longest_list_length(),
+            longest_list_length: member.capacity_share().longest_list_length(),
             absent_members: member.capacity_share().count_absent(now),
             reason: reason.to_string(),
         }
@@ -153,7 +155,7 @@
 
 impl MemberStatus {
     fn of(member: &FleetMember, peer: &Peer, now: Time) -> Self {
-        let (state, suspected_by) = match &peer.health {
+        let (state, suspecting_members) = match &peer.health {
             Health::Unknown => ("unknown", 0),
             Health::Alive => ("alive", 0),
             Health::Suspect(suspicion) => ("suspect", suspicion.confirmers.len() + 1),
@@ -168,7 +170,7 @@
             state: state.to_string(),
             since_ms: milliseconds_since(peer.health_since),
             reported_by: member.name(peer.reported_by).to_string(),
-            suspected_by,
+            suspecting_members,
             process_incarnation: peer.process_incarnation,
             last_heard_ms: peer.last_message_at.map(milliseconds_since),
             list_length: peer.list_length,
@@ -189,19 +191,19 @@
         };
         let members = membership.peers().map(|peer| MemberStatus::of(member, peer, now));
         Self {
-            fleet: fleet.to_string(),
-            own: own.to_string(),
+            fleet_name: fleet.to_string(),
+            own_name: own.to_string(),
             process_incarnation: membership.process_incarnation(),
             view_version: membership.view_version(),
             view_digest: hexadecimal(membership.digest()),
             endpoints_digest: hexadecimal(membership.endpoints_digest()),
             reachability: reachability.to_string(),
-            reachable: membership.count_reachable() + 1,
-            listed: membership.count_others() + 1 - membership.count_left(),
+            reachable_members: membership.count_reachable() + 1,
+            listed_members: membership.count_others() + 1 - membership.count_left(),
             local_health: membership.local_health(),
             share: ShareStatus::of(member, now),
             members: members.collect(),
-            dropped: Drops::of(membership),
+            dropped: DropCounts::of(membership),
         }
     }
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -97,10 +97,10 @@
 fn start(network: &mut Network<Member>, i: usize, list: &Arc<MemberList>) {
     network.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
-            fleet: "points".to_string(),
-            own: name(i),
-            membership: MembershipTiming::default(),
-            share: Timing::default(),
+            fleet_name: "points".to_string(),
+            own_name: name(i),
+            membership_timing: MembershipTiming::default(),
+            share_timing: Timing::default(),
         };
         let core = FleetMember::new(&settings, process_incarnation, list.clone(), seed, now);
         Member { core, kinds: BTreeMap::new() }
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -35,10 +35,10 @@
         };
         let list = MemberList::new(names.iter().enumerate().map(listed));
         let settings = MemberSettings {
-            fleet: "points".to_string(),
-            own: "a".to_string(),
-            membership: MembershipTiming::default(),
-            share: Timing::default(),
+            fleet_name: "points".to_string(),
+            own_name: "a".to_string(),
+            membership_timing: MembershipTiming::default(),
+            share_timing: Timing::default(),
         };
         let mut core = FleetMember::new(&settings, LIFE, list, 42, Time(0));
         let mut out = Output::default();
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -80,10 +80,10 @@
 fn start(network: &mut Network<Member>, i: usize, of: usize) {
     network.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
-            fleet: "points".to_string(),
-            own: format!("b{}", i + 1),
-            membership: MembershipTiming::default(),
-            share: Timing::default(),
+            fleet_name: "points".to_string(),
+            own_name: format!("b{}", i + 1),
+            membership_timing: MembershipTiming::default(),
+            share_timing: Timing::default(),
         };
         let core = FleetMember::new(
             &settings,
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -20,7 +20,7 @@
 struct IgnoringObserver;
 
 impl FleetObserver for IgnoringObserver {
-    fn share(&self, _: Share) {}
+    fn share_changed(&self, _: Share) {}
     fn log(&self, _: &str) {}
 }
 
@@ -31,13 +31,13 @@
 fn options(address: SocketAddr, list: Arc<MemberList>) -> RunOptions {
     RunOptions {
         settings: MemberSettings {
-            fleet: "fleet".to_string(),
-            own: "own".to_string(),
-            membership: MembershipTiming::default(),
-            share: Timing::default(),
+            fleet_name: "fleet".to_string(),
+            own_name: "own".to_string(),
+            membership_timing: MembershipTiming::default(),
+            share_timing: Timing::default(),
         },
         address,
-        operator: None,
+        operator_address: None,
         list,
         process_incarnation: 1,
         seed: 1,
--- a/crates/sableloom/src/fleet.rs
+++ b/crates/sableloom/src/fleet.rs
@@ -75,7 +75,7 @@
     let options = RunOptions {
         settings: settings(fleet),
         address,
-        operator: fleet.operator,
+        operator_address: fleet.operator,
         list: MemberList::new(others(fleet)),
         process_incarnation: tenths.clamp(1, i64::from(u32::MAX) - 1) as u32,
         seed: seed(),
@@ -88,14 +88,14 @@
 
 fn settings(fleet: &Fleet) -> MemberSettings {
     MemberSettings {
-        fleet: fleet.name.clone(),
-        own: fleet.own_name.clone(),
-        membership: MembershipTiming {
+        fleet_name: fleet.name.clone(),
+        own_name: fleet.own_name.clone(),
+        membership_timing: MembershipTiming {
             probe_interval: span_from_ms(fleet.probe_interval_ms),
             probe_timeout: span_from_ms(fleet.probe_timeout_ms),
             ..MembershipTiming::default()
         },
-        share: ShareTiming {
+        share_timing: ShareTiming {
             lease: span_from_ms(fleet.lease_ms),
             query_interval: span_from_ms(fleet.lease_ms / QUERIES_PER_LEASE),
             ..ShareTiming::default()
--- a/crates/sableloom/src/fleet/comparison.rs
+++ b/crates/sableloom/src/fleet/comparison.rs
@@ -42,7 +42,7 @@
     }
 
     fn add(&mut self, status: &'a Status) {
-        let own = status.own.as_str();
+        let own = status.own_name.as_str();
         self.answers.push(summary(status));
         self.view_digests.entry(&status.view_digest).or_default().push(own);
         self.endpoints_digests.entry(&status.endpoints_digest).or_default().push(own);
--- a/crates/sableloom/src/fleet/members_table.rs
+++ b/crates/sableloom/src/fleet/members_table.rs
@@ -1,7 +1,7 @@
 //! What one balancer knows of its fleet, as text.
 
 use comfy_table::{Table, presets};
-use sableloom_fleet::{Drops, MemberStatus, Status};
+use sableloom_fleet::{DropCounts, MemberStatus, Status};
 
 /// The status in one line.
 pub(super) fn summary(status: &Status) -> String {
@@ -12,15 +12,15 @@
     format!(
         "{} of fleet {}, life {}: {}, hears {} of {}, doubt {}; part {share} ({}; {} listed, {} proved \
          absent); view {}, digest {}, servers {}",
-        status.own,
-        status.fleet,
+        status.own_name,
+        status.fleet_name,
         status.process_incarnation,
         status.reachability,
-        status.reachable,
-        status.listed,
+        status.reachable_members,
+        status.listed_members,
         status.local_health,
         status.share.reason,
-        status.share.longest_list,
+        status.share.longest_list_length,
         status.share.absent_members,
         status.view_version,
         status.view_digest,
@@ -51,7 +51,7 @@
         member.state.clone(),
         seconds(member.since_ms),
         member.reported_by.clone(),
-        member.suspected_by.to_string(),
+        member.suspecting_members.to_string(),
         member.process_incarnation.to_string(),
         heard.unwrap_or_else(|| "never".to_string()),
         member.list_length.to_string(),
@@ -59,7 +59,7 @@
     ]
 }
 
-fn dropped(drops: &Drops) -> String {
+fn dropped(drops: &DropCounts) -> String {
     let counts = [
         ("too long", drops.too_long),
         ("another version", drops.other_version),
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -245,7 +245,7 @@
 pub(super) struct PoolUpdates(pub(super) Rc<Router>);
 
 impl FleetObserver for PoolUpdates {
-    fn share(&self, share: Share) {
+    fn share_changed(&self, share: Share) {
         self.0.set_capacity_share(share);
     }
 
--- a/crates/sableloom/src/serve/startup.rs
+++ b/crates/sableloom/src/serve/startup.rs
@@ -5,7 +5,7 @@
 
 use hyper::Method;
 use sableloom_exchange::Clock;
-use sableloom_fleet::{MAX_ABSENCE_QUERIES, RunningMember};
+use sableloom_fleet::{MAX_CONCURRENT_ABSENCE_QUERIES, RunningMember};
 use sableloom_server_files::ServerFiles;
 use sableloom_site_config::{Fleet as FleetSettings, Site};
 use tokio::net::TcpListener;
@@ -26,7 +26,7 @@
 
 /// Divides the site's descriptors and memory.
 pub(super) fn connection_limits(path: &Path, site: &Site) -> Result<ConnectionLimits, ServeError> {
-    let fleet = if site.fleet.is_some() { 1 + MAX_ABSENCE_QUERIES } else { 0 };
+    let fleet = if site.fleet.is_some() { 1 + MAX_CONCURRENT_ABSENCE_QUERIES } else { 0 };
     let control = if site.control.is_some() { SOCKETS_OF_CONTROL } else { 0 };
     let other = OTHER_SOCKETS
         + site.listeners.len()
--- a/crates/scale-test/src/members.rs
+++ b/crates/scale-test/src/members.rs
@@ -141,7 +141,7 @@
 }
 
 impl FleetObserver for Observer {
-    fn share(&self, share: Share) {
+    fn share_changed(&self, share: Share) {
         if share.balancers > 0 && self.to_share.get().is_none() {
             self.to_share.set(Some(self.started.elapsed()));
         }
@@ -192,13 +192,13 @@
         let observer = Rc::new(Observer { started: Instant::now(), to_share: Cell::default() });
         let options = RunOptions {
             settings: MemberSettings {
-                fleet: FLEET.to_string(),
-                own: name(number),
-                membership: MembershipTiming::default(),
-                share: Timing::default(),
+                fleet_name: FLEET.to_string(),
+                own_name: name(number),
+                membership_timing: MembershipTiming::default(),
+                share_timing: Timing::default(),
             },
             address: address(number, set.port),
-            operator: None,
+            operator_address: None,
             list: list.clone(),
             process_incarnation: set.life,
             seed: number as u64 ^ u64::from(set.life) << 32,
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -315,10 +315,10 @@
             return;
         }
         let settings = MemberSettings {
-            fleet: "points".to_string(),
-            own: name(member),
-            membership: self.member_timing,
-            share: self.share_timing,
+            fleet_name: "points".to_string(),
+            own_name: name(member),
+            membership_timing: self.member_timing,
+            share_timing: self.share_timing,
         };
         let seed = self.rng.rand_u64();
         // Some processes start with the number of an earlier one, as after a clock was set back.
