--- a/crates/distribution/src/publisher/handlers.rs
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -183,15 +183,15 @@
         match answer {
             Answer::Applied => {
                 shared.counters.acks += 1;
-                state.acknowledged(&targets, store);
+                state.record_ack(&targets, store);
             }
             Answer::NotApplied(NackReason::Rejected(rejections)) => {
                 shared.counters.rejections += 1;
-                state.rejected(&targets, &rejections, store);
+                state.record_rejection(&targets, &rejections, store);
             }
             Answer::NotApplied(NackReason::Mismatch(applied)) => {
                 shared.counters.mismatches += 1;
-                if state.mismatched(&targets, &applied, store) >= options.max_mismatches {
+                if state.record_mismatch(&targets, &applied, store) >= options.max_mismatches {
                     return Err(CloseReason::Mismatch);
                 }
             }
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -90,7 +90,7 @@
         let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        state.last_heard = now;
+        state.last_received = now;
         if let Err(reason) = self.handle(now, session, message, out) {
             self.close(now, session, reason, out);
         }
@@ -205,7 +205,7 @@
             return;
         };
         state.timer = None;
-        match state.overdue(now, &self.options) {
+        match state.expired_timeout(now, &self.options) {
             Some(reason) => self.close(now, session, reason, out),
             None => self.reschedule(session),
         }
--- a/crates/distribution/src/publisher/session/answers.rs
+++ b/crates/distribution/src/publisher/session/answers.rs
@@ -35,7 +35,7 @@
     }
 
     /// Records that the subscriber has applied a transaction that led to these versions.
-    pub(in crate::publisher) fn acknowledged(&mut self, targets: &[ServiceVersion], store: &Store) {
+    pub(in crate::publisher) fn record_ack(&mut self, targets: &[ServiceVersion], store: &Store) {
         self.consecutive_mismatches = 0;
         for target in targets {
             self.set_applied(target);
@@ -52,7 +52,7 @@
 
     /// Records that the subscriber has rejected the content of a transaction that led to these versions. Each service
     /// stores its own first rejection, or the first of the transaction if it has none.
-    pub(in crate::publisher) fn rejected(
+    pub(in crate::publisher) fn record_rejection(
         &mut self,
         targets: &[ServiceVersion],
         rejections: &[Rejection],
@@ -72,7 +72,7 @@
 
     /// Records that a transaction did not match the subscriber's state, and makes its services pending again. Those
     /// that the subscriber reports in `applied` are sent as snapshots. Returns the number of consecutive mismatches.
-    pub(in crate::publisher) fn mismatched(
+    pub(in crate::publisher) fn record_mismatch(
         &mut self,
         targets: &[ServiceVersion],
         applied: &[ServiceVersion],
--- a/crates/distribution/src/publisher/session/mod.rs
+++ b/crates/distribution/src/publisher/session/mod.rs
@@ -63,9 +63,9 @@
     /// The bytes queued and not yet written to the connection.
     queued_bytes: usize,
     /// The time of the last write to the connection, or at which the first byte was queued since.
-    stalled_since: Time,
+    no_write_since: Time,
     /// The time at which the last message was received, or the connection was accepted.
-    pub(super) last_heard: Time,
+    pub(super) last_received: Time,
     /// The time for which the session's timer is set; it is never later than [`Self::deadline`].
     pub(super) timer: Option<Time>,
     /// The wrapping sum of [`scope_digest_term`] over the versions that the subscriber has applied.
@@ -95,8 +95,8 @@
             snapshot_slot: SnapshotSlot::None,
             awaits_bandwidth: false,
             queued_bytes: 0,
-            stalled_since: now,
-            last_heard: now,
+            no_write_since: now,
+            last_received: now,
             timer: None,
             scope_digest: 0,
             last_bookmark: Position::default(),
@@ -178,14 +178,14 @@
     pub(super) fn bytes_written(&mut self, now: Time, bytes: usize) {
         self.queued_bytes = self.queued_bytes.saturating_sub(bytes);
         if bytes > 0 {
-            self.stalled_since = now;
+            self.no_write_since = now;
         }
     }
 
     /// Queues a message for the subscriber.
     pub(super) fn send(&mut self, message: &PublisherMessage, sink: &mut FrameSink<'_>) {
         if self.queued_bytes == 0 {
-            self.stalled_since = sink.now;
+            self.no_write_since = sink.now;
         }
         self.queued_bytes += sink.send(self.id, message);
     }
--- a/crates/distribution/src/publisher/session/resume.rs
+++ b/crates/distribution/src/publisher/session/resume.rs
@@ -22,8 +22,8 @@
     ) -> bool {
         let is_new = |added: &&ServiceVersion| !self.subscriptions.contains_key(&added.service);
         let new = added.iter().filter(is_new).count();
-        let services_before = self.services_to_resume.len().max(self.reported_rejections.len());
-        self.subscriptions.len() + new > max || services_before + message_services > 2 * max
+        let stored_services = self.services_to_resume.len().max(self.reported_rejections.len());
+        self.subscriptions.len() + new > max || stored_services + message_services > 2 * max
     }
 
     /// Adds the services of a scope message to the scope, and stores the rejected versions that it reports.
@@ -48,10 +48,10 @@
         let lagging: Vec<ServiceName> =
             services.into_iter().filter(|service| self.lags(service, store)).collect();
         self.mark_lagging(now, &lagging);
-        let mut seen_changes = BTreeSet::new();
+        let mut processed_changes = BTreeSet::new();
         for service in &lagging {
             self.mark_pending(std::slice::from_ref(service), store);
-            self.join_changed_together(service, &mut seen_changes, store);
+            self.join_changed_together(service, &mut processed_changes, store);
         }
         for rejected in self.reported_rejections.clone() {
             self.mark_rejected_if_reported(&rejected.service, store);
@@ -69,8 +69,9 @@
         store: &Store,
     ) -> ChangeEffect {
         // The versions of services that an incomplete scope has added are compared when the scope is complete.
-        let is_resumed = |service: &&ServiceName| !self.services_to_resume.contains(*service);
-        let services: Vec<ServiceName> = services.iter().filter(is_resumed).cloned().collect();
+        let awaits_no_resume = |service: &&ServiceName| !self.services_to_resume.contains(*service);
+        let services: Vec<ServiceName> =
+            services.iter().filter(awaits_no_resume).cloned().collect();
         if services.is_empty() {
             return ChangeEffect::None;
         }
@@ -83,11 +84,11 @@
     }
 
     /// Puts a service into one group with the services that changes since its applied version have touched together
-    /// with it. `seen_changes` holds the numbers of changes that have already been processed.
+    /// with it. `processed_changes` holds the numbers of changes that have already been processed.
     fn join_changed_together(
         &mut self,
         service: &ServiceName,
-        seen_changes: &mut BTreeSet<u64>,
+        processed_changes: &mut BTreeSet<u64>,
         store: &Store,
     ) {
         let Some(subscription) = self.subscriptions.get(service) else {
@@ -97,7 +98,7 @@
             return;
         }
         for (number, touched) in store.changes_since(service, subscription.version) {
-            if touched.len() < 2 || !seen_changes.insert(number) {
+            if touched.len() < 2 || !processed_changes.insert(number) {
                 continue;
             }
             let lacks_change = |service: &&ServiceName| {
--- a/crates/distribution/src/publisher/session/timeouts.rs
+++ b/crates/distribution/src/publisher/session/timeouts.rs
@@ -9,28 +9,28 @@
 impl Session {
     /// Returns the time at which the first timeout expires if nothing is received or written before.
     pub(in crate::publisher) fn deadline(&self, options: &PublisherOptions) -> Time {
-        let silent = self.last_heard.plus(options.silence_timeout);
+        let silent = self.last_received.plus(options.silence_timeout);
         let stalled =
-            (self.queued_bytes > 0).then(|| self.stalled_since.plus(options.stall_timeout));
+            (self.queued_bytes > 0).then(|| self.no_write_since.plus(options.stall_timeout));
         let oldest = self.unacknowledged.first_key_value();
         let unanswered = oldest.map(|(_, sent)| sent.sent_at.plus(options.acknowledge_timeout));
         [Some(silent), stalled, unanswered].into_iter().flatten().min().unwrap_or(silent)
     }
 
     /// Returns the reason for which the session has to be closed, or `None` if no timeout has expired.
-    pub(in crate::publisher) fn overdue(
+    pub(in crate::publisher) fn expired_timeout(
         &self,
         now: Time,
         options: &PublisherOptions,
     ) -> Option<CloseReason> {
         let has_passed = |since: Time, timeout: Span| now.since(since) >= timeout;
-        if self.queued_bytes > 0 && has_passed(self.stalled_since, options.stall_timeout) {
+        if self.queued_bytes > 0 && has_passed(self.no_write_since, options.stall_timeout) {
             return Some(CloseReason::Stalled);
         }
         let oldest = self.unacknowledged.first_key_value();
         if oldest.is_some_and(|(_, sent)| has_passed(sent.sent_at, options.acknowledge_timeout)) {
             return Some(CloseReason::Unacknowledged);
         }
-        has_passed(self.last_heard, options.silence_timeout).then_some(CloseReason::Silent)
+        has_passed(self.last_received, options.silence_timeout).then_some(CloseReason::Silent)
     }
 }
--- a/crates/distribution/src/publisher/status_page.rs
+++ b/crates/distribution/src/publisher/status_page.rs
@@ -112,7 +112,7 @@
             services: self.subscriptions.len() as u32,
             current: self.last_bookmark,
             queued_bytes: self.queued_bytes() as u64,
-            silent_ms: milliseconds_since(self.last_heard, now),
+            silent_ms: milliseconds_since(self.last_received, now),
             lagging: lags().count() as u32,
             lags: lags()
                 .take(MAX_LISTED_PER_SESSION)
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -137,7 +137,10 @@
         PublisherMessage::Begin { services, .. } => Some(services),
         _ => None,
     });
-    services.flatten().map(|part| (part.service.to_string(), part.base)).collect()
+    services
+        .flatten()
+        .map(|service_base| (service_base.service.to_string(), service_base.base))
+        .collect()
 }
 
 /// Returns all changes in these messages.
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn a_change_and_its_reversal_while_disconnected_arrive_as_removal_and_restored_resource() {
+fn a_delta_contains_every_resource_that_a_reversed_change_touched() {
     let mut machine = machine();
     machine.append(["a", "b", "c", "d"].map(|id| set(server("points", id), 1, b"body")).to_vec());
     let (applied, position) =
@@ -335,9 +338,9 @@
     }
     machine
         .append(vec![set(server("points", "b"), 3, b"bad"), set(server("other", "b"), 3, b"good")]);
-    let refused = transaction_ids(&machine.take_messages(3));
+    let rejected = transaction_ids(&machine.take_messages(3));
     let accepted = transaction_ids(&machine.take_messages(4));
-    assert_eq!((refused.len(), accepted.len()), (1, 1), "both services are in one transaction");
+    assert_eq!((rejected.len(), accepted.len()), (1, 1), "both services are in one transaction");
     let rejection = Rejection {
         resource: server("points", "b"),
         origin: Origin { file: "change.toml".into(), line: 7 },
@@ -345,7 +348,7 @@
         problem: "no address".into(),
     };
     let reason = NackReason::Rejected(vec![rejection.clone()]);
-    machine.send(3, SubscriberMessage::Nack { transaction: refused[0], reason });
+    machine.send(3, SubscriberMessage::Nack { transaction: rejected[0], reason });
     machine.send(4, SubscriberMessage::Ack { transaction: accepted[0] });
     assert_eq!(transaction_ids(&machine.take_messages(3)), [0; 0]);
     let StatusRows::Sessions { sessions, .. } =
@@ -373,7 +376,7 @@
 }
 
 #[test]
-fn a_rejection_reported_at_the_resume_is_not_sent_again() {
+fn a_rejected_version_reported_in_the_scope_is_not_sent_again() {
     let mut machine = machine();
     machine.set_server("points", "a");
     let (applied, position) =
@@ -685,6 +688,8 @@
         &mut machine.out,
     );
     let page = machine.publisher.status_page(Time(machine.now), &StatusQuery::Machine);
-    let StatusRows::Machine(machine) = page.rows else { panic!("the page is not of the machine") };
-    assert_eq!((machine.log, machine.violations, machine.silent), (log, 1, 0));
+    let StatusRows::Machine(machine_status) = page.rows else {
+        panic!("the page is not of the machine")
+    };
+    assert_eq!((machine_status.log, machine_status.violations, machine_status.silent), (log, 1, 0));
 }
--- a/crates/distribution/tests/sim/applier.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -9,7 +9,7 @@
 use super::history::{Contents, History, INVALID_BODY_MARKER, digest};
 
 /// The state of a service that a balancer has applied.
-pub(crate) struct Applied {
+pub(crate) struct AppliedService {
     pub(crate) epoch: u32,
     pub(crate) version: u64,
     pub(crate) contents: Contents,
@@ -18,7 +18,7 @@
 /// The applied state of a balancer.
 #[derive(Default)]
 pub(crate) struct Applier {
-    pub(crate) services: BTreeMap<ServiceName, Applied>,
+    pub(crate) services: BTreeMap<ServiceName, AppliedService>,
     pub(crate) scope: BTreeSet<ServiceName>,
     /// Whether a body that begins with [`INVALID_BODY_MARKER`] is rejected.
     pub(crate) validates: bool,
@@ -30,7 +30,8 @@
         self.services.clear();
         for service in &saved.services {
             let contents = service.resources.iter().map(|r| (r.name.clone(), r.clone())).collect();
-            let applied = Applied { epoch: service.epoch, version: service.version, contents };
+            let applied =
+                AppliedService { epoch: service.epoch, version: service.version, contents };
             self.services.insert(service.service.clone(), applied);
         }
     }
@@ -108,8 +109,8 @@
         );
         // At version 0 the service has no resources, and the log has no change of it.
         let empty = Contents::new();
-        let known = history.contents_by_version.get(&(update.service.clone(), update.version));
-        let expected = known.or((update.version == 0).then_some(&empty));
+        let logged = history.contents_by_version.get(&(update.service.clone(), update.version));
+        let expected = logged.or((update.version == 0).then_some(&empty));
         assert_eq!(
             Some(&contents),
             expected,
@@ -117,7 +118,7 @@
             update.service,
             update.version
         );
-        let applied = Applied { epoch: position.epoch, version: update.version, contents };
+        let applied = AppliedService { epoch: position.epoch, version: update.version, contents };
         self.services.insert(update.service.clone(), applied);
     }
 
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -110,11 +110,11 @@
             Direction::ToControl => self.controls[control].publisher.is_none(),
             Direction::ToSubscriber => connection.closed_by_subscriber,
         };
-        let is_unknown = to_control && Some(self.controls[control].incarnation) != accepted_by;
+        let is_not_accepted = to_control && Some(self.controls[control].incarnation) != accepted_by;
         if to_control && receiver_closed {
             return;
         }
-        if receiver_closed || is_unknown || (to_control && connection.closed_by_control) {
+        if receiver_closed || is_not_accepted || (to_control && connection.closed_by_control) {
             // The receiver does not know the connection, or has closed it, and answers with a reset.
             self.send_reset(id, direction);
             return;
