--- a/crates/distribution/src/publisher/flush.rs
+++ b/crates/distribution/src/publisher/flush.rs
@@ -10,8 +10,8 @@
 use crate::name::ServiceName;
 
 impl Publisher {
-    /// Adds a change to what a session has to send, and sends what is possible now. `services` are the services in the
-    /// session's scope that the change touched.
+    /// Adds a change to the open transaction or to the pending services of a session, and queues the frames that may be
+    /// sent now. `services` are the services in the session's scope that the change touched.
     pub(super) fn services_changed(
         &mut self,
         now: Time,
--- a/crates/distribution/src/publisher/handlers.rs
+++ b/crates/distribution/src/publisher/handlers.rs
@@ -20,7 +20,7 @@
 /// The result of handling a message; an error is the reason for which the session has to be closed.
 type HandlerResult = Result<(), CloseReason>;
 
-/// The reason to close a session that the publisher does not know.
+/// The close reason for a message on a connection that has no session.
 const NO_SESSION: CloseReason = CloseReason::Violation(SubscriberViolation::NoSession);
 
 /// The content of [`SubscriberMessage::Scope`].
@@ -117,7 +117,7 @@
         Err(CloseReason::Refused)
     }
 
-    /// Checks a scope message, applies it, and sends what it makes pending.
+    /// Checks a scope message, applies it, and sends the services that become pending.
     fn handle_scope(
         &mut self,
         now: Time,
@@ -167,7 +167,7 @@
         Ok(removed)
     }
 
-    /// Records the answer to a transaction, and sends what it makes possible.
+    /// Records the answer to a transaction, and sends the frames that can be sent as a result.
     fn handle_answer(
         &mut self,
         now: Time,
--- a/crates/distribution/src/publisher/mod.rs
+++ b/crates/distribution/src/publisher/mod.rs
@@ -41,7 +41,7 @@
     store: Store,
     options: PublisherOptions,
     sessions: FxHashMap<SessionId, Session>,
-    /// By service, the sessions that have the service in their scope.
+    /// The sessions that have a service in their scope, by service.
     subscribers: FxHashMap<ServiceName, BTreeSet<SessionId>>,
     /// The timers of all sessions, each also stored in its session.
     timers: BTreeSet<(Time, SessionId)>,
@@ -163,7 +163,8 @@
         self.flush(now, session, out);
     }
 
-    /// Closes sessions whose timeout has expired and sends what waited for bandwidth. Returns [`Self::due`].
+    /// Closes the sessions of which a timeout has expired, and sends the frames that have waited for bandwidth. Returns
+    /// [`Self::due`].
     pub fn tick(&mut self, now: Time, out: &mut Vec<PublisherOutput>) -> Option<Time> {
         while let Some((at, session)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, session));
@@ -227,7 +228,7 @@
         self.timers.insert((deadline, session));
     }
 
-    /// Counts and removes a session, and tells the caller to close its connection.
+    /// Counts and removes a session, and requests that the caller close its connection.
     fn close(
         &mut self,
         now: Time,
--- a/crates/distribution/src/publisher/options.rs
+++ b/crates/distribution/src/publisher/options.rs
@@ -5,14 +5,15 @@
 /// The limits of a publisher. Each default is derived in `docs/design/distribution.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublisherOptions {
-    /// The most sessions at one time. A hello is refused while more connections than these and 64 spare ones are open.
-    /// Default 8,192: the whole fleet connected to one control machine.
+    /// The most sessions at one time. 64 further connections are allowed for those that have not sent a hello and for
+    /// tools that request the status: a hello is refused while more than `max_sessions` + 64 connections are open.
+    /// Default 8,192: all 7,600 balancers of a fleet connected to one control machine.
     pub max_sessions: usize,
     /// The most services in the scope of one session; a larger scope is refused. Default 4,096.
     pub max_scope_services: usize,
     /// The most bytes of frames per second on average, over all sessions. Default 32 MiB.
     pub bytes_per_second: u64,
-    /// The most bytes that may be sent at once after a pause. Default 8 MiB.
+    /// The most bytes that may be sent at once after a period with less traffic than `bytes_per_second`. Default 8 MiB.
     pub burst_bytes: u64,
     /// The snapshot slots: the most sessions that may send snapshots at one time. Default 16.
     pub max_concurrent_snapshots: usize,
@@ -33,7 +34,8 @@
     pub stall_timeout: Span,
     /// The time after which a session is closed if a complete transaction has not been answered. Default 30 s.
     pub acknowledge_timeout: Span,
-    /// The time after which a session is closed if no message has been received. Default 10 s: ten pings.
+    /// The time after which a session is closed if no message has been received. Default 10 s: ten times the default
+    /// interval of a subscriber's pings.
     pub silence_timeout: Span,
     /// The number of consecutive mismatches at which a session is closed. Default 3.
     pub max_mismatches: u32,
--- a/crates/distribution/src/publisher/session/answers.rs
+++ b/crates/distribution/src/publisher/session/answers.rs
@@ -9,9 +9,9 @@
 use crate::store::Store;
 
 impl Session {
-    /// Removes a transaction that has been answered, and returns the versions that it led to, without those of services
-    /// that were removed from the scope or added again since it was opened. Returns `None` if no such transaction is
-    /// unanswered.
+    /// Removes a transaction that has been answered, and returns its target versions. Services that were removed from
+    /// the scope, or added again, after the transaction was opened are left out. Returns `None` if no completely
+    /// sent, unanswered transaction has this id.
     pub(in crate::publisher) fn remove_answered(
         &mut self,
         transaction: TransactionId,
@@ -34,7 +34,7 @@
         Some(targets.map(|target| target.version).collect())
     }
 
-    /// Records that the subscriber has applied a transaction that led to these versions.
+    /// Records that the subscriber has applied a transaction with these target versions.
     pub(in crate::publisher) fn record_ack(&mut self, targets: &[ServiceVersion], store: &Store) {
         self.consecutive_mismatches = 0;
         for target in targets {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Records that the subscriber has rejected the content of a transaction that led to these versions. Each service
-    /// stores its own first rejection, or the first of the transaction if it has none.
+    /// Records that the subscriber has rejected the content of a transaction with these target versions. The first
+    /// rejection of each service is stored, or the first of the transaction for a service without one.
     pub(in crate::publisher) fn record_rejection(
         &mut self,
         targets: &[ServiceVersion],
@@ -70,8 +70,9 @@
         self.mark_rejected(service_names(targets), store);
     }
 
-    /// Records that a transaction did not match the subscriber's state, and makes its services pending again. Those
-    /// that the subscriber reports in `applied` are sent as snapshots. Returns the number of consecutive mismatches.
+    /// Records that a transaction with these target versions did not match the subscriber's state, and makes its
+    /// services pending again. Services of the transaction that the subscriber reports in `applied` will be sent as
+    /// snapshots. Returns the number of consecutive mismatches.
     pub(in crate::publisher) fn record_mismatch(
         &mut self,
         targets: &[ServiceVersion],
--- a/crates/distribution/src/publisher/session/grouping.rs
+++ b/crates/distribution/src/publisher/session/grouping.rs
@@ -21,6 +21,7 @@
         if let (1, Some(&Some(id))) = (groups.len(), groups.first())
             && self.pending.get(id).is_some_and(|group| group.state != GroupState::Rejected)
         {
+            // All of the services are already in the same group.
             return;
         }
         let mut members: BTreeSet<ServiceName> = services.iter().cloned().collect();
--- a/crates/distribution/src/publisher/session/mod.rs
+++ b/crates/distribution/src/publisher/session/mod.rs
@@ -7,6 +7,9 @@
 //! A service is idle, pending (in one group with the services that changed together with it), in flight (in one
 //! transaction), or both pending and in flight. A service that is in flight is not sent again before its transaction
 //! is answered.
+//!
+//! An idle session is sent a bookmark ([`PublisherMessage::Current`]): the position up to which the subscriber has
+//! answered all changes of its scope, with the digest of the scope.
 
 mod answers;
 mod grouping;
@@ -62,9 +65,11 @@
     pub(super) awaits_bandwidth: bool,
     /// The bytes queued and not yet written to the connection.
     queued_bytes: usize,
-    /// The time of the last write to the connection, or at which the first byte was queued since.
+    /// The start of the period in which no queued byte has been written to the connection: the time of the last write,
+    /// or a later time at which a byte was added to the empty queue. Without meaning while nothing is queued.
     no_write_since: Time,
-    /// The time at which the last message was received, or the connection was accepted.
+    /// The time at which the last message was received, or before the first, the time at which the connection was
+    /// accepted.
     pub(super) last_received: Time,
     /// The time for which the session's timer is set; it is never later than [`Self::deadline`].
     pub(super) timer: Option<Time>,
@@ -105,8 +110,8 @@
         }
     }
 
-    /// Adds a service to the scope with the version that the subscriber has applied. A service that is already in the
-    /// scope starts anew from that version.
+    /// Adds a service to the scope with the version that the subscriber has applied. The subscription of a service that
+    /// is already in the scope is replaced.
     pub(super) fn subscribe(&mut self, applied: ServiceVersion) {
         self.unsubscribe(&applied.service);
         self.scope_digest = self.scope_digest.wrapping_add(digest_term(&applied));
@@ -146,7 +151,8 @@
             .is_some_and(|subscription| subscription.lags(service, store))
     }
 
-    /// Records that the subscriber lags in these services from now on, unless it has lagged in them before.
+    /// Records that the subscriber lags in these services from now on. A lag that has already been recorded keeps its
+    /// start.
     fn mark_lagging(&mut self, now: Time, services: &[ServiceName]) {
         for service in services {
             if let Some(subscription) = self.subscriptions.get_mut(service) {
--- a/crates/distribution/src/publisher/session/pending.rs
+++ b/crates/distribution/src/publisher/session/pending.rs
@@ -33,6 +33,7 @@
     deltas: BTreeSet<GroupId>,
     /// The groups in [`GroupState::Snapshot`].
     snapshots: BTreeSet<GroupId>,
+    /// The id of the next group that is inserted.
     next_id: GroupId,
 }
 
--- a/crates/distribution/src/publisher/session/resume.rs
+++ b/crates/distribution/src/publisher/session/resume.rs
@@ -11,9 +11,10 @@
 use crate::store::Store;
 
 impl Session {
-    /// Returns whether a scope message exceeds the limits: at most `max` services in the scope after it has added
-    /// `added`, and at most twice `max` services named by this message (`message_services`) and stored from earlier
-    /// messages of an incomplete scope.
+    /// Returns whether a scope message exceeds one of two limits. The scope may have at most `max` services after the
+    /// services in `added` are added. The number of services that this message names (`message_services`) plus the
+    /// number stored from earlier messages of an incomplete scope may be at most twice `max`; of the services to resume
+    /// and the rejected versions, only the larger number counts as stored.
     pub(in crate::publisher) fn exceeds_scope(
         &self,
         added: &[ServiceVersion],
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Completes a scope: the added services in which the subscriber lags become pending. Services that one change in
-    /// the log has touched become pending in one group.
+    /// Completes a scope: the added services in which the subscriber lags become pending. Services that the same change
+    /// in the log touched become pending in one group.
     pub(in crate::publisher) fn resume(&mut self, now: Time, store: &Store) {
         self.scope_complete = true;
         self.bookmark_due = true;
--- a/crates/distribution/src/publisher/session/sending.rs
+++ b/crates/distribution/src/publisher/session/sending.rs
@@ -49,8 +49,8 @@
             || self.unacknowledged.values().any(|sent| sent.has_snapshot)
     }
 
-    /// Opens a transaction for a group. If the group needs a snapshot and the session holds no snapshot slot, the group
-    /// only changes its state; if it is too large for one transaction, it is split instead.
+    /// Opens a transaction for a group. Instead, a group that needs a snapshot moves to [`GroupState::Snapshot`] if the
+    /// session holds no snapshot slot, and a group that is too large for one transaction is split.
     pub(in crate::publisher) fn open_transaction(
         &mut self,
         group: GroupId,
@@ -108,8 +108,8 @@
     }
 
     /// Adds the latest change, which touched `services`, to the open transaction if the transaction contains all of
-    /// them, none of them is pending, and the size limit allows it. Returns whether it was added. As a result, a server
-    /// that is removed while a snapshot is being sent is never applied by the subscriber.
+    /// them, none of them is pending, and the size limit allows it. Returns whether it was added. If so, a server
+    /// that the change removes is never applied by the subscriber, even if an earlier frame of the transaction sets it.
     pub(super) fn merge_into_open(
         &mut self,
         services: &[ServiceName],
--- a/crates/distribution/src/publisher/session/steps.rs
+++ b/crates/distribution/src/publisher/session/steps.rs
@@ -11,7 +11,7 @@
     Open(GroupId, Priority),
     /// Request a snapshot slot.
     RequestSnapshotSlot,
-    /// Do nothing: nothing is to be sent, or the session waits for a slot or for answers.
+    /// Do nothing: nothing is to be sent, or the session waits for a snapshot slot or for answers.
     Nothing,
 }
 
--- a/crates/distribution/src/publisher/session/subscription.rs
+++ b/crates/distribution/src/publisher/session/subscription.rs
@@ -9,7 +9,7 @@
 use crate::rejection::Rejection;
 use crate::store::Store;
 
-/// A service in the scope of a session, with its state at the subscriber as far as the publisher knows it.
+/// A service in the scope of a session, with the state that the subscriber has reported or acknowledged for it.
 #[derive(Debug)]
 pub(in crate::publisher) struct Subscription {
     /// The generation of the scope message that last added the service.
@@ -18,8 +18,7 @@
     pub(in crate::publisher) version: u64,
     /// The digest that belongs to [`Self::version`].
     pub(super) digest: u64,
-    /// Whether the service must be sent as a snapshot, because a transaction did not match the subscriber's
-    /// state.
+    /// Whether the service must be sent as a snapshot, because a transaction did not match the subscriber's state.
     pub(super) needs_snapshot: bool,
     /// The pending group that contains the service.
     pub(super) group: Option<GroupId>,
@@ -27,7 +26,7 @@
     pub(super) transaction: Option<TransactionId>,
     /// The version that the subscriber rejected last; none after it has acknowledged a transaction of the service.
     pub(in crate::publisher) rejected: Option<RejectedVersion>,
-    /// The time since which the subscriber has lagged behind the store on this connection; none if it does not lag.
+    /// The time at which the subscriber began to lag behind the store on this connection; none if it does not lag.
     pub(in crate::publisher) lagging_since: Option<Time>,
 }
 
--- a/crates/distribution/src/publisher/session/timeouts.rs
+++ b/crates/distribution/src/publisher/session/timeouts.rs
@@ -17,7 +17,7 @@
         [Some(silent), stalled, unanswered].into_iter().flatten().min().unwrap_or(silent)
     }
 
-    /// Returns the reason for which the session has to be closed, or `None` if no timeout has expired.
+    /// Returns the close reason of a timeout that has expired, or `None` if none has.
     pub(in crate::publisher) fn expired_timeout(
         &self,
         now: Time,
--- a/crates/distribution/src/publisher/snapshot_slots.rs
+++ b/crates/distribution/src/publisher/snapshot_slots.rs
@@ -5,10 +5,10 @@
 
 use super::output::SessionId;
 
-/// Whether a session needs, waits for or holds a snapshot slot.
+/// Whether a session waits for a snapshot slot or holds one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SnapshotSlot {
-    /// The session has not requested a slot.
+    /// The session neither waits for a slot nor holds one.
     None,
     /// The session waits for a slot.
     Waiting,
@@ -19,6 +19,7 @@
 /// The number of slots in use, and the sessions that wait for a slot.
 #[derive(Debug)]
 pub(super) struct SnapshotSlots {
+    /// The number of slots.
     max: usize,
     in_use: usize,
     /// The waiting sessions in order of arrival. The caller skips those that have ended or no longer need a slot when
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Grants a slot without a check of the limit; the caller has freed one before.
+    /// Grants a slot without checking the limit. The caller must have freed one before.
     pub(super) fn grant(&mut self) -> SnapshotSlot {
         self.in_use += 1;
         SnapshotSlot::Held
--- a/crates/distribution/src/publisher/status_page.rs
+++ b/crates/distribution/src/publisher/status_page.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// Returns the milliseconds for which the store has had a later version than the subscriber; 0 if it has none.
+/// Returns the milliseconds for which the subscriber has lagged behind the store; 0 if it does not lag.
 fn lagging_ms(now: Time, subscription: &Subscription) -> u64 {
     milliseconds_since(subscription.lagging_since.unwrap_or(now), now)
 }
--- a/crates/distribution/src/store/limits.rs
+++ b/crates/distribution/src/store/limits.rs
@@ -11,7 +11,8 @@
     /// The most change numbers whose chain hash is kept, 8 bytes each; the hashes detect that a subscriber has followed
     /// another log. Default 1,048,576: 169 days at 6,200 changes a day.
     pub chain_entries: usize,
-    /// The most services, including those that have no resources any more. Default 16,384: 6 times 2,500.
+    /// The most services, including those that have no resources any more. Default 16,384: over 6 times the 2,500
+    /// services of a fleet.
     pub services: usize,
     /// The most bytes of one service, by estimate. Default 3 MiB: less than the limit of a transaction
     /// ([`crate::PublisherOptions::max_transaction_bytes`]).
--- a/crates/distribution/src/store/mod.rs
+++ b/crates/distribution/src/store/mod.rs
@@ -132,8 +132,10 @@
         self.log.bytes()
     }
 
-    /// Checks whether this store can serve a subscriber whose furthest seen position is `seen`. A position that is
-    /// older than all chain hashes kept is accepted: the digests of the subscriber's services then show what differs.
+    /// Checks whether this store can serve a subscriber whose furthest seen position is `seen`. A position whose chain
+    /// hash can't be compared is accepted: one that is older than all chain hashes kept, or that has a lower epoch
+    /// because the operators have restored or rewritten the log since. The digests of the subscriber's services then
+    /// show what differs.
     ///
     /// # Errors
     ///
@@ -171,7 +173,8 @@
         self.services.get(service).map_or(Vec::new(), |stored| stored.delta(service, from))
     }
 
-    /// Returns the changes that the latest change file made to a service; empty if the log no longer holds that file.
+    /// Returns the changes to a service by the latest change file that touched it; empty if that file is no longer in
+    /// the log.
     pub(crate) fn latest_changes(&self, service: &ServiceName) -> Vec<Change> {
         self.services.get(service).map_or(Vec::new(), |stored| stored.latest_changes(service))
     }
--- a/crates/distribution/src/store/stored_service.rs
+++ b/crates/distribution/src/store/stored_service.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Returns whether the log holds all changes since a version at which the service had this digest.
+    /// Returns whether the log holds all changes since a version at which the service had this digest. Returns `false`
+    /// for version 0, which means that a subscriber has applied nothing.
     pub(super) fn has_base(&self, version: u64, digest: u64) -> bool {
         if version == 0 {
             return false;
--- a/crates/distribution/src/store/validation.rs
+++ b/crates/distribution/src/store/validation.rs
@@ -38,7 +38,7 @@
 }
 
 impl<'s> Validation<'s> {
-    /// Creates a validation of one change file.
+    /// Creates a validation of one change file against these services and limits.
     pub(super) fn new(
         services: &'s BTreeMap<ServiceName, StoredService>,
         limits: &'s StoreLimits,
@@ -90,6 +90,7 @@
                 self.check_exists(name)?;
                 name
             }
+            // Does not occur: `expand` has replaced the removal of a service.
             Change::RemoveService { .. } => return Ok(()),
         };
         if !self.changed_resources.insert(name.clone()) {
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -112,7 +112,7 @@
         self.publisher.tick(Time(self.now), &mut self.out);
     }
 
-    /// Returns the reason for which a session was closed, if the output has not been taken.
+    /// Returns the reason for which the publisher has closed a session, or `None` if it has not closed it.
     fn close_reason(&self, session: u64) -> Option<CloseReason> {
         self.out.iter().find_map(|output| match output {
             PublisherOutput::Close { session: SessionId(id), reason } if *id == session => {
@@ -193,6 +193,7 @@
 
 #[test]
 fn a_version_within_the_log_gets_a_delta_and_any_other_a_snapshot_of_that_service_alone() {
+    // After the nine changes, the log holds the last four, which touch `points`. The change of `old` has been dropped.
     let mut machine = ControlMachine::new(
         StoreLimits { log_entries: 4, ..StoreLimits::default() },
         PublisherOptions::default(),
@@ -277,7 +278,8 @@
         machine.now += 1_000;
         frames += machine.take_messages(1).len();
     }
-    // The three frames are the transaction of the first change; the others are pending as one service.
+    // The frames are the three of a transaction with the first change. The other changes take no frame: the service is
+    // pending.
     assert_eq!(frames, 3);
     let StatusRows::Sessions { sessions, .. } =
         machine.publisher.status_page(Time(machine.now), &StatusQuery::Sessions { from: 0 }).rows
@@ -292,7 +294,9 @@
         ),
         (1, 1, 1_001)
     );
+    // Nothing but the three frames is queued.
     assert!(sessions[0].queued_bytes < 300, "{} bytes", sessions[0].queued_bytes);
+    // One second has passed during the changes; the default stall timeout is 10 s.
     for _ in 0..9 {
         assert_eq!(machine.close_reason(1), None);
         machine.send(1, SubscriberMessage::Ping { sequence: 0 });
@@ -321,6 +325,7 @@
 #[test]
 fn a_rejected_transaction_is_not_sent_again_before_one_of_its_services_changes() {
     let mut machine = machine();
+    // The store is still empty, so both sessions are refused.
     machine.connect(1, Position::default(), vec![not_applied("points"), not_applied("other")]);
     machine.connect(2, Position::default(), vec![not_applied("points")]);
     assert_eq!(
@@ -482,13 +487,15 @@
                 delta_step = delta_step.or(Some(step));
             }
         }
+        // The burst, the bytes at the rate since the start, and 1,000 bytes by which frames may overdraw the bucket.
         let allowed = 2_000 + machine.now / 100 + 1_000;
         assert!(sent as i64 <= allowed, "{sent} bytes at {} us", machine.now);
         machine.now += 10_000;
         machine.publisher.tick(Time(machine.now), &mut machine.out);
     }
+    // In the 4 s of 400 steps, the rate allows 40,000 bytes in addition to the burst.
     assert!(sent > 35_000, "{sent} bytes: not all of the bandwidth is used");
-    // The snapshots use all bandwidth; the delta is sent before them.
+    // The snapshots use all bandwidth. The delta is sent before them, within 30 steps (300 ms) after its change.
     assert!(delta_step.is_some_and(|step| step < 130), "{delta_step:?}");
 }
 
@@ -585,6 +592,7 @@
     machine.connect(2, Position::default(), vec![]);
     machine.take_messages(1);
     machine.take_messages(2);
+    // Session 1 sends pings but no answer for the 30 s of the default acknowledge timeout.
     for _ in 0..30 {
         machine.send(1, SubscriberMessage::Ping { sequence: 0 });
         machine.take_messages(1);
@@ -609,11 +617,16 @@
         last: true,
     };
     let cases = [
+        // A scope or an answer before the hello.
         vec![scope(1, 1)],
         vec![SubscriberMessage::Ack { transaction: 1 }],
+        // A second hello.
         vec![hello(), hello()],
+        // A first scope message whose generation is not 1.
         vec![hello(), scope(2, 1)],
+        // One service more than a message may name.
         vec![hello(), scope(1, 1_025)],
+        // An answer to a transaction that does not exist.
         vec![hello(), scope(1, 1), SubscriberMessage::Ack { transaction: 9 }],
     ];
     for messages in cases {
--- a/crates/distribution/tests/sim/applier.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -42,8 +42,8 @@
         self.scope = scope.clone();
     }
 
-    /// Applies a transaction completely, or returns its rejections and applies nothing. Panics if the result differs
-    /// from the operators' log.
+    /// Applies a transaction to the services in the scope, or returns its rejections and applies nothing. Panics if the
+    /// result differs from the operators' log or, with `checks_atomicity`, if [`Self::check_atomicity`] fails.
     pub(crate) fn apply(
         &mut self,
         transaction: &Transaction,
@@ -61,6 +61,7 @@
             self.check_atomicity(transaction, history);
         }
         for update in &transaction.services {
+            // The scope may have changed after the publisher began the transaction.
             if self.scope.contains(&update.service) {
                 self.apply_update(update, transaction.position, history);
             }
@@ -92,13 +93,14 @@
                 }
             }
         }
+        // The update of a snapshot also removes the applied resources that the snapshot does not contain.
         if update.snapshot {
             let snapshot_names: BTreeSet<&ResourceName> =
                 update.changes.iter().filter_map(name_if_set).collect();
             assert_eq!(
                 contents.keys().collect::<BTreeSet<_>>(),
                 snapshot_names,
-                "resources that are not in the snapshot are left"
+                "the resources after a snapshot differ from those in the snapshot"
             );
         }
         assert_eq!(
@@ -122,8 +124,9 @@
         self.services.insert(update.service.clone(), applied);
     }
 
-    /// Checks that each change that a delta of the transaction contains is also applied to all other services of the
-    /// scope that the change touched, except for services of which no version has been applied.
+    /// Checks that no change of a delta is applied to only some of the services that the change touched: the version of
+    /// each of them after the transaction must be at least the number of the change. Services outside the scope and
+    /// services of which no version has been applied are exempt. Snapshots are not checked.
     fn check_atomicity(&self, transaction: &Transaction, history: &History) {
         let version_after = |service: &ServiceName| {
             let updated = transaction.services.iter().find(|update| update.service == *service);
@@ -132,6 +135,7 @@
         };
         for update in transaction.services.iter().filter(|update| !update.snapshot) {
             let before = self.services.get(&update.service).map_or(0, |applied| applied.version);
+            // The change with number n is at index n - 1: these are the changes after `before`.
             for entry in &history.entries[before as usize..update.version as usize] {
                 if entry.changes.iter().all(|change| *change.service() != update.service) {
                     continue;
@@ -155,7 +159,7 @@
     }
 }
 
-/// Returns the history that contains a position.
+/// Returns the history that contains a position. Panics if there is none.
 pub(crate) fn history_at(histories: &[History], position: Position) -> &History {
     let found = histories.iter().find(|history| history.chains.contains(&position.chain));
     found.unwrap_or_else(|| panic!("no history contains position {position}"))
--- a/crates/distribution/tests/sim/balancers.rs
+++ b/crates/distribution/tests/sim/balancers.rs
@@ -38,6 +38,7 @@
         balancer.applier.set_scope(&scope);
         self.with_subscriber(index, |subscriber, now, out| subscriber.start(now, out));
         let balancer = &mut self.balancers[index];
+        // The subscriber restores no service whose digest is wrong in the saved state, and the applier does the same.
         if let Some(subscriber) = &balancer.subscriber {
             let restored: BTreeSet<ServiceName> = subscriber
                 .service_versions()
@@ -60,6 +61,7 @@
             return;
         };
         act(subscriber, Time(now), &mut out);
+        // The subscriber may buffer twice the bytes of a transaction.
         assert!(
             subscriber.buffered_bytes() <= 20_000,
             "{} bytes are buffered, at most 20000 are expected",
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Calls the tick of a subscriber, or postpones it while the process is paused.
+    /// Calls [`Subscriber::tick`], or postpones the call while the process is paused.
     pub(crate) fn subscriber_timer(&mut self, index: usize) {
         self.balancers[index].timer = None;
         let resume_at = self.balancers[index].paused_until;
--- a/crates/distribution/tests/sim/controls.rs
+++ b/crates/distribution/tests/sim/controls.rs
@@ -35,8 +35,8 @@
         store
     }
 
-    /// Reads the new changes of the log, and replaces the store if the operators' log is another than the one that was
-    /// read. A control machine with a fork of the same epoch keeps the fork while faults are injected.
+    /// Reads the new changes of the log, and replaces the store if the operators' log is not the one that was read
+    /// before. A control machine with a fork of the same epoch keeps the fork while faults are injected.
     pub(crate) fn read_log(&mut self, control: usize) {
         let next_time = self.random_time(5 * MILLISECOND, 150 * MILLISECOND);
         self.schedule(next_time, Event::Read { control });
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Calls the tick of a publisher, or postpones it while the process is paused.
+    /// Calls [`Publisher::tick`], or postpones the call while the process is paused.
     pub(crate) fn control_timer(&mut self, control: usize) {
         self.controls[control].timer = None;
         let resume_at = self.controls[control].paused_until;
--- a/crates/distribution/tests/sim/coverage.rs
+++ b/crates/distribution/tests/sim/coverage.rs
@@ -12,7 +12,8 @@
 pub(crate) struct Coverage {
     pub(crate) publisher: PublisherCounters,
     pub(crate) subscriber: SubscriberCounters,
-    /// By name, how often a connection was closed for a reason and how often a subscriber reported an event.
+    /// The number of connections closed for each reason and of subscriber events of each kind, by the name of the
+    /// reason or the kind.
     pub(crate) occurrences: BTreeMap<String, u64>,
     /// The number of simulated events.
     pub(crate) events: u64,
--- a/crates/distribution/tests/sim/faults.rs
+++ b/crates/distribution/tests/sim/faults.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Ends the process of a control machine until a time. In half of the cases its connections are closed; otherwise
-    /// the balancers receive no end of the connection.
+    /// Ends the process of a control machine and schedules its restart. In half of the cases its connections are
+    /// closed; otherwise the balancers receive no end of the connection.
     pub(crate) fn crash_control(&mut self, control: usize, until: i64) {
         let Some(publisher) = self.controls[control].publisher.take() else {
             return;
@@ -122,8 +122,8 @@
         self.crash_control(control, restart_at);
     }
 
-    /// Ends the process of a balancer until a time. In half of the cases its connection is closed; otherwise the
-    /// control machine receives no end of the connection.
+    /// Ends the process of a balancer and schedules its restart. In half of the cases its connection is closed;
+    /// otherwise the control machine receives no end of the connection.
     pub(crate) fn crash_subscriber(&mut self, index: usize, until: i64) {
         let Some(subscriber) = self.balancers[index].subscriber.take() else {
             return;
--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -43,8 +43,8 @@
         );
     }
 
-    /// Completes or fails an attempt to connect. Without a control machine the attempt is refused in half of the cases,
-    /// and otherwise not answered, as with a partition.
+    /// Completes or fails an attempt to connect. If the control machine is not running, the attempt is refused in half
+    /// of the cases and not answered in the others. With a partition, it is not answered.
     pub(crate) fn connect(&mut self, id: u64) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -115,7 +115,7 @@
             return;
         }
         if receiver_closed || is_not_accepted || (to_control && connection.closed_by_control) {
-            // The receiver does not know the connection, or has closed it, and answers with a reset.
+            // The receiver has not accepted the connection since its start, or has closed it, and answers with a reset.
             self.send_reset(id, direction);
             return;
         }
--- a/crates/distribution/tests/sim/world.rs
+++ b/crates/distribution/tests/sim/world.rs
@@ -38,7 +38,7 @@
     Fault,
 }
 
-/// The faults that a schedule may contain, and the check that requires their absence.
+/// The optional faults of a schedule, and the optional check of atomicity, which excludes some faults.
 #[derive(Clone, Copy)]
 pub(crate) struct ScheduleOptions {
     /// Whether changes of several services are checked to be applied together. This requires a log that holds all
@@ -91,7 +91,7 @@
     pub(crate) seen_position: Position,
     /// Whether a body in the memory of the subscriber has been altered since the process started.
     pub(crate) corrupted: bool,
-    /// The number of transactions that publishers have begun to send to the balancer.
+    /// The number of transactions of which publishers have sent the first frame to the balancer.
     pub(crate) begun_transactions: u64,
 }
 
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Ends all faults, restarts all processes that are not running, and lets no further fault happen.
+    /// Ends all faults, prevents further ones, and restarts all processes that are not running.
     pub(crate) fn end_faults(&mut self) {
         self.faults_ended = true;
         if self.schedule_options.allows_forks {
--- a/crates/distribution/tests/simulation.rs
+++ b/crates/distribution/tests/simulation.rs
@@ -15,6 +15,7 @@
 const SECOND: i64 = 1_000_000;
 /// The default number of schedules; [`check_coverage`] is called for at least this number.
 const SCHEDULES: u64 = 5_000;
+/// The number of threads that run schedules in parallel.
 const THREADS: u64 = 4;
 
 /// All reasons for which the schedules may close a connection, and all events that subscribers may report.
@@ -136,7 +137,7 @@
     }
 }
 
-/// Runs the schedules of the seeds from `from` to `to`, without `to`, and adds up their coverage.
+/// Runs the schedules of the seeds from `from` to `to`, without `to`, and returns the sum of their coverage.
 fn run_schedules(from: u64, to: u64) -> Coverage {
     let mut total = Coverage::default();
     for seed in from..to {
@@ -154,7 +155,7 @@
     total
 }
 
-/// Returns the number in an environment variable, or `None` if it is not set or no number.
+/// Returns the number in an environment variable, or `None` if the variable is not set or not a number.
 fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
--- a/crates/distribution/tests/store.rs
+++ b/crates/distribution/tests/store.rs
@@ -66,6 +66,7 @@
             ),
             AppendError::DuplicateChange(server("a")),
         ),
+        // One byte more than a body may have.
         (
             entry(4, vec![valid(), set(server("c"), 4, &[0; 61_441])]),
             AppendError::ResourceTooLarge(server("c")),
@@ -195,7 +196,7 @@
         digest_without_tenants,
         "removed tenants leave nothing in the digest"
     );
-    // A tenant and a server of the same name are two resources with different digests.
+    // The tenant has the name of the server "a", but is another resource with another digest.
     store
         .append(entry(5, vec![set(tenant("a"), 1, b"x")]))
         .expect_err("a version other than the number of the change");
