--- a/crates/distribution/tests/simulation.rs
+++ b/crates/distribution/tests/simulation.rs
@@ -15,6 +15,12 @@
 const SECOND: i64 = 1_000_000;
 /// The default number of schedules; [`check_coverage`] is called for at least this number.
 const SCHEDULES: u64 = 5_000;
+/// The seconds after the end of the faults by which every balancer has to be current.
+const RECOVERY_SECONDS: i64 = 45;
+/// The seconds after a reset of its connection by which a balancer has to be current again.
+const RESUME_SECONDS: i64 = 15;
+/// The seconds after a change by which every balancer has to be current again.
+const CHANGE_SECONDS: i64 = 6;
 /// The number of threads that run schedules in parallel.
 const THREADS: u64 = 4;
 
@@ -49,11 +55,12 @@
     let fault_seconds = 5 + world.random_below(25) as i64;
     world.run_until(fault_seconds * SECOND);
     world.end_faults();
-    world.run_until((fault_seconds + 45) * SECOND);
+    let resume_from = (fault_seconds + RECOVERY_SECONDS) * SECOND;
+    world.run_until(resume_from);
     check_agreement(&world);
-    let resume_from = (fault_seconds + 45) * SECOND;
     check_resume_sends_nothing(&mut world, resume_from);
-    check_change_reaches_only_its_subscribers(&mut world, resume_from + 15 * SECOND);
+    let change_from = resume_from + RESUME_SECONDS * SECOND;
+    check_change_reaches_only_its_subscribers(&mut world, change_from);
     world.collect_counters();
     world.coverage
 }
@@ -96,7 +103,7 @@
     for index in 0..world.balancers.len() {
         world.reset_connection(index);
     }
-    world.run_until(from + 15 * SECOND);
+    world.run_until(from + RESUME_SECONDS * SECOND);
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(world.is_current(index), "balancer {index} is not current after a reset");
         assert_eq!(
@@ -120,7 +127,7 @@
     })]);
     let before: Vec<u64> =
         world.balancers.iter().map(|balancer| balancer.begun_transactions).collect();
-    world.run_until(from + 6 * SECOND);
+    world.run_until(from + CHANGE_SECONDS * SECOND);
     for (index, balancer) in world.balancers.iter().enumerate() {
         assert!(world.is_current(index), "balancer {index} is not current after a change");
         let begun = balancer.begun_transactions - before[index];
