--- a/crates/distribution/src/publisher/session/transaction.rs
+++ b/crates/distribution/src/publisher/session/transaction.rs
@@ -13,10 +13,10 @@
 /// The id of a transaction; unique within a publisher.
 pub(super) type TransactionId = u64;
 
-/// A service of a transaction, with the version that the transaction leads to.
+/// A service of a transaction, with its target version.
 #[derive(Clone, Debug)]
 pub(super) struct TransactionTarget {
-    /// The version that the transaction leads to.
+    /// The version and the digest of the service after the transaction is applied.
     pub(super) version: ServiceVersion,
     /// The generation of the scope message that had last added the service when the transaction was opened.
     pub(super) generation: u32,
--- a/crates/distribution/tests/publisher.rs
+++ b/crates/distribution/tests/publisher.rs
@@ -112,7 +112,7 @@
         self.publisher.tick(Time(self.now), &mut self.out);
     }
 
-    /// Returns the reason for which the publisher has closed a session, or `None` if it has not closed it.
+    /// Returns the reason of the [`PublisherOutput::Close`] of a session, or `None` if there is none in `out`.
     fn close_reason(&self, session: u64) -> Option<CloseReason> {
         self.out.iter().find_map(|output| match output {
             PublisherOutput::Close { session: SessionId(id), reason } if *id == session => {
@@ -210,6 +210,7 @@
     machine.set_server("points", "b");
     machine.set_server("points", "d");
     let mut applied = applied.to_vec();
+    // The subscriber reports a digest of `drifted` that the service did not have.
     applied[2].digest ^= 1;
     machine.connect(1, position, applied);
     let received = machine.take_messages(1);
@@ -579,6 +580,7 @@
         PublisherOutput::Close { .. } => 0,
     };
     let bytes: usize = machine.out.iter().map(sent).sum();
+    // One second at the rate, with up to 200 bytes by which frames miss or overdraw it.
     assert!((3_800..4_200).contains(&bytes), "{bytes} bytes");
 }
 
