--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -11,7 +11,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use sableloom_control::{fetch_summary, file_name};
+use sableloom_control::{change_file_name, fetch_status_totals};
 
 const SERVERS: usize = 48;
 const ROUTES: usize = 84;
@@ -90,7 +90,7 @@
         let changes = (last - first) * (1 + SERVERS + ROUTES);
         _ = writeln!(text, "[end]\nchanges = {changes}");
         bytes += text.len();
-        fs::write(log.join(file_name(number)), text).expect("a file");
+        fs::write(log.join(change_file_name(number)), text).expect("a file");
     }
     (number, bytes)
 }
@@ -127,7 +127,7 @@
     text.push_str("[end]\nchanges = 1\n");
     let new = log.join(".new");
     fs::write(&new, text).expect("a file");
-    fs::rename(&new, log.join(file_name(number))).expect("a rename");
+    fs::rename(&new, log.join(change_file_name(number))).expect("a rename");
 }
 
 struct Machine {
@@ -183,5 +183,5 @@
 }
 
 async fn position(address: SocketAddr) -> u64 {
-    fetch_summary(address).await.expect("a status").position.number
+    fetch_status_totals(address).await.expect("a status").position.number
 }
--- a/crates/control/src/change_file.rs
+++ b/crates/control/src/change_file.rs
@@ -12,13 +12,13 @@
 pub const MAX_FILE_BYTES: u64 = 8 << 20;
 
 /// The name of a change file.
-pub fn file_name(number: u64) -> String {
+pub fn change_file_name(number: u64) -> String {
     format!("{number:08}.toml")
 }
 
 /// What the name of a file says about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NameKind {
+pub enum FileNameKind {
     /// A change file with this number.
     Change(u64),
     /// A TOML file that is not named as a change file is.
@@ -28,21 +28,21 @@
 }
 
 /// Classifies the name of a file.
-pub fn name_kind(name: &str) -> NameKind {
+pub fn classify_file_name(name: &str) -> FileNameKind {
     let Some(stem) = name.strip_suffix(".toml").filter(|stem| !stem.starts_with('.')) else {
-        return NameKind::Other;
+        return FileNameKind::Other;
     };
     let number = stem.parse::<u64>().ok().filter(|number| *number > 0);
-    match number.filter(|number| file_name(*number) == name) {
-        Some(number) => NameKind::Change(number),
-        None => NameKind::NotNumbered,
+    match number.filter(|number| change_file_name(*number) == name) {
+        Some(number) => FileNameKind::Change(number),
+        None => FileNameKind::NotNumbered,
     }
 }
 
 /// A file of a folder, with the kind that its name says.
 pub(crate) struct ListedFile {
     pub(crate) name: String,
-    pub(crate) kind: NameKind,
+    pub(crate) kind: FileNameKind,
 }
 
 /// Lists the files of a folder.
@@ -50,7 +50,7 @@
     std::fs::read_dir(folder)?
         .map(|entry| {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            Ok(ListedFile { kind: name_kind(&name), name })
+            Ok(ListedFile { kind: classify_file_name(&name), name })
         })
         .collect()
 }
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -7,7 +7,8 @@
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
-    NameKind, ReadError, check_number, file_name, list_files, name_kind, read_bytes,
+    FileNameKind, ReadError, change_file_name, check_number, classify_file_name, list_files,
+    read_bytes,
 };
 use crate::folder::read_entry;
 use crate::notice::Notice;
@@ -37,8 +38,8 @@
     let bytes = read_bytes(path).map_err(|error| vec![unreadable(&shown, &error)])?;
     let change = read_change(&shown, &bytes)?;
     let name = path.file_name().map(|name| name.to_string_lossy().into_owned());
-    match name.as_deref().map(name_kind) {
-        Some(NameKind::Change(number)) => check_number(&change, number),
+    match name.as_deref().map(classify_file_name) {
+        Some(FileNameKind::Change(number)) => check_number(&change, number),
         _ => Ok(()),
     }
 }
@@ -61,9 +62,9 @@
     let mut numbers = Vec::new();
     for file in files {
         match file.kind {
-            NameKind::Change(number) => numbers.push(number),
-            NameKind::NotNumbered => check.add_notice(&Notice::NotNumbered { file: file.name }),
-            NameKind::Other => {}
+            FileNameKind::Change(number) => numbers.push(number),
+            FileNameKind::NotNumbered => check.add_notice(&Notice::NotNumbered { file: file.name }),
+            FileNameKind::Other => {}
         }
     }
     numbers.sort_unstable();
@@ -102,12 +103,12 @@
         let mut expected = first;
         for number in numbers {
             if *number < first {
-                let (file, first) = (file_name(*number), file_name(first));
+                let (file, first) = (change_file_name(*number), change_file_name(first));
                 self.add_notice(&Notice::BeforeFirst { file, first });
                 continue;
             }
             if *number > expected {
-                let (missing, latest) = (file_name(expected), file_name(*number));
+                let (missing, latest) = (change_file_name(expected), change_file_name(*number));
                 self.add_notice(&Notice::Gap { missing, latest });
             }
             expected = number + 1;
@@ -121,7 +122,7 @@
     }
 
     fn append_file(&mut self, number: u64) -> Result<(), Vec<Problem>> {
-        let name = file_name(number);
+        let name = change_file_name(number);
         let wrong = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
         let bytes = read_bytes(&self.folder.join(&name))
             .map_err(|error| vec![unreadable(&name, &error)])?;
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -10,7 +10,8 @@
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
-    NameKind, ReadError, check_number, file_name, list_files, name_kind, read_bytes,
+    FileNameKind, ReadError, change_file_name, check_number, classify_file_name, list_files,
+    read_bytes,
 };
 use crate::notice::Notice;
 use crate::read_files::ReadFiles;
@@ -18,24 +19,24 @@
 /// The result of reading the next change file.
 #[derive(Debug)]
 pub enum NextChange {
-    /// The next change. [`ChangeFolder::accepted`] moves on to the file after it.
+    /// The next change. [`ChangeFolder::record_appended`] moves on to the file after it.
     Ready(LogEntry),
     /// There is no next change, or it can't be applied yet. The notice is there the first time that its cause holds.
-    Waiting(Option<Notice>),
+    NotReady(Option<Notice>),
 }
 
 /// A change that was read, without its contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadChange {
+pub struct ChangeFileId {
     /// Its number.
     pub number: u64,
     /// The hash of its file.
     pub hash: u64,
 }
 
-impl ReadChange {
+impl ChangeFileId {
     /// The change of a log entry.
-    pub fn of(entry: &LogEntry) -> Self {
+    pub fn of_entry(entry: &LogEntry) -> Self {
         Self { number: entry.number, hash: entry.hash }
     }
 }
@@ -86,20 +87,22 @@
         let mut notices = Vec::new();
         for file in files {
             match file.kind {
-                NameKind::Change(number) => self.latest = self.latest.max(number),
-                NameKind::NotNumbered => notices.push(Notice::NotNumbered { file: file.name }),
-                NameKind::Other => {}
+                FileNameKind::Change(number) => self.latest = self.latest.max(number),
+                FileNameKind::NotNumbered => notices.push(Notice::NotNumbered { file: file.name }),
+                FileNameKind::Other => {}
             }
         }
         notices
     }
 
     /// Handles the event that a file was written, renamed or removed.
-    pub fn file_changed(&mut self, name: &str) -> Option<Notice> {
-        let number = match name_kind(name) {
-            NameKind::Change(number) => number,
-            NameKind::NotNumbered => return Some(Notice::NotNumbered { file: name.to_string() }),
-            NameKind::Other => return None,
+    pub fn handle_file_event(&mut self, name: &str) -> Option<Notice> {
+        let number = match classify_file_name(name) {
+            FileNameKind::Change(number) => number,
+            FileNameKind::NotNumbered => {
+                return Some(Notice::NotNumbered { file: name.to_string() });
+            }
+            FileNameKind::Other => return None,
         };
         if number >= self.next {
             if self.path.join(name).exists() {
@@ -115,7 +118,7 @@
         let file = name.to_string();
         let bytes = read_bytes(&self.path.join(name));
         if number < self.first {
-            let first = file_name(self.first);
+            let first = change_file_name(self.first);
             return bytes.is_ok().then_some(Notice::BeforeFirst { file, first });
         }
         match bytes {
@@ -125,7 +128,7 @@
                 // The hash of a file that was read too long ago is forgotten. Nothing is reported then: it might be
                 // false.
                 let known = self.read.get(number, self.next)?;
-                (known != hash_bytes(&bytes)).then_some(Notice::Altered { file })
+                (known != hash_bytes(&bytes)).then_some(Notice::Modified { file })
             }
         }
     }
@@ -133,24 +136,24 @@
     /// Reads the next file, if it is there and complete, against the resources in force.
     pub fn read_next(&mut self, inventory: &dyn Inventory) -> NextChange {
         let next = self.next;
-        let name = file_name(next);
+        let name = change_file_name(next);
         let notice = match read_bytes(&self.path.join(&name)) {
             Ok(bytes) if !is_complete(&bytes) => Some(Notice::Unfinished { file: name }),
             Ok(bytes) => match read_entry(&name, next, &bytes, inventory) {
                 Ok(entry) => return NextChange::Ready(entry),
-                Err(problems) => Some(Notice::Wrong(problems)),
+                Err(problems) => Some(Notice::Invalid(problems)),
             },
             Err(ReadError::Missing) if self.latest > next => {
-                Some(Notice::Gap { missing: name, latest: file_name(self.latest) })
+                Some(Notice::Gap { missing: name, latest: change_file_name(self.latest) })
             }
             Err(ReadError::Missing) => None,
             Err(error) => Some(Notice::Unreadable { file: name, cause: error.to_string() }),
         };
-        NextChange::Waiting(self.report_once(notice))
+        NextChange::NotReady(self.report_once(notice))
     }
 
     /// The log has appended the next change.
-    pub fn accepted(&mut self, change: ReadChange) {
+    pub fn record_appended(&mut self, change: ChangeFileId) {
         self.next = change.number + 1;
         self.latest = self.latest.max(change.number);
         self.read.push(change.hash);
@@ -158,9 +161,9 @@
     }
 
     /// The log has rejected the next change.
-    pub fn rejected(&mut self, change: ReadChange, error: &AppendError) -> Option<Notice> {
-        let problem = Problem::of_file(&file_name(change.number), error.to_string());
-        self.report_once(Some(Notice::Wrong(vec![problem])))
+    pub fn record_rejected(&mut self, change: ChangeFileId, error: &AppendError) -> Option<Notice> {
+        let problem = Problem::of_file(&change_file_name(change.number), error.to_string());
+        self.report_once(Some(Notice::Invalid(vec![problem])))
     }
 
     /// The notice if it differs from the last one.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -42,11 +42,11 @@
 mod status;
 mod watch;
 
-pub use change_file::{MAX_FILE_BYTES, NameKind, file_name, name_kind};
+pub use change_file::{FileNameKind, MAX_FILE_BYTES, change_file_name, classify_file_name};
 pub use check::{LogSummary, check_file, check_folder};
-pub use folder::{ChangeFolder, NextChange, ReadChange};
+pub use folder::{ChangeFileId, ChangeFolder, NextChange};
 pub use notice::Notice;
-pub use read_files::REMEMBERED_FILES;
+pub use read_files::MAX_REMEMBERED_HASHES;
 pub use server::{Server, StartError};
-pub use settings::{CONNECTIONS_BESIDE_SESSIONS, Settings, read_settings};
-pub use status::{StatusError, StatusReport, fetch, fetch_summary};
+pub use settings::{NON_SESSION_CONNECTIONS, Settings, read_settings};
+pub use status::{StatusError, StatusReport, fetch_status, fetch_status_totals};
--- a/crates/control/src/log_reader.rs
+++ b/crates/control/src/log_reader.rs
@@ -6,7 +6,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-use crate::folder::{ChangeFolder, NextChange, ReadChange};
+use crate::folder::{ChangeFileId, ChangeFolder, NextChange};
 use crate::notice::Notice;
 use crate::sessions::Sessions;
 use crate::watch::FolderWatch;
@@ -77,7 +77,7 @@
             log_notices(self.folder.list());
         }
         for name in events.names {
-            log_notices(self.folder.file_changed(&name));
+            log_notices(self.folder.handle_file_event(&name));
         }
     }
 
@@ -109,22 +109,22 @@
         let next = self.folder.read_next(&*self.sessions.store());
         let entry = match next {
             NextChange::Ready(entry) => entry,
-            NextChange::Waiting(notice) => {
+            NextChange::NotReady(notice) => {
                 log_notices(notice);
                 return false;
             }
         };
-        let read = ReadChange::of(&entry);
+        let read = ChangeFileId::of_entry(&entry);
         let appended = self
             .sessions
             .with_publisher(|publisher, now, outputs| publisher.append(now, entry, outputs));
         match appended {
             Ok(_) => {
-                self.folder.accepted(read);
+                self.folder.record_appended(read);
                 true
             }
             Err(error) => {
-                log_notices(self.folder.rejected(read, &error));
+                log_notices(self.folder.record_rejected(read, &error));
                 false
             }
         }
--- a/crates/control/src/notice.rs
+++ b/crates/control/src/notice.rs
@@ -4,7 +4,7 @@
 
 use sableloom_toml_diagnostics::Problem;
 
-use crate::change_file::file_name;
+use crate::change_file::change_file_name;
 
 /// A condition of the folder that an operator must know of. It is reported once, when it begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
         latest: String,
     },
     /// The next file is wrong; neither it nor a later one is applied.
-    Wrong(Vec<Problem>),
+    Invalid(Vec<Problem>),
     /// The contents of a file changed after it was applied; the first contents stay in force.
-    Altered {
+    Modified {
         /// The file.
         file: String,
     },
@@ -64,13 +64,13 @@
             Notice::Gap { missing, latest } => {
                 write!(f, "{missing}: missing, and {latest} is there; waiting for it")
             }
-            Notice::Wrong(problems) => {
+            Notice::Invalid(problems) => {
                 for problem in problems {
                     writeln!(f, "{problem}")?;
                 }
                 f.write_str("not applied, nor any later file, until it is corrected")
             }
-            Notice::Altered { file } => {
+            Notice::Modified { file } => {
                 write!(f, "{file}: altered after it was read; not applied, write a new change")
             }
             Notice::Removed { file } => {
@@ -80,7 +80,7 @@
                 write!(f, "{file}: not applied, the log begins with {first}")
             }
             Notice::NotNumbered { file } => {
-                write!(f, "{file}: not read, a change file is named as {}", file_name(124))
+                write!(f, "{file}: not read, a change file is named as {}", change_file_name(124))
             }
         }
     }
--- a/crates/control/src/read_files.rs
+++ b/crates/control/src/read_files.rs
@@ -4,7 +4,7 @@
 
 /// Files whose hash is remembered, so that an altered one is noticed: ten days at 6,200 changes a day, half a
 /// megabyte.
-pub const REMEMBERED_FILES: usize = 65_536;
+pub const MAX_REMEMBERED_HASHES: usize = 65_536;
 
 /// Hashes of the last files in the order of their numbers.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 impl ReadFiles {
     /// Adds the hash of the next file, and forgets the oldest one beyond the bound.
     pub(crate) fn push(&mut self, hash: u64) {
-        if self.hashes.len() == REMEMBERED_FILES {
+        if self.hashes.len() == MAX_REMEMBERED_HASHES {
             self.hashes.pop_front();
         }
         self.hashes.push_back(hash);
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -44,12 +44,13 @@
     ///
     /// [`StartError::Listen`] if the address can't be listened on.
     pub fn start(settings: &Settings, base: &Path) -> Result<Self, StartError> {
-        let publisher = Publisher::new(Store::new(settings.store), settings.publisher);
+        let publisher =
+            Publisher::new(Store::new(settings.store_limits), settings.publisher_options);
         let sessions = Sessions::new(publisher);
         // It listens before it reads, so that a second process with the same settings ends at once.
         let listener = listen(settings.listen)
             .map_err(|cause| StartError::Listen { address: settings.listen, cause })?;
-        let folder = ChangeFolder::new(base.join(&settings.changes), settings.first);
+        let folder = ChangeFolder::new(base.join(&settings.changes_folder), settings.first_number);
         let mut log = LogReader::new(sessions.clone(), folder);
         log.read_all();
         let max_connections = within_descriptors(settings.max_connections);
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -8,7 +8,7 @@
 use sableloom_types::Span;
 
 /// Connections beside the sessions: tools that request the status, and subscribers that have not sent their hello yet.
-pub const CONNECTIONS_BESIDE_SESSIONS: usize = 64;
+pub const NON_SESSION_CONNECTIONS: usize = 64;
 
 /// The settings of a control machine.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,13 +16,13 @@
     /// The address that subscribers connect to.
     pub listen: SocketAddr,
     /// The folder of change files, relative to the folder of the settings file.
-    pub changes: String,
+    pub changes_folder: String,
     /// The number of the change file that the log begins with.
-    pub first: u64,
+    pub first_number: u64,
     /// Bounds of the store.
-    pub store: StoreLimits,
+    pub store_limits: StoreLimits,
     /// Bounds and times of the publisher.
-    pub publisher: PublisherOptions,
+    pub publisher_options: PublisherOptions,
     /// Most connections at one time, sessions included; one more is closed at once.
     pub max_connections: usize,
 }
@@ -45,17 +45,17 @@
     let first = root.integer("first", 1..=MAX_CHANGE_NUMBER, "").map_or(1, |first| first.value);
     let mut settings = Settings {
         listen: listen?.value,
-        changes: changes?.value,
-        first: first as u64,
-        store: StoreLimits::default(),
-        publisher: PublisherOptions::default(),
+        changes_folder: changes?.value,
+        first_number: first as u64,
+        store_limits: StoreLimits::default(),
+        publisher_options: PublisherOptions::default(),
         max_connections: 0,
     };
     if let Some(table) = root.table("limits") {
         read_limits(&table, &mut settings);
         table.finish();
     }
-    settings.max_connections = settings.publisher.max_sessions + CONNECTIONS_BESIDE_SESSIONS;
+    settings.max_connections = settings.publisher_options.max_sessions + NON_SESSION_CONNECTIONS;
     Some(settings)
 }
 
@@ -66,11 +66,11 @@
             *value = found.value;
         }
     };
-    let store = &mut settings.store;
+    let store = &mut settings.store_limits;
     set("log_changes", 1 << 24, "", &mut store.log_entries);
     set("log_bytes", 1 << 32, " bytes", &mut store.log_bytes);
     set("services", 1 << 20, "", &mut store.services);
-    let publisher = &mut settings.publisher;
+    let publisher = &mut settings.publisher_options;
     set("sessions", 1 << 20, "", &mut publisher.max_sessions);
     set("scope_services", 1 << 20, "", &mut publisher.max_scope_services);
     set("snapshots_at_once", 1 << 20, "", &mut publisher.max_concurrent_snapshots);
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// A [`StatusError`] if the control machine can't be reached or does not answer as one.
-pub async fn fetch(address: SocketAddr) -> Result<StatusReport, StatusError> {
+pub async fn fetch_status(address: SocketAddr) -> Result<StatusReport, StatusError> {
     let mut client = StatusClient::connect(address).await?;
     let page = client.page(StatusQuery::Machine).await?;
     let StatusRows::Machine(machine) = page.rows else {
@@ -69,7 +69,7 @@
 /// # Errors
 ///
 /// A [`StatusError`] if the control machine can't be reached or does not answer as one.
-pub async fn fetch_summary(address: SocketAddr) -> Result<PublisherStatus, StatusError> {
+pub async fn fetch_status_totals(address: SocketAddr) -> Result<PublisherStatus, StatusError> {
     let mut client = StatusClient::connect(address).await?;
     let page = client.page(StatusQuery::Sessions { from: u64::MAX }).await?;
     Ok(page.status)
--- a/crates/control/tests/change_log.rs
+++ b/crates/control/tests/change_log.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use sableloom_control::{ChangeFolder, NextChange, ReadChange, check_folder};
+use sableloom_control::{ChangeFileId, ChangeFolder, NextChange, check_folder};
 use sableloom_distribution::{Store, StoreLimits};
 
 /// Six files with every kind of resource, every field, and every kind of removal.
@@ -23,12 +23,12 @@
     assert_eq!(folder.list(), []);
     let mut after_each = Vec::new();
     while let NextChange::Ready(entry) = folder.read_next(&store) {
-        let read = ReadChange::of(&entry);
+        let read = ChangeFileId::of_entry(&entry);
         store.append(entry).expect("it follows");
-        folder.accepted(read);
+        folder.record_appended(read);
         after_each.push((store.position().to_string(), services(&store)));
     }
-    assert!(matches!(folder.read_next(&store), NextChange::Waiting(None)));
+    assert!(matches!(folder.read_next(&store), NextChange::NotReady(None)));
     let recorded: [(&str, &[&str]); 6] = [
         ("1/1 (bdb9bcf0eb03725f)", &["partners 1 15ebabd758a9ef95", "points 1 c6a76809f13ca0f0"]),
         ("1/2 (888f9878745060b0)", &["partners 1 15ebabd758a9ef95", "points 2 0ae60e043dd39770"]),
--- a/crates/control/tests/folder.rs
+++ b/crates/control/tests/folder.rs
@@ -4,7 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use sableloom_control::{
-    ChangeFolder, NameKind, NextChange, Notice, ReadChange, file_name, name_kind,
+    ChangeFileId, ChangeFolder, FileNameKind, NextChange, Notice, change_file_name,
+    classify_file_name,
 };
 use sableloom_distribution::{Store, StoreLimits};
 
@@ -31,18 +32,18 @@
     }
 
     fn change(&self, number: u64) {
-        self.write(&file_name(number), &text(number));
+        self.write(&change_file_name(number), &text(number));
     }
 
     /// Reads as many changes as it can, and gives the notice after the last one.
     fn read_all(&mut self) -> Option<Notice> {
         loop {
             match self.folder.read_next(&self.store) {
-                NextChange::Waiting(notice) => return notice,
+                NextChange::NotReady(notice) => return notice,
                 NextChange::Ready(entry) => {
-                    let read = ReadChange::of(&entry);
+                    let read = ChangeFileId::of_entry(&entry);
                     self.store.append(entry).expect("it follows");
-                    self.folder.accepted(read);
+                    self.folder.record_appended(read);
                 }
             }
         }
@@ -70,7 +71,7 @@
         log.change(number);
     }
     assert_eq!(log.folder.list(), []);
-    let gap = Notice::Gap { missing: file_name(3), latest: file_name(5) };
+    let gap = Notice::Gap { missing: change_file_name(3), latest: change_file_name(5) };
     assert_eq!(log.read_all(), Some(gap));
     assert_eq!((log.read_all(), log.position()), (None, 2));
     log.change(3);
@@ -82,27 +83,27 @@
     let mut log = Log::beginning_with(1);
     let complete = text(1);
     for cut in 0..complete.len() {
-        log.write(&file_name(1), &complete[..cut]);
+        log.write(&change_file_name(1), &complete[..cut]);
         let notice = log.read_all();
-        let unfinished = Notice::Unfinished { file: file_name(1) };
+        let unfinished = Notice::Unfinished { file: change_file_name(1) };
         assert_eq!(notice, (cut == 0).then_some(unfinished), "cut at {cut}");
         assert_eq!(log.position(), 0);
     }
-    log.write(&file_name(1), &complete);
+    log.write(&change_file_name(1), &complete);
     assert_eq!((log.read_all(), log.position()), (None, 1));
 }
 
 #[test]
 fn a_wrong_file_is_reported_once_and_later_files_wait_until_it_is_corrected() {
     let mut log = Log::beginning_with(1);
-    log.write(&file_name(1), &text(1).replace("epoch = 1", "epoch = \"one\""));
+    log.write(&change_file_name(1), &text(1).replace("epoch = 1", "epoch = \"one\""));
     log.change(2);
-    let Some(Notice::Wrong(problems)) = log.read_all() else { panic!("it is named") };
+    let Some(Notice::Invalid(problems)) = log.read_all() else { panic!("it is named") };
     assert_eq!((problems[0].line, problems[0].field.as_str()), (2, "epoch"));
     assert_eq!(log.read_all(), None);
     // Another mistake in its place is reported again.
-    log.write(&file_name(1), &text(7));
-    let Some(Notice::Wrong(problems)) = log.read_all() else { panic!("it is named") };
+    log.write(&change_file_name(1), &text(7));
+    let Some(Notice::Invalid(problems)) = log.read_all() else { panic!("it is named") };
     assert_eq!(problems[0].field, "number");
     assert_eq!(log.position(), 0);
     log.change(1);
@@ -117,31 +118,32 @@
     }
     assert_eq!((log.read_all(), log.position()), (None, 7));
     log.change(6);
-    assert_eq!(log.folder.file_changed(&file_name(6)), None, "the same contents");
-    log.write(&file_name(6), &(text(6) + "# altered\n"));
-    let altered = Notice::Altered { file: file_name(6) };
-    assert_eq!(log.folder.file_changed(&file_name(6)), Some(altered));
+    assert_eq!(log.folder.handle_file_event(&change_file_name(6)), None, "the same contents");
+    log.write(&change_file_name(6), &(text(6) + "# altered\n"));
+    let altered = Notice::Modified { file: change_file_name(6) };
+    assert_eq!(log.folder.handle_file_event(&change_file_name(6)), Some(altered));
     // Renumbered: removed under its old number, and the number inside is not that of its name.
-    std::fs::rename(log.path.join(file_name(6)), log.path.join(file_name(8))).expect("a rename");
-    let removed = Notice::Removed { file: file_name(6) };
-    assert_eq!(log.folder.file_changed(&file_name(6)), Some(removed));
-    assert_eq!(log.folder.file_changed(&file_name(8)), None);
-    let Some(Notice::Wrong(problems)) = log.read_all() else { panic!("it is named") };
+    std::fs::rename(log.path.join(change_file_name(6)), log.path.join(change_file_name(8)))
+        .expect("a rename");
+    let removed = Notice::Removed { file: change_file_name(6) };
+    assert_eq!(log.folder.handle_file_event(&change_file_name(6)), Some(removed));
+    assert_eq!(log.folder.handle_file_event(&change_file_name(8)), None);
+    let Some(Notice::Invalid(problems)) = log.read_all() else { panic!("it is named") };
     assert!(problems[0].message.contains("6 is not the number of its name, 8"), "{problems:?}");
     log.change(4);
-    let early = Notice::BeforeFirst { file: file_name(4), first: file_name(5) };
-    assert_eq!(log.folder.file_changed(&file_name(4)), Some(early));
+    let early = Notice::BeforeFirst { file: change_file_name(4), first: change_file_name(5) };
+    assert_eq!(log.folder.handle_file_event(&change_file_name(4)), Some(early));
     assert_eq!(log.position(), 7);
 }
 
 #[test]
 fn only_files_named_by_their_number_are_changes() {
-    assert_eq!(name_kind("00000124.toml"), NameKind::Change(124));
-    assert_eq!(name_kind("123456789.toml"), NameKind::Change(123_456_789));
+    assert_eq!(classify_file_name("00000124.toml"), FileNameKind::Change(124));
+    assert_eq!(classify_file_name("123456789.toml"), FileNameKind::Change(123_456_789));
     for name in ["124.toml", "00000000.toml", "new.toml", "+0000124.toml"] {
-        assert_eq!(name_kind(name), NameKind::NotNumbered, "{name}");
+        assert_eq!(classify_file_name(name), FileNameKind::NotNumbered, "{name}");
     }
     for name in [".00000124.toml", "00000124.toml~", "00000124", "README"] {
-        assert_eq!(name_kind(name), NameKind::Other, "{name}");
+        assert_eq!(classify_file_name(name), FileNameKind::Other, "{name}");
     }
 }
--- a/crates/sableloom/src/control.rs
+++ b/crates/sableloom/src/control.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 use sableloom_control::{
-    Server, StartError, StatusError, check_file, check_folder, fetch, read_settings,
+    Server, StartError, StatusError, check_file, check_folder, fetch_status, read_settings,
 };
 use sableloom_server_files::read_file;
 use sableloom_toml_diagnostics::Problem;
@@ -161,7 +161,8 @@
 
 async fn status(options: &StatusOptions) -> Result<(), ControlError> {
     let address = options.at;
-    let report = fetch(address).await.map_err(|cause| ControlError::Status { address, cause })?;
+    let report =
+        fetch_status(address).await.map_err(|cause| ControlError::Status { address, cause })?;
     match options.json {
         true => println!("{}", status_json::as_json(&report)),
         false => print!("{}", status_text::as_text(address, &report)),
--- a/crates/sableloom/tests/control/check.rs
+++ b/crates/sableloom/tests/control/check.rs
@@ -48,7 +48,10 @@
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let settings = std::fs::read(deploy.join("control.toml")).expect("the example");
     let settings = sableloom_control::read_settings("control.toml", &settings).expect("it is good");
-    let example = sableloom_control::check_folder(&deploy.join(&settings.changes), settings.first);
+    let example = sableloom_control::check_folder(
+        &deploy.join(&settings.changes_folder),
+        settings.first_number,
+    );
     let example = example.expect("it is good");
     assert_eq!((example.position.number, example.tenants), (4, 2));
 }
--- a/crates/sableloom/tests/control/misbehaving_peers.rs
+++ b/crates/sableloom/tests/control/misbehaving_peers.rs
@@ -112,7 +112,7 @@
     let folder = Folder::new();
     folder.change(1, 1, &points(0..1));
     let machine = folder.start("sessions = 1\nsilence_ms = 3600000");
-    let beside = sableloom_control::CONNECTIONS_BESIDE_SESSIONS;
+    let beside = sableloom_control::NON_SESSION_CONNECTIONS;
     let connect = |_| TcpStream::connect(machine.address).expect("a connection");
     let held: Vec<_> = (0..1 + beside).map(connect).collect();
     // Connections are taken in their order.
