--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -13,8 +13,8 @@
 
 use sableloom_control::{change_file_name, fetch_status_totals};
 
-const SERVERS: usize = 48;
-const ROUTES: usize = 84;
+const SERVERS_PER_SERVICE: usize = 48;
+const ROUTES_PER_SERVICE: usize = 84;
 /// Services of one file of the base: about a megabyte.
 const SERVICES_PER_FILE: usize = 50;
 /// Changes that are measured one by one.
@@ -33,11 +33,11 @@
         "services  base MB  start s  resident MB  peak MB  one change ms: p50 p99  processor us a change"
     );
     for services in sizes {
-        measure(&program, services);
+        measure_log(&program, services);
     }
 }
 
-fn measure(program: &Path, services: usize) {
+fn measure_log(program: &Path, services: usize) {
     let folder = std::env::temp_dir().join(format!("sableloom-log-{}", std::process::id()));
     let log = folder.join("changes");
     fs::create_dir_all(&log).expect("a folder");
@@ -45,37 +45,37 @@
     fs::write(folder.join("control.toml"), settings).expect("a file");
     let (mut number, bytes) = write_base(&log, services);
 
-    let begun = Instant::now();
-    let mut machine = Machine::start(program, &folder.join("control.toml"));
-    let start = begun.elapsed();
-    let resident = machine.status_kb("VmRSS:") / 1024;
-    let peak = machine.status_kb("VmHWM:") / 1024;
+    let started = Instant::now();
+    let mut process = ControlProcess::start(program, &folder.join("control.toml"));
+    let start_time = started.elapsed();
+    let resident_mb = process.status_kb("VmRSS:") / 1024;
+    let peak_mb = process.status_kb("VmHWM:") / 1024;
 
-    let mut times: Vec<f64> = Vec::new();
+    let mut change_times_ms: Vec<f64> = Vec::new();
     for _ in 0..SINGLE_CHANGES {
         number += 1;
-        let begun = Instant::now();
-        write_change(&log, number, services);
-        machine.await_position(number);
-        times.push(begun.elapsed().as_secs_f64() * 1e3);
+        let started = Instant::now();
+        write_weight_change(&log, number, services);
+        process.await_position(number);
+        change_times_ms.push(started.elapsed().as_secs_f64() * 1e3);
     }
-    times.sort_by(f64::total_cmp);
-    let before = machine.processor_time();
+    change_times_ms.sort_by(f64::total_cmp);
+    let processor_time_before = process.processor_time();
     for _ in 0..BATCHED_CHANGES {
         number += 1;
-        write_change(&log, number, services);
+        write_weight_change(&log, number, services);
     }
-    machine.await_position(number);
-    let spent = machine.processor_time() - before;
+    process.await_position(number);
+    let processor_time = process.processor_time() - processor_time_before;
     println!(
-        "{services:8} {:8.1} {:8.2} {resident:12} {peak:8} {:19.2} {:.2} {:18.0}",
+        "{services:8} {:8.1} {:8.2} {resident_mb:12} {peak_mb:8} {:19.2} {:.2} {:18.0}",
         bytes as f64 / 1e6,
-        start.as_secs_f64(),
-        times[times.len() / 2],
-        times[times.len() * 99 / 100],
-        spent.as_secs_f64() * 1e6 / BATCHED_CHANGES as f64
+        start_time.as_secs_f64(),
+        change_times_ms[change_times_ms.len() / 2],
+        change_times_ms[change_times_ms.len() * 99 / 100],
+        processor_time.as_secs_f64() * 1e6 / BATCHED_CHANGES as f64
     );
-    machine.end();
+    process.kill();
     fs::remove_dir_all(&folder).expect("it goes");
 }
 
@@ -87,7 +87,7 @@
         let last = (first + SERVICES_PER_FILE).min(services);
         let mut text = format!("number = {number}\nepoch = 1\n");
         (first..last).for_each(|service| write_service(&mut text, service));
-        let changes = (last - first) * (1 + SERVERS + ROUTES);
+        let changes = (last - first) * (1 + SERVERS_PER_SERVICE + ROUTES_PER_SERVICE);
         _ = writeln!(text, "[end]\nchanges = {changes}");
         bytes += text.len();
         fs::write(log.join(change_file_name(number)), text).expect("a file");
@@ -97,10 +97,10 @@
 
 fn write_service(text: &mut String, service: usize) {
     _ = writeln!(text, "[[pool]]\nservice = \"service-{service}\"\nt_qos_ms = 200");
-    for server in 0..SERVERS {
+    for server in 0..SERVERS_PER_SERVICE {
         write_server(text, service, server, 1);
     }
-    for route in 0..ROUTES {
+    for route in 0..ROUTES_PER_SERVICE {
         _ = writeln!(
             text,
             "[[route]]\nservice = \"service-{service}\"\nname = \"route-{route}\"\nrank = 100\n\
@@ -120,23 +120,23 @@
 }
 
 /// Writes a change of the weight of one server.
-fn write_change(log: &Path, number: u64, services: usize) {
+fn write_weight_change(log: &Path, number: u64, services: usize) {
     let mut text = format!("number = {number}\nepoch = 1\n");
     let service = number as usize * 7919 % services;
-    write_server(&mut text, service, number as usize % SERVERS, 1 + number % 100);
+    write_server(&mut text, service, number as usize % SERVERS_PER_SERVICE, 1 + number % 100);
     text.push_str("[end]\nchanges = 1\n");
-    let new = log.join(".new");
-    fs::write(&new, text).expect("a file");
-    fs::rename(&new, log.join(change_file_name(number))).expect("a rename");
+    let temporary = log.join(".new");
+    fs::write(&temporary, text).expect("a file");
+    fs::rename(&temporary, log.join(change_file_name(number))).expect("a rename");
 }
 
-struct Machine {
+struct ControlProcess {
     child: Child,
     address: SocketAddr,
     runtime: tokio::runtime::Runtime,
 }
 
-impl Machine {
+impl ControlProcess {
     fn start(program: &Path, settings: &Path) -> Self {
         let mut command = Command::new(program);
         command.args(["control", "--config"]).arg(settings).stderr(Stdio::piped());
@@ -154,7 +154,7 @@
     }
 
     fn await_position(&self, number: u64) {
-        while self.runtime.block_on(position(self.address)) < number {
+        while self.runtime.block_on(log_number(self.address)) < number {
             std::thread::sleep(Duration::from_micros(200));
         }
     }
@@ -176,12 +176,12 @@
         Duration::from_millis(10 * ticks)
     }
 
-    fn end(&mut self) {
+    fn kill(&mut self) {
         self.child.kill().expect("it ends");
         self.child.wait().expect("it ends");
     }
 }
 
-async fn position(address: SocketAddr) -> u64 {
+async fn log_number(address: SocketAddr) -> u64 {
     fetch_status_totals(address).await.expect("a status").position.number
 }
--- a/crates/control/src/change_file.rs
+++ b/crates/control/src/change_file.rs
@@ -46,7 +46,7 @@
 }
 
 /// Lists the files of a folder.
-pub(crate) fn list_files(folder: &Path) -> io::Result<Vec<ListedFile>> {
+pub(crate) fn list_folder(folder: &Path) -> io::Result<Vec<ListedFile>> {
     std::fs::read_dir(folder)?
         .map(|entry| {
             let name = entry?.file_name().to_string_lossy().into_owned();
@@ -82,7 +82,7 @@
 }
 
 /// Reads the bytes of a change file.
-pub(crate) fn read_bytes(path: &Path) -> Result<Vec<u8>, ReadError> {
+pub(crate) fn read_change_file(path: &Path) -> Result<Vec<u8>, ReadError> {
     // Guards against a named pipe in the place of the file: opening one blocks the only thread.
     if !std::fs::metadata(path)?.is_file() {
         return Err(ReadError::NotRegular);
@@ -96,7 +96,7 @@
 }
 
 /// Checks that the number in a change file is the number in its name.
-pub(crate) fn check_number(change: &ChangeFile, number: u64) -> Result<(), Vec<Problem>> {
+pub(crate) fn check_file_number(change: &ChangeFile, number: u64) -> Result<(), Vec<Problem>> {
     if change.number == number {
         return Ok(());
     }
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -7,8 +7,8 @@
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
-    FileNameKind, ReadError, change_file_name, check_number, classify_file_name, list_files,
-    read_bytes,
+    FileNameKind, ReadError, change_file_name, check_file_number, classify_file_name, list_folder,
+    read_change_file,
 };
 use crate::folder::read_entry;
 use crate::notice::Notice;
@@ -34,12 +34,12 @@
 ///
 /// All problems that were found in the file.
 pub fn check_file(path: &Path) -> Result<(), Vec<Problem>> {
-    let shown = path.display().to_string();
-    let bytes = read_bytes(path).map_err(|error| vec![unreadable(&shown, &error)])?;
-    let change = read_change(&shown, &bytes)?;
+    let path_text = path.display().to_string();
+    let bytes = read_change_file(path).map_err(|error| vec![read_problem(&path_text, &error)])?;
+    let change = read_change(&path_text, &bytes)?;
     let name = path.file_name().map(|name| name.to_string_lossy().into_owned());
     match name.as_deref().map(classify_file_name) {
-        Some(FileNameKind::Change(number)) => check_number(&change, number),
+        Some(FileNameKind::Change(number)) => check_file_number(&change, number),
         _ => Ok(()),
     }
 }
@@ -51,9 +51,9 @@
 ///
 /// All problems that were found in any of the files.
 pub fn check_folder(path: &Path, first: u64) -> Result<LogSummary, Vec<Problem>> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let files =
-        list_files(path).map_err(|error| vec![Problem::of_file(&shown, error.to_string())])?;
+        list_folder(path).map_err(|error| vec![Problem::of_file(&path_text, error.to_string())])?;
     let mut check = FolderCheck {
         folder: path,
         store: Store::new(StoreLimits::default()),
@@ -68,9 +68,9 @@
         }
     }
     numbers.sort_unstable();
-    check.check_contiguous(&numbers, first);
+    check.check_numbers(&numbers, first);
     for number in &numbers {
-        check.check_change(*number);
+        check.check_numbered_file(*number);
     }
     if !check.problems.is_empty() {
         return Err(check.problems);
@@ -99,7 +99,7 @@
     }
 
     /// Reports each number below the first one and each gap.
-    fn check_contiguous(&mut self, numbers: &[u64], first: u64) {
+    fn check_numbers(&mut self, numbers: &[u64], first: u64) {
         let mut expected = first;
         for number in numbers {
             if *number < first {
@@ -115,7 +115,7 @@
         }
     }
 
-    fn check_change(&mut self, number: u64) {
+    fn check_numbered_file(&mut self, number: u64) {
         if let Err(problems) = self.append_file(number) {
             self.problems.extend(problems);
         }
@@ -123,21 +123,21 @@
 
     fn append_file(&mut self, number: u64) -> Result<(), Vec<Problem>> {
         let name = change_file_name(number);
-        let wrong = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
-        let bytes = read_bytes(&self.folder.join(&name))
-            .map_err(|error| vec![unreadable(&name, &error)])?;
+        let file_problem = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
+        let bytes = read_change_file(&self.folder.join(&name))
+            .map_err(|error| vec![read_problem(&name, &error)])?;
         // What is wrong in an unfinished file is reported before its missing end.
         let entry = if is_complete(&bytes) {
             read_entry(&name, number, &bytes, &self.store)?
         } else {
             read_change(&name, &bytes)?;
-            return Err(wrong("its last table is not [end], with a line end after it"));
+            return Err(file_problem("its last table is not [end], with a line end after it"));
         };
-        self.append(entry).map_err(|error| wrong(&error.to_string()))
+        self.append_entry(entry).map_err(|error| file_problem(&error.to_string()))
     }
 
     /// Appends an entry as if it followed the last one, also after a gap or a wrong file: those have been reported.
-    fn append(&mut self, mut entry: LogEntry) -> Result<(), AppendError> {
+    fn append_entry(&mut self, mut entry: LogEntry) -> Result<(), AppendError> {
         let expected = self.store.position().number + 1;
         if !self.problems.is_empty() {
             renumber(&mut entry, expected);
@@ -158,7 +158,7 @@
     }
 }
 
-fn unreadable(file: &str, error: &ReadError) -> Problem {
+fn read_problem(file: &str, error: &ReadError) -> Problem {
     let cause = match error {
         ReadError::Missing => error.to_string(),
         _ => format!("it can't be read: {error}"),
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -10,11 +10,11 @@
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
-    FileNameKind, ReadError, change_file_name, check_number, classify_file_name, list_files,
-    read_bytes,
+    FileNameKind, ReadError, change_file_name, check_file_number, classify_file_name, list_folder,
+    read_change_file,
 };
 use crate::notice::Notice;
-use crate::read_files::ReadFiles;
+use crate::recent_hashes::RecentHashes;
 
 /// The result of reading the next change file.
 #[derive(Debug)]
@@ -51,16 +51,16 @@
     next: u64,
     /// The largest number that was seen.
     latest: u64,
-    read: ReadFiles,
+    hashes: RecentHashes,
     /// The last notice about the next file.
-    reported: Option<Notice>,
+    last_notice: Option<Notice>,
 }
 
 impl ChangeFolder {
     /// A folder of which nothing was read yet; the log begins with the file of number `first`.
     pub fn new(path: PathBuf, first: u64) -> Self {
-        let read = ReadFiles::default();
-        Self { path, first, next: first, latest: 0, read, reported: None }
+        let hashes = RecentHashes::default();
+        Self { path, first, next: first, latest: 0, hashes, last_notice: None }
     }
 
     /// The path of the folder.
@@ -70,14 +70,14 @@
 
     /// The progress of reading: the next number, and why it waits.
     pub fn status(&self) -> LogStatus {
-        let notice = self.reported.as_ref().map(Notice::to_string).unwrap_or_default();
+        let notice = self.last_notice.as_ref().map(Notice::to_string).unwrap_or_default();
         let blocked_reason = notice.lines().next().unwrap_or_default().into();
         LogStatus { next: self.next, latest: self.latest, blocked_reason }
     }
 
     /// Lists the folder, and remembers the largest number in it.
     pub fn list(&mut self) -> Vec<Notice> {
-        let files = match list_files(&self.path) {
+        let files = match list_folder(&self.path) {
             Ok(files) => files,
             Err(error) => {
                 let file = self.path.display().to_string();
@@ -110,13 +110,13 @@
             }
             return None;
         }
-        self.changed_after_read(name, number)
+        self.handle_applied_file_event(name, number)
     }
 
     /// A file with a number below the next one has changed.
-    fn changed_after_read(&self, name: &str, number: u64) -> Option<Notice> {
+    fn handle_applied_file_event(&self, name: &str, number: u64) -> Option<Notice> {
         let file = name.to_string();
-        let bytes = read_bytes(&self.path.join(name));
+        let bytes = read_change_file(&self.path.join(name));
         if number < self.first {
             let first = change_file_name(self.first);
             return bytes.is_ok().then_some(Notice::BeforeFirst { file, first });
@@ -127,7 +127,7 @@
             Ok(bytes) => {
                 // The hash of a file that was read too long ago is forgotten. Nothing is reported then: it might be
                 // false.
-                let known = self.read.get(number, self.next)?;
+                let known = self.hashes.get(number, self.next)?;
                 (known != hash_bytes(&bytes)).then_some(Notice::Modified { file })
             }
         }
@@ -137,7 +137,7 @@
     pub fn read_next(&mut self, inventory: &dyn Inventory) -> NextChange {
         let next = self.next;
         let name = change_file_name(next);
-        let notice = match read_bytes(&self.path.join(&name)) {
+        let notice = match read_change_file(&self.path.join(&name)) {
             Ok(bytes) if !is_complete(&bytes) => Some(Notice::Unfinished { file: name }),
             Ok(bytes) => match read_entry(&name, next, &bytes, inventory) {
                 Ok(entry) => return NextChange::Ready(entry),
@@ -149,29 +149,29 @@
             Err(ReadError::Missing) => None,
             Err(error) => Some(Notice::Unreadable { file: name, cause: error.to_string() }),
         };
-        NextChange::NotReady(self.report_once(notice))
+        NextChange::NotReady(self.notice_if_new(notice))
     }
 
     /// The log has appended the next change.
     pub fn record_appended(&mut self, change: ChangeFileId) {
         self.next = change.number + 1;
         self.latest = self.latest.max(change.number);
-        self.read.push(change.hash);
-        self.reported = None;
+        self.hashes.push(change.hash);
+        self.last_notice = None;
     }
 
     /// The log has rejected the next change.
     pub fn record_rejected(&mut self, change: ChangeFileId, error: &AppendError) -> Option<Notice> {
         let problem = Problem::of_file(&change_file_name(change.number), error.to_string());
-        self.report_once(Some(Notice::Invalid(vec![problem])))
+        self.notice_if_new(Some(Notice::Invalid(vec![problem])))
     }
 
     /// The notice if it differs from the last one.
-    fn report_once(&mut self, notice: Option<Notice>) -> Option<Notice> {
-        if self.reported == notice {
+    fn notice_if_new(&mut self, notice: Option<Notice>) -> Option<Notice> {
+        if self.last_notice == notice {
             return None;
         }
-        self.reported.clone_from(&notice);
+        self.last_notice.clone_from(&notice);
         notice
     }
 }
@@ -184,6 +184,6 @@
     inventory: &dyn Inventory,
 ) -> Result<LogEntry, Vec<Problem>> {
     let change = read_change(name, bytes)?;
-    check_number(&change, number)?;
+    check_file_number(&change, number)?;
     change.resolve(inventory)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -35,7 +35,7 @@
 mod log_reader;
 mod notice;
 mod outbox;
-mod read_files;
+mod recent_hashes;
 mod server;
 mod sessions;
 mod settings;
@@ -46,7 +46,7 @@
 pub use check::{LogSummary, check_file, check_folder};
 pub use folder::{ChangeFileId, ChangeFolder, NextChange};
 pub use notice::Notice;
-pub use read_files::MAX_REMEMBERED_HASHES;
+pub use recent_hashes::MAX_REMEMBERED_HASHES;
 pub use server::{Server, StartError};
 pub use settings::{NON_SESSION_CONNECTIONS, Settings, read_settings};
 pub use status::{StatusError, StatusReport, fetch_status, fetch_status_totals};
--- a/crates/control/src/listener.rs
+++ b/crates/control/src/listener.rs
@@ -13,7 +13,7 @@
 use crate::sessions::{SessionHandle, Sessions};
 
 /// Connections that the system holds until they are accepted: all balancers of a region that reconnect at once.
-const BACKLOG: u32 = 4096;
+const ACCEPT_BACKLOG: u32 = 4096;
 /// What the system buffers for a connection. It is small so that the queue of a subscriber that does not read grows
 /// and the publisher closes it.
 const SEND_BUFFER_BYTES: u32 = 128 << 10;
@@ -32,11 +32,11 @@
     // Accepted connections inherit it.
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// The configured number of connections, or fewer if the process has too few descriptors for them.
-pub(crate) fn within_descriptors(configured: usize) -> usize {
+pub(crate) fn limit_to_descriptors(configured: usize) -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let available =
         limit.map_or(usize::MAX, |limit| (limit as usize).saturating_sub(RESERVED_DESCRIPTORS));
@@ -49,7 +49,7 @@
 }
 
 /// Accepts connections without end, and runs each as a session.
-pub(crate) async fn accept(
+pub(crate) async fn accept_connections(
     sessions: &Rc<Sessions>,
     listener: &TcpListener,
     max_connections: usize,
@@ -64,7 +64,7 @@
                 continue;
             }
         };
-        let was_full = std::mem::replace(&mut full, sessions.count() >= max_connections);
+        let was_full = std::mem::replace(&mut full, sessions.open_count() >= max_connections);
         if full {
             if !was_full {
                 eprintln!("sableloom: {max_connections} connections are open; more are closed");
@@ -72,14 +72,14 @@
             continue;
         }
         // Opened here and not in the task, so that it is counted before the next connection is accepted.
-        spawn_local(serve(sessions.open(), stream));
+        spawn_local(run_session(sessions.open(), stream));
     }
 }
 
-async fn serve(session: SessionHandle, stream: TcpStream) {
+async fn run_session(session: SessionHandle, stream: TcpStream) {
     let peer = stream.peer_addr();
     run_connection(stream, session.outbox(), &session).await;
-    if let (Some(reason), Ok(peer)) = (session.disconnected(), peer) {
+    if let (Some(reason), Ok(peer)) = (session.end(), peer) {
         eprintln!("sableloom: session {} of {peer} closed: {reason}", session.id().0);
     }
 }
--- a/crates/control/src/log_reader.rs
+++ b/crates/control/src/log_reader.rs
@@ -21,12 +21,12 @@
     folder: ChangeFolder,
     watch: Option<FolderWatch>,
     /// The result of the last attempt to set a watch, as it was reported.
-    reported: Option<ScanReport>,
+    last_scan: Option<ScanResult>,
 }
 
 /// The result of setting a watch and listing the folder.
 #[derive(PartialEq, Eq)]
-struct ScanReport {
+struct ScanResult {
     /// Why the folder is not watched, if it is not.
     watch_error: Option<String>,
     notices: Vec<Notice>,
@@ -34,22 +34,22 @@
 
 impl LogReader {
     pub(crate) fn new(sessions: Rc<Sessions>, folder: ChangeFolder) -> Self {
-        Self { sessions, folder, watch: None, reported: None }
+        Self { sessions, folder, watch: None, last_scan: None }
     }
 
     /// Reads every change that is there now.
-    pub(crate) fn read_all(&mut self) {
+    pub(crate) fn read_available(&mut self) {
         self.scan_folder();
-        while self.read_next() {}
+        while self.append_next() {}
         self.publish_status();
     }
 
     /// Follows the folder without end.
     pub(crate) async fn follow(mut self) {
         loop {
-            self.wait().await;
+            self.wait_for_event().await;
             self.scan_folder();
-            while self.read_next() {
+            while self.append_next() {
                 // Sessions are served between two changes.
                 yield_now().await;
             }
@@ -58,9 +58,9 @@
     }
 
     /// Waits for a watch event, at most for [`RESCAN_INTERVAL`].
-    async fn wait(&self) {
+    async fn wait_for_event(&self) {
         match &self.watch {
-            Some(watch) => _ = timeout(RESCAN_INTERVAL, watch.changed()).await,
+            Some(watch) => _ = timeout(RESCAN_INTERVAL, watch.wait_for_event()).await,
             None => sleep(RESCAN_INTERVAL).await,
         }
     }
@@ -68,12 +68,12 @@
     /// Handles the watch events. Without a watch, or with one on a folder that was replaced, it sets a new one and lists
     /// the folder.
     fn scan_folder(&mut self) {
-        let Some(watch) = self.watch.as_ref().filter(|watch| watch.follows(self.folder.path()))
+        let Some(watch) = self.watch.as_ref().filter(|watch| watch.is_watching(self.folder.path()))
         else {
-            return self.set_watch();
+            return self.set_watch_and_list();
         };
-        let events = watch.take();
-        if events.lost {
+        let events = watch.take_events();
+        if events.incomplete {
             log_notices(self.folder.list());
         }
         for name in events.names {
@@ -81,21 +81,21 @@
         }
     }
 
-    fn set_watch(&mut self) {
+    fn set_watch_and_list(&mut self) {
         let watch = FolderWatch::new(self.folder.path());
         let watch_error = watch.as_ref().err().map(ToString::to_string);
         self.watch = watch.ok();
         // The watch has no events of files that were there before it.
-        let report = ScanReport { watch_error, notices: self.folder.list() };
-        if self.reported.as_ref() == Some(&report) {
+        let scan = ScanResult { watch_error, notices: self.folder.list() };
+        if self.last_scan.as_ref() == Some(&scan) {
             return;
         }
-        if let Some(error) = &report.watch_error {
+        if let Some(error) = &scan.watch_error {
             let path = self.folder.path().display();
             eprintln!("sableloom: {path}: not watched, only read from time to time: {error}");
         }
-        log_notices(report.notices.iter().cloned());
-        self.reported = Some(report);
+        log_notices(scan.notices.iter().cloned());
+        self.last_scan = Some(scan);
     }
 
     /// Gives the publisher the progress of reading, for its status.
@@ -105,26 +105,26 @@
     }
 
     /// Reads the next change, if there is one. Whether it was appended to the log.
-    fn read_next(&mut self) -> bool {
-        let next = self.folder.read_next(&*self.sessions.store());
-        let entry = match next {
+    fn append_next(&mut self) -> bool {
+        let next_change = self.folder.read_next(&*self.sessions.store());
+        let entry = match next_change {
             NextChange::Ready(entry) => entry,
             NextChange::NotReady(notice) => {
                 log_notices(notice);
                 return false;
             }
         };
-        let read = ChangeFileId::of_entry(&entry);
+        let file_id = ChangeFileId::of_entry(&entry);
         let appended = self
             .sessions
             .with_publisher(|publisher, now, outputs| publisher.append(now, entry, outputs));
         match appended {
             Ok(_) => {
-                self.folder.record_appended(read);
+                self.folder.record_appended(file_id);
                 true
             }
             Err(error) => {
-                log_notices(self.folder.record_rejected(read, &error));
+                log_notices(self.folder.record_rejected(file_id, &error));
                 false
             }
         }
--- a/crates/control/src/outbox.rs
+++ b/crates/control/src/outbox.rs
@@ -41,27 +41,27 @@
     }
 
     /// Waits until a frame is queued.
-    pub(crate) async fn frame_queued(&self) {
+    pub(crate) async fn wait_for_frame(&self) {
         self.frame_queued.notified().await;
     }
 
     /// Waits until the publisher closes the session.
-    pub(crate) async fn session_closed(&self) {
+    pub(crate) async fn wait_for_close(&self) {
         self.session_closed.notified().await;
     }
 
     /// The first frames, at most as many as one write takes.
-    pub(crate) fn front(&self) -> ArrayVec<Bytes, MAX_FRAMES_PER_WRITE> {
+    pub(crate) fn first_frames(&self) -> ArrayVec<Bytes, MAX_FRAMES_PER_WRITE> {
         self.frames.borrow().iter().take(MAX_FRAMES_PER_WRITE).cloned().collect()
     }
 
     /// Removes bytes that have been written.
-    pub(crate) fn advance(&self, mut count: usize) {
+    pub(crate) fn remove_written(&self, mut count: usize) {
         let mut frames = self.frames.borrow_mut();
         while let Some(first) = frames.front_mut() {
-            let taken = count.min(first.len());
-            first.advance(taken);
-            count -= taken;
+            let written = count.min(first.len());
+            first.advance(written);
+            count -= written;
             if !first.is_empty() {
                 break;
             }
--- a/crates/control/src/read_files.rs
+++ b/crates/control/src/recent_hashes.rs
@@ -8,11 +8,11 @@
 
 /// Hashes of the last files in the order of their numbers.
 #[derive(Debug, Default)]
-pub(crate) struct ReadFiles {
+pub(crate) struct RecentHashes {
     hashes: VecDeque<u64>,
 }
 
-impl ReadFiles {
+impl RecentHashes {
     /// Adds the hash of the next file, and forgets the oldest one beyond the bound.
     pub(crate) fn push(&mut self, hash: u64) {
         if self.hashes.len() == MAX_REMEMBERED_HASHES {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 
 use crate::folder::ChangeFolder;
-use crate::listener::{accept, listen, within_descriptors};
+use crate::listener::{accept_connections, limit_to_descriptors, listen};
 use crate::log_reader::LogReader;
 use crate::sessions::Sessions;
 use crate::settings::Settings;
@@ -32,7 +32,7 @@
 pub struct Server {
     sessions: Rc<Sessions>,
     listener: TcpListener,
-    log: LogReader,
+    log_reader: LogReader,
     max_connections: usize,
 }
 
@@ -43,18 +43,21 @@
     /// # Errors
     ///
     /// [`StartError::Listen`] if the address can't be listened on.
-    pub fn start(settings: &Settings, base: &Path) -> Result<Self, StartError> {
+    pub fn start(settings: &Settings, settings_folder: &Path) -> Result<Self, StartError> {
         let publisher =
             Publisher::new(Store::new(settings.store_limits), settings.publisher_options);
         let sessions = Sessions::new(publisher);
         // It listens before it reads, so that a second process with the same settings ends at once.
         let listener = listen(settings.listen)
             .map_err(|cause| StartError::Listen { address: settings.listen, cause })?;
-        let folder = ChangeFolder::new(base.join(&settings.changes_folder), settings.first_number);
-        let mut log = LogReader::new(sessions.clone(), folder);
-        log.read_all();
-        let max_connections = within_descriptors(settings.max_connections);
-        Ok(Self { sessions, listener, log, max_connections })
+        let folder = ChangeFolder::new(
+            settings_folder.join(&settings.changes_folder),
+            settings.first_number,
+        );
+        let mut log_reader = LogReader::new(sessions.clone(), folder);
+        log_reader.read_available();
+        let max_connections = limit_to_descriptors(settings.max_connections);
+        Ok(Self { sessions, listener, log_reader, max_connections })
     }
 
     /// The address that it listens on.
@@ -74,12 +77,12 @@
     /// Serves until `shutdown` completes; it must be called within a `LocalSet`. Connections end with the process:
     /// subscribers continue at another control machine from the versions that they have.
     pub async fn run(self, shutdown: impl Future<Output = ()>) {
-        let Self { sessions, listener, log, max_connections } = self;
+        let Self { sessions, listener, log_reader, max_connections } = self;
         tokio::select! {
             () = shutdown => {}
             () = sessions.run_timer() => {}
-            () = log.follow() => {}
-            () = accept(&sessions, &listener, max_connections) => {}
+            () = log_reader.follow() => {}
+            () = accept_connections(&sessions, &listener, max_connections) => {}
         }
     }
 }
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -21,9 +21,9 @@
     outboxes: RefCell<FxHashMap<SessionId, Rc<Outbox>>>,
     next_session: Cell<u64>,
     /// The zero of the publisher's time.
-    started: Instant,
+    start: Instant,
     /// The time at which the publisher is due has changed.
-    rescheduled: Notify,
+    due_changed: Notify,
 }
 
 impl Sessions {
@@ -32,8 +32,8 @@
             publisher: RefCell::new(publisher),
             outboxes: RefCell::default(),
             next_session: Cell::new(1),
-            started: Instant::now(),
-            rescheduled: Notify::new(),
+            start: Instant::now(),
+            due_changed: Notify::new(),
         })
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// How many sessions are open.
-    pub(crate) fn count(&self) -> usize {
+    pub(crate) fn open_count(&self) -> usize {
         self.outboxes.borrow().len()
     }
 
@@ -57,7 +57,7 @@
         let mut outputs = Vec::new();
         let result = call(&mut publisher, self.now(), &mut outputs);
         if publisher.due() != due {
-            self.rescheduled.notify_one();
+            self.due_changed.notify_one();
         }
         drop(publisher);
         outputs.into_iter().for_each(|output| self.apply(output));
@@ -100,7 +100,7 @@
                 }
             };
             tokio::select! {
-                () = self.rescheduled.notified() => {}
+                () = self.due_changed.notified() => {}
                 () = wait => self.tick(),
             }
         }
@@ -111,11 +111,11 @@
     }
 
     fn now(&self) -> Time {
-        Time(self.started.elapsed().as_micros() as i64)
+        Time(self.start.elapsed().as_micros() as i64)
     }
 
     fn instant(&self, time: Time) -> Instant {
-        self.started + Duration::from_micros(time.0.max(0) as u64)
+        self.start + Duration::from_micros(time.0.max(0) as u64)
     }
 }
 
@@ -136,7 +136,7 @@
     }
 
     /// The connection has ended. Gives the reason if the publisher had closed the session.
-    pub(crate) fn disconnected(&self) -> Option<CloseReason> {
+    pub(crate) fn end(&self) -> Option<CloseReason> {
         // The publisher has no state left of a session that it has closed itself.
         if self.sessions.outboxes.borrow_mut().remove(&self.id).is_some() {
             self.sessions.with_publisher(|publisher, now, outputs| {
@@ -146,7 +146,10 @@
         self.outbox.close_reason()
     }
 
-    fn with_publisher(&self, call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>)) {
+    fn with_publisher_if_open(
+        &self,
+        call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>),
+    ) {
         if self.outbox.close_reason().is_none() {
             self.sessions.with_publisher(call);
         }
@@ -154,20 +157,20 @@
 }
 
 impl ConnectionHandler for SessionHandle {
-    fn message(&self, message: SubscriberMessage) {
-        self.with_publisher(|publisher, now, outputs| {
+    fn on_message(&self, message: SubscriberMessage) {
+        self.with_publisher_if_open(|publisher, now, outputs| {
             publisher.message(now, self.id, message, outputs);
         });
     }
 
-    fn malformed(&self, error: CodecError) {
-        self.with_publisher(|publisher, now, outputs| {
+    fn on_malformed(&self, error: CodecError) {
+        self.with_publisher_if_open(|publisher, now, outputs| {
             publisher.malformed(now, self.id, error, outputs);
         });
     }
 
-    fn written(&self, bytes: usize) {
-        self.with_publisher(|publisher, now, outputs| {
+    fn on_written(&self, bytes: usize) {
+        self.with_publisher_if_open(|publisher, now, outputs| {
             publisher.written(now, self.id, bytes, outputs);
         });
     }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -14,6 +14,8 @@
 
 /// How long a control machine may take for one page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size of the buffer that responses are read into.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// The complete status of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,12 +57,12 @@
 /// A [`StatusError`] if the control machine can't be reached or does not answer as one.
 pub async fn fetch_status(address: SocketAddr) -> Result<StatusReport, StatusError> {
     let mut client = StatusClient::connect(address).await?;
-    let page = client.page(StatusQuery::Machine).await?;
+    let page = client.fetch_page(StatusQuery::Machine).await?;
     let StatusRows::Machine(machine) = page.rows else {
         return Err(StatusError::Unexpected);
     };
-    let sessions = client.sessions().await?;
-    let (status, services) = client.services().await?;
+    let sessions = client.fetch_sessions().await?;
+    let (status, services) = client.fetch_services().await?;
     Ok(StatusReport { status, machine, sessions, services })
 }
 
@@ -71,7 +73,7 @@
 /// A [`StatusError`] if the control machine can't be reached or does not answer as one.
 pub async fn fetch_status_totals(address: SocketAddr) -> Result<PublisherStatus, StatusError> {
     let mut client = StatusClient::connect(address).await?;
-    let page = client.page(StatusQuery::Sessions { from: u64::MAX }).await?;
+    let page = client.fetch_page(StatusQuery::Sessions { from: u64::MAX }).await?;
     Ok(page.status)
 }
 
@@ -83,17 +85,17 @@
 
 impl StatusClient {
     async fn connect(address: SocketAddr) -> Result<Self, StatusError> {
-        let connecting = timeout(PAGE_TIMEOUT, TcpStream::connect(address));
-        let stream = connecting.await.map_err(|_| StatusError::Timeout)??;
+        let connection = timeout(PAGE_TIMEOUT, TcpStream::connect(address));
+        let stream = connection.await.map_err(|_| StatusError::Timeout)??;
         Ok(Self { stream, frames: FrameReader::new() })
     }
 
     /// All sessions, page by page.
-    async fn sessions(&mut self) -> Result<Vec<SessionStatus>, StatusError> {
+    async fn fetch_sessions(&mut self) -> Result<Vec<SessionStatus>, StatusError> {
         let mut sessions = Vec::new();
         let mut from = 0;
         loop {
-            let page = self.page(StatusQuery::Sessions { from }).await?;
+            let page = self.fetch_page(StatusQuery::Sessions { from }).await?;
             let StatusRows::Sessions { sessions: rows, next } = page.rows else {
                 return Err(StatusError::Unexpected);
             };
@@ -106,11 +108,13 @@
     }
 
     /// All services, page by page, with the totals of the last page.
-    async fn services(&mut self) -> Result<(PublisherStatus, Vec<ServiceVersion>), StatusError> {
+    async fn fetch_services(
+        &mut self,
+    ) -> Result<(PublisherStatus, Vec<ServiceVersion>), StatusError> {
         let mut services = Vec::new();
         let mut after = None;
         loop {
-            let page = self.page(StatusQuery::Services { after: after.clone() }).await?;
+            let page = self.fetch_page(StatusQuery::Services { after: after.clone() }).await?;
             let StatusRows::Services { services: rows, next } = page.rows else {
                 return Err(StatusError::Unexpected);
             };
@@ -122,14 +126,14 @@
         }
     }
 
-    async fn page(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
-        let response = timeout(PAGE_TIMEOUT, self.request(query));
+    async fn fetch_page(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
+        let response = timeout(PAGE_TIMEOUT, self.send_and_receive(query));
         response.await.map_err(|_| StatusError::Timeout)?
     }
 
-    async fn request(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
+    async fn send_and_receive(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
         self.stream.write_all(&encode(&SubscriberMessage::StatusRequest(query))).await?;
-        let mut buffer = vec![0; 16 << 10];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             match self.frames.next_message::<PublisherMessage>()? {
                 Some(PublisherMessage::Status(page)) => return Ok(page),
--- a/crates/control/tests/change_log.rs
+++ b/crates/control/tests/change_log.rs
@@ -6,27 +6,27 @@
 use sableloom_distribution::{Store, StoreLimits};
 
 /// Six files with every kind of resource, every field, and every kind of removal.
-fn log() -> PathBuf {
+fn recorded_log() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/change-log")
 }
 
 /// What the store has of each service: name, version and digest.
-fn services(store: &Store) -> Vec<String> {
+fn service_states(store: &Store) -> Vec<String> {
     let services = store.services_after(None);
     services.map(|s| format!("{} {} {:016x}", s.service, s.version, s.digest)).collect()
 }
 
 #[test]
-fn a_recorded_change_log_gives_the_positions_versions_and_digests_that_it_gave() {
+fn a_recorded_change_log_gives_the_recorded_positions_versions_and_digests() {
     let mut store = Store::new(StoreLimits::default());
-    let mut folder = ChangeFolder::new(log(), 1);
+    let mut folder = ChangeFolder::new(recorded_log(), 1);
     assert_eq!(folder.list(), []);
     let mut after_each = Vec::new();
     while let NextChange::Ready(entry) = folder.read_next(&store) {
-        let read = ChangeFileId::of_entry(&entry);
+        let file_id = ChangeFileId::of_entry(&entry);
         store.append(entry).expect("it follows");
-        folder.record_appended(read);
-        after_each.push((store.position().to_string(), services(&store)));
+        folder.record_appended(file_id);
+        after_each.push((store.position().to_string(), service_states(&store)));
     }
     assert!(matches!(folder.read_next(&store), NextChange::NotReady(None)));
     let recorded: [(&str, &[&str]); 6] = [
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn a_recorded_change_log_passes_the_check_of_its_folder() {
-    let checked = check_folder(&log(), 1).expect("it is good");
-    assert_eq!(checked.position.to_string(), "2/6 (ecb90e006fa6c2ec)");
-    assert_eq!((checked.files, checked.services), (6, 3));
-    assert_eq!((checked.resources, checked.tenants), (7, 1));
+fn check_folder_accepts_a_recorded_change_log_and_counts_its_contents() {
+    let summary = check_folder(&recorded_log(), 1).expect("it is good");
+    assert_eq!(summary.position.to_string(), "2/6 (ecb90e006fa6c2ec)");
+    assert_eq!((summary.files, summary.services), (6, 3));
+    assert_eq!((summary.resources, summary.tenants), (7, 1));
 }
--- a/crates/control/tests/folder.rs
+++ b/crates/control/tests/folder.rs
@@ -10,14 +10,14 @@
 use sableloom_distribution::{Store, StoreLimits};
 
 /// A folder of its own, removed when it is dropped, and the store that its changes are read into.
-struct Log {
+struct TestLog {
     path: PathBuf,
     folder: ChangeFolder,
     store: Store,
 }
 
-impl Log {
-    fn beginning_with(first: u64) -> Self {
+impl TestLog {
+    fn with_first_number(first: u64) -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
         let name = format!("sableloom-changes-{}-{number}", std::process::id());
@@ -31,8 +31,8 @@
         std::fs::write(self.path.join(name), text).expect("a file");
     }
 
-    fn change(&self, number: u64) {
-        self.write(&change_file_name(number), &text(number));
+    fn write_change(&self, number: u64) {
+        self.write(&change_file_name(number), &change_text(number));
     }
 
     /// Reads as many changes as it can, and gives the notice after the last one.
@@ -41,9 +41,9 @@
             match self.folder.read_next(&self.store) {
                 NextChange::NotReady(notice) => return notice,
                 NextChange::Ready(entry) => {
-                    let read = ChangeFileId::of_entry(&entry);
+                    let file_id = ChangeFileId::of_entry(&entry);
                     self.store.append(entry).expect("it follows");
-                    self.folder.record_appended(read);
+                    self.folder.record_appended(file_id);
                 }
             }
         }
@@ -54,39 +54,39 @@
     }
 }
 
-impl Drop for Log {
+impl Drop for TestLog {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.path);
     }
 }
 
-fn text(number: u64) -> String {
+fn change_text(number: u64) -> String {
     format!("number = {number}\nepoch = 1\n[[pool]]\nservice = \"s{number}\"\n[end]\nchanges = 1\n")
 }
 
 #[test]
-fn a_gap_is_reported_once_and_later_files_wait_for_it() {
-    let mut log = Log::beginning_with(1);
+fn a_gap_is_reported_once_and_later_files_are_applied_only_after_it_is_filled() {
+    let mut log = TestLog::with_first_number(1);
     for number in [1, 2, 4, 5] {
-        log.change(number);
+        log.write_change(number);
     }
     assert_eq!(log.folder.list(), []);
     let gap = Notice::Gap { missing: change_file_name(3), latest: change_file_name(5) };
     assert_eq!(log.read_all(), Some(gap));
     assert_eq!((log.read_all(), log.position()), (None, 2));
-    log.change(3);
+    log.write_change(3);
     assert_eq!((log.read_all(), log.position()), (None, 5));
 }
 
 #[test]
-fn a_file_cut_at_any_byte_waits_and_no_part_of_it_is_applied() {
-    let mut log = Log::beginning_with(1);
-    let complete = text(1);
-    for cut in 0..complete.len() {
-        log.write(&change_file_name(1), &complete[..cut]);
+fn a_file_truncated_at_any_byte_is_not_applied_until_it_is_complete() {
+    let mut log = TestLog::with_first_number(1);
+    let complete = change_text(1);
+    for length in 0..complete.len() {
+        log.write(&change_file_name(1), &complete[..length]);
         let notice = log.read_all();
         let unfinished = Notice::Unfinished { file: change_file_name(1) };
-        assert_eq!(notice, (cut == 0).then_some(unfinished), "cut at {cut}");
+        assert_eq!(notice, (length == 0).then_some(unfinished), "truncated to {length} bytes");
         assert_eq!(log.position(), 0);
     }
     log.write(&change_file_name(1), &complete);
@@ -94,34 +94,34 @@
 }
 
 #[test]
-fn a_wrong_file_is_reported_once_and_later_files_wait_until_it_is_corrected() {
-    let mut log = Log::beginning_with(1);
-    log.write(&change_file_name(1), &text(1).replace("epoch = 1", "epoch = \"one\""));
-    log.change(2);
+fn an_invalid_file_is_reported_once_and_blocks_later_files_until_it_is_corrected() {
+    let mut log = TestLog::with_first_number(1);
+    log.write(&change_file_name(1), &change_text(1).replace("epoch = 1", "epoch = \"one\""));
+    log.write_change(2);
     let Some(Notice::Invalid(problems)) = log.read_all() else { panic!("it is named") };
     assert_eq!((problems[0].line, problems[0].field.as_str()), (2, "epoch"));
     assert_eq!(log.read_all(), None);
     // Another mistake in its place is reported again.
-    log.write(&change_file_name(1), &text(7));
+    log.write(&change_file_name(1), &change_text(7));
     let Some(Notice::Invalid(problems)) = log.read_all() else { panic!("it is named") };
     assert_eq!(problems[0].field, "number");
     assert_eq!(log.position(), 0);
-    log.change(1);
+    log.write_change(1);
     assert_eq!((log.read_all(), log.position()), (None, 2));
 }
 
 #[test]
-fn a_file_altered_or_removed_after_it_was_applied_is_reported_and_has_no_effect() {
-    let mut log = Log::beginning_with(5);
+fn a_file_modified_or_removed_after_it_was_applied_is_reported_and_has_no_effect() {
+    let mut log = TestLog::with_first_number(5);
     for number in 5..=7 {
-        log.change(number);
+        log.write_change(number);
     }
     assert_eq!((log.read_all(), log.position()), (None, 7));
-    log.change(6);
+    log.write_change(6);
     assert_eq!(log.folder.handle_file_event(&change_file_name(6)), None, "the same contents");
-    log.write(&change_file_name(6), &(text(6) + "# altered\n"));
-    let altered = Notice::Modified { file: change_file_name(6) };
-    assert_eq!(log.folder.handle_file_event(&change_file_name(6)), Some(altered));
+    log.write(&change_file_name(6), &(change_text(6) + "# altered\n"));
+    let modified = Notice::Modified { file: change_file_name(6) };
+    assert_eq!(log.folder.handle_file_event(&change_file_name(6)), Some(modified));
     // Renumbered: removed under its old number, and the number inside is not that of its name.
     std::fs::rename(log.path.join(change_file_name(6)), log.path.join(change_file_name(8)))
         .expect("a rename");
@@ -130,14 +130,15 @@
     assert_eq!(log.folder.handle_file_event(&change_file_name(8)), None);
     let Some(Notice::Invalid(problems)) = log.read_all() else { panic!("it is named") };
     assert!(problems[0].message.contains("6 is not the number of its name, 8"), "{problems:?}");
-    log.change(4);
-    let early = Notice::BeforeFirst { file: change_file_name(4), first: change_file_name(5) };
-    assert_eq!(log.folder.handle_file_event(&change_file_name(4)), Some(early));
+    log.write_change(4);
+    let before_first =
+        Notice::BeforeFirst { file: change_file_name(4), first: change_file_name(5) };
+    assert_eq!(log.folder.handle_file_event(&change_file_name(4)), Some(before_first));
     assert_eq!(log.position(), 7);
 }
 
 #[test]
-fn only_files_named_by_their_number_are_changes() {
+fn only_names_that_change_file_name_produces_are_classified_as_change_files() {
     assert_eq!(classify_file_name("00000124.toml"), FileNameKind::Change(124));
     assert_eq!(classify_file_name("123456789.toml"), FileNameKind::Change(123_456_789));
     for name in ["124.toml", "00000000.toml", "new.toml", "+0000124.toml"] {
