--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -1,7 +1,8 @@
-//! What a change costs a control machine by the number of services, and what its start takes.
+//! Measures the start of a control machine and the cost of a change, for several numbers of services.
 //!
-//! `cargo run --release -p sableloom-control --example changes -- PROGRAM [SERVICES...]`, with the program
-//! `sableloom`; 25, 250 and 2,500 services unless others are named, each with 48 servers and 84 routes.
+//! The command is `cargo run --release -p sableloom-control --example changes -- PROGRAM [SERVICES...]`. PROGRAM is the
+//! path of the program `sableloom`. SERVICES are the numbers of services to measure with, by default 25, 250 and 2,500.
+//! Each service has 48 servers and 84 routes.
 
 use std::fmt::Write;
 use std::fs;
@@ -15,16 +16,17 @@
 
 const SERVERS_PER_SERVICE: usize = 48;
 const ROUTES_PER_SERVICE: usize = 84;
-/// Services of one file of the base: about a megabyte.
+/// Number of services in one file of the initial log. Such a file has about a megabyte.
 const SERVICES_PER_FILE: usize = 50;
-/// Changes that are measured one by one.
+/// Number of changes whose time until they are in force is measured one by one.
 const SINGLE_CHANGES: u64 = 200;
-/// Changes whose processor time is measured together.
+/// Number of changes whose processor time is measured together.
 const BATCHED_CHANGES: u64 = 1_000;
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    let program = PathBuf::from(arguments.next().expect("the program"));
+    let program =
+        PathBuf::from(arguments.next().expect("the first argument is the path of the program"));
     let mut sizes: Vec<usize> = arguments.map(|size| size.parse().expect("a number")).collect();
     if sizes.is_empty() {
         sizes = vec![25, 250, 2_500];
@@ -37,10 +39,11 @@
     }
 }
 
+/// Measures a control machine whose log has this number of services, and prints one row.
 fn measure_log(program: &Path, services: usize) {
     let folder = std::env::temp_dir().join(format!("sableloom-log-{}", std::process::id()));
     let log = folder.join("changes");
-    fs::create_dir_all(&log).expect("a folder");
+    fs::create_dir_all(&log).expect("the folder can be created");
     let settings = "listen = \"127.0.0.1:0\"\nchanges = \"changes\"\n";
     fs::write(folder.join("control.toml"), settings).expect("a file");
     let (mut number, bytes) = write_base(&log, services);
@@ -76,10 +79,11 @@
         processor_time.as_secs_f64() * 1e6 / BATCHED_CHANGES as f64
     );
     process.kill();
-    fs::remove_dir_all(&folder).expect("it goes");
+    fs::remove_dir_all(&folder).expect("the folder can be removed");
 }
 
-/// The base in files of some services each: the last number, and the bytes of all.
+/// Writes the initial log, with [`SERVICES_PER_FILE`] services in each file. Returns the last number and the total size
+/// in bytes.
 fn write_base(log: &Path, services: usize) -> (u64, usize) {
     let (mut number, mut bytes) = (0, 0);
     for first in (0..services).step_by(SERVICES_PER_FILE) {
@@ -119,7 +123,7 @@
     );
 }
 
-/// Writes a change of the weight of one server.
+/// Writes a change file that changes the weight of one server.
 fn write_weight_change(log: &Path, number: u64, services: usize) {
     let mut text = format!("number = {number}\nepoch = 1\n");
     let service = number as usize * 7919 % services;
@@ -127,9 +131,10 @@
     text.push_str("[end]\nchanges = 1\n");
     let temporary = log.join(".new");
     fs::write(&temporary, text).expect("a file");
-    fs::rename(&temporary, log.join(change_file_name(number))).expect("a rename");
+    fs::rename(&temporary, log.join(change_file_name(number))).expect("the file can be renamed");
 }
 
+/// A running `sableloom control`.
 struct ControlProcess {
     child: Child,
     address: SocketAddr,
@@ -137,11 +142,12 @@
 }
 
 impl ControlProcess {
+    /// Starts the program, and returns when it listens.
     fn start(program: &Path, settings: &Path) -> Self {
         let mut command = Command::new(program);
         command.args(["control", "--config"]).arg(settings).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let address = lines.by_ref().map_while(Result::ok).find_map(|line| {
             let address = line.split_once("control listening on ")?.1;
             address.parse().ok()
@@ -150,15 +156,21 @@
             lines.map_while(Result::ok).for_each(|line| eprintln!("{line}"))
         });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        Self { child, address: address.expect("an address"), runtime: runtime.expect("a runtime") }
+        Self {
+            child,
+            address: address.expect("the program prints its address"),
+            runtime: runtime.expect("a runtime"),
+        }
     }
 
+    /// Waits until the change with this number is in force.
     fn await_position(&self, number: u64) {
         while self.runtime.block_on(log_number(self.address)) < number {
             std::thread::sleep(Duration::from_micros(200));
         }
     }
 
+    /// A value of `/proc/PID/status` in kB.
     fn status_kb(&self, name: &str) -> usize {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("a process");
@@ -166,11 +178,11 @@
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// In steps of 10 ms.
+    /// The processor time that the process has used, in steps of 10 ms.
     fn processor_time(&self) -> Duration {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         let stat = stat.expect("a process");
-        // proc(5): utime and stime are the 14th and 15th field; the 2nd may hold spaces.
+        // By proc(5), utime and stime are the 14th and the 15th field. The 2nd field may contain spaces.
         let fields = stat.rsplit(") ").next().expect("fields").split(' ').skip(11).take(2);
         let ticks: u64 = fields.map(|field| field.parse::<u64>().expect("ticks")).sum();
         Duration::from_millis(10 * ticks)
@@ -182,6 +194,7 @@
     }
 }
 
+/// The number of the last change that the control machine at `address` serves.
 async fn log_number(address: SocketAddr) -> u64 {
     fetch_status_totals(address).await.expect("a status").position.number
 }
--- a/crates/control/src/change_file.rs
+++ b/crates/control/src/change_file.rs
@@ -1,4 +1,4 @@
-//! Change files on disk: their names, and their bytes within a bound.
+//! Names of change files, and reading a change file up to a largest size.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Read};
@@ -7,27 +7,27 @@
 use sableloom_resources::ChangeFile;
 use sableloom_toml_diagnostics::Problem;
 
-/// Largest change file, in bytes. Parsing takes some ten times as much memory for a moment, which guards a control
-/// machine against running out of memory; a larger change goes into several files.
+/// Size of the largest change file, in bytes. Parsing a file briefly takes about ten times its size in memory, so the
+/// limit keeps a control machine from running out of memory. A larger change is split into several files.
 pub const MAX_FILE_BYTES: u64 = 8 << 20;
 
-/// The name of a change file.
+/// The name of the change file with this number: the number with at least eight digits, and `.toml`.
 pub fn change_file_name(number: u64) -> String {
     format!("{number:08}.toml")
 }
 
-/// What the name of a file says about it.
+/// The kind of a file, as far as its name tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileNameKind {
     /// A change file with this number.
     Change(u64),
-    /// A TOML file that is not named as a change file is.
+    /// A TOML file whose name is not one that [`change_file_name`] returns for a number above 0.
     NotNumbered,
-    /// Another file, such as a temporary one; it is ignored.
+    /// Another file, such as a temporary one, which is ignored: its name begins with a dot or does not end in `.toml`.
     Other,
 }
 
-/// Classifies the name of a file.
+/// Tells from the name of a file whether it is a change file. The name is without a path.
 pub fn classify_file_name(name: &str) -> FileNameKind {
     let Some(stem) = name.strip_suffix(".toml").filter(|stem| !stem.starts_with('.')) else {
         return FileNameKind::Other;
@@ -39,13 +39,13 @@
     }
 }
 
-/// A file of a folder, with the kind that its name says.
+/// A file of a listed folder.
 pub(crate) struct ListedFile {
     pub(crate) name: String,
     pub(crate) kind: FileNameKind,
 }
 
-/// Lists the files of a folder.
+/// Lists the entries of a folder, in no particular order.
 pub(crate) fn list_folder(folder: &Path) -> io::Result<Vec<ListedFile>> {
     std::fs::read_dir(folder)?
         .map(|entry| {
@@ -55,19 +55,19 @@
         .collect()
 }
 
-/// Why a file can't be read.
+/// Errors of [`read_change_file`].
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ReadError {
     /// There is no such file.
     #[error("it is not there")]
     Missing,
-    /// It is a folder, a pipe or a device.
-    #[error("it is no regular file")]
+    /// The path is that of a folder, a pipe or a device.
+    #[error("it is not a regular file")]
     NotRegular,
-    /// It is longer than [`MAX_FILE_BYTES`].
+    /// The file is longer than [`MAX_FILE_BYTES`].
     #[error("it is longer than {MAX_FILE_BYTES} bytes")]
     TooLong,
-    /// The system refused.
+    /// The operating system returned another error.
     #[error("{0}")]
     Io(io::Error),
 }
@@ -81,9 +81,9 @@
     }
 }
 
-/// Reads the bytes of a change file.
+/// Reads the bytes of a change file, at most [`MAX_FILE_BYTES`].
 pub(crate) fn read_change_file(path: &Path) -> Result<Vec<u8>, ReadError> {
-    // Guards against a named pipe in the place of the file: opening one blocks the only thread.
+    // A named pipe is never opened: opening one would block the only thread until another process writes to the pipe.
     if !std::fs::metadata(path)?.is_file() {
         return Err(ReadError::NotRegular);
     }
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -13,26 +13,27 @@
 use crate::folder::read_entry;
 use crate::notice::Notice;
 
-/// The contents of a log that has no problem.
+/// The size of a log in which no problem was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSummary {
-    /// The position after its last change.
+    /// The position after the last change.
     pub position: Position,
-    /// How many change files it has.
+    /// Number of change files.
     pub files: usize,
-    /// Services after the last change.
+    /// Number of services after the last change.
     pub services: usize,
-    /// Resources after the last change.
+    /// Number of resources after the last change.
     pub resources: usize,
-    /// Of these, limits of tenants.
+    /// Number of those resources that are limits of tenants.
     pub tenants: usize,
 }
 
-/// Checks a change file by itself. [`check_folder`] also checks that it fits the changes before it.
+/// Checks one change file without the changes before it. [`check_folder`] also checks that a change fits the changes
+/// before it. The number in the file is checked against the name if the file is named as a change file.
 ///
 /// # Errors
 ///
-/// All problems that were found in the file.
+/// Returns all problems that were found in the file.
 pub fn check_file(path: &Path) -> Result<(), Vec<Problem>> {
     let path_text = path.display().to_string();
     let bytes = read_change_file(path).map_err(|error| vec![read_problem(&path_text, &error)])?;
@@ -44,12 +45,12 @@
     }
 }
 
-/// Checks a folder of change files as one log that begins with number `first`. A file after a wrong one is checked
-/// against the resources of the good ones.
+/// Checks a folder of change files as one log that begins with number `first`. A file that follows an invalid file is
+/// checked against the resources of the valid files before it.
 ///
 /// # Errors
 ///
-/// All problems that were found in any of the files.
+/// Returns all problems that were found in the folder and its files.
 pub fn check_folder(path: &Path, first: u64) -> Result<LogSummary, Vec<Problem>> {
     let path_text = path.display().to_string();
     let files =
@@ -85,10 +86,10 @@
     })
 }
 
-/// A folder while it is checked.
+/// The state of the check of one folder.
 struct FolderCheck<'f> {
     folder: &'f Path,
-    /// The resources after the changes that were checked so far.
+    /// The resources after the valid changes that were checked so far.
     store: Store,
     problems: Vec<Problem>,
 }
@@ -98,7 +99,7 @@
         self.problems.push(Problem::of_file("", notice.to_string()));
     }
 
-    /// Reports each number below the first one and each gap.
+    /// Reports each number below `first` and each gap. `numbers` must be sorted.
     fn check_numbers(&mut self, numbers: &[u64], first: u64) {
         let mut expected = first;
         for number in numbers {
@@ -126,17 +127,21 @@
         let file_problem = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
         let bytes = read_change_file(&self.folder.join(&name))
             .map_err(|error| vec![read_problem(&name, &error)])?;
-        // What is wrong in an unfinished file is reported before its missing end.
+        // Other problems of an unfinished file are reported instead of the missing `[end]` table.
         let entry = if is_complete(&bytes) {
             read_entry(&name, number, &bytes, &self.store)?
         } else {
             read_change(&name, &bytes)?;
-            return Err(file_problem("its last table is not [end], with a line end after it"));
+            return Err(file_problem(
+                "the file is incomplete: the last table must be [end] with the key `changes`, and the file \
+                 must end with a line break",
+            ));
         };
         self.append_entry(entry).map_err(|error| file_problem(&error.to_string()))
     }
 
-    /// Appends an entry as if it followed the last one, also after a gap or a wrong file: those have been reported.
+    /// Appends an entry to the store. After a problem, the entry is renumbered to follow the last one, so that a gap or
+    /// an invalid file, which was reported, causes no further problems in later files.
     fn append_entry(&mut self, mut entry: LogEntry) -> Result<(), AppendError> {
         let expected = self.store.position().number + 1;
         if !self.problems.is_empty() {
@@ -146,6 +151,7 @@
     }
 }
 
+/// Sets the number of an entry, and the version of each of its changes to the same number.
 fn renumber(entry: &mut LogEntry, number: u64) {
     entry.number = number;
     for change in &mut entry.changes {
--- a/crates/control/src/connection.rs
+++ b/crates/control/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a subscriber: messages in, frames out.
+//! Reads the messages of a subscriber from its connection, and writes the frames of its outbox.
 
 use std::io::{self, IoSlice};
 use std::time::Duration;
@@ -12,24 +12,26 @@
 
 use crate::outbox::{MAX_FRAMES_PER_WRITE, Outbox};
 
-/// Bytes read at once.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// How long writing the rest of the queue and waiting for the peer to close may take once the session is closed.
+/// Timeout for writing the rest of the queue and waiting for the peer to close, after the session is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most bytes that are read and dropped while the peer closes.
+/// Maximum number of bytes that are read and discarded while waiting for the peer to close. The connection is closed
+/// when the peer sends more.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
 /// Receives the events of a connection.
 pub(crate) trait ConnectionHandler {
     /// A message was received.
     fn on_message(&self, message: SubscriberMessage);
-    /// Bytes were received that are no message.
+    /// Bytes were received that are not a valid message; reading ends.
     fn on_malformed(&self, error: CodecError);
-    /// So many bytes have been written.
+    /// This number of bytes was written.
     fn on_written(&self, bytes: usize);
 }
 
-/// Runs a connection until either side closes it.
+/// Runs a connection until the peer closes it, it fails, or the publisher closes the session. If the publisher has
+/// closed the session, the frames in the outbox are still written, for at most [`CLOSE_TIMEOUT`].
 pub(crate) async fn run_connection(
     mut stream: TcpStream,
     outbox: &Outbox,
@@ -47,6 +49,8 @@
     }
 }
 
+/// Passes messages to the handler until the peer closes the connection, the session is closed, or a message is
+/// malformed.
 async fn read_messages(
     reader: &mut ReadHalf<'_>,
     outbox: &Outbox,
@@ -76,6 +80,7 @@
     }
 }
 
+/// Writes the frames of the outbox as they are queued, until the connection fails.
 async fn write_frames(
     writer: &mut WriteHalf<'_>,
     outbox: &Outbox,
@@ -90,7 +95,8 @@
     }
 }
 
-/// Writes as much of the first frames as the socket takes; 0 if there is none.
+/// Writes as much of the first frames as the socket accepts. Returns the number of written bytes, which is 0 if no
+/// frame is queued.
 async fn write_queued_frames(writer: &mut WriteHalf<'_>, outbox: &Outbox) -> io::Result<usize> {
     let frames = outbox.first_frames();
     if frames.is_empty() {
@@ -106,8 +112,8 @@
     Ok(count)
 }
 
-/// Writes what is queued and waits for the peer to close. Guards against unread bytes of the peer that would reset the
-/// connection before the peer has read why it was closed.
+/// Writes the queued frames, shuts down the sending side, and reads until the peer closes. If the socket were closed
+/// with unread bytes, the connection would be reset before the peer has read why it was closed.
 async fn flush_and_close(
     mut reader: ReadHalf<'_>,
     mut writer: WriteHalf<'_>,
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -1,7 +1,7 @@
-//! The folder of numbered change files, read in order, each file once.
+//! Reads the numbered change files of a folder in the order of their numbers, and applies each file once.
 //!
-//! The next file is found by its name, so reading one more change costs the same whatever the number of files. The
-//! folder is listed only at the start and after watch events were lost.
+//! The next file is found by its name, so the cost of reading one more change does not depend on the number of files.
+//! The folder is listed only when a watch is set and after watch events were lost.
 
 use std::path::{Path, PathBuf};
 
@@ -19,29 +19,31 @@
 /// The result of reading the next change file.
 #[derive(Debug)]
 pub enum NextChange {
-    /// The next change. [`ChangeFolder::record_appended`] moves on to the file after it.
+    /// The next change, which is to be appended to the log. [`ChangeFolder::record_appended`] then moves on to the next
+    /// file, and [`ChangeFolder::record_rejected`] keeps the folder at the same file.
     Ready(LogEntry),
-    /// There is no next change, or it can't be applied yet. The notice is there the first time that its cause holds.
+    /// There is no next change, or it can't be applied yet. The notice gives the reason, unless
+    /// the previous attempt had the same result.
     NotReady(Option<Notice>),
 }
 
-/// A change that was read, without its contents.
+/// The number and the hash of a change file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangeFileId {
-    /// Its number.
+    /// The number of the change, which is also the name of the file.
     pub number: u64,
-    /// The hash of its file.
+    /// The hash of the bytes of the file.
     pub hash: u64,
 }
 
 impl ChangeFileId {
-    /// The change of a log entry.
+    /// The identity of the file that a log entry was read from.
     pub fn of_entry(entry: &LogEntry) -> Self {
         Self { number: entry.number, hash: entry.hash }
     }
 }
 
-/// A folder of change files, and how far it was read.
+/// A folder of change files, and the number up to which its files were applied.
 #[derive(Debug)]
 pub struct ChangeFolder {
     path: PathBuf,
@@ -49,15 +51,16 @@
     first: u64,
     /// The number of the file to be read next.
     next: u64,
-    /// The largest number that was seen.
+    /// The largest number of a file that was found so far; 0 if there was none.
     latest: u64,
     hashes: RecentHashes,
-    /// The last notice about the next file.
+    /// The last notice about the next file, which is not reported again.
     last_notice: Option<Notice>,
 }
 
 impl ChangeFolder {
-    /// A folder of which nothing was read yet; the log begins with the file of number `first`.
+    /// Creates a reader of the folder at `path`, of which no file was read yet. The log begins with the file of number
+    /// `first`.
     pub fn new(path: PathBuf, first: u64) -> Self {
         let hashes = RecentHashes::default();
         Self { path, first, next: first, latest: 0, hashes, last_notice: None }
@@ -68,14 +71,16 @@
         &self.path
     }
 
-    /// The progress of reading: the next number, and why it waits.
+    /// The progress of reading. The reason is the first line of the last notice about the next file, and empty if there
+    /// is none.
     pub fn status(&self) -> LogStatus {
         let notice = self.last_notice.as_ref().map(Notice::to_string).unwrap_or_default();
         let blocked_reason = notice.lines().next().unwrap_or_default().into();
         LogStatus { next: self.next, latest: self.latest, blocked_reason }
     }
 
-    /// Lists the folder, and remembers the largest number in it.
+    /// Lists the folder, and updates the largest number that was found. Returns a notice for each TOML file that is not
+    /// named as a change file, or one notice if the folder can't be read.
     pub fn list(&mut self) -> Vec<Notice> {
         let files = match list_folder(&self.path) {
             Ok(files) => files,
@@ -95,7 +100,9 @@
         notices
     }
 
-    /// Handles the event that a file was written, renamed or removed.
+    /// Handles the event that the file `name` was written, renamed or removed. Returns a notice if the file is a TOML
+    /// file that is not named as a change file, if a file that was applied was modified or removed or can't be read, or
+    /// if the number of an existing file is lower than the first number of the log.
     pub fn handle_file_event(&mut self, name: &str) -> Option<Notice> {
         let number = match classify_file_name(name) {
             FileNameKind::Change(number) => number,
@@ -113,7 +120,7 @@
         self.handle_applied_file_event(name, number)
     }
 
-    /// A file with a number below the next one has changed.
+    /// Handles an event of a file whose number is below the next one.
     fn handle_applied_file_event(&self, name: &str, number: u64) -> Option<Notice> {
         let file = name.to_string();
         let bytes = read_change_file(&self.path.join(name));
@@ -125,15 +132,15 @@
             Err(ReadError::Missing) => Some(Notice::Removed { file }),
             Err(error) => Some(Notice::Unreadable { file, cause: error.to_string() }),
             Ok(bytes) => {
-                // The hash of a file that was read too long ago is forgotten. Nothing is reported then: it might be
-                // false.
+                // The hashes of the oldest files are no longer held. Without the hash, a modification can't be told
+                // from an event that left the contents as they were, so nothing is reported.
                 let known = self.hashes.get(number, self.next)?;
                 (known != hash_bytes(&bytes)).then_some(Notice::Modified { file })
             }
         }
     }
 
-    /// Reads the next file, if it is there and complete, against the resources in force.
+    /// Reads the next file if it exists and is complete, and resolves its change against the resources in force.
     pub fn read_next(&mut self, inventory: &dyn Inventory) -> NextChange {
         let next = self.next;
         let name = change_file_name(next);
@@ -152,7 +159,7 @@
         NextChange::NotReady(self.notice_if_new(notice))
     }
 
-    /// The log has appended the next change.
+    /// Records that the log has appended the next change, and moves on to the file after it.
     pub fn record_appended(&mut self, change: ChangeFileId) {
         self.next = change.number + 1;
         self.latest = self.latest.max(change.number);
@@ -160,13 +167,13 @@
         self.last_notice = None;
     }
 
-    /// The log has rejected the next change.
+    /// Records that the log has rejected the next change. Returns a notice, unless the last one was the same.
     pub fn record_rejected(&mut self, change: ChangeFileId, error: &AppendError) -> Option<Notice> {
         let problem = Problem::of_file(&change_file_name(change.number), error.to_string());
         self.notice_if_new(Some(Notice::Invalid(vec![problem])))
     }
 
-    /// The notice if it differs from the last one.
+    /// Stores a notice about the next file. Returns the notice if it differs from the last one.
     fn notice_if_new(&mut self, notice: Option<Notice>) -> Option<Notice> {
         if self.last_notice == notice {
             return None;
@@ -176,7 +183,7 @@
     }
 }
 
-/// Reads a complete change file into an entry of the log.
+/// Parses the bytes of a complete change file into an entry of the log. `name` is the name of the file in problems.
 pub(crate) fn read_entry(
     name: &str,
     number: u64,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,25 +1,26 @@
 //! A control machine: it reads an operator's change log from a folder of numbered files and serves it to subscribers
 //! over TCP.
 //!
-//! Thousands of balancers must get one operator's configuration, each change complete and in order, whatever happens
-//! to a file while it is written, to a connection or to this process. Several control machines that read the same
-//! files hold the same state, so a balancer may continue at any of them.
+//! Thousands of balancers must receive one operator's configuration, each change complete and in order, even if a file
+//! is read while it is being written, a connection fails or a control machine terminates. Several control machines that
+//! read the same files hold the same state, so a balancer may continue with any of them.
 //!
-//! The decisions are made elsewhere: `sableloom-distribution` decides what is sent to which subscriber and when, and
-//! `sableloom-resources` reads what a change file says. This crate owns the sockets, the files and the clock. Everything
-//! runs on one thread, and the folder has one watch.
+//! The protocol logic is in other crates: `sableloom-distribution` decides what is sent to which subscriber and when,
+//! and `sableloom-resources` parses change files. This crate owns the sockets, the files and the clock. A control
+//! machine runs on one thread and sets one watch on the folder.
 //!
-//! It never writes to the folder, never applies part of a change file, never skips a number, and never reads a file
-//! again that is in force: a file that is altered or removed afterwards is reported and has no effect.
+//! A control machine never writes to the folder, never applies a part of a change file, and never skips a number. It
+//! never applies a file twice: a file that is modified or removed after it was applied is reported, and the change has
+//! no effect.
 //!
 //! The next change file is in one of these states:
 //!
-//! - absent: nothing to do, or a [`Notice::Gap`] if a later number is there;
-//! - unfinished: without its `[end]` table, so still being written;
-//! - wrong: it is reported once, and neither it nor a later file is applied until it is corrected;
-//! - complete: it is appended to the log, and every subscriber of its services is sent the change.
+//! - absent: there is nothing to do, except that a [`Notice::Gap`] is reported if a file with a later number exists;
+//! - unfinished: the file has no `[end]` table yet, because it is still being written or was truncated;
+//! - invalid: the file is reported once, and neither this file nor a later one is applied until it is corrected;
+//! - complete: the file is appended to the log, and every subscriber of its services is sent the change.
 //!
-//! A change log can be checked without a control machine:
+//! [`check_folder`] checks a change log without a control machine:
 //!
 //! ```
 //! let changes = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/change-log");
--- a/crates/control/src/listener.rs
+++ b/crates/control/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, at most as many as are allowed and as there are descriptors for.
+//! Accepts connections up to the configured limit and the file descriptor limit of the process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,43 +12,48 @@
 use crate::connection::run_connection;
 use crate::sessions::{SessionHandle, Sessions};
 
-/// Connections that the system holds until they are accepted: all balancers of a region that reconnect at once.
+/// Maximum number of connections that the system queues until they are accepted. It has room for all balancers of a
+/// region that reconnect at once.
 const ACCEPT_BACKLOG: u32 = 4096;
-/// What the system buffers for a connection. It is small so that the queue of a subscriber that does not read grows
-/// and the publisher closes it.
+/// Size of the send buffer of a connection. It is small, so that the outbox of a subscriber that does not read fills up
+/// and the publisher closes the session.
 const SEND_BUFFER_BYTES: u32 = 128 << 10;
-/// Descriptors for everything but connections: files, watch, timers, and a few to spare.
+/// File descriptors that are not used for connections, but for files, the watch and timers, with a few to spare.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The pause after an accept that failed, as for want of descriptors. Without it the thread would spin.
+/// The pause after accepting a connection failed, for instance because the process has no free file descriptor. Without
+/// the pause the thread would retry in a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listens on an address.
+/// Opens a listening socket on an address.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    // Accepted connections inherit it.
+    // Accepted connections inherit the buffer size of the listening socket.
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// The configured number of connections, or fewer if the process has too few descriptors for them.
+/// The configured maximum of connections, reduced to the number of file descriptors that are available for connections.
+/// A reduction is logged.
 pub(crate) fn limit_to_descriptors(configured: usize) -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let available =
         limit.map_or(usize::MAX, |limit| (limit as usize).saturating_sub(RESERVED_DESCRIPTORS));
     if available < configured {
         eprintln!(
-            "sableloom: {available} connections at most, for want of descriptors (ulimit -n)"
+            "sableloom: {available} connections at most instead of {configured}: the limit of file \
+             descriptors is too low (ulimit -n)"
         );
     }
     available.min(configured)
 }
 
-/// Accepts connections without end, and runs each as a session.
+/// Accepts connections and runs a session for each. A connection beyond `max_connections` is closed at once. The
+/// function never returns.
 pub(crate) async fn accept_connections(
     sessions: &Rc<Sessions>,
     listener: &TcpListener,
@@ -71,11 +76,12 @@
             }
             continue;
         }
-        // Opened here and not in the task, so that it is counted before the next connection is accepted.
+        // The session is opened here and not in the task, so that it is counted before the next connection is accepted.
         spawn_local(run_session(sessions.open(), stream));
     }
 }
 
+/// Runs the connection of a session until it ends, and logs the reason if the publisher has closed the session.
 async fn run_session(session: SessionHandle, stream: TcpStream) {
     let peer = stream.peer_addr();
     run_connection(stream, session.outbox(), &session).await;
--- a/crates/control/src/log_reader.rs
+++ b/crates/control/src/log_reader.rs
@@ -11,23 +11,23 @@
 use crate::sessions::Sessions;
 use crate::watch::FolderWatch;
 
-/// How often the next file is looked for without a watch event, and a watch that could not be set is set again: a
-/// third of the time in which a change must be in force.
+/// The longest wait for a watch event, after which the reader looks for the next file without one. It is also the
+/// interval at which setting a watch is retried. It is a third of the time within which a change must be in force.
 const RESCAN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the folder into the publisher.
+/// Reads the change files of a folder, and appends their changes to the log of the publisher.
 pub(crate) struct LogReader {
     sessions: Rc<Sessions>,
     folder: ChangeFolder,
     watch: Option<FolderWatch>,
-    /// The result of the last attempt to set a watch, as it was reported.
+    /// The result of the last attempt to set a watch, which is logged only when it changes.
     last_scan: Option<ScanResult>,
 }
 
 /// The result of setting a watch and listing the folder.
 #[derive(PartialEq, Eq)]
 struct ScanResult {
-    /// Why the folder is not watched, if it is not.
+    /// The error of setting the watch; `None` if the watch is set.
     watch_error: Option<String>,
     notices: Vec<Notice>,
 }
@@ -37,27 +37,27 @@
         Self { sessions, folder, watch: None, last_scan: None }
     }
 
-    /// Reads every change that is there now.
+    /// Applies every complete change file that exists now, up to the first one that can't be applied.
     pub(crate) fn read_available(&mut self) {
         self.scan_folder();
         while self.append_next() {}
         self.publish_status();
     }
 
-    /// Follows the folder without end.
+    /// Applies change files as they appear. The function never returns.
     pub(crate) async fn follow(mut self) {
         loop {
             self.wait_for_event().await;
             self.scan_folder();
             while self.append_next() {
-                // Sessions are served between two changes.
+                // Between two changes, other tasks run, so that sessions are served.
                 yield_now().await;
             }
             self.publish_status();
         }
     }
 
-    /// Waits for a watch event, at most for [`RESCAN_INTERVAL`].
+    /// Waits for a watch event, for at most [`RESCAN_INTERVAL`].
     async fn wait_for_event(&self) {
         match &self.watch {
             Some(watch) => _ = timeout(RESCAN_INTERVAL, watch.wait_for_event()).await,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Handles the watch events. Without a watch, or with one on a folder that was replaced, it sets a new one and lists
-    /// the folder.
+    /// Handles the watch events. If there is no watch, or the watched folder was replaced by another one, this sets a
+    /// new watch and lists the folder.
     fn scan_folder(&mut self) {
         let Some(watch) = self.watch.as_ref().filter(|watch| watch.is_watching(self.folder.path()))
         else {
@@ -81,30 +81,34 @@
         }
     }
 
+    /// Sets a new watch and lists the folder. The result is logged if it differs from that of the last attempt.
     fn set_watch_and_list(&mut self) {
         let watch = FolderWatch::new(self.folder.path());
         let watch_error = watch.as_ref().err().map(ToString::to_string);
         self.watch = watch.ok();
-        // The watch has no events of files that were there before it.
+        // The watch reports no events for files that existed before it was set.
         let scan = ScanResult { watch_error, notices: self.folder.list() };
         if self.last_scan.as_ref() == Some(&scan) {
             return;
         }
         if let Some(error) = &scan.watch_error {
             let path = self.folder.path().display();
-            eprintln!("sableloom: {path}: not watched, only read from time to time: {error}");
+            eprintln!(
+                "sableloom: {path}: not watched; the folder is read at intervals instead: {error}"
+            );
         }
         log_notices(scan.notices.iter().cloned());
         self.last_scan = Some(scan);
     }
 
-    /// Gives the publisher the progress of reading, for its status.
+    /// Passes the progress of reading to the publisher, whose status includes it.
     fn publish_status(&self) {
         let status = self.folder.status();
         self.sessions.with_publisher(|publisher, _, _| publisher.set_log_status(status));
     }
 
-    /// Reads the next change, if there is one. Whether it was appended to the log.
+    /// Reads the next change and appends it to the log. Returns `false` if there is none or it can't be applied; the
+    /// reason is logged once.
     fn append_next(&mut self) -> bool {
         let next_change = self.folder.read_next(&*self.sessions.store());
         let entry = match next_change {
--- a/crates/control/src/notice.rs
+++ b/crates/control/src/notice.rs
@@ -1,4 +1,4 @@
-//! What an operator must know about the folder of change files.
+//! Conditions of the folder of change files that are reported to the operator.
 
 use std::fmt;
 
@@ -6,50 +6,53 @@
 
 use crate::change_file::change_file_name;
 
-/// A condition of the folder that an operator must know of. It is reported once, when it begins.
+/// A condition of the folder of change files that is reported to the operator.
+///
+/// The `Display` form names the file. It has one line, except for [`Notice::Invalid`], which has several.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The folder or a file can't be read.
     Unreadable {
-        /// The file or folder.
+        /// The name of the file, or the path of the folder.
         file: String,
-        /// Why.
+        /// The text of the read error.
         cause: String,
     },
-    /// The next file has no end yet: it is still being written, or was cut off.
+    /// The next file has no complete `[end]` table yet: it is still being written, or was truncated.
     Unfinished {
-        /// The file.
+        /// The name of the file.
         file: String,
     },
-    /// A file is missing and a later one is there.
+    /// The next file is missing, and a file with a later number exists.
     Gap {
-        /// The missing file.
+        /// The name of the missing file.
         missing: String,
-        /// The latest file that is there.
+        /// The name of a later file that exists. A [`crate::ChangeFolder`] names the latest one, and
+        /// [`crate::check_folder`] the first one after the gap.
         latest: String,
     },
-    /// The next file is wrong; neither it nor a later one is applied.
+    /// The next file has these problems. Neither this file nor a later one is applied until it is corrected.
     Invalid(Vec<Problem>),
-    /// The contents of a file changed after it was applied; the first contents stay in force.
+    /// The contents of a file changed after it was applied. The contents that were applied stay in force.
     Modified {
-        /// The file.
+        /// The name of the file.
         file: String,
     },
-    /// A file was removed after it was applied; its contents stay in force.
+    /// A file was removed after it was applied. Its contents stay in force.
     Removed {
-        /// The file.
+        /// The name of the file.
         file: String,
     },
-    /// A file appeared with a lower number than the log begins with; it is not applied.
+    /// The number of a file is lower than the first number of the log. The file is not applied.
     BeforeFirst {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// The file that the log begins with.
+        /// The name of the file that the log begins with.
         first: String,
     },
-    /// A TOML file whose name is not a number; it is not read.
+    /// The name of a TOML file is not that of a change file. The file is not read.
     NotNumbered {
-        /// The file.
+        /// The name of the file.
         file: String,
     },
 }
@@ -59,28 +62,44 @@
         match self {
             Notice::Unreadable { file, cause } => write!(f, "{file}: it can't be read: {cause}"),
             Notice::Unfinished { file } => {
-                write!(f, "{file}: unfinished, no [end] yet; it is read again when it changes")
+                write!(
+                    f,
+                    "{file}: incomplete: the [end] table is missing; the file is read again when it changes"
+                )
             }
             Notice::Gap { missing, latest } => {
-                write!(f, "{missing}: missing, and {latest} is there; waiting for it")
+                write!(
+                    f,
+                    "{missing}: missing, and {latest} is there; no later file is applied before it"
+                )
             }
             Notice::Invalid(problems) => {
                 for problem in problems {
                     writeln!(f, "{problem}")?;
                 }
-                f.write_str("not applied, nor any later file, until it is corrected")
+                f.write_str(
+                    "neither this file nor a later one is applied until this file is corrected",
+                )
             }
             Notice::Modified { file } => {
-                write!(f, "{file}: altered after it was read; not applied, write a new change")
+                write!(
+                    f,
+                    "{file}: modified after it was applied; the modification has no effect, write a new \
+                     change file"
+                )
             }
             Notice::Removed { file } => {
-                write!(f, "{file}: removed after it was read; its contents stay in force")
+                write!(f, "{file}: removed after it was applied; its contents stay in force")
             }
             Notice::BeforeFirst { file, first } => {
-                write!(f, "{file}: not applied, the log begins with {first}")
+                write!(f, "{file}: not applied: the log begins with {first}")
             }
             Notice::NotNumbered { file } => {
-                write!(f, "{file}: not read, a change file is named as {}", change_file_name(124))
+                write!(
+                    f,
+                    "{file}: not read: the name of a change file is its number, as in {}",
+                    change_file_name(124)
+                )
             }
         }
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The server of a control machine: its listener, its sessions and its change log.
+//! The server of a control machine, which combines the listener, the sessions and the reader of the change log.
 
 use std::future::Future;
 use std::io;
@@ -15,20 +15,20 @@
 use crate::sessions::Sessions;
 use crate::settings::Settings;
 
-/// Why a server can't start.
+/// Errors of [`Server::start`].
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// It can't listen on its address.
+    /// The server can't listen on its address.
     #[error("field `listen`: {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address of the setting `listen`.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         cause: io::Error,
     },
 }
 
-/// A control machine that listens.
+/// A control machine whose listening socket is open and whose change log was read.
 pub struct Server {
     sessions: Rc<Sessions>,
     listener: TcpListener,
@@ -37,17 +37,18 @@
 }
 
 impl Server {
-    /// Listens, and reads the log as far as it goes. `base` is the folder of the settings file. A problem of the log
-    /// does not keep the server from starting: it serves the changes before it.
+    /// Opens the listening socket, and reads the log up to the first file that can't be applied. Such a file is logged
+    /// and does not keep the server from starting: the server serves the changes before it. A relative path of the
+    /// folder of change files starts at `settings_folder`, the folder of the settings file.
     ///
     /// # Errors
     ///
-    /// [`StartError::Listen`] if the address can't be listened on.
+    /// Returns [`StartError::Listen`] if the server can't listen on its address.
     pub fn start(settings: &Settings, settings_folder: &Path) -> Result<Self, StartError> {
         let publisher =
             Publisher::new(Store::new(settings.store_limits), settings.publisher_options);
         let sessions = Sessions::new(publisher);
-        // It listens before it reads, so that a second process with the same settings ends at once.
+        // The socket is opened before the log is read, so that a second process with the same settings fails at once.
         let listener = listen(settings.listen)
             .map_err(|cause| StartError::Listen { address: settings.listen, cause })?;
         let folder = ChangeFolder::new(
@@ -60,22 +61,23 @@
         Ok(Self { sessions, listener, log_reader, max_connections })
     }
 
-    /// The address that it listens on.
+    /// The address that the server listens on, with the port that the system chose if the setting has port 0.
     ///
     /// # Errors
     ///
-    /// The system's error if it does not give the address.
+    /// Returns the system's error if the address can't be read from the socket.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The position up to which the log has been read.
+    /// The position after the last change that was applied.
     pub fn position(&self) -> Position {
         self.sessions.store().position()
     }
 
-    /// Serves until `shutdown` completes; it must be called within a `LocalSet`. Connections end with the process:
-    /// subscribers continue at another control machine from the versions that they have.
+    /// Serves until `shutdown` completes. It must be called within a `LocalSet`, and does not close open connections.
+    /// They end with the process, and subscribers continue with another control machine from the versions that they
+    /// have.
     pub async fn run(self, shutdown: impl Future<Output = ()>) {
         let Self { sessions, listener, log_reader, max_connections } = self;
         tokio::select! {
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of one publisher: its clock, its timer, and the connection that each of its outputs goes to.
+//! Connects one publisher to its clock, its timer and the connections of its sessions.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use crate::connection::ConnectionHandler;
 use crate::outbox::Outbox;
 
-/// The publisher with its connections.
+/// The publisher, and the outbox of each open session.
 pub(crate) struct Sessions {
     publisher: RefCell<Publisher>,
     outboxes: RefCell<FxHashMap<SessionId, Rc<Outbox>>>,
     next_session: Cell<u64>,
-    /// The zero of the publisher's time.
+    /// The instant at which the publisher's clock is 0.
     start: Instant,
-    /// The time at which the publisher is due has changed.
+    /// Notified when the time at which the publisher is due changes.
     due_changed: Notify,
 }
 
@@ -42,12 +42,13 @@
         Ref::map(self.publisher.borrow(), Publisher::store)
     }
 
-    /// How many sessions are open.
+    /// The number of open sessions. Each accepted connection counts as one from [`Sessions::open`] on.
     pub(crate) fn open_count(&self) -> usize {
         self.outboxes.borrow().len()
     }
 
-    /// Calls the publisher, and applies its outputs.
+    /// Calls the publisher with the current time, and applies its outputs. `call` must not use the same
+    /// `Sessions`, because the publisher is borrowed until `call` returns.
     pub(crate) fn with_publisher<R>(
         &self,
         call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>) -> R,
@@ -89,7 +90,7 @@
         SessionHandle { sessions: self.clone(), id, outbox }
     }
 
-    /// Calls the publisher whenever it is due.
+    /// Calls the publisher whenever it is due. The function never returns.
     pub(crate) async fn run_timer(&self) {
         loop {
             let due = self.publisher.borrow().due();
@@ -119,7 +120,7 @@
     }
 }
 
-/// A session as its connection sees it.
+/// The handle by which a connection uses its session.
 pub(crate) struct SessionHandle {
     sessions: Rc<Sessions>,
     id: SessionId,
@@ -135,9 +136,9 @@
         &self.outbox
     }
 
-    /// The connection has ended. Gives the reason if the publisher had closed the session.
+    /// Ends the session after its connection has ended. Returns the reason if the publisher closed it first.
     pub(crate) fn end(&self) -> Option<CloseReason> {
-        // The publisher has no state left of a session that it has closed itself.
+        // The publisher holds no state of a session that it has closed itself.
         if self.sessions.outboxes.borrow_mut().remove(&self.id).is_some() {
             self.sessions.with_publisher(|publisher, now, outputs| {
                 publisher.disconnected(now, self.id, outputs);
@@ -146,6 +147,7 @@
         self.outbox.close_reason()
     }
 
+    /// Calls the publisher, unless it has closed the session.
     fn with_publisher_if_open(
         &self,
         call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>),
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control machine, in TOML.
+//! The settings of a control machine, which are read from a TOML file.
 
 use std::net::SocketAddr;
 
@@ -7,31 +7,32 @@
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table};
 use sableloom_types::Span;
 
-/// Connections beside the sessions: tools that request the status, and subscribers that have not sent their hello yet.
+/// Number of connections allowed in addition to [`PublisherOptions::max_sessions`], for tools that request the status
+/// and subscribers that have not sent their hello yet.
 pub const NON_SESSION_CONNECTIONS: usize = 64;
 
 /// The settings of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The address that subscribers connect to.
+    /// The address that subscribers and status clients connect to.
     pub listen: SocketAddr,
-    /// The folder of change files, relative to the folder of the settings file.
+    /// The path of the folder of change files. A relative path starts at the folder of the settings file.
     pub changes_folder: String,
-    /// The number of the change file that the log begins with.
+    /// The number of the change file that the log begins with; at least 1.
     pub first_number: u64,
-    /// Bounds of the store.
+    /// The limits of the store.
     pub store_limits: StoreLimits,
-    /// Bounds and times of the publisher.
+    /// The limits and timeouts of the publisher.
     pub publisher_options: PublisherOptions,
-    /// Most connections at one time, sessions included; one more is closed at once.
+    /// Maximum number of open connections, with and without a session. A connection beyond it is closed at once.
     pub max_connections: usize,
 }
 
-/// Reads settings; `file` is their file's name in problems.
+/// Parses the text of a settings file. `file` is the name of the file in problems.
 ///
 /// # Errors
 ///
-/// All problems that were found in the text.
+/// Returns all problems that were found in the text.
 pub fn read_settings(file: &str, text: &[u8]) -> Result<Settings, Vec<Problem>> {
     toml_diagnostics::read(file, text, read_root)
 }
@@ -40,7 +41,7 @@
     let listen = root.required_address("listen");
     let changes = root.required_string("changes", "the folder of change files");
     if let Some(changes) = changes.as_ref().filter(|changes| changes.value.is_empty()) {
-        root.report(changes, "a folder has a name", None);
+        root.report(changes, "expected the path of a folder, found an empty string", None);
     }
     let first = root.integer("first", 1..=MAX_CHANGE_NUMBER, "").map_or(1, |first| first.value);
     let mut settings = Settings {
@@ -59,7 +60,7 @@
     Some(settings)
 }
 
-/// Reads the `[limits]` table.
+/// Reads the `[limits]` table. A limit that is not set keeps its default.
 fn read_limits(table: &Table<'_>, settings: &mut Settings) {
     let set = |field: &'static str, max: usize, unit: &str, value: &mut usize| {
         if let Some(found) = table.integer(field, 1..=max, unit) {
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,4 +1,4 @@
-//! A client that requests the status of a control machine, over the protocol of subscribers.
+//! A client that requests the status of a control machine over the protocol of subscribers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a control machine may take for one page.
+/// Timeout for connecting, and for the response to each request of a page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Size of the buffer that responses are read into.
 const READ_BUFFER_BYTES: usize = 16 << 10;
@@ -20,41 +20,47 @@
 /// The complete status of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusReport {
-    /// The totals, as they were at the last page.
+    /// The totals at the time of the last page.
     pub status: PublisherStatus,
-    /// The progress of its log, and why it has closed connections.
+    /// The progress of the control machine's log, and how many sessions it has closed for which reason.
     pub machine: MachineStatus,
-    /// Its sessions, in the order of their ids.
+    /// The sessions, in the order of their ids.
     pub sessions: Vec<SessionStatus>,
-    /// Its services, in the order of their names.
+    /// The services, in the order of their names.
     pub services: Vec<ServiceVersion>,
 }
 
-/// Why the status can't be had.
+/// Errors of [`fetch_status`] and [`fetch_status_totals`].
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// There was no response in time.
-    #[error("no answer within {} s", PAGE_TIMEOUT.as_secs())]
+    /// Connecting took longer than the timeout, or there was no response within it.
+    #[error("no response within {} s", PAGE_TIMEOUT.as_secs())]
     Timeout,
     /// The connection was closed without a response.
-    #[error("closed without an answer; has it as many connections as it may have?")]
+    #[error(
+        "the connection was closed without a response; the control machine may have reached its \
+         connection limit"
+    )]
     Closed,
-    /// The response is not a message of the protocol.
-    #[error("{0}; is it a control machine?")]
+    /// The response is not a valid message of the protocol.
+    #[error("{0}; the address may not be that of a control machine")]
     Malformed(#[from] CodecError),
     /// The response is another message than a status page.
-    #[error("an answer that is no status; is it a control machine?")]
+    #[error(
+        "the response is not the requested status page; the address may not be that of a control \
+         machine"
+    )]
     Unexpected,
 }
 
-/// Requests the complete status.
+/// Requests the complete status of the control machine at `address`.
 ///
 /// # Errors
 ///
-/// A [`StatusError`] if the control machine can't be reached or does not answer as one.
+/// Returns a [`StatusError`] if the control machine can't be reached or its response is not a status page.
 pub async fn fetch_status(address: SocketAddr) -> Result<StatusReport, StatusError> {
     let mut client = StatusClient::connect(address).await?;
     let page = client.fetch_page(StatusQuery::Machine).await?;
@@ -66,18 +72,19 @@
     Ok(StatusReport { status, machine, sessions, services })
 }
 
-/// Requests the totals, without sessions and services.
+/// Requests the totals of the control machine at `address`, without sessions and services.
 ///
 /// # Errors
 ///
-/// A [`StatusError`] if the control machine can't be reached or does not answer as one.
+/// Returns a [`StatusError`] if the control machine can't be reached or its response is not a status page.
 pub async fn fetch_status_totals(address: SocketAddr) -> Result<PublisherStatus, StatusError> {
     let mut client = StatusClient::connect(address).await?;
+    // Session ids do not reach u64::MAX, so the page holds the totals and no session.
     let page = client.fetch_page(StatusQuery::Sessions { from: u64::MAX }).await?;
     Ok(page.status)
 }
 
-/// A connection that requests pages of the status.
+/// A connection over which pages of the status are requested.
 struct StatusClient {
     stream: TcpStream,
     frames: FrameReader,
@@ -90,7 +97,7 @@
         Ok(Self { stream, frames: FrameReader::new() })
     }
 
-    /// All sessions, page by page.
+    /// Requests all sessions, page by page.
     async fn fetch_sessions(&mut self) -> Result<Vec<SessionStatus>, StatusError> {
         let mut sessions = Vec::new();
         let mut from = 0;
@@ -107,7 +114,7 @@
         }
     }
 
-    /// All services, page by page, with the totals of the last page.
+    /// Requests all services, page by page. Returns them with the totals of the last page.
     async fn fetch_services(
         &mut self,
     ) -> Result<(PublisherStatus, Vec<ServiceVersion>), StatusError> {
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -9,19 +9,20 @@
 use notify::{Event, RecommendedWatcher, RecursiveMode, Watcher};
 use tokio::sync::Notify;
 
-/// Most names that wait to be handled. Beyond them the folder is listed instead, so that an operator who copies a long
-/// log into the folder costs a bounded amount of memory.
+/// Maximum number of file names that wait to be handled. Beyond it the folder is listed instead, so that memory stays
+/// bounded when an operator copies a long log into the folder.
 const MAX_PENDING_NAMES: usize = 65_536;
 
-/// The events since they were last taken.
+/// The events since the last call of [`FolderWatch::take_events`].
 #[derive(Debug, Default)]
 pub(crate) struct FolderEvents {
-    /// Names of files that were written, renamed or removed.
+    /// The names of files that were written, renamed or removed.
     pub(crate) names: BTreeSet<String>,
-    /// Events were incomplete: the folder must be listed.
+    /// Whether events were lost, so that the folder must be listed.
     pub(crate) incomplete: bool,
 }
 
+/// The events that the thread of the watcher adds and the reader takes.
 #[derive(Default)]
 struct SharedEvents {
     events: Mutex<FolderEvents>,
@@ -49,8 +50,8 @@
     }
 }
 
-/// Whether an event can mean a new state of a file. Reading a file is not one, and a file that is created or being
-/// written is handled once it is closed.
+/// Whether an event can mean that a file has new contents or another name, or is gone. Reading a file is not such an
+/// event. A file that is created or being written is handled when the writer closes it.
 fn may_change_file_state(kind: EventKind) -> bool {
     match kind {
         EventKind::Access(access) => access == AccessKind::Close(AccessMode::Write),
@@ -63,13 +64,14 @@
 /// A watch on one folder.
 pub(crate) struct FolderWatch {
     shared: Arc<SharedEvents>,
-    /// The identity of the folder. A folder that replaced it, or the new target of a link, has another one.
+    /// The device and inode number of the watched folder, which differ if another folder takes its place or a symbolic
+    /// link to it gets another target; `None` if they could not be read.
     folder_id: Option<(u64, u64)>,
     _watcher: RecommendedWatcher,
 }
 
 impl FolderWatch {
-    /// Sets a watch on a folder.
+    /// Sets a watch on a folder. Files that exist already cause no event.
     pub(crate) fn new(folder: &Path) -> notify::Result<Self> {
         let folder_id = device_and_inode(folder);
         let shared = Arc::<SharedEvents>::default();
@@ -84,18 +86,18 @@
         self.folder_id.is_some() && self.folder_id == device_and_inode(folder)
     }
 
-    /// Waits until there is an event.
+    /// Waits until an event is added. Returns at once if an event was added since the last wait.
     pub(crate) async fn wait_for_event(&self) {
         self.shared.event_added.notified().await;
     }
 
-    /// Takes the events out.
+    /// Returns the events since the last call, and clears them.
     pub(crate) fn take_events(&self) -> FolderEvents {
         std::mem::take(&mut self.shared.events.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// The device and inode number of a folder.
+/// The device and inode number of a folder; `None` if they can't be read.
 fn device_and_inode(folder: &Path) -> Option<(u64, u64)> {
     std::fs::metadata(folder).ok().map(|metadata| (metadata.dev(), metadata.ino()))
 }
--- a/crates/control/tests/change_log.rs
+++ b/crates/control/tests/change_log.rs
@@ -1,16 +1,17 @@
-//! A recorded change log stays readable: the same files give the same position, versions and digests.
+//! Checks that a recorded change log stays readable: the same files must give the same positions, versions and digests
+//! as when the log was recorded.
 
 use std::path::{Path, PathBuf};
 
 use sableloom_control::{ChangeFileId, ChangeFolder, NextChange, check_folder};
 use sableloom_distribution::{Store, StoreLimits};
 
-/// Six files with every kind of resource, every field, and every kind of removal.
+/// The path of a log of six files with every kind of resource, every field, and every kind of removal.
 fn recorded_log() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/change-log")
 }
 
-/// What the store has of each service: name, version and digest.
+/// The name, the version and the digest of each service in the store.
 fn service_states(store: &Store) -> Vec<String> {
     let services = store.services_after(None);
     services.map(|s| format!("{} {} {:016x}", s.service, s.version, s.digest)).collect()
@@ -24,7 +25,7 @@
     let mut after_each = Vec::new();
     while let NextChange::Ready(entry) = folder.read_next(&store) {
         let file_id = ChangeFileId::of_entry(&entry);
-        store.append(entry).expect("it follows");
+        store.append(entry).expect("the change follows the one before it");
         folder.record_appended(file_id);
         after_each.push((store.position().to_string(), service_states(&store)));
     }
@@ -63,7 +64,7 @@
 
 #[test]
 fn check_folder_accepts_a_recorded_change_log_and_counts_its_contents() {
-    let summary = check_folder(&recorded_log(), 1).expect("it is good");
+    let summary = check_folder(&recorded_log(), 1).expect("the recorded log has no problem");
     assert_eq!(summary.position.to_string(), "2/6 (ecb90e006fa6c2ec)");
     assert_eq!((summary.files, summary.services), (6, 3));
     assert_eq!((summary.resources, summary.tenants), (7, 1));
