--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -107,12 +107,12 @@
         while self.busy.front().is_some_and(|busy| busy.answer_at <= self.now) {
             let BusyConnection { id, reuses, .. } = self.busy.pop_front().expect("busy");
             let keep_alive = self.admission.before_answer(self.now, id);
-            let ends = keep_alive == KeepAlive::Close;
-            self.admission.answer_handed_over(self.now, id, ends);
+            let closes = keep_alive == KeepAlive::Close;
+            self.admission.answer_handed_over(self.now, id, closes);
             if let KeepAlive::CloseOther(other) = keep_alive {
                 self.close(other);
             }
-            match (ends, reuses) {
+            match (closes, reuses) {
                 (true, _) => self.admission.closed(self.now, id),
                 (false, true) => self.reused.push_back(id),
                 (false, false) => self.single_use.push(id),
@@ -254,8 +254,8 @@
     let Arrival::Wait(until) = admission.arrive(now, source(1)) else { panic!("busy") };
     assert_eq!(until, now.plus(Span(100 * MS)));
     now = until;
-    let Arrival::Reject(advice) = admission.arrive(now, source(1)) else { panic!("busy") };
-    assert!(advice > Span(0));
+    let Arrival::Reject(retry_after) = admission.arrive(now, source(1)) else { panic!("busy") };
+    assert!(retry_after > Span(0));
     // A client that arrives after it does not wait again.
     assert!(matches!(admission.arrive(now, source(1)), Arrival::Reject(_)));
     admission.answer_handed_over(now, ids[0], false);
--- a/crates/discovery-schedule/src/backoff.rs
+++ b/crates/discovery-schedule/src/backoff.rs
@@ -39,15 +39,15 @@
 
     /// Records a failed poll and draws the backoff after it. Each failure doubles the longest backoff, unless an
     /// answer is `urgent`.
-    pub(crate) fn record_failure(&mut self, now: Time, longest: Span, urgent: bool) {
+    pub(crate) fn record_failure(&mut self, now: Time, max_backoff: Span, urgent: bool) {
         let jitter = self.rng.rand_float();
-        let longest = longest.as_micros_f64();
-        let longest = match urgent {
-            true => longest,
-            false => longest * f64::from(1u32 << self.failures.min(MAX_DOUBLINGS)),
+        let max_backoff_us = max_backoff.as_micros_f64();
+        let max_backoff_us = match urgent {
+            true => max_backoff_us,
+            false => max_backoff_us * f64::from(1u32 << self.failures.min(MAX_DOUBLINGS)),
         };
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
-        let backoff = longest * (MIN_BACKOFF_FRACTION + JITTER_FRACTION * jitter);
-        self.until = now.plus(Span::from_micros_f64(backoff));
+        let backoff_us = max_backoff_us * (MIN_BACKOFF_FRACTION + JITTER_FRACTION * jitter);
+        self.until = now.plus(Span::from_micros_f64(backoff_us));
     }
 }
--- a/crates/discovery-schedule/src/schedule.rs
+++ b/crates/discovery-schedule/src/schedule.rs
@@ -270,7 +270,7 @@
     fn back_off(&mut self, now: Time) {
         let urgent = self.urgent && self.state(now) == SyncState::Resyncing;
         let timing = &self.timing;
-        let longest = if urgent { timing.max_urgent_backoff } else { timing.max_backoff };
-        self.backoff.record_failure(now, longest, urgent);
+        let max_backoff = if urgent { timing.max_urgent_backoff } else { timing.max_backoff };
+        self.backoff.record_failure(now, max_backoff, urgent);
     }
 }
--- a/crates/discovery-schedule/tests/simulation/main.rs
+++ b/crates/discovery-schedule/tests/simulation/main.rs
@@ -5,7 +5,7 @@
 //! failure reports its seed; `SEED=17 cargo test -p sableloom-discovery-schedule --test simulation` replays it.
 
 mod plan;
-mod world;
+mod simulator;
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use sableloom_types::Span;
 
 use plan::{MS, Plan, S};
-use world::{END, World};
+use simulator::{END, Simulator};
 
 const SEEDS: u64 = 6000;
 /// Events that must happen in at least one schedule.
@@ -40,11 +40,11 @@
     let mut summary = Summary { late: Vec::new(), events: BTreeMap::new() };
     for seed in seeds() {
         let plan = Plan::random(&mut Rand64::new(u128::from(seed)));
-        let world = World::new(plan, seed, &timing).run();
-        for (event, count) in &world.events {
+        let simulator = Simulator::new(plan, seed, &timing).run();
+        for (event, count) in &simulator.events {
             *summary.events.entry(*event).or_default() += count;
         }
-        let lateness = world.greatest_lateness();
+        let lateness = simulator.greatest_lateness();
         if lateness > 0 {
             summary.late.push((seed, lateness));
         }
@@ -69,7 +69,7 @@
 }
 
 /// An earlier timing, with which requests were forwarded to servers whose drain had been announced.
-fn earlier_timing(options: &ScheduleOptions) -> PollTiming {
+fn defective_timing(options: &ScheduleOptions) -> PollTiming {
     let timing = PollTiming::new(options);
     let slack = Span(1500 * MS);
     let backoff = Span(if options.local_agent { 250 * MS } else { S });
@@ -89,9 +89,9 @@
 }
 
 #[test]
-fn the_same_schedules_detect_late_drains_with_the_earlier_timing() {
+fn the_same_schedules_detect_late_drains_with_the_defective_timing() {
     if seeds().len() > 1 {
-        let late = run_all(earlier_timing).late;
+        let late = run_all(defective_timing).late;
         assert!(late.len() > 100, "{}", late.len());
     }
 }
--- a/crates/discovery-schedule/tests/simulation/world.rs
+++ b/crates/discovery-schedule/tests/simulation/simulator.rs
@@ -73,7 +73,7 @@
     schedule: PollSchedule,
     in_flight: Vec<InFlightPoll>,
     /// The number of drains that the balancer knows.
-    known_drains: usize,
+    received_drains: usize,
     /// When the last answer arrived.
     last_answer: i64,
     /// The number of polls that have ended.
@@ -83,7 +83,7 @@
     /// When each drain counts as notified to the balancer.
     notified_at: Vec<i64>,
     /// When the balancer knew of each drain.
-    known_at: Vec<i64>,
+    received_at: Vec<i64>,
 }
 
 impl SimulatedBalancer {
@@ -91,17 +91,17 @@
         Self {
             schedule,
             in_flight: Vec::new(),
-            known_drains: 0,
+            received_drains: 0,
             last_answer: i64::MIN / 2,
             polls_ended: 0,
             poll_lost: false,
             notified_at: vec![i64::MAX; drains],
-            known_at: vec![i64::MAX; drains],
+            received_at: vec![i64::MAX; drains],
         }
     }
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulator {
     plan: Plan,
     now: i64,
     rng: Rand64,
@@ -118,7 +118,7 @@
     pub(crate) events: BTreeMap<&'static str, usize>,
 }
 
-impl World {
+impl Simulator {
     pub(crate) fn new(
         plan: Plan,
         seed: u64,
@@ -136,7 +136,7 @@
             SimulatedBalancer::new(schedule, plan.drains.len())
         });
         let balancers = balancers.collect();
-        let mut world = Self {
+        let mut simulator = Self {
             plan,
             now: 0,
             rng: Rand64::new(u128::from(seed)),
@@ -147,9 +147,9 @@
             drains_begun: 0,
             events: BTreeMap::new(),
         };
-        world.queue_starts();
-        world.queue_plan();
-        world
+        simulator.queue_starts();
+        simulator.queue_plan();
+        simulator
     }
 
     /// Starts all balancers at nearly the same time.
@@ -225,7 +225,7 @@
     /// reached.
     fn lose_poll(&mut self, i: usize) {
         self.balancers[i].poll_lost = true;
-        for drain in self.balancers[i].known_drains..self.drains_begun {
+        for drain in self.balancers[i].received_drains..self.drains_begun {
             let notified = self.plan.available_at(self.plan.drains[drain]) + NOTIFIED_AFTER_FAILURE;
             let before = &mut self.balancers[i].notified_at[drain];
             *before = (*before).min(notified);
@@ -275,8 +275,8 @@
     }
 
     fn handle_poll(&mut self, i: usize, number: u64) {
-        let (now, drains_begun, known) =
-            (self.now, self.drains_begun, self.balancers[i].known_drains);
+        let (now, drains_begun, received) =
+            (self.now, self.drains_begun, self.balancers[i].received_drains);
         let down = self.plan.is_down_at(now);
         let Some(poll) = self.find_poll(i, number) else { return };
         if down {
@@ -285,7 +285,7 @@
         }
         poll.open = true;
         let wait = poll.wait;
-        let at = if drains_begun > known { now } else { now + wait };
+        let at = if drains_begun > received { now } else { now + wait };
         self.queue_event(at, Event::AnswerWritten(i, number));
     }
 
@@ -309,13 +309,13 @@
         }
         let balancer = &mut self.balancers[i];
         balancer.in_flight.clear();
-        let changed = drains_begun > balancer.known_drains;
-        for known_at in
-            &mut balancer.known_at[balancer.known_drains..drains_begun.max(balancer.known_drains)]
+        let changed = drains_begun > balancer.received_drains;
+        for received_at in &mut balancer.received_at
+            [balancer.received_drains..drains_begun.max(balancer.received_drains)]
         {
-            *known_at = self.now;
+            *received_at = self.now;
         }
-        balancer.known_drains = balancer.known_drains.max(drains_begun);
+        balancer.received_drains = balancer.received_drains.max(drains_begun);
         balancer.last_answer = self.now;
         balancer.poll_lost = false;
         self.poll_ended(i, PollOutcome::Answered { changed });
@@ -449,10 +449,11 @@
     pub(crate) fn greatest_lateness(&self) -> i64 {
         let mut greatest = i64::MIN;
         for balancer in &self.balancers {
-            let drains = self.plan.drains.iter().zip(&balancer.notified_at).zip(&balancer.known_at);
-            for ((drain, notified_at), known_at) in drains {
+            let drains =
+                self.plan.drains.iter().zip(&balancer.notified_at).zip(&balancer.received_at);
+            for ((drain, notified_at), received_at) in drains {
                 let notified = (*notified_at).min(self.notified_at_latest(*drain));
-                greatest = greatest.max(known_at.saturating_sub(notified + DRAIN_GRACE));
+                greatest = greatest.max(received_at.saturating_sub(notified + DRAIN_GRACE));
             }
         }
         greatest
--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -9,7 +9,7 @@
 use crate::attempt_context::DispatchAddress;
 
 /// A server that an endpoint list has named.
-struct KnownServer {
+struct ServerRecord {
     name: Box<str>,
     address: SocketAddr,
     /// The address of the server while it accepts new attempts, shared with the attempts.
@@ -22,7 +22,7 @@
 /// addresses.
 #[derive(Default)]
 pub(crate) struct AddressBook {
-    servers: FxHashMap<ServerId, KnownServer>,
+    servers: FxHashMap<ServerId, ServerRecord>,
     ids_by_name: FxHashMap<Box<str>, ServerId>,
     next_id: u32,
 }
@@ -36,16 +36,16 @@
 
 impl AddressBook {
     pub(crate) fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.get(&server).map(|known| known.address)
+        self.servers.get(&server).map(|server| server.address)
     }
 
     pub(crate) fn dispatch_address(&self, server: ServerId) -> Option<&DispatchAddress> {
-        self.servers.get(&server).map(|known| &known.dispatch_address)
+        self.servers.get(&server).map(|server| &server.dispatch_address)
     }
 
     /// Marks all servers as not listed, before the entries of a full list are recorded.
     pub(crate) fn begin_full_list(&mut self) {
-        self.servers.values_mut().for_each(|known| known.listed = false);
+        self.servers.values_mut().for_each(|server| server.listed = false);
     }
 
     /// Records one entry of a list.
@@ -54,25 +54,27 @@
         settings: &DeploymentSettings,
         entry: &ListedEndpoint,
     ) -> RecordedEndpoint {
-        let fresh = ServerId(self.next_id);
-        let id = *self.ids_by_name.entry(entry.id.clone()).or_insert(fresh);
-        if id == fresh {
+        let new_id = ServerId(self.next_id);
+        let id = *self.ids_by_name.entry(entry.id.clone()).or_insert(new_id);
+        if id == new_id {
             self.next_id += 1;
         }
-        let known = self.servers.entry(id).or_insert_with(|| KnownServer {
+        let server = self.servers.entry(id).or_insert_with(|| ServerRecord {
             name: entry.id.clone(),
             address: entry.address,
             dispatch_address: DispatchAddress::default(),
             listed: true,
         });
-        known.listed = entry.status != EndpointStatus::Gone;
-        known.dispatch_address.set((entry.status == EndpointStatus::Live).then_some(entry.address));
-        let address_changed = known.address != entry.address;
-        known.address = entry.address;
+        server.listed = entry.status != EndpointStatus::Gone;
+        server
+            .dispatch_address
+            .set((entry.status == EndpointStatus::Live).then_some(entry.address));
+        let address_changed = server.address != entry.address;
+        server.address = entry.address;
         let endpoint = Endpoint {
             id,
             // The hash is of the name and not of the address, which differs from one balancer to the next.
-            name_hash: stable_hash(&known.name),
+            name_hash: stable_hash(&server.name),
             zone: index_of(&settings.zones, &entry.zone),
             machine_type: index_of(&settings.machine_types, &entry.machine_type),
             cell: entry.cell,
@@ -85,10 +87,10 @@
 
     /// Withdraws the dispatch addresses of the servers that the current list does not contain, and returns their ids.
     pub(crate) fn withdraw_unlisted(&self) -> Vec<ServerId> {
-        let unlisted = self.servers.iter().filter(|(_, known)| !known.listed);
+        let unlisted = self.servers.iter().filter(|(_, server)| !server.listed);
         unlisted
-            .map(|(id, known)| {
-                known.dispatch_address.set(None);
+            .map(|(id, server)| {
+                server.dispatch_address.set(None);
                 *id
             })
             .collect()
@@ -96,17 +98,17 @@
 
     /// Forgets the servers that are neither listed nor `in_use`, and returns their ids. Without this the address book
     /// would grow without bound, as new servers keep appearing over a long run.
-    pub(crate) fn forget_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
-        let mut forgotten = Vec::new();
-        self.servers.retain(|id, known| {
-            let keep = known.listed || in_use(*id);
+    pub(crate) fn remove_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
+        let mut removed = Vec::new();
+        self.servers.retain(|id, server| {
+            let keep = server.listed || in_use(*id);
             if !keep {
-                self.ids_by_name.remove(&known.name);
-                forgotten.push(*id);
+                self.ids_by_name.remove(&server.name);
+                removed.push(*id);
             }
             keep
         });
-        forgotten
+        removed
     }
 }
 
--- a/crates/exchange/src/attempt.rs
+++ b/crates/exchange/src/attempt.rs
@@ -15,7 +15,7 @@
     pub(crate) number: usize,
     pub(crate) server: ServerId,
     /// When the policy decided to forward the request.
-    pub(crate) sent: Instant,
+    pub(crate) forwarded_at: Instant,
     /// The context for the transport; `None` if the server accepted no new attempts when this one was decided.
     pub(crate) context: Option<Rc<AttemptContext>>,
     /// True until it is proven that the attempt was not executed.
--- a/crates/exchange/src/attempt_run.rs
+++ b/crates/exchange/src/attempt_run.rs
@@ -8,7 +8,7 @@
 use crate::attempt::Attempt;
 use crate::open_requests::OpenRequest;
 use crate::outcome::AttemptEnd;
-use crate::ports::{AttemptOutcome, Transport};
+use crate::traits::{AttemptOutcome, Transport};
 
 /// An attempt that reports exactly one outcome to `report`. If its task panics, it reports a lost connection, so that
 /// the request counts as possibly executed if it was written completely.
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -24,10 +24,10 @@
 use crate::message::{Message, Reply, RequestContext, RequestRejection};
 use crate::open_requests::{OpenRequest, OpenRequests};
 use crate::outcome::{self, AttemptEnd};
-use crate::ports::{
+use crate::reply_future::ReplyFuture;
+use crate::traits::{
     AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
-use crate::reply_future::ReplyFuture;
 
 /// The expiry of the share of the servers that was proven to belong to this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 struct State {
     balancer: Balancer,
-    share_expires: Option<ShareExpiry>,
+    share_expiry: Option<ShareExpiry>,
     requests: OpenRequests,
     endpoints: AddressBook,
     idle: IdleState,
@@ -84,7 +84,7 @@
         let now = clock.now();
         let state = State {
             balancer: Balancer::new(settings.policy_settings(), seed, now)?,
-            share_expires: None,
+            share_expiry: None,
             requests: OpenRequests::default(),
             endpoints: AddressBook::default(),
             idle: IdleState::new(&settings, now),
@@ -112,12 +112,12 @@
     }
 
     /// Sets the number of balancers that share the servers, and when that number expires.
-    pub fn set_balancers(&self, balancers: u32, expires: Option<ShareExpiry>) {
+    pub fn set_balancers(&self, balancers: u32, expiry: Option<ShareExpiry>) {
         let mut state = self.state.borrow_mut();
         // The previous share may have expired while the pool was idle, during which its expiry is not checked.
         state.expire_share(self.clock.now());
         state.balancer.set_balancers(balancers);
-        state.share_expires = expires;
+        state.share_expiry = expiry;
     }
 
     /// Whether the pool is idle, in which case none of its timers runs.
@@ -202,8 +202,9 @@
     ) {
         let Some(request) = state.requests.get(id) else { return };
         let Some(dispatch_address) = state.endpoints.dispatch_address(server) else { return };
-        let limit = request.deadline;
-        let deadline = if timeout.0 == 0 { limit } else { limit.min(now.plus(timeout)) };
+        let request_deadline = request.deadline;
+        let deadline =
+            if timeout.0 == 0 { request_deadline } else { request_deadline.min(now.plus(timeout)) };
         let deadline = self.clock.instant_of(deadline);
         let (message, finished) = (request.message.clone(), request.finished.clone());
         let context = AttemptContext::new(message, server, dispatch_address, deadline, finished);
@@ -211,7 +212,7 @@
         let attempt = Rc::new(Attempt {
             number: request.attempts.borrow().len(),
             server,
-            sent: self.clock.instant_of(now),
+            forwarded_at: self.clock.instant_of(now),
             context: context.map(|context| Rc::new(context.complete_before(window_end))),
             may_have_executed: Cell::new(true),
             cancel: Notify::new(),
@@ -302,7 +303,7 @@
         if attempt_outcome.ended == AttemptEnd::NotStarted && request.message.client_is_gone() {
             self.client_disconnected(id);
         }
-        let latency = Span(attempt.sent.elapsed().as_micros() as i64);
+        let latency = Span(attempt.forwarded_at.elapsed().as_micros() as i64);
         if outcome == Outcome::Ok {
             let answer = attempt_outcome.answer.unwrap_or_default();
             self.send_final_answer(&mut self.state.borrow_mut(), id, Reply::Served(answer));
@@ -371,9 +372,9 @@
     }
 
     /// Forgets the servers that are not listed and that the policy has forgotten.
-    fn forget_departed(&self) {
+    fn remove_unlisted(&self) {
         let state = &mut *self.state.borrow_mut();
-        for server in state.endpoints.forget_unlisted(|server| state.balancer.has_server(server)) {
+        for server in state.endpoints.remove_unlisted(|server| state.balancer.has_server(server)) {
             self.transport.forget(server);
         }
     }
@@ -384,7 +385,7 @@
     /// rather than by a timer, because a process that was stopped and resumed may receive a request before any of its
     /// timers fires.
     fn expire_share(&mut self, now: Time) {
-        if let Some(expiry) = self.share_expires.take_if(|expiry| now >= expiry.at) {
+        if let Some(expiry) = self.share_expiry.take_if(|expiry| now >= expiry.at) {
             self.balancer.set_balancers(expiry.balancers_after);
         }
     }
@@ -442,7 +443,7 @@
         self.with_policy(|balancer, now, actions| {
             balancer.update_endpoints(now, kind, &endpoints, actions);
         });
-        self.forget_departed();
+        self.remove_unlisted();
     }
 }
 
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -24,7 +24,7 @@
 //! | `outcome` | whether an attempt may have been executed |
 //! | `address_book` | ids and addresses of the servers |
 //! | `idle` | when a pool without requests is idle and its timers stop |
-//! | `fields`, `message`, `ports` | requests and answers independent of protocols, and the traits between protocols and the crate |
+//! | `fields`, `message`, `traits` | requests and answers independent of protocols, and the traits between protocols and the crate |
 //!
 //! ```
 //! use sableloom_exchange::outcome::{AttemptEnd, AttemptFacts, classify};
@@ -49,17 +49,17 @@
 mod message;
 mod open_requests;
 pub mod outcome;
-mod ports;
 mod reply_future;
 mod task;
+mod traits;
 
 pub use attempt_context::{AttemptConnection, AttemptContext, DispatchAddress};
 pub use clock::{Clock, duration_of};
 pub use exchange::{Exchange, ExchangeOptions, ShareExpiry, longest_deadline};
 pub use fields::Fields;
 pub use message::{Answer, Client, Message, Reply, RequestContext, RequestRejection};
-pub use ports::{
-    AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
-};
 pub use sableloom_types::ListedEndpoint;
 pub use task::Task;
+pub use traits::{
+    AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
+};
--- a/crates/exchange/src/open_requests.rs
+++ b/crates/exchange/src/open_requests.rs
@@ -40,7 +40,11 @@
     /// When the first attempt that may have been executed was forwarded.
     pub(crate) fn first_possible_execution(&self) -> Option<Instant> {
         let attempts = self.attempts.borrow();
-        attempts.iter().filter(|attempt| attempt.may_have_executed.get()).map(|a| a.sent).min()
+        attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_executed.get())
+            .map(|a| a.forwarded_at)
+            .min()
     }
 
     /// Whether the request was never forwarded.
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -32,7 +32,7 @@
 
 /// Answers each attempt, later for a server of a higher number, and records the server and the start time.
 #[derive(Default)]
-struct CountingTransport {
+struct RecordingTransport {
     /// The server of each attempt, and when the attempt started after `epoch`.
     started: RefCell<Vec<(ServerId, Duration)>>,
     epoch: Option<Instant>,
@@ -40,13 +40,13 @@
     silent: bool,
 }
 
-impl Transport for CountingTransport {
+impl Transport for RecordingTransport {
     fn attempt(self: Rc<Self>, context: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
         Box::pin(async move {
             if !context.may_send_first_byte() {
                 return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             }
-            context.set_connection(Rc::new(WrittenConnection));
+            context.set_connection(Rc::new(FullyWrittenConnection));
             let started_at = self.epoch.map_or(Duration::ZERO, |epoch| epoch.elapsed());
             self.started.borrow_mut().push((context.server, started_at));
             if self.silent {
@@ -68,9 +68,9 @@
 }
 
 /// A connection to which all bytes were written.
-struct WrittenConnection;
+struct FullyWrittenConnection;
 
-impl AttemptConnection for WrittenConnection {
+impl AttemptConnection for FullyWrittenConnection {
     fn fully_written(&self) -> bool {
         true
     }
@@ -98,7 +98,7 @@
     (0..n).map(|i| endpoint(i, PORT, EndpointStatus::Live, 0.0)).collect()
 }
 
-fn start(clock: Clock, registry: &str, transport: &Rc<CountingTransport>) -> Rc<Exchange> {
+fn start(clock: Clock, registry: &str, transport: &Rc<RecordingTransport>) -> Rc<Exchange> {
     let settings = Rc::new(settings(registry));
     let (transport, source) = (transport.clone(), Rc::new(SilentSource));
     Exchange::start(ExchangeOptions { settings, seed: 1, clock, transport, source })
@@ -132,7 +132,7 @@
 #[test]
 fn three_hundred_idle_pools_have_no_timer_and_no_task() {
     run_simulated(async {
-        let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
+        let (clock, transport) = (Clock::anchored_at(0), Rc::new(RecordingTransport::default()));
         let pools: Vec<_> = (0..300).map(|_| start(clock, "automatic", &transport)).collect();
         pools.iter().for_each(|pool| report_full_list(pool, warm_servers(20)));
         assert!(pools.iter().all(|pool| !pool.is_idle()), "the timers of all pools run at first");
@@ -157,7 +157,7 @@
 fn a_pool_is_not_idle_while_a_server_is_in_slow_start() {
     run_simulated(async {
         let (clock, transport) =
-            (Clock::anchored_at(1_000_000_000), Rc::new(CountingTransport::default()));
+            (Clock::anchored_at(1_000_000_000), Rc::new(RecordingTransport::default()));
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(3));
         sleep(TIME_TO_IDLE).await;
@@ -185,7 +185,8 @@
 fn a_pool_with_an_open_request_is_not_idle_however_long_the_request_waits() {
     run_simulated(async {
         let clock = Clock::anchored_at(0);
-        let transport = Rc::new(CountingTransport { silent: true, ..CountingTransport::default() });
+        let transport =
+            Rc::new(RecordingTransport { silent: true, ..RecordingTransport::default() });
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(1));
         let waiting = spawn_local(send_with_deadline(&pool, clock, 1, 10 * DEADLINE_MS));
@@ -203,7 +204,7 @@
 fn a_pool_that_polls_for_its_list_is_never_idle() {
     run_simulated(async {
         let pool =
-            start(Clock::anchored_at(0), "subscribe", &Rc::new(CountingTransport::default()));
+            start(Clock::anchored_at(0), "subscribe", &Rc::new(RecordingTransport::default()));
         report_full_list(&pool, warm_servers(3));
         sleep(20 * TIME_TO_IDLE).await;
         assert!(!pool.is_idle());
@@ -213,7 +214,7 @@
 #[test]
 fn a_server_that_drains_while_its_pool_is_idle_gets_no_request() {
     run_simulated(async {
-        let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
+        let (clock, transport) = (Clock::anchored_at(0), Rc::new(RecordingTransport::default()));
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(2));
         sleep(TIME_TO_IDLE).await;
@@ -241,9 +242,9 @@
     let result = outcome.clone();
     run_simulated(async move {
         let clock = Clock::anchored_at(0);
-        let transport = Rc::new(CountingTransport {
+        let transport = Rc::new(RecordingTransport {
             epoch: Some(Instant::now()),
-            ..CountingTransport::default()
+            ..RecordingTransport::default()
         });
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(4));
@@ -252,8 +253,8 @@
             drop(spawn_local(send(&pool, clock, id)));
         }
         if share_expires {
-            let ends = clock.now().plus(Span(idle.as_micros() as i64 / 2));
-            pool.set_balancers(2, Some(ShareExpiry { at: ends, balancers_after: 40 }));
+            let expires_at = clock.now().plus(Span(idle.as_micros() as i64 / 2));
+            pool.set_balancers(2, Some(ShareExpiry { at: expires_at, balancers_after: 40 }));
         }
         for ms in 0..idle.as_millis() {
             if share_expires && ms == idle.as_millis() - 20 {
--- a/crates/exchange/tests/simulation/main.rs
+++ b/crates/exchange/tests/simulation/main.rs
@@ -9,18 +9,18 @@
 //!
 //! A failure reports its seed; `SEED=17 cargo test -p sableloom-exchange --test simulation` replays it.
 
+mod recorder;
 mod schedule;
 #[path = "../support/mod.rs"]
 mod support;
 mod transport;
-mod world;
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use tokio::task::LocalSet;
 
-use world::World;
+use recorder::Recorder;
 
 const SEEDS: u64 = 3000;
 /// The number of paths that attempts can take, plus one for idle pools.
@@ -35,18 +35,18 @@
     let mut paths = BTreeMap::new();
     let mut failed = Vec::new();
     for seed in seeds {
-        let world = Rc::new(World::default());
+        let recorder = Rc::new(Recorder::default());
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
             .build()
             .expect("a runtime");
-        LocalSet::new().block_on(&runtime, schedule::run(seed, world.clone()));
-        for (path, count) in world.paths.borrow().iter() {
+        LocalSet::new().block_on(&runtime, schedule::run(seed, recorder.clone()));
+        for (path, count) in recorder.paths.borrow().iter() {
             *paths.entry(*path).or_insert(0) += count;
         }
-        if !world.violations.borrow().is_empty() {
-            failed.push(format!("seed {seed}: {}", world.violations.borrow().join("; ")));
+        if !recorder.violations.borrow().is_empty() {
+            failed.push(format!("seed {seed}: {}", recorder.violations.borrow().join("; ")));
         }
     }
     let _ = std::panic::take_hook();
--- a/crates/exchange/tests/simulation/world.rs
+++ b/crates/exchange/tests/simulation/recorder.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 #[derive(Default)]
-pub(crate) struct World {
+pub(crate) struct Recorder {
     /// How often each request was executed.
     pub(crate) executions: RefCell<BTreeMap<Bytes, u32>>,
     /// When each keyed request was first executed.
@@ -21,7 +21,7 @@
     pub(crate) paths: RefCell<BTreeMap<&'static str, usize>>,
 }
 
-impl World {
+impl Recorder {
     pub(crate) fn count_path(&self, path: &'static str) {
         *self.paths.borrow_mut().entry(path).or_default() += 1;
     }
--- a/crates/exchange/tests/simulation/schedule.rs
+++ b/crates/exchange/tests/simulation/schedule.rs
@@ -16,9 +16,9 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::recorder::Recorder;
 use crate::support::{SilentSource, endpoint, message};
 use crate::transport::FaultyTransport;
-use crate::world::World;
 
 const DEADLINE_MS: i64 = 400;
 /// How long servers recognize a retry of a keyed request, in milliseconds.
@@ -63,8 +63,8 @@
     endpoint(number as u8, 9000 + address_changes, status, 0.0)
 }
 
-pub(crate) async fn run(seed: u64, world: Rc<World>) {
-    let mut schedule = Schedule::new(seed, world);
+pub(crate) async fn run(seed: u64, recorder: Rc<Recorder>) {
+    let mut schedule = Schedule::new(seed, recorder);
     let mut clients = Vec::new();
     for number in 0..REQUESTS {
         sleep(Duration::from_micros(schedule.random_below(25_000))).await;
@@ -78,7 +78,7 @@
     }
     for client in clients {
         if let Err(e) = client.await {
-            schedule.world.record_violation(format!("a client task failed: {e}"));
+            schedule.recorder.record_violation(format!("a client task failed: {e}"));
         }
     }
     // Attempts that are still in flight end in this time, and must not break a rule either.
@@ -89,7 +89,7 @@
 struct Schedule {
     rng: Rand64,
     clock: Clock,
-    world: Rc<World>,
+    recorder: Rc<Recorder>,
     exchange: Rc<Exchange>,
     servers: u64,
     address_changes: u16,
@@ -97,20 +97,20 @@
 }
 
 impl Schedule {
-    fn new(seed: u64, world: Rc<World>) -> Self {
+    fn new(seed: u64, recorder: Rc<Recorder>) -> Self {
         let mut rng = Rand64::new(u128::from(seed) + 1);
         let clock = Clock::new();
         let options = ExchangeOptions {
             settings: Rc::new(settings()),
             seed,
             clock,
-            transport: Rc::new(FaultyTransport::new(seed, world.clone())),
+            transport: Rc::new(FaultyTransport::new(seed, recorder.clone())),
             source: Rc::new(SilentSource),
         };
         let exchange = Exchange::start(options).expect("an exchange");
         let servers = 1 + rng.rand_range(0..4);
         let schedule =
-            Self { rng, clock, world, exchange, servers, address_changes: 0, idle_periods: 0 };
+            Self { rng, clock, recorder, exchange, servers, address_changes: 0, idle_periods: 0 };
         let list = (0..servers).map(|number| server(number, 0, EndpointStatus::Live)).collect();
         schedule.report_list(ListKind::Full, list);
         schedule
@@ -127,7 +127,7 @@
 
     fn report_list(&self, kind: ListKind, entries: Vec<ListedEndpoint>) {
         for entry in &entries {
-            let mut live = self.world.live_servers.borrow_mut();
+            let mut live = self.recorder.live_servers.borrow_mut();
             match entry.status {
                 EndpointStatus::Live => live.insert(entry.id.clone(), entry.address),
                 _ => live.remove(&entry.id),
@@ -167,7 +167,7 @@
                 client.connected.set(false);
             });
         }
-        let (exchange, world) = (self.exchange.clone(), self.world.clone());
+        let (exchange, recorder) = (self.exchange.clone(), self.recorder.clone());
         spawn_local(async move {
             let (sent, _connected) = (Instant::now(), client);
             let wait = exchange.call(context, message).expect("a new id");
@@ -176,26 +176,27 @@
                 return;
             }
             let reply = wait.await;
-            check_reply(&world, &id, idempotency, &reply, sent.elapsed());
+            check_reply(&recorder, &id, idempotency, &reply, sent.elapsed());
         })
     }
 
     fn check_end(&self) {
         if self.idle_periods > 0 {
-            *self.world.paths.borrow_mut().entry("idle").or_default() += self.idle_periods;
+            *self.recorder.paths.borrow_mut().entry("idle").or_default() += self.idle_periods;
         }
         if !self.exchange.is_idle() {
-            self.world.record_violation("the pool is not idle at the end".into());
+            self.recorder.record_violation("the pool is not idle at the end".into());
         }
         if self.exchange.open_requests() > 0 {
-            self.world.record_violation(format!(
+            self.recorder.record_violation(format!(
                 "{} requests are still open",
                 self.exchange.open_requests()
             ));
         }
-        for (id, times) in self.world.executions.borrow().iter().filter(|(_, times)| **times > 1) {
+        for (id, times) in self.recorder.executions.borrow().iter().filter(|(_, times)| **times > 1)
+        {
             if id.starts_with(b"redeem") {
-                self.world.record_violation(format!(
+                self.recorder.record_violation(format!(
                     "{id:?} is not idempotent and was executed {times} times"
                 ));
             }
@@ -204,26 +205,27 @@
 }
 
 fn check_reply(
-    world: &World,
+    recorder: &Recorder,
     id: &Bytes,
     idempotency: Idempotency,
     reply: &Reply,
     latency: Duration,
 ) {
-    let executions = world.executions.borrow().get(id).copied().unwrap_or(0);
+    let executions = recorder.executions.borrow().get(id).copied().unwrap_or(0);
     // The answer is due by the deadline, plus a margin for a tick of the policy's clock.
     if latency > Duration::from_millis(DEADLINE_MS as u64 + 20) {
-        world.record_violation(format!("{id:?} was answered after {latency:?}"));
+        recorder.record_violation(format!("{id:?} was answered after {latency:?}"));
     }
     match reply {
         Reply::Served(answer) if answer.body != *id => {
-            world.record_violation(format!("{id:?} got the answer of {:?}", answer.body));
+            recorder.record_violation(format!("{id:?} got the answer of {:?}", answer.body));
         }
         Reply::Served(_) if executions == 0 => {
-            world.record_violation(format!("{id:?} was answered and never executed"));
+            recorder.record_violation(format!("{id:?} was answered and never executed"));
         }
         Reply::Rejected(_) if idempotency == Idempotency::NonIdempotent && executions > 0 => {
-            world.record_violation(format!("{id:?} was executed {executions} times and rejected"));
+            recorder
+                .record_violation(format!("{id:?} was executed {executions} times and rejected"));
         }
         _ => {}
     }
--- a/crates/exchange/tests/simulation/transport.rs
+++ b/crates/exchange/tests/simulation/transport.rs
@@ -14,8 +14,8 @@
 use sableloom_types::{Idempotency, LoadReport, ServerId};
 use tokio::time::{Instant, sleep};
 
+use crate::recorder::Recorder;
 use crate::schedule::DEDUP_WINDOW_MS;
-use crate::world::World;
 
 /// A connection that records whether the request was written completely.
 struct SimulatedConnection {
@@ -30,12 +30,12 @@
 
 pub(crate) struct FaultyTransport {
     rng: RefCell<Rand64>,
-    world: Rc<World>,
+    recorder: Rc<Recorder>,
 }
 
 impl FaultyTransport {
-    pub(crate) fn new(seed: u64, world: Rc<World>) -> Self {
-        Self { rng: RefCell::new(Rand64::new(u128::from(seed) << 32 | 5)), world }
+    pub(crate) fn new(seed: u64, recorder: Rc<Recorder>) -> Self {
+        Self { rng: RefCell::new(Rand64::new(u128::from(seed) << 32 | 5)), recorder }
     }
 
     fn random_below(&self, bound: u64) -> u64 {
@@ -54,7 +54,7 @@
             return AttemptOutcome::without_answer(ended);
         }
         if self.random_below(8) == 0 {
-            self.world.count_path("stated that it was not executed");
+            self.recorder.count_path("stated that it was not executed");
             self.pause(5).await;
             let ended = match self.random_below(2) {
                 0 => AttemptEnd::UnusableAnswer,
@@ -71,11 +71,11 @@
         self.pause(10).await;
         match self.random_below(10) {
             0 => {
-                self.world.count_path("connect failed");
+                self.recorder.count_path("connect failed");
                 Err(AttemptEnd::ConnectFailed)
             }
             1 => {
-                self.world.count_path("connect never ended");
+                self.recorder.count_path("connect never ended");
                 pending().await
             }
             _ => Ok(()),
@@ -85,17 +85,17 @@
     /// Sends the request, and checks at its first byte that it may be sent.
     async fn write(&self, context: &AttemptContext) -> Result<(), AttemptEnd> {
         if !context.may_send_first_byte() {
-            self.world.count_path("finished before it started");
+            self.recorder.count_path("finished before it started");
             return Err(AttemptEnd::NotStarted);
         }
         let id = &context.message.id;
         if context.message.client_is_gone() {
-            self.world
+            self.recorder
                 .record_violation(format!("{id:?} started for a client that had disconnected"));
         }
-        if !self.world.live_servers.borrow().values().any(|at| *at == context.address) {
+        if !self.recorder.live_servers.borrow().values().any(|at| *at == context.address) {
             let (address, server) = (context.address, context.server);
-            self.world.record_violation(format!(
+            self.recorder.record_violation(format!(
                 "{id:?} started at {address} of {server:?}, where no server accepts requests"
             ));
         }
@@ -106,12 +106,12 @@
             self.pause(30).await;
         }
         if self.random_below(12) == 0 {
-            self.world.count_path("connection lost before it was complete");
+            self.recorder.count_path("connection lost before it was complete");
             return Err(AttemptEnd::ConnectionLost);
         }
         if !context.may_send_more() {
             // A real connection checks this before each byte; a request that was started stays incomplete.
-            self.world.count_path("finished before it was complete");
+            self.recorder.count_path("finished before it was complete");
             return Err(AttemptEnd::ConnectionLost);
         }
         connection.fully_written.set(true);
@@ -120,40 +120,40 @@
 
     fn execute(&self, context: &AttemptContext) {
         let id = &context.message.id;
-        *self.world.executions.borrow_mut().entry(id.clone()).or_default() += 1;
+        *self.recorder.executions.borrow_mut().entry(id.clone()).or_default() += 1;
         if context.message.idempotency != Idempotency::Keyed {
             return;
         }
         let now = Instant::now();
-        let first = *self.world.first_execution.borrow_mut().entry(id.clone()).or_insert(now);
+        let first = *self.recorder.first_execution.borrow_mut().entry(id.clone()).or_insert(now);
         if now > first + Duration::from_millis(DEDUP_WINDOW_MS) {
             let after = now - first;
-            self.world.record_violation(format!("{id:?} was executed again after {after:?}"));
+            self.recorder.record_violation(format!("{id:?} was executed again after {after:?}"));
         }
         if now > first {
-            self.world.count_path("retried within its window");
+            self.recorder.count_path("retried within its window");
         }
     }
 
     async fn answer(&self, context: &AttemptContext) -> AttemptOutcome {
         match self.random_below(10) {
             0 => {
-                self.world.count_path("executed and failed");
+                self.recorder.count_path("executed and failed");
                 AttemptOutcome::without_answer(AttemptEnd::UnusableAnswer)
             }
             1 => {
-                self.world.count_path("executed and connection lost");
+                self.recorder.count_path("executed and connection lost");
                 AttemptOutcome::without_answer(AttemptEnd::ConnectionLost)
             }
             2 => {
-                self.world.count_path("executed without an answer");
+                self.recorder.count_path("executed without an answer");
                 pending().await
             }
             3 if context.message.idempotency == Idempotency::Idempotent => {
                 panic!("a fault of the transport")
             }
             _ => {
-                self.world.count_path("answered");
+                self.recorder.count_path("answered");
                 let answer = Answer { body: context.message.id.clone(), ..Answer::default() };
                 AttemptOutcome {
                     answer: Some(answer),
