--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! The facade: it takes the events of connections and returns decisions.
+//! The facade: it receives the events of connections and returns decisions.
 
 use std::net::IpAddr;
 
@@ -14,12 +14,12 @@
 
 /// The interval at which [`Admission::tick`] is to be called.
 pub const TICK_INTERVAL: Span = Span(250_000);
-/// The least number of slots to which a lack of descriptors lowers the limit.
+/// A lack of descriptors lowers the limit to no fewer slots than this.
 const MIN_LIMIT: usize = 8;
 /// A lack of descriptors lowers the limit by the slots in use divided by this, by one slot at least.
 const SHED_DIVISOR: usize = 16;
 /// While other connections are closing, a new connection is not closed for this long, so that its client can send
-/// something. Closing a connection takes as long.
+/// something. Closing a connection may take this long.
 const NEW_CONNECTION_GRACE: Span = Span(500_000);
 /// The least Retry-After of a rejected client.
 const MIN_RETRY_AFTER: Span = Span(50_000);
@@ -27,8 +27,8 @@
 /// and short enough to learn a new set of clients within some seconds.
 const OBSERVATION_DECAY_S: f64 = 10.0;
 /// The connection that is being answered is closed if its value is at most this many times the least value of an idle
-/// connection. A close that is announced with an answer crosses no request of the client, whereas the close of an
-/// idle connection may cross one.
+/// connection. A close that an answer announces does not coincide with a new request, whereas the client may send a
+/// request while the close of its idle connection is under way.
 const MAX_ANSWERED_VALUE_RATIO: f64 = 1.25;
 /// The weight of each new busy time in the moving mean of busy times.
 const BUSY_TIME_GAIN: f64 = 0.05;
@@ -62,13 +62,13 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     bounds: Bounds,
-    /// The slots that may be used now: fewer than [`Bounds::max_connections`] after a lack of descriptors.
+    /// The number of slots that may be used now: fewer than [`Bounds::max_connections`] after a lack of descriptors.
     limit: usize,
     table: ConnectionTable,
     estimates: HazardEstimates,
     headroom: Headroom,
     last_tick: Time,
-    /// Since when all slots are busy and a client waits.
+    /// Since when all slots have been busy and a client has waited.
     full_since: Option<Time>,
     /// The mean time for which a request keeps its connection busy, in microseconds.
     mean_busy_time: f64,
@@ -101,7 +101,7 @@
         self.table.len()
     }
 
-    /// The slots that may be used now.
+    /// The number of slots that may be used now.
     pub fn limit(&self) -> usize {
         self.limit
     }
@@ -135,8 +135,7 @@
         mean.min(self.bounds.max_retry_after)
     }
 
-    /// Reports that bytes have arrived and are not read yet. Until they are read, the connection is not closed to
-    /// make room.
+    /// Reports that bytes have arrived and are not read yet. Until they are read, the connection is not evicted.
     pub fn bytes_waiting(&mut self, now: Time, id: ConnectionId) {
         self.cancel_close(now, id);
         self.table.update(id, |connection| connection.has_unread_bytes = true);
@@ -185,7 +184,7 @@
     pub fn before_answer(&mut self, now: Time, id: ConnectionId) -> KeepAlive {
         let Some(connection) = self.table.get(id) else { return KeepAlive::Close };
         let kind = WaitKind::idle_after(connection.answers + 1);
-        // The connection itself counts as busy until it is idle.
+        // This connection is not counted as busy, because it is about to be idle.
         let busy = self.table.busy() - usize::from(connection.stage == Stage::Busy);
         if self.table.idle() < self.max_idle(busy) {
             return KeepAlive::Keep;
@@ -241,7 +240,7 @@
         }
     }
 
-    /// Reports that the end of a connection was announced to the client, or by the client if `by_client`.
+    /// Reports that the balancer has begun to close a connection, or the client if `by_client`.
     pub fn close_started(&mut self, now: Time, id: ConnectionId, by_client: bool) {
         let Some(connection) = self.table.get(id).copied() else { return };
         if let Stage::Waiting(kind) = connection.stage {
@@ -258,7 +257,7 @@
     }
 
     /// Reports that the system has no descriptor for a new connection, so that fewer slots are used for a while.
-    /// Returns the connections to close to make room.
+    /// Returns the connections to close, so that their descriptors become free.
     pub fn out_of_descriptors(&mut self, now: Time) -> Vec<Release> {
         let connections = self.table.len();
         let fewer = connections - (connections / SHED_DIVISOR).max(1).min(connections);
@@ -318,7 +317,7 @@
     /// The timeout that a connection has exceeded, if any.
     fn timeout_of(&self, now: Time, connection: &Connection) -> Option<ReleaseReason> {
         if let Some(since) = connection.blocked_since {
-            // This timeout also applies while a request is busy, because its answer could not be written.
+            // This timeout also applies to a busy connection, because its answer could not be written.
             let exceeded = now.since(since) > self.bounds.write_timeout;
             return exceeded.then_some(ReleaseReason::WriteTimeout);
         }
--- a/crates/admission/src/bounds.rs
+++ b/crates/admission/src/bounds.rs
@@ -1,14 +1,14 @@
-//! The limits within which admission decides.
+//! The limits and timeouts that admission applies.
 
 use sableloom_types::Span;
 
-/// The limits within which admission decides.
+/// The numbers of connections and the timeouts that admission applies.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The largest number of connections.
     pub max_connections: usize,
-    /// The largest number of connections that clients with requests can hold, if their number is bounded lower on the
-    /// clients' side.
+    /// The largest number of connections on which clients can send requests. It is less than `max_connections` if the
+    /// clients themselves open fewer.
     pub max_client_connections: usize,
     /// A request must be complete this long after its first byte, and on a new connection after the accept.
     pub request_timeout: Span,
--- a/crates/admission/src/connection.rs
+++ b/crates/admission/src/connection.rs
@@ -41,11 +41,11 @@
     Waiting(WaitKind),
     /// The request is complete, and its answer has not been handed over to be written.
     Busy,
-    /// The end of the connection was announced to the client or by the client.
+    /// The balancer or the client has begun to close the connection.
     Closing,
 }
 
-/// What admission knows of one connection.
+/// The state of one connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Connection {
     pub(crate) source: IpAddr,
@@ -64,7 +64,7 @@
 }
 
 impl Connection {
-    /// Whether the connection may be closed to make room for others, as far as its stage allows it.
+    /// Whether the connection may be evicted in a stage that allows eviction.
     pub(crate) fn is_evictable(&self) -> bool {
         self.blocked_since.is_none() && !self.has_unread_bytes
     }
@@ -81,7 +81,7 @@
     Idle,
     /// The request is complete, and its answer has not been handed over to be written.
     Busy,
-    /// The end of the connection was announced to the client or by the client.
+    /// The balancer or the client has begun to close the connection.
     Closing,
 }
 
--- a/crates/admission/src/connection_table.rs
+++ b/crates/admission/src/connection_table.rs
@@ -25,6 +25,7 @@
     evictable: EvictableConnections,
     by_source: FxHashMap<IpAddr, SourceConnections>,
     sources_by_count: BTreeSet<(usize, IpAddr)>,
+    /// The number of busy connections.
     busy: usize,
 }
 
@@ -78,7 +79,7 @@
         self.busy
     }
 
-    /// The number of idle connections that could be closed.
+    /// The number of idle connections that may be evicted.
     pub(crate) fn idle(&self) -> usize {
         WaitKind::IDLE.iter().map(|kind| self.evictable.waiting(*kind).len()).sum()
     }
@@ -101,9 +102,13 @@
         self.add_to_sets(id, connection);
     }
 
-    /// Returns the connection to close to make room for a new one from `source`. It is a connection that is closing,
-    /// if there is one. Otherwise it is the least valuable connection of a source that holds more than its even share
-    /// of `limit` slots, of `source` itself if that is such a source. Otherwise it is the least valuable of all.
+    /// Returns the connection to evict for a new one from `source`, the first of these that exists:
+    ///
+    /// - a connection that is closing;
+    /// - the least valuable connection of `source`, if the new connection would take it over its even share of the
+    ///   `limit` slots;
+    /// - the least valuable connection of a source that is over its even share, those with the most connections first;
+    /// - the least valuable of all connections.
     pub(crate) fn eviction_candidate(
         &self,
         now: Time,
@@ -160,7 +165,7 @@
         }
     }
 
-    /// The sets of all connections, and those of one source.
+    /// The sets of all connections, and those of the connections from `source`.
     fn sets_of(&mut self, source: IpAddr) -> impl Iterator<Item = &mut EvictableConnections> {
         let of_source = self.by_source.get_mut(&source).map(|source| &mut source.evictable);
         [Some(&mut self.evictable), of_source].into_iter().flatten()
--- a/crates/admission/src/decisions.rs
+++ b/crates/admission/src/decisions.rs
@@ -9,7 +9,7 @@
 pub enum Arrival {
     /// The connection has a slot, under this id.
     Admitted(ConnectionId),
-    /// This connection has to make room. The caller closes it and calls [`closed`], or reports why it can't be closed
+    /// This connection is to be evicted. The caller closes it and calls [`closed`], or reports why it can't be closed
     /// ([`bytes_waiting`], [`write_blocked`]); then it calls [`arrive`] again.
     ///
     /// [`arrive`]: crate::Admission::arrive
@@ -17,8 +17,8 @@
     /// [`bytes_waiting`]: crate::Admission::bytes_waiting
     /// [`write_blocked`]: crate::Admission::write_blocked
     Evict(ConnectionId),
-    /// All slots are busy. The caller calls [`Admission::arrive`](crate::Admission::arrive) again when anything has
-    /// changed, or at this time.
+    /// All slots are busy. The caller calls [`Admission::arrive`](crate::Admission::arrive) again after any other
+    /// event, or at this time.
     Wait(Time),
     /// All slots have been busy for too long. The client is rejected with this Retry-After.
     Reject(Span),
@@ -33,7 +33,7 @@
     RequestTimeout,
     /// The client accepted none of its answer within the write timeout.
     WriteTimeout,
-    /// The slot has more value for other connections.
+    /// The connection is evicted, because its slot has more value for others.
     MakeRoom,
 }
 
--- a/crates/admission/src/evictable.rs
+++ b/crates/admission/src/evictable.rs
@@ -1,4 +1,4 @@
-//! The connections that could make room, and which of their slots has the least value.
+//! The connections that may be evicted, and which of their slots has the least value.
 
 use std::collections::BTreeSet;
 
@@ -13,16 +13,17 @@
 /// Connections by the time since which they wait, the longest waiting first.
 pub(crate) type WaitOrder = BTreeSet<(Time, ConnectionId)>;
 
-/// The connections that could be closed to make room.
+/// The connections that may be evicted: closed to free their slots for others.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EvictableConnections {
-    /// Connections whose end was announced.
+    /// Connections that the balancer or the client has begun to close.
     pub(crate) closing: WaitOrder,
     /// Connections that wait, by kind of wait.
     waiting: [WaitOrder; WaitKind::ALL.len()],
 }
 
-/// A connection, and the value of its slot in awaited events a second.
+/// A connection, and the value of its slot: the estimated rate of the event that the connection waits for (its first
+/// byte, a complete request or the next request), per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ValuedConnection {
     pub(crate) id: ConnectionId,
@@ -35,7 +36,7 @@
         &self.waiting[kind as usize]
     }
 
-    /// The set of the connections in this stage; `None` for busy ones, which can't make room.
+    /// The set of the connections in this stage; `None` for busy connections, which are never evicted.
     pub(crate) fn in_stage_mut(&mut self, stage: Stage) -> Option<&mut WaitOrder> {
         match stage {
             Stage::Closing => Some(&mut self.closing),
@@ -44,12 +45,13 @@
         }
     }
 
+    /// The number of connections in all sets.
     pub(crate) fn len(&self) -> usize {
         self.waiting.iter().chain([&self.closing]).map(BTreeSet::len).sum()
     }
 
-    /// The connection of these kinds whose slot has the least value. Within an age bucket all slots have the same
-    /// value, and the longest waiting connection is taken.
+    /// The connection of these kinds whose slot has the least value. The age of a connection is the time for which it
+    /// has waited. Within an age bucket all slots have the same value, and the longest waiting connection is taken.
     pub(crate) fn least_valuable(
         &self,
         now: Time,
@@ -79,7 +81,8 @@
         bucket: usize,
     ) -> Option<(Time, ConnectionId)> {
         let youngest = match bucket {
-            // A connection that seems to start in the future, because the caller's clock was set back, counts as new.
+            // The youngest bucket includes connections whose wait seems to begin in the future, because the caller's
+            // clock was set back.
             0 => Time(i64::MAX),
             _ => Time(now.0 - bucket_start(bucket).0),
         };
--- a/crates/admission/src/hazard_estimate.rs
+++ b/crates/admission/src/hazard_estimate.rs
@@ -17,9 +17,9 @@
 /// The number of connections that the prior of each bucket assumes to have passed through it.
 const PRIOR_CONNECTIONS: f64 = 4.0;
 /// The fraction of the prior's connections on which the awaited event happened. As buckets get longer with age, the
-/// value of a connection of which nothing is known falls with its age. With one rate for all ages, the few
-/// connections that were idle first kept their slots, and every later client, of which nothing was known, was closed
-/// at its first answer.
+/// value of a connection without observations falls with its age. With one rate for all ages, the few connections that
+/// were idle first kept their slots, and the connection of every later client, for which there were no observations
+/// yet, was closed at its first answer.
 const PRIOR_COMPLETED_FRACTION: f64 = 0.2;
 
 /// How a wait ended.
@@ -46,7 +46,7 @@
     value: [f64; AGE_BUCKETS],
 }
 
-/// Returns the bucket of an age.
+/// Returns the index of the bucket that contains an age.
 pub(crate) fn age_bucket(age: Span) -> usize {
     let seconds = age.as_micros_f64() / 1e6;
     BUCKET_ENDS_S.iter().position(|end| seconds < *end).unwrap_or(BUCKET_ENDS_S.len())
@@ -57,11 +57,13 @@
     Span::from_micros_f64(if bucket == 0 { 0.0 } else { BUCKET_ENDS_S[bucket - 1] * 1e6 })
 }
 
+/// Returns the length of a bucket, in seconds.
 fn bucket_length(bucket: usize) -> f64 {
     let start = if bucket == 0 { 0.0 } else { BUCKET_ENDS_S[bucket - 1] };
     BUCKET_ENDS_S.get(bucket).map_or(LAST_BUCKET_S, |end| end - start)
 }
 
+/// Adds a wait of this length to the time spent in each bucket that it passed through.
 fn add_exposure(exposure: &mut [f64; AGE_BUCKETS], age: Span) {
     let mut remaining = age.as_micros_f64().max(0.0) / 1e6;
     for (bucket, seconds) in exposure.iter_mut().enumerate() {
--- a/crates/admission/src/headroom.rs
+++ b/crates/admission/src/headroom.rs
@@ -4,11 +4,11 @@
 const RATE_TIME_CONSTANT_S: f64 = 1.0;
 /// Slots are kept free for the new clients that arrive in this time, in seconds.
 const HEADROOM_S: f64 = 0.25;
-/// The least fraction of the slots that clients can hold that is kept free. A fraction below
-/// an eighth is used up by a single burst.
+/// The least part of the slots for clients that is kept free, as a fraction. Less than an eighth is used up by a single
+/// burst.
 const MIN_HEADROOM_FRACTION: f64 = 0.125;
-/// The largest fraction of the slots that clients can hold that is kept free. More than half would close the
-/// connections that honest clients keep open on a day with many new clients.
+/// The largest part of the slots for clients that is kept free, as a fraction. With more than half, a high rate of new
+/// clients would close the connections that other clients keep open for their next requests.
 const MAX_HEADROOM_FRACTION: f64 = 0.5;
 
 /// The rate of new clients.
@@ -35,7 +35,7 @@
         }
     }
 
-    /// How many connections may be idle: the slots that clients can hold, less the busy ones and those that are kept
+    /// How many connections may be idle: the number of slots for clients, less the busy slots and those that are kept
     /// free.
     pub(crate) fn max_idle(&self, client_slots: usize, busy: usize) -> usize {
         let slots = client_slots as f64;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decides which client connections hold a slot, and which are closed to make room.
+//! Decides which client connections hold a slot, and which are closed to free slots for others.
 //!
 //! A balancer has a bounded number of slots for client connections, because each connection takes a descriptor and
-//! memory. Many clients that send one request each and keep their connections open can hold all slots, and the
-//! balancer sees nothing of the clients that find no slot. This crate estimates the value of a slot: the requests per
-//! second that it will bring, learnt from what connections of the same kind and age did before. When slots run short,
-//! the connections of least value are closed first; while they don't, no connection is closed before its timeout.
+//! memory. Many clients that send one request each and keep their connections open can hold all slots, and the balancer
+//! can't detect the clients that find no slot. This crate estimates the value of a slot: the number of requests per
+//! second that can be expected on it, by earlier connections of the same kind and age. During a shortage of slots, the
+//! connections of least value are closed first; otherwise no connection is closed before its timeout.
 //!
-//! The caller reports what happens on its connections and carries out the decisions. The crate does no I/O and reads
-//! no clock. To make room, it never chooses a connection with a complete request, with an answer that is being
-//! written, or with unread bytes. Its state is bounded by the number of slots.
+//! The caller reports what happens on its connections and carries out the decisions. The crate does no I/O and reads no
+//! clock. It never evicts a connection with a complete request, with an answer that is being written, or with unread
+//! bytes. Its state is bounded by the number of slots.
 //!
 //! ```text
 //! arrive -> New -> Reading -> Busy -> (before_answer) -> Idle -> Reading ...
@@ -20,7 +20,7 @@
 //! | --- | --- |
 //! | `admission` | the facade, which takes events and returns decisions |
 //! | `connection`, `connection_table` | the state of one connection; all of them, by stage and by source |
-//! | `evictable` | the connections that could make room, and the least valuable of them |
+//! | `evictable` | the connections that may be evicted, and the least valuable of them |
 //! | `hazard_estimate` | the value of a slot by kind and age |
 //! | `headroom` | the number of slots that are kept free for new clients |
 
--- a/crates/admission/tests/property.rs
+++ b/crates/admission/tests/property.rs
@@ -1,4 +1,4 @@
-//! Runs thousands of random histories against a simple model, which tells what must hold at every step.
+//! Runs thousands of random sequences of events, and compares admission with a simple model after each of them.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -35,7 +35,7 @@
         index: usize,
         by_client: bool,
     },
-    /// The caller uses the id of a connection that was closed long ago.
+    /// The caller uses the id of a connection that is not open; an id that is open is skipped.
     StaleId(u64),
     OutOfDescriptors,
     AdvanceClock(i64),
@@ -68,7 +68,7 @@
     Closing,
 }
 
-/// What the caller knows of a connection.
+/// The state of a connection, as far as the decisions and the reported events determine it.
 #[derive(Clone, Copy, Debug)]
 struct ModelConnection {
     phase: ModelPhase,
@@ -81,7 +81,7 @@
         self.phase != ModelPhase::Busy && !self.blocked && !self.unread
     }
 
-    /// Bytes that arrive after the end was announced cancel the close.
+    /// Applies the arrival of bytes, which cancels a close.
     fn cancel_close(&mut self) {
         if self.phase == ModelPhase::Closing {
             self.phase = ModelPhase::Waiting;
@@ -103,6 +103,7 @@
         Self { now, admission, model: BTreeMap::new(), max_connections }
     }
 
+    /// Returns an open connection, if there is one; `index` selects which.
     fn pick(&self, index: usize) -> Option<ConnectionId> {
         self.model.keys().nth(index % self.model.len().max(1)).copied()
     }
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Scripted histories, one for each rule of admission that an operator would ask about.
+//! Scripted sequences of events, at least one for each rule of admission that an operator depends on.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
@@ -29,7 +29,7 @@
     IpAddr::V4(Ipv4Addr::new(127, 0, 0, n))
 }
 
-/// Admits a new connection from source `from`, and closes the connections that have to make room.
+/// Admits a new connection from source `from`, and closes the connections that are evicted for it.
 fn admit(admission: &mut Admission, now: Time, from: u8) -> ConnectionId {
     loop {
         match admission.arrive(now, source(from)) {
@@ -187,7 +187,7 @@
 fn without_a_shortage_of_slots_no_connection_is_closed_before_its_timeout() {
     let mut load = ClientLoad::new();
     load.run(20, 320, 1);
-    // No more connections were opened than were ever busy at once.
+    // The clients opened no more connections than were busy at the same time.
     assert!(load.opened[1] <= 11, "{} opened", load.opened[1]);
     assert_eq!(load.no_slot, [0, 0]);
 }
@@ -224,7 +224,7 @@
         }
         admission.tick(now);
     }
-    // All slots are taken now: 60 by connections that send requests, the others by silent ones.
+    // All slots are taken now: 60 by connections that send requests, the others by silent connections.
     for i in 0..400 {
         now = now.plus(Span(MS));
         match admission.arrive(now, source(1)) {
@@ -256,14 +256,14 @@
     now = until;
     let Arrival::Reject(retry_after) = admission.arrive(now, source(1)) else { panic!("busy") };
     assert!(retry_after > Span(0));
-    // A client that arrives after it does not wait again.
+    // A client that arrives after the rejected one does not wait again.
     assert!(matches!(admission.arrive(now, source(1)), Arrival::Reject(_)));
     admission.answer_handed_over(now, ids[0], false);
     let Arrival::Evict(id) = admission.arrive(now, source(1)) else { panic!("one is evictable") };
     assert_eq!(id, ids[0]);
     admission.closed(now, id);
     assert!(matches!(admission.arrive(now, source(1)), Arrival::Admitted(_)));
-    // A slot was free: the next client would wait again.
+    // Admitting a client ends the time in which clients are rejected without a wait.
     let next = admission.arrive(now, source(1));
     assert!(matches!(next, Arrival::Evict(_)), "the new connection has sent nothing yet: {next:?}");
 }
@@ -331,7 +331,7 @@
     }
     assert!(!closed.is_empty() && !closed.contains(&fresh), "{closed:?}");
     assert!(closed.iter().all(|id| idle.contains(id)));
-    // A silent connection is kept for a short time only, and not if no other connection is closing.
+    // A new connection is closed once its grace has passed, or at once if no other connection is closing.
     now = now.plus(Span(20 * MS));
     closed.extend(admission.out_of_descriptors(now).into_iter().map(|release| release.id));
     assert!(closed.contains(&fresh));
--- a/crates/discovery-schedule/src/backoff.rs
+++ b/crates/discovery-schedule/src/backoff.rs
@@ -3,14 +3,14 @@
 use oorandom::Rand64;
 use sableloom_types::{Span, Time};
 
-/// The largest number of times that the longest backoff is doubled.
+/// Repeated failures double the upper bound of the backoff at most this many times.
 pub(crate) const MAX_DOUBLINGS: u32 = 2;
-/// The least backoff, as a fraction of the longest one.
+/// The lower bound of the backoff, as a fraction of its upper bound.
 const MIN_BACKOFF_FRACTION: f64 = 0.2;
-/// The random part that is added to the least backoff, as a fraction of the longest one.
+/// The greatest random time that is added to the lower bound, as a fraction of the upper bound.
 const JITTER_FRACTION: f64 = 0.8;
 
-/// The time before which no poll is made, and the failures that lengthen the next backoff.
+/// The time before which no poll is made, and the number of failures that lengthen the next backoff.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     rng: Rand64,
@@ -37,8 +37,8 @@
         self.failures = 0;
     }
 
-    /// Records a failed poll and draws the backoff after it. Each failure doubles the longest backoff, unless an
-    /// answer is `urgent`.
+    /// Records a failed poll and draws the random backoff after it, of at most `max_backoff`. Each earlier failure in a
+    /// row doubles that bound, unless the next poll is `urgent`.
     pub(crate) fn record_failure(&mut self, now: Time, max_backoff: Span, urgent: bool) {
         let jitter = self.rng.rand_float();
         let max_backoff_us = max_backoff.as_micros_f64();
--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -1,18 +1,19 @@
 //! Decides when discovery is polled, how long a poll may take, and what a poll without an answer means.
 //!
-//! A balancer keeps its endpoint list by long polls: it asks discovery to answer once the list changes. A long poll
-//! that has gone silent looks like one without changes. The changes that it misses, such as the drain of a server,
-//! are nevertheless binding for the balancer once the platform counts it as notified. Each poll therefore has a
-//! deadline by which its silence is detected, and [`PollTiming`] puts that deadline, and all that follows it, before
-//! the time at which changes become binding. `docs/design/discovery.md` has the calculations.
+//! A balancer keeps its endpoint list by long polls: it asks discovery to answer once the list changes. Long polls that
+//! each begin right after the answer to the one before are one watch. A long poll that has gone silent can't be told
+//! from one without changes. The changes that it misses, such as the drain of a server, are nevertheless binding for
+//! the balancer once the platform counts it as notified. Each poll therefore has a deadline by which its silence is
+//! detected, and [`PollTiming`] puts that deadline, and all that follows it, before the time at which changes become
+//! binding. `docs/design/discovery.md` has the calculations.
 //!
-//! No other crate knows these time limits. This crate does no I/O and reads no clock; `sableloom-discovery` makes the
-//! polls and reports how they ended.
+//! These time limits are defined in this crate alone. This crate does no I/O and reads no clock; `sableloom-discovery`
+//! makes the polls and reports how they ended.
 //!
 //! The state of a [`PollSchedule`] is a [`SyncState`]: `Syncing` until the first answer, `Watching` while a long poll
-//! is on time, `Resyncing` once a poll was silent or failed or discovery has moved, and `Stale` once the time has
-//! passed by which an answer was due. An answer leads to `Watching` from every state. In every state the servers of
-//! the last list are used.
+//! is on time, `Resyncing` once a poll was silent or failed or discovery has moved to another address, and `Stale` once
+//! the time has passed by which an answer was due. An answer leads to `Watching` from every state. In every state the
+//! servers of the last list are used.
 //!
 //! ```
 //! use sableloom_discovery_schedule::{PollOutcome, PollSchedule, PollTiming, ScheduleOptions, SyncState};
--- a/crates/discovery-schedule/src/poll_timing.rs
+++ b/crates/discovery-schedule/src/poll_timing.rs
@@ -12,14 +12,14 @@
 /// The fraction of the budget that the short wait takes, where the budget is the time in which silence has to be
 /// detected and answered. The rest is for the answer.
 const SHORT_WAIT_FRACTION_OF_BUDGET: f64 = 0.72;
-/// The fraction of the same budget in which a fast service handles a poll of each balancer. Such a service can answer
-/// all of them in time although they all detect the silence within one short wait. With short waits at a service that
-/// takes longer, 1.3 s for each poll, the last of six balancers was answered later than with long waits, which end
-/// further apart.
+/// The fraction of the budget of [`SHORT_WAIT_FRACTION_OF_BUDGET`] in which a fast service handles a poll of each
+/// balancer. Such a service can answer all of them in time although they all detect the silence within one short wait.
+/// With short waits at a service that takes longer, 1.3 s for each poll, the last of six balancers was answered later
+/// than with long waits, which end further apart.
 const FAST_SERVICE_FRACTION_OF_BUDGET: f64 = 0.88;
 /// The fraction of the poll interval over which the first polls of a fleet that starts at once are spread.
 const START_SPREAD_FRACTION_OF_INTERVAL: f64 = 0.05;
-/// The longest poll interval of which that fraction is taken, in microseconds.
+/// The longest poll interval of which [`START_SPREAD_FRACTION_OF_INTERVAL`] is taken, in microseconds.
 const MAX_START_SPREAD_INTERVAL_US: f64 = 10e6;
 /// The least wait of a long poll at a service.
 const MIN_WAIT: Span = ms(500);
@@ -31,7 +31,7 @@
 /// the time at which a change counts as notified after a failure does not depend on the interval. With backoffs of up
 /// to four tenths of the interval, a service came back during a backoff and was polled too late.
 const MAX_BACKOFF: Span = ms(250);
-/// The fraction of the time left for an answer after which a poll is hedged.
+/// The fraction of the time that is left for an answer after silence, after which a poll is hedged.
 const HEDGE_FRACTION_OF_BUDGET: f64 = 0.65;
 /// The upper bound of the time after which a poll is hedged.
 const MAX_HEDGE_DELAY: Span = ms(1500);
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Computes the timing for a local agent. A change that an agent has counts as notified at once, even if the
-    /// agent gets it while a poll hangs that it will never answer. Wait, slack and a new poll therefore have to fit
-    /// into the drain grace.
+    /// Computes the timing for a local agent. A change that an agent has counts as notified at once, even if the agent
+    /// gets it while a poll is open that it will never answer. Wait, slack and a new poll therefore have to fit into
+    /// the drain grace.
     fn for_agent(drain_grace: Span) -> Self {
         let fraction_of_grace = |fraction: f64, max: Span| {
             Span::from_micros_f64(drain_grace.as_micros_f64() * fraction).min(max).max(ms(20))
@@ -189,11 +189,11 @@
         Span(self.short_wait.0 * 21 / 20)
     }
 
-    /// The time that is left for the answer of a local agent that has come back, if a poll hangs that was made just
-    /// before its return.
+    /// The time that is left for the answer of a local agent that has come back, if it never answers a poll that was
+    /// made just before its return.
     pub fn answer_budget_after_agent_return(&self) -> Span {
-        let hanging = (self.wait.0 + self.answer_slack.0)
+        let unanswered = (self.wait.0 + self.answer_slack.0)
             .max(self.poll_timeout.0 + (self.max_backoff.0 << MAX_DOUBLINGS));
-        Span(self.drain_grace.0 - hanging - self.connect_timeout.0)
+        Span(self.drain_grace.0 - unanswered - self.connect_timeout.0)
     }
 }
--- a/crates/discovery-schedule/src/schedule.rs
+++ b/crates/discovery-schedule/src/schedule.rs
@@ -34,8 +34,9 @@
     /// yet is not binding.
     Resyncing,
     /// The list is not in sync, and the time by which an answer was due has passed. The servers of the last list are
-    /// still used: a discovery service that answers nobody is down more often than it hides a drain, and rejecting
-    /// every request whenever it is down would turn each of its outages into an outage of the whole service.
+    /// still used: a discovery service that answers no poll is down more often than it has a drain that was not
+    /// received, and rejecting every request whenever it is down would turn each of its outages into an outage of the
+    /// whole service.
     Stale,
 }
 
@@ -52,7 +53,8 @@
     timing: PollTiming,
     /// Whether an answer has arrived since the last silence or failure, so that a long poll continues the watch.
     watch_open: bool,
-    /// Whether the next poll asks for the full list, because the version known here means nothing to discovery.
+    /// Whether the next poll asks for the full list, because the balancer has no version of it from which discovery
+    /// could continue.
     needs_full_list: bool,
     in_flight: Option<InFlightPoll>,
     /// When an answer is due; `None` while the list is in sync or no answer was expected yet.
--- a/crates/discovery-schedule/src/service_time.rs
+++ b/crates/discovery-schedule/src/service_time.rs
@@ -1,5 +1,4 @@
-//! Estimates how long discovery takes for a poll of each balancer of the fleet, as far as this balancer's own polls
-//! tell.
+//! Estimates how long discovery takes for a poll of each balancer of the fleet, from this balancer's own polls.
 
 use sableloom_types::{Span, Time};
 
@@ -43,14 +42,14 @@
     pub(crate) fn observe(&mut self, now: Time, latency: Option<Span>, timing: &PollTiming) {
         match (self.first_poll.take(), self.estimate, latency) {
             // `answered` is the fraction of the fleet that had its answers by then, if all balancers started at once.
-            // A balancer that starts alone gets its answer sooner, and may take a slow service for a fast one.
+            // A balancer that starts alone gets its answer sooner, and may mistake a slow service for a fast one.
             (Some(FirstPoll { started, in_turn: true }), ..) => {
                 let answered = timing.phase + 1.0 / timing.balancers;
                 let passed = now.since(started).as_micros_f64();
                 self.estimate = Some(Span::from_micros_f64(passed / answered));
             }
-            // The poll may have been the first of the fleet or the last. It is taken for the first, so that all polls
-            // take at most this long.
+            // The poll may have been the first of the fleet or the last. It is assumed to be the first, in which case
+            // all polls take at most this long.
             (Some(FirstPoll { in_turn: false, .. }), _, Some(latency)) => {
                 let all = latency.as_micros_f64() * timing.balancers;
                 self.estimate = Some(Span::from_micros_f64(all));
--- a/crates/discovery-schedule/tests/simulation/main.rs
+++ b/crates/discovery-schedule/tests/simulation/main.rs
@@ -1,8 +1,8 @@
-//! Runs thousands of seeded schedules in which balancers poll a discovery service, or each an agent of its own,
-//! through silence, resets, outages, moves and late answers, while servers begin to drain. By the rules of the
-//! platform, each drain counts as notified to each balancer at some time. By the end of the grace after that time the
-//! balancer must know of the drain; otherwise a request could be forwarded to a server that is shutting down. A
-//! failure reports its seed; `SEED=17 cargo test -p sableloom-discovery-schedule --test simulation` replays it.
+//! Runs thousands of seeded schedules in which balancers poll a discovery service, or each an agent of its own, through
+//! silence, resets, outages, moves and late answers, while servers begin to drain. By the rules of the platform, each
+//! drain counts as notified to each balancer at some time. By the end of the grace after that time the balancer must
+//! have received the drain; otherwise a request could be forwarded to a server that is shutting down. A failure reports
+//! its seed; `SEED=17 cargo test -p sableloom-discovery-schedule --test simulation` replays it.
 
 mod plan;
 mod simulator;
@@ -29,7 +29,7 @@
 
 /// The result of running all schedules.
 struct Summary {
-    /// The seeds of the schedules in which a drain was known too late, and by how many microseconds.
+    /// The seeds of the schedules in which a drain was received too late, and by how many microseconds.
     late: Vec<(u64, i64)>,
     /// How often each event happened, in all schedules together.
     events: BTreeMap<&'static str, usize>,
@@ -68,7 +68,8 @@
     }
 }
 
-/// An earlier timing, with which requests were forwarded to servers whose drain had been announced.
+/// Returns a timing without hedges and short waits, whose waits all end at once, with more slack and longer urgent
+/// backoffs. With it, requests were forwarded to servers whose drain had been announced.
 fn defective_timing(options: &ScheduleOptions) -> PollTiming {
     let timing = PollTiming::new(options);
     let slack = Span(1500 * MS);
@@ -81,7 +82,7 @@
         max_backoff: backoff,
         max_urgent_backoff: backoff,
         hedge_delay: Span(END),
-        // The waits of all balancers ended at the same time.
+        // The waits of all balancers end at the same time.
         phase: 0.0,
         poll_timeout: slack,
         ..timing
--- a/crates/discovery-schedule/tests/simulation/plan.rs
+++ b/crates/discovery-schedule/tests/simulation/plan.rs
@@ -7,6 +7,7 @@
 /// Microseconds in a millisecond.
 pub(crate) const MS: i64 = 1000;
 
+/// The events of one schedule, and the properties of its discovery.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Plan {
     /// Whether each balancer polls an agent of its own, instead of one service for all.
@@ -16,7 +17,7 @@
     pub(crate) poll_time: i64,
     /// How long a poll may be queued at the service; a poll that would be queued for longer is rejected.
     pub(crate) max_queue_time: i64,
-    /// The longest time after a change at which it is written to a long poll.
+    /// The longest time between a change and the answer to an open long poll that contains it.
     pub(crate) max_delay: i64,
     /// When all open long polls go silent.
     pub(crate) silences: Vec<i64>,
@@ -24,7 +25,7 @@
     pub(crate) resets: Vec<i64>,
     /// The start and the end of an outage of discovery.
     pub(crate) outage: Option<(i64, i64)>,
-    /// When all balancers are told that discovery has moved.
+    /// When all balancers are notified that discovery has moved to another address.
     pub(crate) move_at: Option<i64>,
     /// When servers begin to drain, in ascending order.
     pub(crate) drains: Vec<i64>,
--- a/crates/discovery-schedule/tests/simulation/simulator.rs
+++ b/crates/discovery-schedule/tests/simulation/simulator.rs
@@ -51,7 +51,7 @@
     OpenPollsReset,
     /// A server begins to drain.
     DrainBegun,
-    /// All balancers are told that discovery has moved.
+    /// All balancers are notified that discovery has moved to another address.
     DiscoveryMoved,
 }
 
@@ -72,7 +72,7 @@
 struct SimulatedBalancer {
     schedule: PollSchedule,
     in_flight: Vec<InFlightPoll>,
-    /// The number of drains that the balancer knows.
+    /// The number of drains that the balancer has received.
     received_drains: usize,
     /// When the last answer arrived.
     last_answer: i64,
@@ -82,7 +82,7 @@
     poll_lost: bool,
     /// When each drain counts as notified to the balancer.
     notified_at: Vec<i64>,
-    /// When the balancer knew of each drain.
+    /// When the balancer received each drain.
     received_at: Vec<i64>,
 }
 
@@ -221,7 +221,7 @@
     }
 
     /// Records that a poll of this balancer failed, was rejected or was abandoned. From then on, the drains that the
-    /// balancer does not know count as notified `NOTIFIED_AFTER_FAILURE` after discovery had them and could be
+    /// balancer has not received count as notified `NOTIFIED_AFTER_FAILURE` after discovery had them and could be
     /// reached.
     fn lose_poll(&mut self, i: usize) {
         self.balancers[i].poll_lost = true;
@@ -423,7 +423,7 @@
         self.queue_event(due, Event::PollDue(i, polls));
     }
 
-    /// The latest time at which a drain counts as notified, whatever became of the polls.
+    /// The latest time at which a drain counts as notified, however the polls ended.
     fn notified_at_latest(&self, drain: i64) -> i64 {
         let plan = &self.plan;
         // With a local agent, a drain counts as notified as soon as the agent has it, except after silence. With a
@@ -445,7 +445,7 @@
         notified
     }
 
-    /// The greatest time by which a balancer knew of a drain too late; negative if none was late.
+    /// The greatest time by which a balancer received a drain too late; negative if none was late.
     pub(crate) fn greatest_lateness(&self) -> i64 {
         let mut greatest = i64::MIN;
         for balancer in &self.balancers {
--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -18,8 +18,7 @@
     listed: bool,
 }
 
-/// Maps the servers' names to ids, which stay the same for as long as a server is known, and holds their
-/// addresses.
+/// Maps the servers' names to ids and addresses. A server keeps its id until it is removed.
 #[derive(Default)]
 pub(crate) struct AddressBook {
     servers: FxHashMap<ServerId, ServerRecord>,
@@ -29,7 +28,7 @@
 
 /// The result of recording an entry of a list.
 pub(crate) struct RecordedEndpoint {
-    /// The server as the policy sees it.
+    /// The entry in the form that the policy uses.
     pub(crate) endpoint: Endpoint,
     pub(crate) address_changed: bool,
 }
@@ -85,7 +84,8 @@
         RecordedEndpoint { endpoint, address_changed }
     }
 
-    /// Withdraws the dispatch addresses of the servers that the current list does not contain, and returns their ids.
+    /// Clears the dispatch addresses of the servers that the current list does not contain, so that no attempt at them
+    /// starts, and returns their ids.
     pub(crate) fn withdraw_unlisted(&self) -> Vec<ServerId> {
         let unlisted = self.servers.iter().filter(|(_, server)| !server.listed);
         unlisted
@@ -96,8 +96,8 @@
             .collect()
     }
 
-    /// Forgets the servers that are neither listed nor `in_use`, and returns their ids. Without this the address book
-    /// would grow without bound, as new servers keep appearing over a long run.
+    /// Removes the servers that are neither listed nor `in_use`, and returns their ids. Otherwise the address book
+    /// would grow without bound in a process that runs for long, as servers come and go.
     pub(crate) fn remove_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
         let mut removed = Vec::new();
         self.servers.retain(|id, server| {
--- a/crates/exchange/src/attempt.rs
+++ b/crates/exchange/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request.
+//! The state of one attempt at a request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,14 +9,14 @@
 
 use crate::attempt_context::AttemptContext;
 
-/// One forwarding of a request to a server.
+/// One attempt to have a request answered by a server. A request may have several.
 pub(crate) struct Attempt {
     /// The index of the attempt among those of its request.
     pub(crate) number: usize,
     pub(crate) server: ServerId,
     /// When the policy decided to forward the request.
     pub(crate) forwarded_at: Instant,
-    /// The context for the transport; `None` if the server accepted no new attempts when this one was decided.
+    /// The context for the transport; `None` if the server accepted no new attempts when the attempt was decided.
     pub(crate) context: Option<Rc<AttemptContext>>,
     /// True until it is proven that the attempt was not executed.
     pub(crate) may_have_executed: Cell<bool>,
--- a/crates/exchange/src/attempt_context.rs
+++ b/crates/exchange/src/attempt_context.rs
@@ -10,7 +10,7 @@
 use crate::message::Message;
 
 /// The address at which a server accepts new attempts; `None` while it is draining or gone. All attempts at a server
-/// share the cell, so that a change after the decision for an attempt is seen before its first byte.
+/// share the cell, so that a change applies to an attempt that was decided before it and has sent no byte.
 pub type DispatchAddress = Rc<Cell<Option<SocketAddr>>>;
 
 /// A connection on which the bytes of an attempt are sent.
--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the policy's times.
+//! The clock for the times that the policy receives.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -14,7 +14,7 @@
 
 impl Clock {
     /// Returns a clock that is anchored to the current system time.
-    #[allow(clippy::new_without_default, reason = "two clocks would differ")]
+    #[allow(clippy::new_without_default, reason = "each call anchors a clock anew")]
     pub fn new() -> Self {
         Self::with_offset_ms(0)
     }
@@ -35,7 +35,7 @@
         self.time_of(Instant::now())
     }
 
-    /// Converts an instant to a time.
+    /// Converts an instant to a time; an instant before the clock's start becomes its start.
     pub fn time_of(&self, instant: Instant) -> Time {
         Time(self.unix_us + instant.duration_since(self.start).as_micros() as i64)
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -29,7 +29,7 @@
     AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
 };
 
-/// The expiry of the share of the servers that was proven to belong to this balancer.
+/// The time at which this balancer's proven share of the servers expires, and the share that applies afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareExpiry {
     /// When the share expires.
@@ -99,8 +99,8 @@
             shutting_down: Cell::new(false),
         });
         exchange.with_policy(|balancer, now, actions| balancer.start(now, actions));
-        // The exchange subscribes at once, even if the policy polls for the list: the source knows whether it has to
-        // wait for that.
+        // The exchange subscribes at once, even if the policy polls for the list: the source decides whether it
+        // waits for the policy's request (`Action::Subscribe`).
         exchange.source.clone().subscribe(exchange.clone());
         Ok(exchange)
     }
@@ -111,7 +111,7 @@
         self.closed.set(true);
     }
 
-    /// Sets the number of balancers that share the servers, and when that number expires.
+    /// Sets the number of balancers that share the servers, and when that number expires; `None` for no expiry.
     pub fn set_balancers(&self, balancers: u32, expiry: Option<ShareExpiry>) {
         let mut state = self.state.borrow_mut();
         // The previous share may have expired while the pool was idle, during which its expiry is not checked.
@@ -371,7 +371,7 @@
         endpoints
     }
 
-    /// Forgets the servers that are not listed and that the policy has forgotten.
+    /// Removes the servers that are not listed and for which the policy has no state any more.
     fn remove_unlisted(&self) {
         let state = &mut *self.state.borrow_mut();
         for server in state.endpoints.remove_unlisted(|server| state.balancer.has_server(server)) {
--- a/crates/exchange/src/idle.rs
+++ b/crates/exchange/src/idle.rs
@@ -1,10 +1,9 @@
-//! Detects that a pool is idle and stops its timers, so that a pool without requests costs nothing until it is needed
-//! again.
+//! Detects that a pool is idle and stops its timers, so that a pool without requests uses no processor time.
 //!
-//! The policy sets one timer after another and updates its sums at each. While no request is open and no server is in
-//! slow start, the timers only let those sums decay, and one decay over a long time has the same result as many
-//! decays over short times. The timer of an idle pool is therefore deferred, and run before the next call of the
-//! policy. `docs/design/exchange.md`, "Idle pools", gives the reasons.
+//! The policy sets one timer after another and updates its decaying sums at each. While no request is open and no
+//! server is in slow start, the timers only let those sums decay, and one decay over a long time has the same result as
+//! many decays over short parts of that time. The timer of an idle pool is therefore deferred, and run before the next
+//! call of the policy. `docs/design/exchange.md`, "Idle pools", gives the reasons.
 
 use sableloom_types::settings::{DeploymentSettings, EndpointListDelivery, span_from_ms};
 use sableloom_types::{Endpoint, EndpointStatus, Span, Time};
@@ -46,8 +45,8 @@
         let slow_start = span_from_ms(settings.safety.slow_start);
         let overload_window = span_from_ms(settings.safety.overload_window);
         // With `Poll` the policy polls for its list by the timer, which must therefore keep running. The second
-        // condition is needed because the highest rate that warm servers were seen to serve decays in one step as in
-        // many only if the count behind it decays sooner.
+        // condition is needed for the highest observed rate of warm servers: one long decay equals many short ones only
+        // if the count from which that rate is computed decays sooner.
         let allowed = settings.endpoint_list_delivery != EndpointListDelivery::Poll
             && overload_window <= slow_start;
         let idle_after = Span(longest.saturating_mul(IDLE_AFTER_DEADLINES));
@@ -66,7 +65,7 @@
         self.last_request = now;
     }
 
-    /// Records a change of the endpoint list; `full` tells whether `endpoints` is a full list or a part of one.
+    /// Records a change of the endpoint list. `endpoints` is a full list if `full`, and a part of one otherwise.
     pub(crate) fn endpoints_updated(&mut self, full: bool, endpoints: &[Endpoint]) {
         let listed = endpoints.iter().filter(|server| server.status != EndpointStatus::Gone);
         let slow_starts_end =
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,10 +1,11 @@
 //! Runs a complete request through its attempts to exactly one final answer, independent of the protocol.
 //!
-//! Every protocol needs the same rules: a request gets one final answer, a request that is not idempotent is
-//! forwarded again only with proof that it was not executed, and no byte of a request is sent after its answer. This
-//! crate implements them once for all protocols. An [`Exchange`] owns the policy of one pool of servers: it reports
-//! events to the policy and carries out the actions that the policy returns. A front passes complete requests to it
-//! through [`Service`], a [`Transport`] runs single attempts, and an [`EndpointSource`] provides the endpoint list.
+//! Every protocol needs the same rules: a request gets one final answer, a request that is not idempotent is forwarded
+//! again only with proof that it was not executed, and no byte of a request is sent after its answer. This crate
+//! implements them once for all protocols. An [`Exchange`] owns the policy of one pool of servers: it reports events to
+//! the policy and carries out the actions that the policy returns. A front end, which is the part of a protocol that
+//! serves clients, passes complete requests to it through [`Service`]; a [`Transport`] runs single attempts, and an
+//! [`EndpointSource`] provides the endpoint list.
 //!
 //! The exchange makes no decisions of its own, parses no protocol and opens no socket.
 //!
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -12,8 +12,8 @@
 
 /// The client that waits for the answer to a request.
 pub trait Client {
-    /// Whether the client has closed its connection or cancelled its request, as far as the operating system can tell
-    /// now, even if the front has not read that far yet.
+    /// Whether the client has closed its connection or cancelled its request by now, as the operating system reports
+    /// it, even if the front end has not read that far yet.
     fn is_gone(&self) -> bool;
 }
 
@@ -27,7 +27,7 @@
     pub method: Bytes,
     /// The target, in the form of a path with its query.
     pub target: Bytes,
-    /// The other fields that the client sent, the id included.
+    /// The end-to-end header fields of the request, including the one that carries the id.
     pub fields: Fields,
     /// The body.
     pub body: Bytes,
@@ -55,7 +55,7 @@
     pub tenant: usize,
     /// The hash of the request's affinity key, if it has one.
     pub key: Option<u64>,
-    /// When the client stops waiting.
+    /// When the client stops waiting for the answer.
     pub deadline: Time,
 }
 
--- a/crates/exchange/src/traits.rs
+++ b/crates/exchange/src/traits.rs
@@ -13,7 +13,8 @@
 /// A boxed future that runs on the current thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Accepts complete requests from a front, and returns one final answer to each.
+/// Accepts complete requests from a front end, which is the part of a protocol that serves clients, and returns one
+/// final answer to each.
 pub trait Service {
     /// Accepts a request and returns the future of its final answer. Dropping the future before it is ready means
     /// that the client has disconnected.
@@ -63,21 +64,23 @@
     /// Sets whether a server is retired, that is, draining or gone. No idle connection to a retired server is kept.
     fn set_retired(&self, server: ServerId, retired: bool);
 
-    /// Reports that a server has another address: the open connections lead to the old one.
+    /// Reports that the address of a server has changed. The transport must not use its idle connections to the
+    /// previous address.
     fn address_changed(&self, server: ServerId);
 
-    /// Drops all state of a server.
+    /// Drops all state of a server that has been removed. Its id is not used again.
     fn forget(&self, server: ServerId);
 }
 
 /// Receives changes of the endpoint list.
 pub trait EndpointListener {
-    /// Receives a list or a part of one, as `kind` tells.
+    /// Receives a full list or a part of one, depending on `kind`.
     fn endpoints_updated(self: Rc<Self>, kind: ListKind, entries: Vec<ListedEndpoint>);
 }
 
 /// Provides the endpoint list of a pool.
 pub trait EndpointSource {
-    /// Opens the subscription to the endpoint list, unless it is open already.
+    /// Opens the subscription to the endpoint list, unless it is open already. `listener` receives the current list and
+    /// its changes.
     fn subscribe(self: Rc<Self>, listener: Rc<dyn EndpointListener>);
 }
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -27,14 +27,15 @@
 
 const DEADLINE_MS: u64 = 400;
 const SLOW_START_MS: u64 = 20_000;
-/// Longer than a pool takes to become idle, its last timer included.
+/// Longer than a pool takes to become idle: two deadlines after the last answer, and the time to its next timer.
 const TIME_TO_IDLE: Duration = Duration::from_millis(3 * DEADLINE_MS);
 
-/// Answers each attempt, later for a server of a higher number, and records the server and the start time.
+/// Answers each attempt, later for a server with a higher number, and records its server and its start.
 #[derive(Default)]
 struct RecordingTransport {
-    /// The server of each attempt, and when the attempt started after `epoch`.
+    /// The server of each attempt, and the time from `epoch` to the start of the attempt.
     started: RefCell<Vec<(ServerId, Duration)>>,
+    /// The start of the recorded times; without it all recorded times are zero.
     epoch: Option<Instant>,
     /// Whether no attempt is answered.
     silent: bool,
@@ -119,7 +120,7 @@
     let message = message(id, Idempotency::Idempotent, None);
     let deadline = clock.now().plus(Span(ms as i64 * 1000));
     let context = RequestContext { class: 0, tenant: 0, key: None, deadline };
-    exchange.clone().call(context, message).expect("a new id")
+    exchange.clone().call(context, message).expect("the request is accepted")
 }
 
 /// Runs a future in simulated time on one thread.
@@ -234,9 +235,10 @@
 /// The answers to a burst, and the servers and start times of its attempts.
 type Burst = (Vec<Reply>, Vec<(ServerId, Duration)>);
 
-/// Returns the result of a burst of requests after some busy seconds and a time without requests. If `share_expires`,
-/// a share of the servers expires in that time and is replaced. If `refreshed`, the pool's sums are brought up to
-/// date every millisecond of that time.
+/// Returns the result of a burst of requests after 10 s with a request each millisecond and a time `idle` without
+/// requests. If `share_expires`, the balancer's share of the servers expires in the middle of that time, and a share
+/// without expiry is set shortly before its end. If `refreshed`, the policy updates its decaying sums every millisecond
+/// of that time.
 fn run_burst(idle: Duration, share_expires: bool, refreshed: bool) -> Burst {
     let outcome = Rc::new(RefCell::new(Burst::default()));
     let result = outcome.clone();
@@ -262,7 +264,7 @@
             }
             sleep(Duration::from_millis(1)).await;
             if refreshed {
-                // An update without an endpoint: the policy refreshes its sums and changes nothing else.
+                // At an update without an endpoint, the policy updates its decaying sums and changes nothing else.
                 pool.clone().endpoints_updated(ListKind::Update, Vec::new());
             }
         }
--- a/crates/exchange/tests/simulation/main.rs
+++ b/crates/exchange/tests/simulation/main.rs
@@ -1,5 +1,5 @@
 //! Runs thousands of seeded schedules of requests in simulated time. The transport fails in every way it can, servers
-//! drain, leave and change their addresses, and clients disconnect, whether or not their front notices. In each
+//! drain, leave and change their addresses, and clients disconnect, whether or not their front end notices. In each
 //! schedule:
 //!
 //! - each request gets one final answer, in time, and no byte of it is sent afterwards;
--- a/crates/exchange/tests/simulation/recorder.rs
+++ b/crates/exchange/tests/simulation/recorder.rs
@@ -7,6 +7,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
+/// The records of one schedule, shared by the schedule and its transport.
 #[derive(Default)]
 pub(crate) struct Recorder {
     /// How often each request was executed.
--- a/crates/exchange/tests/simulation/schedule.rs
+++ b/crates/exchange/tests/simulation/schedule.rs
@@ -30,7 +30,7 @@
     ("redeem", Idempotency::NonIdempotent),
 ];
 
-/// A client whose socket tells whether it is connected.
+/// A client that can disconnect without closing its reply future.
 struct ConnectedClient {
     connected: Cell<bool>,
 }
@@ -159,7 +159,8 @@
         let deadline = self.clock.now().plus(Span(DEADLINE_MS * 1000));
         let context = RequestContext { class, tenant: 0, key: None, deadline };
         let drop_reply_after = self.random_time_one_in(8, 150);
-        // Some clients disconnect after sending bytes that no front reads: the front keeps waiting for the reply.
+        // Some clients disconnect after sending bytes that their front end does not read. It therefore does not notice,
+        // and keeps waiting for the reply.
         if let Some(after) = self.random_time_one_in(8, 150) {
             let client = client.clone();
             spawn_local(async move {
@@ -170,7 +171,7 @@
         let (exchange, recorder) = (self.exchange.clone(), self.recorder.clone());
         spawn_local(async move {
             let (sent, _connected) = (Instant::now(), client);
-            let wait = exchange.call(context, message).expect("a new id");
+            let wait = exchange.call(context, message).expect("the request is accepted");
             if let Some(after) = drop_reply_after {
                 let _ = timeout(after, wait).await;
                 return;
--- a/crates/exchange/tests/simulation/transport.rs
+++ b/crates/exchange/tests/simulation/transport.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// A transport whose attempts fail or succeed at random.
 pub(crate) struct FaultyTransport {
     rng: RefCell<Rand64>,
     recorder: Rc<Recorder>,
