--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -77,9 +77,9 @@
     }
 }
 
-fn settings(registry: &str) -> DeploymentSettings {
+fn settings(registry_mode: &str) -> DeploymentSettings {
     serde_json::from_value(json!({
-        "Balancers": 1, "Tick": 1.0, "RegistryMode": registry,
+        "Balancers": 1, "Tick": 1.0, "RegistryMode": registry_mode,
         "Services": [{"Name": "a", "Aim": 200.0, "Deadline": DEADLINE_MS, "Effect": "retryable",
                       "LateValue": 0.5}],
         "PolicyLimits": {"MaxAttempts": 3, "RetryAfter": true, "MaxRetryAfter": 300.0},
@@ -99,8 +99,8 @@
     (0..n).map(|i| endpoint(i, PORT, EndpointStatus::Live, 0.0)).collect()
 }
 
-fn start(clock: Clock, registry: &str, transport: &Rc<RecordingTransport>) -> Rc<Exchange> {
-    let settings = Rc::new(settings(registry));
+fn start(clock: Clock, registry_mode: &str, transport: &Rc<RecordingTransport>) -> Rc<Exchange> {
+    let settings = Rc::new(settings(registry_mode));
     let (transport, source) = (transport.clone(), Rc::new(SilentSource));
     Exchange::start(ExchangeOptions { settings, seed: 1, clock, transport, source })
         .expect("an exchange")
@@ -114,11 +114,11 @@
     exchange: &Rc<Exchange>,
     clock: Clock,
     id: u32,
-    ms: u64,
+    deadline_ms: u64,
 ) -> LocalFuture<Reply> {
     let id = Bytes::from(id.to_string());
     let message = message(id, Idempotency::Idempotent, None);
-    let deadline = clock.now().plus(Span(ms as i64 * 1000));
+    let deadline = clock.now().plus(Span(deadline_ms as i64 * 1000));
     let context = RequestContext { class: 0, tenant: 0, key: None, deadline };
     exchange.clone().call(context, message).expect("the request is accepted")
 }
