--- a/crates/distribution/tests/sim/applier.rs
+++ b/crates/distribution/tests/sim/applier.rs
@@ -9,7 +9,7 @@
 use super::history::{Contents, History, INVALID_BODY_MARKER, digest};
 
 /// The state of a service that a balancer has applied.
-pub(crate) struct Applied {
+pub(crate) struct AppliedService {
     pub(crate) epoch: u32,
     pub(crate) version: u64,
     pub(crate) contents: Contents,
@@ -18,7 +18,7 @@
 /// The applied state of a balancer.
 #[derive(Default)]
 pub(crate) struct Applier {
-    pub(crate) services: BTreeMap<ServiceName, Applied>,
+    pub(crate) services: BTreeMap<ServiceName, AppliedService>,
     pub(crate) scope: BTreeSet<ServiceName>,
     /// Whether a body that begins with [`INVALID_BODY_MARKER`] is rejected.
     pub(crate) validates: bool,
@@ -30,7 +30,8 @@
         self.services.clear();
         for service in &saved.services {
             let contents = service.resources.iter().map(|r| (r.name.clone(), r.clone())).collect();
-            let applied = Applied { epoch: service.epoch, version: service.version, contents };
+            let applied =
+                AppliedService { epoch: service.epoch, version: service.version, contents };
             self.services.insert(service.service.clone(), applied);
         }
     }
@@ -41,8 +42,8 @@
         self.scope = scope.clone();
     }
 
-    /// Applies a transaction completely, or returns its rejections and applies nothing. Panics if the result differs
-    /// from the operators' log.
+    /// Applies a transaction to the services in the scope, or returns its rejections and applies nothing. Panics if the
+    /// result differs from the operators' log or, with `checks_atomicity`, if [`Self::check_atomicity`] fails.
     pub(crate) fn apply(
         &mut self,
         transaction: &Transaction,
@@ -60,6 +61,7 @@
             self.check_atomicity(transaction, history);
         }
         for update in &transaction.services {
+            // The scope may have changed after the publisher began the transaction.
             if self.scope.contains(&update.service) {
                 self.apply_update(update, transaction.position, history);
             }
@@ -91,13 +93,14 @@
                 }
             }
         }
+        // The update of a snapshot also removes the applied resources that the snapshot does not contain.
         if update.snapshot {
             let snapshot_names: BTreeSet<&ResourceName> =
                 update.changes.iter().filter_map(name_if_set).collect();
             assert_eq!(
                 contents.keys().collect::<BTreeSet<_>>(),
                 snapshot_names,
-                "resources that are not in the snapshot are left"
+                "the resources after a snapshot differ from those in the snapshot"
             );
         }
         assert_eq!(
@@ -108,8 +111,8 @@
         );
         // At version 0 the service has no resources, and the log has no change of it.
         let empty = Contents::new();
-        let known = history.contents_by_version.get(&(update.service.clone(), update.version));
-        let expected = known.or((update.version == 0).then_some(&empty));
+        let logged = history.contents_by_version.get(&(update.service.clone(), update.version));
+        let expected = logged.or((update.version == 0).then_some(&empty));
         assert_eq!(
             Some(&contents),
             expected,
@@ -117,12 +120,13 @@
             update.service,
             update.version
         );
-        let applied = Applied { epoch: position.epoch, version: update.version, contents };
+        let applied = AppliedService { epoch: position.epoch, version: update.version, contents };
         self.services.insert(update.service.clone(), applied);
     }
 
-    /// Checks that each change that a delta of the transaction contains is also applied to all other services of the
-    /// scope that the change touched, except for services of which no version has been applied.
+    /// Checks that no change of a delta is applied to only some of the services that the change touched: the version of
+    /// each of them after the transaction must be at least the number of the change. Services outside the scope and
+    /// services of which no version has been applied are exempt. Snapshots are not checked.
     fn check_atomicity(&self, transaction: &Transaction, history: &History) {
         let version_after = |service: &ServiceName| {
             let updated = transaction.services.iter().find(|update| update.service == *service);
@@ -131,6 +135,7 @@
         };
         for update in transaction.services.iter().filter(|update| !update.snapshot) {
             let before = self.services.get(&update.service).map_or(0, |applied| applied.version);
+            // The change with number n is at index n - 1: these are the changes after `before`.
             for entry in &history.entries[before as usize..update.version as usize] {
                 if entry.changes.iter().all(|change| *change.service() != update.service) {
                     continue;
@@ -154,7 +159,7 @@
     }
 }
 
-/// Returns the history that contains a position.
+/// Returns the history that contains a position. Panics if there is none.
 pub(crate) fn history_at(histories: &[History], position: Position) -> &History {
     let found = histories.iter().find(|history| history.chains.contains(&position.chain));
     found.unwrap_or_else(|| panic!("no history contains position {position}"))
