--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,10 +1,11 @@
 //! Runs a complete request through its attempts to exactly one final answer, independent of the protocol.
 //!
-//! Every protocol needs the same rules: a request gets one final answer, a request that is not idempotent is
-//! forwarded again only with proof that it was not executed, and no byte of a request is sent after its answer. This
-//! crate implements them once for all protocols. An [`Exchange`] owns the policy of one pool of servers: it reports
-//! events to the policy and carries out the actions that the policy returns. A front passes complete requests to it
-//! through [`Service`], a [`Transport`] runs single attempts, and an [`EndpointSource`] provides the endpoint list.
+//! Every protocol needs the same rules: a request gets one final answer, a request that is not idempotent is forwarded
+//! again only with proof that it was not executed, and no byte of a request is sent after its answer. This crate
+//! implements them once for all protocols. An [`Exchange`] owns the policy of one pool of servers: it reports events to
+//! the policy and carries out the actions that the policy returns. A front end, which is the part of a protocol that
+//! serves clients, passes complete requests to it through [`Service`]; a [`Transport`] runs single attempts, and an
+//! [`EndpointSource`] provides the endpoint list.
 //!
 //! The exchange makes no decisions of its own, parses no protocol and opens no socket.
 //!
@@ -24,7 +25,7 @@
 //! | `outcome` | whether an attempt may have been executed |
 //! | `address_book` | ids and addresses of the servers |
 //! | `idle` | when a pool without requests is idle and its timers stop |
-//! | `fields`, `message`, `ports` | requests and answers independent of protocols, and the traits between protocols and the crate |
+//! | `fields`, `message`, `traits` | requests and answers independent of protocols, and the traits between protocols and the crate |
 //!
 //! ```
 //! use sableloom_exchange::outcome::{AttemptEnd, AttemptFacts, classify};
@@ -49,17 +50,17 @@
 mod message;
 mod open_requests;
 pub mod outcome;
-mod ports;
 mod reply_future;
 mod task;
+mod traits;
 
 pub use attempt_context::{AttemptConnection, AttemptContext, DispatchAddress};
 pub use clock::{Clock, duration_of};
 pub use exchange::{Exchange, ExchangeOptions, ShareExpiry, longest_deadline};
 pub use fields::Fields;
 pub use message::{Answer, Client, Message, Reply, RequestContext, RequestRejection};
-pub use ports::{
-    AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
-};
 pub use sableloom_types::ListedEndpoint;
 pub use task::Task;
+pub use traits::{
+    AttemptOutcome, EndpointListener, EndpointSource, LocalFuture, Service, Transport,
+};
--- a/crates/exchange/tests/idle.rs
+++ b/crates/exchange/tests/idle.rs
@@ -27,26 +27,27 @@
 
 const DEADLINE_MS: u64 = 400;
 const SLOW_START_MS: u64 = 20_000;
-/// Longer than a pool takes to become idle, its last timer included.
+/// Longer than a pool takes to become idle: two deadlines after the last answer, and the time to its next timer.
 const TIME_TO_IDLE: Duration = Duration::from_millis(3 * DEADLINE_MS);
 
-/// Answers each attempt, later for a server of a higher number, and records the server and the start time.
+/// Answers each attempt, later for a server with a higher number, and records its server and its start.
 #[derive(Default)]
-struct CountingTransport {
-    /// The server of each attempt, and when the attempt started after `epoch`.
+struct RecordingTransport {
+    /// The server of each attempt, and the time from `epoch` to the start of the attempt.
     started: RefCell<Vec<(ServerId, Duration)>>,
+    /// The start of the recorded times; without it all recorded times are zero.
     epoch: Option<Instant>,
     /// Whether no attempt is answered.
     silent: bool,
 }
 
-impl Transport for CountingTransport {
+impl Transport for RecordingTransport {
     fn attempt(self: Rc<Self>, context: Rc<AttemptContext>) -> LocalFuture<AttemptOutcome> {
         Box::pin(async move {
             if !context.may_send_first_byte() {
                 return AttemptOutcome::without_answer(AttemptEnd::NotStarted);
             }
-            context.set_connection(Rc::new(WrittenConnection));
+            context.set_connection(Rc::new(FullyWrittenConnection));
             let started_at = self.epoch.map_or(Duration::ZERO, |epoch| epoch.elapsed());
             self.started.borrow_mut().push((context.server, started_at));
             if self.silent {
@@ -68,17 +69,17 @@
 }
 
 /// A connection to which all bytes were written.
-struct WrittenConnection;
+struct FullyWrittenConnection;
 
-impl AttemptConnection for WrittenConnection {
+impl AttemptConnection for FullyWrittenConnection {
     fn fully_written(&self) -> bool {
         true
     }
 }
 
-fn settings(registry: &str) -> DeploymentSettings {
+fn settings(registry_mode: &str) -> DeploymentSettings {
     serde_json::from_value(json!({
-        "Balancers": 1, "Tick": 1.0, "RegistryMode": registry,
+        "Balancers": 1, "Tick": 1.0, "RegistryMode": registry_mode,
         "Services": [{"Name": "a", "Aim": 200.0, "Deadline": DEADLINE_MS, "Effect": "retryable",
                       "LateValue": 0.5}],
         "PolicyLimits": {"MaxAttempts": 3, "RetryAfter": true, "MaxRetryAfter": 300.0},
@@ -98,8 +99,8 @@
     (0..n).map(|i| endpoint(i, PORT, EndpointStatus::Live, 0.0)).collect()
 }
 
-fn start(clock: Clock, registry: &str, transport: &Rc<CountingTransport>) -> Rc<Exchange> {
-    let settings = Rc::new(settings(registry));
+fn start(clock: Clock, registry_mode: &str, transport: &Rc<RecordingTransport>) -> Rc<Exchange> {
+    let settings = Rc::new(settings(registry_mode));
     let (transport, source) = (transport.clone(), Rc::new(SilentSource));
     Exchange::start(ExchangeOptions { settings, seed: 1, clock, transport, source })
         .expect("an exchange")
@@ -113,13 +114,13 @@
     exchange: &Rc<Exchange>,
     clock: Clock,
     id: u32,
-    ms: u64,
+    deadline_ms: u64,
 ) -> LocalFuture<Reply> {
     let id = Bytes::from(id.to_string());
     let message = message(id, Idempotency::Idempotent, None);
-    let deadline = clock.now().plus(Span(ms as i64 * 1000));
+    let deadline = clock.now().plus(Span(deadline_ms as i64 * 1000));
     let context = RequestContext { class: 0, tenant: 0, key: None, deadline };
-    exchange.clone().call(context, message).expect("a new id")
+    exchange.clone().call(context, message).expect("the request is accepted")
 }
 
 /// Runs a future in simulated time on one thread.
@@ -132,7 +133,7 @@
 #[test]
 fn three_hundred_idle_pools_have_no_timer_and_no_task() {
     run_simulated(async {
-        let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
+        let (clock, transport) = (Clock::anchored_at(0), Rc::new(RecordingTransport::default()));
         let pools: Vec<_> = (0..300).map(|_| start(clock, "automatic", &transport)).collect();
         pools.iter().for_each(|pool| report_full_list(pool, warm_servers(20)));
         assert!(pools.iter().all(|pool| !pool.is_idle()), "the timers of all pools run at first");
@@ -157,7 +158,7 @@
 fn a_pool_is_not_idle_while_a_server_is_in_slow_start() {
     run_simulated(async {
         let (clock, transport) =
-            (Clock::anchored_at(1_000_000_000), Rc::new(CountingTransport::default()));
+            (Clock::anchored_at(1_000_000_000), Rc::new(RecordingTransport::default()));
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(3));
         sleep(TIME_TO_IDLE).await;
@@ -185,7 +186,8 @@
 fn a_pool_with_an_open_request_is_not_idle_however_long_the_request_waits() {
     run_simulated(async {
         let clock = Clock::anchored_at(0);
-        let transport = Rc::new(CountingTransport { silent: true, ..CountingTransport::default() });
+        let transport =
+            Rc::new(RecordingTransport { silent: true, ..RecordingTransport::default() });
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(1));
         let waiting = spawn_local(send_with_deadline(&pool, clock, 1, 10 * DEADLINE_MS));
@@ -203,7 +205,7 @@
 fn a_pool_that_polls_for_its_list_is_never_idle() {
     run_simulated(async {
         let pool =
-            start(Clock::anchored_at(0), "subscribe", &Rc::new(CountingTransport::default()));
+            start(Clock::anchored_at(0), "subscribe", &Rc::new(RecordingTransport::default()));
         report_full_list(&pool, warm_servers(3));
         sleep(20 * TIME_TO_IDLE).await;
         assert!(!pool.is_idle());
@@ -213,7 +215,7 @@
 #[test]
 fn a_server_that_drains_while_its_pool_is_idle_gets_no_request() {
     run_simulated(async {
-        let (clock, transport) = (Clock::anchored_at(0), Rc::new(CountingTransport::default()));
+        let (clock, transport) = (Clock::anchored_at(0), Rc::new(RecordingTransport::default()));
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(2));
         sleep(TIME_TO_IDLE).await;
@@ -233,17 +235,18 @@
 /// The answers to a burst, and the servers and start times of its attempts.
 type Burst = (Vec<Reply>, Vec<(ServerId, Duration)>);
 
-/// Returns the result of a burst of requests after some busy seconds and a time without requests. If `share_expires`,
-/// a share of the servers expires in that time and is replaced. If `refreshed`, the pool's sums are brought up to
-/// date every millisecond of that time.
+/// Returns the result of a burst of requests after 10 s with a request each millisecond and a time `idle` without
+/// requests. If `share_expires`, the balancer's share of the servers expires in the middle of that time, and a share
+/// without expiry is set shortly before its end. If `refreshed`, the policy updates its decaying sums every millisecond
+/// of that time.
 fn run_burst(idle: Duration, share_expires: bool, refreshed: bool) -> Burst {
     let outcome = Rc::new(RefCell::new(Burst::default()));
     let result = outcome.clone();
     run_simulated(async move {
         let clock = Clock::anchored_at(0);
-        let transport = Rc::new(CountingTransport {
+        let transport = Rc::new(RecordingTransport {
             epoch: Some(Instant::now()),
-            ..CountingTransport::default()
+            ..RecordingTransport::default()
         });
         let pool = start(clock, "automatic", &transport);
         report_full_list(&pool, warm_servers(4));
@@ -252,8 +255,8 @@
             drop(spawn_local(send(&pool, clock, id)));
         }
         if share_expires {
-            let ends = clock.now().plus(Span(idle.as_micros() as i64 / 2));
-            pool.set_balancers(2, Some(ShareExpiry { at: ends, balancers_after: 40 }));
+            let expires_at = clock.now().plus(Span(idle.as_micros() as i64 / 2));
+            pool.set_balancers(2, Some(ShareExpiry { at: expires_at, balancers_after: 40 }));
         }
         for ms in 0..idle.as_millis() {
             if share_expires && ms == idle.as_millis() - 20 {
@@ -261,7 +264,7 @@
             }
             sleep(Duration::from_millis(1)).await;
             if refreshed {
-                // An update without an endpoint: the policy refreshes its sums and changes nothing else.
+                // At an update without an endpoint, the policy updates its decaying sums and changes nothing else.
                 pool.clone().endpoints_updated(ListKind::Update, Vec::new());
             }
         }
