--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -114,7 +114,7 @@
 
     /// Sets the key from which the first members are queried. Processes that start at the same key would all query the
     /// same few members.
-    pub fn start_queries_at(&mut self, key: Key) {
+    pub fn set_next_query_key(&mut self, key: Key) {
         self.next_query_key = key;
     }
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -73,7 +73,7 @@
             Membership::new(fleet, own, process_incarnation, list, *membership, seed, now);
         let others = membership.peers().map(|peer| peer.key);
         let mut capacity_share = CapacityShare::new(now, others, *share);
-        capacity_share.start_queries_at(seed as Key);
+        capacity_share.set_next_query_key(seed as Key);
         let pacing = QueryPacing::new(now, seed);
         let share = capacity_share.share(now);
         Self { membership, capacity_share, share, now, pacing, queries_due: now }
@@ -234,7 +234,7 @@
 
     fn query(&mut self, now: Time, max: usize, candidates: Vec<Key>, output: &mut Output) -> Time {
         let queries = self.capacity_share.query_absence(now, max, candidates);
-        self.membership.count_absence_queries(now, queries.to.len());
+        self.membership.record_absence_queries(now, queries.to.len());
         let membership = &self.membership;
         let address = |key| Some((key, membership.listed(key)?.address));
         output.absence_queries.extend(queries.to.into_iter().filter_map(address));
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -294,7 +294,7 @@
     }
 
     /// Counts `queries` absence queries and their answers as traffic.
-    pub fn count_absence_queries(&mut self, now: Time, queries: usize) {
+    pub fn record_absence_queries(&mut self, now: Time, queries: usize) {
         self.meter.add(now, queries * ABSENCE_QUERY_BYTES);
     }
 
--- a/crates/testkit/examples/trace_digest/fleet.rs
+++ b/crates/testkit/examples/trace_digest/fleet.rs
@@ -85,7 +85,7 @@
     trace.integer(timing.start_wait().0);
     let mut now = Time(SECOND);
     let mut share = CapacityShare::new(now, 1..=others, timing);
-    share.start_queries_at(rng.rand_range(0..40) as u32);
+    share.set_next_query_key(rng.rand_range(0..40) as u32);
     for _ in 0..if others == LONG_SHARE_LIST { 400 } else { 300 } {
         now = now.plus(Span(rng.rand_range(0..300_000) as i64));
         let key = 1 + rng.rand_range(0..u64::from(others) + 3) as u32;
