--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -103,7 +103,7 @@
     pub fn set_resumed(&mut self, resumed: bool) {
         self.resumed = resumed;
         if resumed {
-            self.members.forget_proofs();
+            self.members.drop_proofs();
         }
     }
 
@@ -140,8 +140,9 @@
         let interval = self.timing.query_interval;
         self.queries.expire(now);
         let mut queries = AbsenceQueries { to: Vec::new(), retry_at: now.plus(interval) };
-        let paced = self.queries.remaining_this_second(now, self.members.is_short());
-        let max = paced.min(max);
+        let remaining_this_second =
+            self.queries.remaining_this_second(now, self.members.is_short());
+        let max = remaining_this_second.min(max);
         for key in candidates {
             if self.queries.is_exhausted() || queries.to.len() == max {
                 break;
@@ -208,9 +209,9 @@
 
     /// Returns the share at `now`.
     pub fn share(&self, now: Time) -> Share {
-        let identity_processes = if self.duplicate_identity { 2 } else { 1 };
+        let processes_of_name = if self.duplicate_identity { 2 } else { 1 };
         let longest_list = self.longest_list_length();
-        let balancers_after = longest_list * identity_processes;
+        let balancers_after = longest_list * processes_of_name;
         let awaited = self.count_awaited(now);
         if awaited > 0 {
             let (until, reason) = (Some(self.start_wait_end()), ShareReason::Waiting(awaited));
@@ -223,7 +224,7 @@
             _ => ShareReason::Sharing,
         };
         let until = self.first_proof_expiry(now);
-        Share { balancers: acting * identity_processes, until, balancers_after, reason }
+        Share { balancers: acting * processes_of_name, until, balancers_after, reason }
     }
 
     /// Returns when the share may next change without an event, or when a member may next be queried or probed.
--- a/crates/capacity-share/src/member_table.rs
+++ b/crates/capacity-share/src/member_table.rs
@@ -9,7 +9,7 @@
 /// The maximum number of other members for which a waiting process probes all of them and absence queries are not
 /// paced. A wait ends early only if all members have acknowledged the process. Of more members than this, not all can
 /// be probed twice within the wait, and the probes would be wasted.
-const MAX_PROBED_MEMBERS: usize = 512;
+const MAX_SHORT_LIST_MEMBERS: usize = 512;
 
 /// The other members of the list.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +53,7 @@
 
     /// Returns whether the list is short enough for all members to be probed.
     pub(crate) fn is_short(&self) -> bool {
-        self.members.len() <= MAX_PROBED_MEMBERS
+        self.members.len() <= MAX_SHORT_LIST_MEMBERS
     }
 
     /// Returns the number of other members.
@@ -137,7 +137,7 @@
     }
 
     /// Drops all proofs.
-    pub(crate) fn forget_proofs(&mut self) {
+    pub(crate) fn drop_proofs(&mut self) {
         // Proofs that were discarded before are no longer in the index. They have expired and have no effect.
         let proofs = std::mem::take(&mut self.proofs);
         for (_, key) in proofs {
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -348,7 +348,7 @@
         .chunk_by(|(a, _), (b, _)| Scenario { seed: 0, ..**a } == Scenario { seed: 0, ..**b })
     {
         let Scenario { members: n, loss, has_slow_members, protocol, .. } = *row[0].0;
-        let name = protocols.iter().find(|(_, h)| *h == protocol).map_or("", |(name, _)| name);
+        let name = protocols.iter().find(|(_, p)| *p == protocol).map_or("", |(name, _)| name);
         let seeds = row.len();
         let mean = |of: fn(&Measurements) -> f64| {
             row.iter().map(|(_, s)| of(s)).sum::<f64>() / seeds as f64
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Removes the updates about members for which `is_known` returns false.
-    pub(crate) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
-        self.queue.retain(|_, update| is_known(update.member));
-        self.priorities_by_member.retain(|key, _| is_known(*key));
+    /// Removes the updates about members for which `is_listed` returns false.
+    pub(crate) fn retain(&mut self, is_listed: impl Fn(Key) -> bool) {
+        self.queue.retain(|_, update| is_listed(update.member));
+        self.priorities_by_member.retain(|key, _| is_listed(*key));
     }
 
     fn insert(&mut self, transmissions: u32, update: Update) {
--- a/crates/membership/src/dissemination/tests.rs
+++ b/crates/membership/src/dissemination/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_queue_is_bounded_and_keeps_the_newest_update() {
+fn the_queue_is_bounded_and_sends_the_last_added_update_first() {
     let mut queue = Dissemination::default();
     for member in 0..10 * MAX_UPDATES as Key {
         queue.add(update(member, MemberState::Alive, member));
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -18,7 +18,7 @@
 use sableloom_types::{Span, Time};
 
 use self::anti_entropy::AntiEntropy;
-use self::probing::{Probe, Relay};
+use self::probing::{Probe, RelayedProbe};
 use crate::codec::DropReason;
 use crate::digest::member_digest;
 use crate::dissemination::Dissemination;
@@ -94,7 +94,7 @@
     next_probe: Time,
     /// When updates are sent next if no probe is sent before.
     next_gossip: Time,
-    relays: Vec<Relay>,
+    relayed_probes: Vec<RelayedProbe>,
     gossip: Dissemination,
     /// The bytes that this member sends and receives.
     meter: TrafficMeter,
@@ -103,7 +103,7 @@
     started: Time,
     anti_entropy: AntiEntropy,
     /// The number of pings that a process that has started may still send to unknown members.
-    start_pings_left: usize,
+    remaining_initial_pings: usize,
     /// The local health score: 0 for a healthy member, up to 8 for one that is slow or unreachable itself.
     local_health: u32,
     /// When the next call of [`Membership::tick`] is due, as computed by the last call.
@@ -147,13 +147,13 @@
             probe: None,
             next_probe: now,
             next_gossip: now,
-            relays: Vec::new(),
+            relayed_probes: Vec::new(),
             gossip: Dissemination::default(),
             meter: TrafficMeter::new(now),
             now,
             started: now,
             anti_entropy: AntiEntropy::new(now),
-            start_pings_left: 0,
+            remaining_initial_pings: 0,
             local_health: 0,
             timer_due: None,
             is_leaving: false,
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -11,10 +11,10 @@
 
 /// A page is requested only if its expected bytes and those of the last second are together within this number of
 /// bytes.
-const PULL_BELOW_BYTES: usize = 4500;
+const PULL_BUDGET_BYTES: usize = 4500;
 /// A page is sent only as large as its bytes and those of the last second are together within this number of bytes.
 /// Without this bound, a member that many others ask at once would send more than its budget.
-const SERVE_BELOW_BYTES: usize = 4500;
+const SERVE_BUDGET_BYTES: usize = 4500;
 /// The expected size of a page in bytes. A page is larger if all its entries are new to the receiver, as in a first
 /// pull.
 const EXPECTED_PAGE_BYTES: usize = MAX_PAGE_BYTES / 2;
@@ -102,12 +102,12 @@
     }
 
     /// Ends the pull in progress if its server is no longer known.
-    pub(super) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
-        self.current = self.current.take().filter(|pull| is_known(pull.server));
+    pub(super) fn retain(&mut self, is_listed: impl Fn(Key) -> bool) {
+        self.current = self.current.take().filter(|pull| is_listed(pull.server));
     }
 
     /// Records that a member's view differs. Returns the time since which views differ.
-    fn note_difference(&mut self, now: Time, settling: Span, min_backoff: Span) -> Time {
+    fn record_difference(&mut self, now: Time, settling: Span, min_backoff: Span) -> Time {
         let before = self.difference.filter(|difference| now < difference.last.plus(settling));
         let since = before.map_or(now, |difference| difference.since);
         self.difference = Some(Difference { since, last: now });
@@ -133,7 +133,7 @@
         }
         let settling = self.intervals(SETTLING_INTERVALS);
         let min_backoff = self.intervals(MIN_BACKOFF_INTERVALS);
-        let since = self.anti_entropy.note_difference(now, settling, min_backoff);
+        let since = self.anti_entropy.record_difference(now, settling, min_backoff);
         if let Some(pull) = self.anti_entropy.current.as_mut().filter(|pull| pull.server != other) {
             pull.fallback = Some(other);
         }
@@ -172,7 +172,7 @@
         }
         let expected = MAX_DATAGRAM_BYTES + EXPECTED_PAGE_BYTES + 2 * HEADER_BYTES;
         pull.due = now.plus(BUDGET_RETRY_INTERVAL);
-        if self.meter.remaining(now, PULL_BELOW_BYTES) >= expected {
+        if self.meter.remaining(now, PULL_BUDGET_BYTES) >= expected {
             let seq = self.next_seq();
             let CurrentPull { server, next_key, salt, grouping, .. } = pull;
             let own = self.table.peers_from(next_key).filter(|peer| peer.key != server);
@@ -187,7 +187,7 @@
     /// Answers a request for a page. If the budget leaves no space for a page, there is no answer, and the requesting
     /// member turns to another one.
     pub(super) fn answer_pull(&mut self, now: Time, to: Key, pull: &Pull, output: &mut Output) {
-        let remaining = self.meter.remaining(now, SERVE_BELOW_BYTES);
+        let remaining = self.meter.remaining(now, SERVE_BUDGET_BYTES);
         let max_bytes = remaining.saturating_sub(HEADER_BYTES).min(MAX_PAGE_BYTES);
         if max_bytes < MIN_PAGE_BYTES {
             return;
--- a/crates/membership/src/membership/list_update.rs
+++ b/crates/membership/src/membership/list_update.rs
@@ -11,45 +11,45 @@
 use crate::table::MemberTable;
 
 /// How often a process that has started with a short list pings each unknown member.
-pub(super) const START_PINGS_PER_MEMBER: usize = 2;
+pub(super) const INITIAL_PINGS_PER_MEMBER: usize = 2;
 /// The maximum number of pings that a process that has started with a long list sends until the first member has
 /// answered.
-const START_PINGS_OF_LONG_LIST: usize = 32;
+const MAX_LONG_LIST_INITIAL_PINGS: usize = 32;
 
 impl Membership {
     /// Replaces the operators' list. The state of members that are no longer on it is dropped, and updates about them
     /// are ignored from then on.
     pub fn update_list(&mut self, now: Time, list: Arc<MemberList>, output: &mut Output) {
         self.now = now;
-        let resumed = self.table.resync().map(|resync| resync.since);
+        let resumed_at = self.table.resync().map(|resync| resync.since);
         let (old_list, peers) = std::mem::take(&mut self.table).into_parts();
         let own = self.own_key;
-        let known = |(key, listed): &(Key, ListedMember)| {
-            let before = old_list.position(*key).filter(|_| *key != own);
-            let Some(before) = before else { return Peer::unknown(*key, now, own) };
-            let mut peer = peers[before].clone();
-            if old_list.members()[before].1.address != listed.address {
+        let peer_of = |(key, listed): &(Key, ListedMember)| {
+            let old_position = old_list.position(*key).filter(|_| *key != own);
+            let Some(old_position) = old_position else { return Peer::unknown(*key, now, own) };
+            let mut peer = peers[old_position].clone();
+            if old_list.members()[old_position].1.address != listed.address {
                 // The process at the new address has yet to state its nonce.
                 peer.nonce = 0;
             }
             peer
         };
-        self.table = MemberTable::new(list, own, known, resumed);
-        self.forget_removed_members();
-        self.start_pings_left = match self.has_short_list() {
-            true => START_PINGS_PER_MEMBER * self.table.count_unknown(),
-            false => START_PINGS_OF_LONG_LIST,
+        self.table = MemberTable::new(list, own, peer_of, resumed_at);
+        self.drop_removed_members();
+        self.remaining_initial_pings = match self.has_short_list() {
+            true => INITIAL_PINGS_PER_MEMBER * self.table.count_unknown(),
+            false => MAX_LONG_LIST_INITIAL_PINGS,
         };
         self.probe_round.clear();
-        self.view_changed(output);
+        self.record_view_change(output);
     }
 
-    fn forget_removed_members(&mut self) {
+    fn drop_removed_members(&mut self) {
         let table = &self.table;
-        let is_known = |key: Key| table.position(key).is_some();
-        self.gossip.retain(|key| key == self.own_key || is_known(key));
-        self.relays.retain(|relay| is_known(relay.target) && is_known(relay.requester));
-        self.probe = self.probe.take().filter(|probe| is_known(probe.target));
-        self.anti_entropy.retain(is_known);
+        let is_listed = |key: Key| table.position(key).is_some();
+        self.gossip.retain(|key| key == self.own_key || is_listed(key));
+        self.relayed_probes.retain(|probe| is_listed(probe.target) && is_listed(probe.requester));
+        self.probe = self.probe.take().filter(|probe| is_listed(probe.target));
+        self.anti_entropy.retain(is_listed);
     }
 }
--- a/crates/membership/src/membership/local_health.rs
+++ b/crates/membership/src/membership/local_health.rs
@@ -23,8 +23,8 @@
     /// processor time, and the messages that it waited for may be in its socket, unread.
     pub(super) fn detect_late_timer(&mut self, now: Time, output: &mut Output) {
         let Some(due) = self.timer_due else { return };
-        let late = now.since(due).as_micros_f64();
-        let intervals = late / self.timing.probe_interval.as_micros_f64();
+        let delay = now.since(due).as_micros_f64();
+        let intervals = delay / self.timing.probe_interval.as_micros_f64();
         if intervals < LATE_INTERVALS || !self.timing.local_health_enabled {
             return;
         }
@@ -37,7 +37,7 @@
         let (shortest_suspicion, _) = self.suspicion_bounds();
         self.postpone_suspicions(now.plus(Span::from_micros_f64(shortest_suspicion)));
         // Others may have declared this member dead by now, and it has received no updates since.
-        if late > shortest_suspicion && self.table.count_reachable() > 0 {
+        if delay > shortest_suspicion && self.table.count_reachable() > 0 {
             self.table.set_resync(Some(now));
             self.update_reachability(output);
         }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -2,23 +2,23 @@
 
 use sableloom_types::{Span, Time};
 
-use super::list_update::START_PINGS_PER_MEMBER;
+use super::list_update::INITIAL_PINGS_PER_MEMBER;
 use super::{Membership, Output};
 use crate::groups::Group;
 use crate::message::{Body, Key, MemberState, Update};
 use crate::peer::Health;
 
 /// The maximum number of members that are pinged at once when a list is new.
-const MAX_LIST_UPDATE_PINGS: usize = 64;
+const MAX_PINGS_AT_ONCE: usize = 64;
 /// The factor that reduces the probability of pings of the missing members of a long list. Where all members start at
 /// once, each ping and its answer displace pages, by which most members are found.
 const LONG_LIST_PING_FACTOR: f64 = 0.25;
 /// The maximum number of unknown members that a process that has started with a short list pings in each probe
 /// interval. A member is unknown as long as nothing is known of its state.
-const START_PINGS_PER_INTERVAL: usize = 7;
+const MAX_INITIAL_PINGS_PER_INTERVAL: usize = 7;
 /// The maximum number of unknown members that a process that has started with a long list pings in each probe interval
 /// until the first member has answered.
-const LONG_LIST_START_PINGS_PER_INTERVAL: usize = 1;
+const MAX_LONG_LIST_INITIAL_PINGS_PER_INTERVAL: usize = 1;
 
 /// A probe that has no answer yet.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
 
 /// An indirect probe that this member sends for another one.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Relay {
+pub(super) struct RelayedProbe {
     pub(super) target: Key,
     pub(super) seq: u32,
     /// The member that requested the probe.
@@ -55,12 +55,12 @@
             None => probe.indirect_at,
             Some(_) => probe.deadline,
         });
-        let relays = self.relays.iter().map(|relay| relay.deadline);
+        let relayed_probes = self.relayed_probes.iter().map(|probe| probe.deadline);
         let has_gossip = self.local_health > 0 && !self.gossip.is_empty();
         let gossip = Some(self.next_gossip).filter(|_| has_gossip);
         let suspicion = self.table.first_suspicion_deadline();
         let pull = self.anti_entropy.due();
-        let others = suspicion.into_iter().chain(relays).chain(gossip).chain(pull);
+        let others = suspicion.into_iter().chain(relayed_probes).chain(gossip).chain(pull);
         let first = probe.into_iter().chain(others).min();
         first.map_or(self.next_probe, |at| at.min(self.next_probe))
     }
@@ -69,7 +69,7 @@
     pub fn tick(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         self.detect_late_timer(now, output);
-        self.expire_relays(now, output);
+        self.expire_relayed_probes(now, output);
         self.continue_probing(now, output);
         self.expire_suspicions(now, output);
         self.continue_pull(now, output);
@@ -77,11 +77,11 @@
         self.timer_due = Some(self.next_wakeup());
     }
 
-    fn expire_relays(&mut self, now: Time, output: &mut Output) {
-        let expired: Vec<Relay> =
-            self.relays.extract_if(.., |relay| relay.deadline <= now).collect();
-        for relay in expired {
-            self.send(relay.requester, Body::Nack { seq: relay.requester_seq }, output);
+    fn expire_relayed_probes(&mut self, now: Time, output: &mut Output) {
+        let expired: Vec<RelayedProbe> =
+            self.relayed_probes.extract_if(.., |probe| probe.deadline <= now).collect();
+        for probe in expired {
+            self.send(probe.requester, Body::Nack { seq: probe.requester_seq }, output);
         }
     }
 
@@ -100,7 +100,7 @@
         if now >= self.next_gossip {
             self.next_gossip = now.plus(self.timing.probe_interval);
             if self.local_health > 0 && now < self.next_probe && !self.gossip.is_empty() {
-                self.gossip_to(1, output);
+                self.gossip_to_random(1, output);
             }
         }
         if now >= self.next_probe {
@@ -159,20 +159,20 @@
             self.ping(key, output);
         }
         let unknown = self.table.count_unknown();
-        let (left, per_interval) = match self.has_short_list() {
+        let (remaining, per_interval) = match self.has_short_list() {
             // Without the bound by the number of unknown members, all members would ping the last few unknown ones for
             // as long as it takes to ping all.
             true => (
-                self.start_pings_left.min(START_PINGS_PER_MEMBER * unknown),
-                START_PINGS_PER_INTERVAL,
+                self.remaining_initial_pings.min(INITIAL_PINGS_PER_MEMBER * unknown),
+                MAX_INITIAL_PINGS_PER_INTERVAL,
             ),
             false if self.table.count_reachable() == 0 => {
-                (self.start_pings_left, LONG_LIST_START_PINGS_PER_INTERVAL)
+                (self.remaining_initial_pings, MAX_LONG_LIST_INITIAL_PINGS_PER_INTERVAL)
             }
             false => (0, 0),
         };
-        let pings = per_interval.min(left).min(unknown);
-        self.start_pings_left = left - pings;
+        let pings = per_interval.min(remaining).min(unknown);
+        self.remaining_initial_pings = remaining - pings;
         self.ping_random(Group::Unknown, pings, output);
     }
 
@@ -184,15 +184,15 @@
         if !self.has_short_list() {
             return;
         }
-        self.ping_random(Group::Unknown, MAX_LIST_UPDATE_PINGS, output);
-        let remaining = MAX_LIST_UPDATE_PINGS.saturating_sub(self.table.count_unknown());
+        self.ping_random(Group::Unknown, MAX_PINGS_AT_ONCE, output);
+        let remaining = MAX_PINGS_AT_ONCE.saturating_sub(self.table.count_unknown());
         self.ping_random(Group::DeadOrLeft, remaining, output);
         self.timer_due = Some(self.next_wakeup().max(now));
     }
 
-    /// Pings `members` random members of a group, or all if there are fewer.
-    fn ping_random(&mut self, group: Group, members: usize, output: &mut Output) {
-        for n in 0..members {
+    /// Pings `count` random members of a group, or all if there are fewer.
+    fn ping_random(&mut self, group: Group, count: usize, output: &mut Output) {
+        for n in 0..count {
             let Some(key) = self.table.random_peer(group, n, &mut self.rng) else { break };
             self.ping(key, output);
         }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -4,13 +4,13 @@
 
 use sableloom_types::Time;
 
-use super::probing::Relay;
+use super::probing::RelayedProbe;
 use super::{Membership, Output};
 use crate::codec::{DropReason, decode};
 use crate::message::{Body, Key, MemberState, Message, Update};
 
 /// The maximum number of indirect probes for other members that are in progress. Further requests are ignored.
-const MAX_RELAYS: usize = 64;
+const MAX_RELAYED_PROBES: usize = 64;
 
 impl Membership {
     /// Processes a datagram that was received from the address `from`. An invalid datagram is dropped and counted by
@@ -141,22 +141,23 @@
         target: Key,
         output: &mut Output,
     ) {
-        let is_full = self.relays.len() >= MAX_RELAYS;
+        let is_full = self.relayed_probes.len() >= MAX_RELAYED_PROBES;
         if is_full || target == requester || self.peer(target).is_none() {
             return;
         }
         let seq = self.next_seq();
         // The requester needs the nack within its own probe interval.
         let deadline = now.plus(self.timing.probe_timeout);
-        self.relays.push(Relay { target, seq, requester, requester_seq, deadline });
+        self.relayed_probes.push(RelayedProbe { target, seq, requester, requester_seq, deadline });
         self.send(target, Body::Ping { seq }, output);
     }
 
     fn relay_ack(&mut self, from: Key, seq: u32, output: &mut Output) {
-        let found = self.relays.iter().position(|relay| (relay.target, relay.seq) == (from, seq));
-        if let Some(relay) = found.map(|index| self.relays.swap_remove(index)) {
-            let body = Body::IndirectAck { seq: relay.requester_seq, target: relay.target };
-            self.send(relay.requester, body, output);
+        let found =
+            self.relayed_probes.iter().position(|probe| (probe.target, probe.seq) == (from, seq));
+        if let Some(probe) = found.map(|index| self.relayed_probes.swap_remove(index)) {
+            let body = Body::IndirectAck { seq: probe.requester_seq, target: probe.target };
+            self.send(probe.requester, body, output);
         }
     }
 
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -9,9 +9,9 @@
 const MAX_UPDATES_PER_MESSAGE: usize = 24;
 
 impl Membership {
-    /// Sends updates to `members` random reachable members, or to all if there are fewer.
-    pub(super) fn gossip_to(&mut self, members: usize, output: &mut Output) {
-        for n in 0..members {
+    /// Sends updates to `count` random reachable members, or to all if there are fewer.
+    pub(super) fn gossip_to_random(&mut self, count: usize, output: &mut Output) {
+        for n in 0..count {
             let Some(key) = self.table.random_peer(Group::Reachable, n, &mut self.rng) else {
                 break;
             };
@@ -120,6 +120,6 @@
             };
             self.send(key, Body::Leave, output);
         }
-        self.view_changed(output);
+        self.record_view_change(output);
     }
 }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -22,13 +22,13 @@
     pub(super) fn suspicion_deadline(&self, started: Time, confirmers: usize) -> Time {
         let (shortest, longest) = self.suspicion_bounds();
         // In a fleet with fewer members than the wanted number of confirmers, all of them suffice.
-        let wanted = MAX_CONFIRMERS.min(self.table.count_reachable().saturating_sub(1));
-        let fraction = match wanted {
+        let wanted_confirmers = MAX_CONFIRMERS.min(self.table.count_reachable().saturating_sub(1));
+        let fraction = match wanted_confirmers {
             0 => 1.0,
-            _ => ((confirmers + 1) as f64).ln() / ((wanted + 1) as f64).ln(),
+            _ => ((confirmers + 1) as f64).ln() / ((wanted_confirmers + 1) as f64).ln(),
         };
-        let lasts = (longest - (longest - shortest) * fraction.min(1.0)).max(shortest);
-        started.plus(Span::from_micros_f64(lasts))
+        let duration = (longest - (longest - shortest) * fraction.min(1.0)).max(shortest);
+        started.plus(Span::from_micros_f64(duration))
     }
 
     /// Counts an update that does not supersede the known state as another member's confirmation of a suspicion, if it
@@ -117,9 +117,9 @@
             self.worsen_local_health(1);
         }
         self.queue_own_update();
-        self.view_changed(output);
+        self.record_view_change(output);
         // The suspicion has a deadline, and this member may be slow, so that the refutation does not wait for the next
         // probe.
-        self.gossip_to(self.timing.indirect_probes, output);
+        self.gossip_to_random(self.timing.indirect_probes, output);
     }
 }
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -9,7 +9,7 @@
 use crate::view::Reachability;
 
 impl Membership {
-    pub(super) fn view_changed(&mut self, output: &mut Output) {
+    pub(super) fn record_view_change(&mut self, output: &mut Output) {
         self.view_version += 1;
         self.update_reachability(output);
     }
@@ -86,7 +86,7 @@
         });
         let is_same_process = incarnation_before == update.process_incarnation;
         output.changes.extend(view_change(&update, &health_before, is_same_process));
-        self.view_changed(output);
+        self.record_view_change(output);
     }
 }
 
--- a/crates/membership/src/meter.rs
+++ b/crates/membership/src/meter.rs
@@ -13,10 +13,10 @@
 pub const ABSENCE_QUERY_BYTES: usize = (HEADER_BYTES + 1) + (28 + HEADER_BYTES + 1);
 /// The number of bytes of updates that may always be sent in a second, whatever else is sent. Members have to learn of
 /// failures while tables are pulled too.
-pub(crate) const MIN_UPDATE_BYTES: usize = 300;
-/// Updates beyond [`MIN_UPDATE_BYTES`] are sent only while the last second had fewer bytes than this and no table is
-/// pulled. Without this bound, updates displaced all pages, which carry a hundred times as much in the same bytes.
-pub(crate) const UPDATES_BELOW_BYTES: usize = 2400;
+pub(crate) const RESERVED_UPDATE_BYTES: usize = 300;
+/// Updates beyond [`RESERVED_UPDATE_BYTES`] are sent only while the last second had fewer bytes than this and no table
+/// is pulled. Without this bound, updates displaced all pages, which carry a hundred times as much in the same bytes.
+pub(crate) const UPDATE_BUDGET_BYTES: usize = 2400;
 
 /// The number of slots in a second, and one more for the part of the first slot that is already over. With it, no
 /// second of any beginning has more bytes than the meter states.
@@ -70,8 +70,8 @@
     pub(crate) fn remaining_for_updates(&mut self, now: Time, is_pulling: bool) -> usize {
         self.slot_at(now);
         let sent: usize = self.slots.iter().map(|slot| slot.updates).sum();
-        let minimum = MIN_UPDATE_BYTES.saturating_sub(sent);
-        if is_pulling { minimum } else { minimum.max(self.remaining(now, UPDATES_BELOW_BYTES)) }
+        let minimum = RESERVED_UPDATE_BYTES.saturating_sub(sent);
+        if is_pulling { minimum } else { minimum.max(self.remaining(now, UPDATE_BUDGET_BYTES)) }
     }
 
     /// Returns the slot of the time `now`, and empties slots that are over a second old.
--- a/crates/membership/src/meter/tests.rs
+++ b/crates/membership/src/meter/tests.rs
@@ -5,7 +5,7 @@
 /// No second, whatever its beginning, has more bytes than the meter allows. Once traffic is over a second old, the
 /// whole budget is available again.
 #[test]
-fn no_second_of_any_beginning_exceeds_the_budget() {
+fn no_window_of_one_second_exceeds_the_budget() {
     for seed in 0..50u128 {
         let mut rng = Rand64::new(seed);
         let begin = Time(rng.rand_range(0..1 << 40) as i64 - (1 << 39));
@@ -31,12 +31,12 @@
 #[test]
 fn updates_get_their_minimum_and_what_the_budget_leaves() {
     let mut meter = TrafficMeter::new(Time(0));
-    assert_eq!(meter.remaining_for_updates(Time(0), false), UPDATES_BELOW_BYTES);
+    assert_eq!(meter.remaining_for_updates(Time(0), false), UPDATE_BUDGET_BYTES);
     meter.add(Time(0), MAX_BYTES_PER_SECOND);
-    assert_eq!(meter.remaining_for_updates(Time(0), false), MIN_UPDATE_BYTES);
-    meter.add_updates(Time(0), MIN_UPDATE_BYTES - 10);
+    assert_eq!(meter.remaining_for_updates(Time(0), false), RESERVED_UPDATE_BYTES);
+    meter.add_updates(Time(0), RESERVED_UPDATE_BYTES - 10);
     assert_eq!(meter.remaining_for_updates(Time(500_000), false), 10);
     let free = Time(9_000_000);
-    assert_eq!(meter.remaining_for_updates(free, true), MIN_UPDATE_BYTES, "pages come first");
-    assert_eq!(meter.remaining_for_updates(free, false), UPDATES_BELOW_BYTES);
+    assert_eq!(meter.remaining_for_updates(free, true), RESERVED_UPDATE_BYTES, "pages come first");
+    assert_eq!(meter.remaining_for_updates(free, false), UPDATE_BUDGET_BYTES);
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -41,19 +41,19 @@
 }
 
 impl MemberTable {
-    /// Creates the table of a list, with the state that `known` returns of each member. `own` is the key of this
-    /// process, which is not one of the others. If this process was suspended, `resumed` is when it resumed.
+    /// Creates the table of a list, with the state that `peer_of` returns of each member. `own` is the key of this
+    /// process, which is not one of the others. If this process was suspended, `resumed_at` is when it resumed.
     pub(crate) fn new(
         list: Arc<MemberList>,
         own: Key,
-        mut known: impl FnMut(&(Key, ListedMember)) -> Peer,
-        resumed: Option<Time>,
+        mut peer_of: impl FnMut(&(Key, ListedMember)) -> Peer,
+        resumed_at: Option<Time>,
     ) -> Self {
-        let peers: Vec<Peer> = list.members().iter().map(&mut known).collect();
+        let peers: Vec<Peer> = list.members().iter().map(&mut peer_of).collect();
         let mut table = Self {
             own_position: list.position(own),
             groups: Groups::new(peers.len()),
-            resync: resumed.map(|since| Resync { since, responders: 0 }),
+            resync: resumed_at.map(|since| Resync { since, responders: 0 }),
             peers,
             list,
             ..Self::default()
--- a/crates/membership/src/table/tests.rs
+++ b/crates/membership/src/table/tests.rs
@@ -85,13 +85,13 @@
             }
             check_indexes(&table, seed);
         }
-        let resumed = table.resync().map(|resync| resync.since);
+        let resumed_at = table.resync().map(|resync| resync.since);
         let (list, peers) = table.into_parts();
-        let known = |(key, _): &(Key, ListedMember)| {
+        let peer_of = |(key, _): &(Key, ListedMember)| {
             peers.iter().find(|peer| peer.key == *key).expect("on the list").clone()
         };
         let own = peers[MEMBERS].key;
-        check_indexes(&MemberTable::new(list.clone(), own, known, resumed), seed);
+        check_indexes(&MemberTable::new(list.clone(), own, peer_of, resumed_at), seed);
     }
 }
 
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -58,23 +58,23 @@
 
 /// Returns a member with a view in which all others are alive with this process incarnation, by updates from one of
 /// them.
-fn member_knowing_all(own: usize, process_incarnation: u32) -> Membership {
+fn member_with_full_view(own: usize, process_incarnation: u32) -> Membership {
     let mut membership = member(own, LIST_LENGTH);
-    let informant = 3;
+    let sender = 3;
     let mut out = Output::default();
-    membership.ping(key_of(&name(informant)), &mut out);
-    let nonce = messages_to(&mut out, informant)[0].nonce;
+    membership.ping(key_of(&name(sender)), &mut out);
+    let nonce = messages_to(&mut out, sender)[0].nonce;
     for chunk in others().collect::<Vec<_>>().chunks(8) {
         let alive = |i: &usize| Update {
             member: key_of(&name(*i)),
             process_incarnation,
             incarnation: 0,
             state: MemberState::Alive,
-            reported_by: key_of(&name(informant)),
+            reported_by: key_of(&name(sender)),
         };
         let message = Message {
             fleet: key_of("points"),
-            sender: key_of(&name(informant)),
+            sender: key_of(&name(sender)),
             process_incarnation: 9,
             incarnation: 0,
             nonce: 77,
@@ -85,7 +85,7 @@
             body: Body::Leave,
             updates: chunk.iter().map(alive).collect(),
         };
-        deliver(&mut membership, Time(0), informant, &message);
+        deliver(&mut membership, Time(0), sender, &message);
     }
     assert!(membership.count_reachable() >= others().len());
     membership
@@ -165,7 +165,7 @@
 /// its member, and none is sent on as gossip.
 #[test]
 fn a_starting_process_pulls_the_table_of_the_first_responder() {
-    let (mut a, mut b) = (member(0, LIST_LENGTH), member_knowing_all(1, 5));
+    let (mut a, mut b) = (member(0, LIST_LENGTH), member_with_full_view(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     assert!(a.count_reachable() < 30, "only the updates in the answer are known");
     complete_pull(&mut a, &mut b, 1, request, PULL_START);
@@ -188,7 +188,7 @@
 /// Late pages, pages from another member than the server, and duplicates have no effect.
 #[test]
 fn only_the_requested_page_has_an_effect_and_only_once() {
-    let (mut a, mut b) = (member(0, LIST_LENGTH), member_knowing_all(1, 5));
+    let (mut a, mut b) = (member(0, LIST_LENGTH), member_with_full_view(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
     let page = page_of(&answer);
@@ -232,7 +232,7 @@
 fn an_invalid_page_is_discarded_completely() {
     for defect in 0..3 {
         let (mut a, mut b, mut c) =
-            (member(0, LIST_LENGTH), member_knowing_all(1, 5), member_knowing_all(2, 5));
+            (member(0, LIST_LENGTH), member_with_full_view(1, 5), member_with_full_view(2, 5));
         let request = start_pull(&mut a, &mut b, 1, PULL_START);
         exchange_ping(&mut a, &mut c, 2, PULL_START);
         let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
@@ -259,7 +259,7 @@
 #[test]
 fn a_server_that_dies_during_a_pull_is_replaced() {
     let (mut a, mut b, mut c) =
-        (member(0, LIST_LENGTH), member_knowing_all(1, 5), member_knowing_all(2, 5));
+        (member(0, LIST_LENGTH), member_with_full_view(1, 5), member_with_full_view(2, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     exchange_ping(&mut a, &mut c, 2, PULL_START);
     let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
@@ -277,7 +277,7 @@
 /// A page from before the restarts of members does not replace their later incarnations.
 #[test]
 fn a_page_with_earlier_process_incarnations_replaces_nothing() {
-    let (mut a, mut b) = (member_knowing_all(0, 8), member_knowing_all(1, 5));
+    let (mut a, mut b) = (member_with_full_view(0, 8), member_with_full_view(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
     assert!(page_of(&answer).entries.len() > 500, "all entries differ");
@@ -293,7 +293,7 @@
 /// Members on a page that are not on the receiver's own list are ignored.
 #[test]
 fn a_page_of_a_longer_list_adds_no_member() {
-    let (mut a, mut b) = (member(0, 100), member_knowing_all(1, 5));
+    let (mut a, mut b) = (member(0, 100), member_with_full_view(1, 5));
     let request = start_pull(&mut a, &mut b, 1, PULL_START);
     let answer = messages_to(&mut deliver(&mut b, PULL_START, 0, &request), 0).remove(0);
     deliver(&mut a, PULL_START, 1, &answer);
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -65,7 +65,7 @@
     sim.heal();
     let agreement_time = sim.run_until_agreed(MAX_AGREEMENT_TIME);
     let format_views = || {
-        let views = sim.memberships().map(|(i, f)| {
+        let views = sim.memberships().map(|(i, membership)| {
             let health = |p: &sableloom_membership::Peer| match p.health {
                 Health::Unknown => '?',
                 Health::Alive => 'a',
@@ -73,8 +73,8 @@
                 Health::Dead => 'd',
                 Health::Left => 'l',
             };
-            let row: String = f.view().peers.iter().map(health).collect();
-            format!("{i}: {row} local health {}", f.local_health())
+            let row: String = membership.view().peers.iter().map(health).collect();
+            format!("{i}: {row} local health {}", membership.local_health())
         });
         views.collect::<Vec<_>>()
     };
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -61,8 +61,8 @@
     let ack = messages_to(&mut out, 1).pop().expect("an answer");
     assert_eq!(ack.receiver_nonce, ping.nonce);
     a.receive(Time(at), address(2), &encode(&ack).0, &mut out);
-    let health_of = |f: &Membership, name| {
-        f.view().peers.iter().find(|p| p.key == key_of(name)).map(|p| p.health.clone())
+    let health_of = |membership: &Membership, name| {
+        membership.view().peers.iter().find(|p| p.key == key_of(name)).map(|p| p.health.clone())
     };
     assert_eq!(health_of(a, "b"), Some(Health::Alive));
     assert_eq!(
