--- a/crates/capacity-share/src/absence_queries.rs
+++ b/crates/capacity-share/src/absence_queries.rs
@@ -18,7 +18,7 @@
 pub struct AbsenceQueries {
     /// The members whose operating systems are queried.
     pub to: Vec<Key>,
-    /// None of the candidates can be queried again before this time.
+    /// When the caller should request the next absence queries.
     pub retry_at: Time,
 }
 
--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Records that another process acts under this process's name. From then on, each of the two has half a share.
+    /// Records that another process runs under this process's name. From then on, each of the two has half a share.
     pub fn set_duplicate_identity(&mut self) {
         self.duplicate_identity = true;
     }
 
-    /// Sets the key from which the first members are queried. Processes that start at the same key would all query the
-    /// same few members.
+    /// Sets the key from which members are queried next. Processes should begin at different keys, or all of them would
+    /// query the same few members.
     pub fn set_next_query_key(&mut self, key: Key) {
         self.next_query_key = key;
     }
@@ -200,8 +200,9 @@
         self.members.proof_count() - expired.count()
     }
 
-    /// Returns the length of the longest list that this process knows of, its own included. Where lists differ, the
-    /// longest one counts, because the members that a shorter list lacks act too.
+    /// Returns the length of the longest list among this process's own and those that the other members, except absent
+    /// ones, have stated. Where lists differ, the longest one counts, because the members that a shorter list lacks use
+    /// capacity too.
     pub fn longest_list_length(&self) -> u32 {
         let own = self.members.len() as u32 + 1;
         own.max(u32::from(self.members.longest_list_length()))
--- a/crates/capacity-share/src/lib.rs
+++ b/crates/capacity-share/src/lib.rs
@@ -2,10 +2,10 @@
 //! the capacity.
 //!
 //! Balancers that divide the servers' capacity among themselves must not use more than all of it together, even while
-//! their views of each other differ. The capacity that a terminated balancer no longer uses should go to the others.
-//! With N members on the operators' list, of which a balancer holds a *proof of absence* against the set F, its share is
-//! 1 / (N - |F|). No acting member is in any F, so that N - |F| is at least the number A of acting members at each of
-//! them, and A shares of at most 1/A add up to at most one.
+//! their views of each other differ. The capacity that a terminated balancer no longer uses should go to the others. If
+//! the operators' list has N members, and a balancer holds a *proof of absence* against each member of a set F, its
+//! share is 1 / (N - |F|). A member is *acting* while it uses capacity. No acting member is in any F, so that N - |F|
+//! is at least the number A of acting members at each of them, and A shares of at most 1/A add up to at most one.
 //!
 //! Two rules ensure that no acting member is in any F.
 //! - Silence proves nothing. A proof of absence is the answer of a member's own operating system that no process holds
@@ -20,7 +20,7 @@
 //! Waiting --all others acknowledged or absent, or the start wait is over--> Sharing (1/N ... 1/(N-|F|))
 //!    ^ the list grew within that time
 //! Sharing --the process was suspended--> Resumed (1/N) --messages from enough others--> Sharing
-//! any --another process acts under its name--> DuplicateIdentity (half)
+//! any --another process runs under its name--> DuplicateIdentity (half)
 //! ```
 //!
 //! The crate does no I/O, reads no clock and never counts a silent member as absent. [docs/design/members.md] has the
--- a/crates/capacity-share/src/member_table.rs
+++ b/crates/capacity-share/src/member_table.rs
@@ -6,9 +6,9 @@
 
 use crate::member::{Key, Member, NEVER};
 
-/// The maximum number of other members for which a waiting process probes all of them and absence queries are not
-/// paced. A wait ends early only if all members have acknowledged the process. Of more members than this, not all can
-/// be probed twice within the wait, and the probes would be wasted.
+/// The maximum number of other members on a short list. A waiting process probes all members of a short list, and the
+/// rate of absence queries about them is not limited. A wait ends early only if all members have acknowledged the
+/// process. Of more members than this, not all can be probed twice within the wait, and the probes would be wasted.
 const MAX_SHORT_LIST_MEMBERS: usize = 512;
 
 /// The other members of the list.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns whether the list is short enough for all members to be probed.
+    /// Returns whether the list is short enough for all members to be probed, and for queries without a rate limit.
     pub(crate) fn is_short(&self) -> bool {
         self.members.len() <= MAX_SHORT_LIST_MEMBERS
     }
--- a/crates/capacity-share/src/probes.rs
+++ b/crates/capacity-share/src/probes.rs
@@ -4,8 +4,8 @@
 
 use crate::member::NEVER;
 
-/// The maximum number of probes in one probe interval. Without it, a process that starts with a long list would send
-/// hundreds of probes at once.
+/// The maximum number of probes in one probe interval. Without it, a process that starts with a list of hundreds of
+/// members would probe all of them at once.
 const MAX_PROBES_PER_INTERVAL: usize = 64;
 
 /// Counts the probes of the current interval.
--- a/crates/capacity-share/src/share.rs
+++ b/crates/capacity-share/src/share.rs
@@ -12,7 +12,7 @@
     /// The process was suspended and has received messages from too few members since. It shares the capacity with all
     /// members of the list.
     Resumed,
-    /// Another process acts under the same name. Each of the two has half a share.
+    /// Another process runs under the same name. Each of the two has half a share.
     DuplicateIdentity,
 }
 
--- a/crates/capacity-share/src/timing.rs
+++ b/crates/capacity-share/src/timing.rs
@@ -31,9 +31,9 @@
 }
 
 impl Timing {
-    /// Returns how long a process that starts waits for members that do not acknowledge it. After this time every proof
-    /// against it has expired, even if the slowest clock within the drift measures the lease and the fastest measures
-    /// the wait.
+    /// Returns how long a process waits after its start for members that do not acknowledge it. After this time every
+    /// proof against it has expired, even if the slowest clock within the drift measures the lease and the fastest
+    /// measures the wait.
     pub fn start_wait(&self) -> Span {
         // The wait is rounded up, because a wait that is too short by a microsecond lets two members use the same
         // capacity.
--- a/crates/capacity-share/tests/share_rules.rs
+++ b/crates/capacity-share/tests/share_rules.rs
@@ -51,7 +51,7 @@
     let wait = timing.start_wait().as_micros_f64() / 1e6;
     assert!(
         wait > timing.lease.as_micros_f64() / 1e6 * 1.2,
-        "a clock 10% slow against one 10% fast: {wait}"
+        "the wait is too short for a clock 10% slow against one 10% fast: {wait} s"
     );
     assert_eq!(balancers_and_reason(&share, wait - 0.001).0, 0);
     assert_eq!(balancers_and_reason(&share, wait), (4, ShareReason::Sharing));
@@ -161,8 +161,8 @@
     assert_eq!(query(&mut share, 1.5, |_| true), [1, 2]);
 }
 
-/// Queries about a long list are limited in every second and reach each member in turn. Queries about a short list are
-/// all sent at once.
+/// The number of queries about a long list is limited in every second, and each member is queried in turn. Queries
+/// about a short list are all sent at once.
 #[test]
 fn queries_about_a_long_list_are_paced() {
     let timing = Timing { lease: Span(60 * SECOND), ..Timing::default() };
@@ -212,7 +212,7 @@
             );
             assert!(balancers > 0 || matches!(reason, ShareReason::Waiting(_)));
             assert!(until.is_none_or(|until| until > now), "the share ends in the past");
-            assert!(share.next_wakeup(now) > now, "the timer would fire without end");
+            assert!(share.next_wakeup(now) > now, "the timer would fire again at once");
         }
     }
 }
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -1,10 +1,11 @@
 //! Compares how soon a death is detected, how many false deaths there are, and the traffic, for three protocols on one
-//! simulated network: this crate's protocol, the same without local health (plain SWIM), and heartbeats of all to all.
+//! simulated network: this crate's protocol, the same without local health (plain SWIM), and heartbeats from each
+//! member to all others.
 //!
 //! `cargo run --release -p sableloom-membership --example detection -- [MAX_MEMBERS]` measures fleets of 10, 100 and
 //! 1,000 members, as far as `MAX_MEMBERS` allows. All times are simulated. Fleets of up to 100 members take one to two
-//! minutes on six cores. Fleets of 1,000 are measured at two rates of loss and without heartbeats, whose traffic is
-//! known there: 4,995 packets a second and member.
+//! minutes on six cores. Fleets of 1,000 are measured at two rates of loss and without heartbeats, whose traffic can be
+//! computed: 4,995 packets per second and member.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -156,7 +157,7 @@
 const STEP: i64 = 10 * MILLISECOND;
 
 impl Scenario {
-    /// Starts all members and gives them time to know each other.
+    /// Starts all members and runs the network for 10 s, so that the members find each other.
     fn start(&self) -> Network<Member> {
         let mut network: Network<Member> = Network::new(self.members, self.seed, 0.01);
         let listed = |i| ListedMember { name: format!("m{i}"), address: address_of(i) };
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -13,7 +13,8 @@
     mix(u64::from(key) << 32 | u64::from(process_incarnation))
 }
 
-/// Hashes a value by the last steps of splitmix64. Every bit of the input changes half of the output's bits.
+/// Hashes a value with the finalizer of splitmix64. A change of one input bit changes half of the output bits on
+/// average.
 pub(crate) fn mix(mut hash: u64) -> u32 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -10,8 +10,9 @@
 /// was sent least often comes first; of equals, the one that has waited longest.
 type Priority = (u32, u64);
 
-/// The maximum number of queued updates. About six thousand datagrams carry all of them. If there are more, the update
-/// that was sent most often is discarded first, since other members go on sending it.
+/// The maximum number of queued updates. It takes about six thousand datagrams to send each of them as often as it has
+/// to be sent. If there are more, the update that was sent most often is discarded first, since other members go on
+/// sending it.
 const MAX_UPDATES: usize = 1024;
 
 /// The queue of updates to send.
--- a/crates/membership/src/groups.rs
+++ b/crates/membership/src/groups.rs
@@ -1,5 +1,5 @@
-//! The positions of a member table in groups. To move a position, to count a group and to draw from it at random take
-//! the same time whatever the table's size.
+//! The positions of a member table, grouped by the states of their members. Moving a position, counting a group and
+//! drawing from it at random take the same time for a table of any size.
 
 use oorandom::Rand64;
 
@@ -30,9 +30,10 @@
     }
 }
 
-/// All positions, in the order of their groups.
+/// The positions of all members of a table, those of the same group next to each other.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Groups {
+    /// The positions, by group in the order of [`Group`], and unordered within a group.
     order: Vec<u32>,
     /// The index of each position in `order`.
     order_indexes: Vec<u32>,
@@ -41,7 +42,7 @@
 }
 
 impl Groups {
-    /// Creates `positions` positions, all of them in the first group.
+    /// Creates the groups of `positions` positions, all of them in [`Group::Reachable`].
     pub(crate) fn new(positions: usize) -> Self {
         let order: Vec<u32> = (0..positions as u32).collect();
         Self { order_indexes: order.clone(), order, group_ends: [positions; GROUP_COUNT] }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,11 @@
 //! The membership protocol, by which each balancer of a fleet determines which others are reachable.
 //!
-//! A balancer needs to know the others within seconds, at a cost that does not grow with the fleet, and without
-//! declaring healthy members dead when the network loses datagrams or the balancer itself is slow. The protocol is SWIM
-//! with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar, Phillips, Currey 2018), over
-//! datagrams of at most 256 bytes between the members of a list that operators keep. Gossip spreads changes. Processes
-//! that have started, and members whose views remain different, pull member tables by pages of at most 1,200 bytes.
+//! A balancer has to detect within seconds which others are reachable, at a cost that does not grow with the fleet, and
+//! without declaring healthy members dead when the network loses datagrams or the balancer itself is slow. The protocol
+//! is SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar, Phillips, Currey 2018),
+//! over datagrams of at most 256 bytes between the members of a list that operators keep. Gossip spreads changes.
+//! Processes that have just started, and members whose views remain different, pull member tables by pages of at most
+//! 1,200 bytes.
 //!
 //! # States of a member
 //!
@@ -40,8 +41,8 @@
 //! let mut a = Membership::new("fleet", "a", 1, list.clone(), Timing::default(), 1, Time(0));
 //! let mut b = Membership::new("fleet", "b", 1, list, Timing::default(), 2, Time(0));
 //!
-//! // The first ping carries the nonce of a, and its ack that of b. Only the second ping, with the nonce of b, makes a
-//! // known to b.
+//! // The first ping carries the nonce of a, and its ack that of b. Member b records a as alive only after the second
+//! // ping, which carries the nonce of b.
 //! let mut output = Output::default();
 //! let a_address = "127.0.0.1:7000".parse()?;
 //! let b_address = "127.0.0.2:7000".parse()?;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -37,11 +37,11 @@
 /// A change of the view. Members are identified by their keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// A member has become reachable with this process, or has restarted as this process.
+    /// A member has become reachable, or a reachable member has restarted.
     Joined {
         /// The member.
         member: Key,
-        /// The incarnation of its process.
+        /// The incarnation of the member's current process.
         process_incarnation: u32,
     },
     /// A member is suspected to be dead.
@@ -64,7 +64,7 @@
     Left(Key),
     /// The part of the fleet that this member reaches has changed.
     Reachability(Reachability),
-    /// Another process acts under this member's own name.
+    /// Another process runs under this member's own name.
     DuplicateIdentity,
 }
 
@@ -102,7 +102,7 @@
     now: Time,
     started: Time,
     anti_entropy: AntiEntropy,
-    /// The number of pings that a process that has started may still send to unknown members.
+    /// The number of initial pings, that is, pings of members of which nothing is known, that may still be sent.
     remaining_initial_pings: usize,
     /// The local health score: 0 for a healthy member, up to 8 for one that is slow or unreachable itself.
     local_health: u32,
@@ -168,7 +168,7 @@
         membership
     }
 
-    /// Returns whether the list is short enough for a process that starts to ping all members. Budgets for updates and
+    /// Returns whether the list is short enough for a process to ping all members at its start. Budgets for updates and
     /// absence queries apply to longer lists only.
     pub fn has_short_list(&self) -> bool {
         self.table.len() <= self.timing.max_short_list
@@ -261,7 +261,7 @@
     }
 
     /// Returns the incarnation of this member's process. It is later than the one that was passed to [`Self::new`] if
-    /// other members knew of a later one.
+    /// other members had recorded a later one.
     pub fn process_incarnation(&self) -> u32 {
         self.process_incarnation
     }
@@ -293,7 +293,7 @@
         self.dropped.get(&reason).copied().unwrap_or(0)
     }
 
-    /// Counts `queries` absence queries and their answers as traffic.
+    /// Counts the bytes of `queries` absence queries and of their answers as traffic of this member.
     pub fn record_absence_queries(&mut self, now: Time, queries: usize) {
         self.meter.add(now, queries * ABSENCE_QUERY_BYTES);
     }
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,6 @@
-//! Anti-entropy: a process that has started pulls one whole member table, and members whose views remain different pull
-//! what differs. A member has one pull at a time in progress, which transfers page by page within the budget of bytes.
+//! Anti-entropy: after its start, a process pulls one whole member table, and members whose views remain different pull
+//! what differs. A member has at most one pull in progress, which transfers the table page by page within a byte
+//! budget.
 
 use sableloom_types::{Span, Time};
 
@@ -12,8 +13,8 @@
 /// A page is requested only if its expected bytes and those of the last second are together within this number of
 /// bytes.
 const PULL_BUDGET_BYTES: usize = 4500;
-/// A page is sent only as large as its bytes and those of the last second are together within this number of bytes.
-/// Without this bound, a member that many others ask at once would send more than its budget.
+/// A page is limited to the size at which its bytes and those of the last second are together within this number of
+/// bytes. Without this bound, a member that receives requests from many others at once would send more than its budget.
 const SERVE_BUDGET_BYTES: usize = 4500;
 /// The expected size of a page in bytes. A page is larger if all its entries are new to the receiver, as in a first
 /// pull.
@@ -55,11 +56,12 @@
     has_changed_view: bool,
 }
 
-/// The period in which other members have stated views that differ. A member that agrees does not end it: of two
-/// members that lack the same member, neither helps the other.
+/// The period in which other members have stated views that differ. A member with an equal view does not end it,
+/// because both views may lack the same member.
 #[derive(Clone, Copy, Debug)]
 struct Difference {
     since: Time,
+    /// When a different view was stated last.
     last: Time,
 }
 
@@ -71,7 +73,7 @@
     /// The earliest time at which the next pull may begin.
     not_before: Time,
     /// The wait after the next pull that changes nothing. It is `None` after a pull that changed the view: the next
-    /// pull then begins as soon as views are seen to differ.
+    /// pull then begins as soon as another member states a different view.
     backoff: Option<Span>,
     /// The digest of the view at the end of the last pull that changed nothing.
     digest_at_last_pull: u32,
@@ -184,8 +186,8 @@
         self.anti_entropy.current = Some(pull);
     }
 
-    /// Answers a request for a page. If the budget leaves no space for a page, there is no answer, and the requesting
-    /// member turns to another one.
+    /// Answers a request for a page. If the budget leaves no space for a page, there is no answer. The request then
+    /// times out, and the requesting member sends it to another one that has answered, if there is one.
     pub(super) fn answer_pull(&mut self, now: Time, to: Key, pull: &Pull, output: &mut Output) {
         let remaining = self.meter.remaining(now, SERVE_BUDGET_BYTES);
         let max_bytes = remaining.saturating_sub(HEADER_BYTES).min(MAX_PAGE_BYTES);
@@ -230,8 +232,8 @@
         self.continue_pull(now, output);
     }
 
-    /// Ends the pull in progress. After a pull that changed the view, the next one begins as soon as views are seen to
-    /// differ. After another, it waits for the backoff.
+    /// Ends the pull in progress. After a pull that changed the view, the next one begins as soon as another member
+    /// states a different view. After a pull that changed nothing, the next one waits for the backoff.
     fn end_pull(&mut self, now: Time, has_changed_view: bool) {
         let min_backoff = self.intervals(MIN_BACKOFF_INTERVALS);
         let max_backoff = self.intervals(MAX_BACKOFF_INTERVALS);
--- a/crates/membership/src/membership/list_update.rs
+++ b/crates/membership/src/membership/list_update.rs
@@ -10,10 +10,9 @@
 use crate::peer::Peer;
 use crate::table::MemberTable;
 
-/// How often a process that has started with a short list pings each unknown member.
+/// The number of initial pings for each unknown member of a short list.
 pub(super) const INITIAL_PINGS_PER_MEMBER: usize = 2;
-/// The maximum number of pings that a process that has started with a long list sends until the first member has
-/// answered.
+/// The maximum number of initial pings with a long list. They end when the first member has answered.
 const MAX_LONG_LIST_INITIAL_PINGS: usize = 32;
 
 impl Membership {
@@ -29,7 +28,7 @@
             let Some(old_position) = old_position else { return Peer::unknown(*key, now, own) };
             let mut peer = peers[old_position].clone();
             if old_list.members()[old_position].1.address != listed.address {
-                // The process at the new address has yet to state its nonce.
+                // The nonce is that of the process at the old address. The one at the new address has sent none yet.
                 peer.nonce = 0;
             }
             peer
@@ -44,6 +43,7 @@
         self.record_view_change(output);
     }
 
+    /// Drops queued updates, probes and pulls that concern members that are no longer on the list.
     fn drop_removed_members(&mut self) {
         let table = &self.table;
         let is_listed = |key: Key| table.position(key).is_some();
--- a/crates/membership/src/membership/local_health.rs
+++ b/crates/membership/src/membership/local_health.rs
@@ -9,10 +9,11 @@
 /// The worst local health score, at which timeouts are nine times as long as usual (Lifeguard, section IV-A, has
 /// eight).
 pub(super) const MAX_LOCAL_HEALTH: u32 = 8;
-/// The delay of its timer, in probe intervals, at which a member counts as slow.
+/// The delay of a member's timer, in probe intervals, from which on the member counts as slow.
 const LATE_INTERVALS: f64 = 0.5;
 
 impl Membership {
+    /// Raises the local health score by `by`, up to its maximum.
     pub(super) fn worsen_local_health(&mut self, by: u32) {
         if self.timing.local_health_enabled {
             self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
@@ -29,14 +30,14 @@
             return;
         }
         self.worsen_local_health(intervals.ceil().min(f64::from(MAX_LOCAL_HEALTH)) as u32);
-        // Each delay counts once.
+        // The same delay must not be counted again.
         self.timer_due = Some(now);
-        // The delay says nothing about the probed member.
+        // The answer may be unread in the socket, so that the probed member must not be suspected.
         self.probe = None;
         self.next_probe = self.next_probe.max(now);
         let (shortest_suspicion, _) = self.suspicion_bounds();
         self.postpone_suspicions(now.plus(Span::from_micros_f64(shortest_suspicion)));
-        // Others may have declared this member dead by now, and it has received no updates since.
+        // The other members may have declared this member dead in the meantime, and it has received no updates.
         if delay > shortest_suspicion && self.table.count_reachable() > 0 {
             self.table.set_resync(Some(now));
             self.update_reachability(output);
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -8,16 +8,15 @@
 use crate::message::{Body, Key, MemberState, Update};
 use crate::peer::Health;
 
-/// The maximum number of members that are pinged at once when a list is new.
+/// The maximum number of members that [`Membership::ping_missing_members`] pings.
 const MAX_PINGS_AT_ONCE: usize = 64;
 /// The factor that reduces the probability of pings of the missing members of a long list. Where all members start at
-/// once, each ping and its answer displace pages, by which most members are found.
+/// once, most members are found by pages, and each ping and its answer take bytes of the budget that pages need.
 const LONG_LIST_PING_FACTOR: f64 = 0.25;
-/// The maximum number of unknown members that a process that has started with a short list pings in each probe
-/// interval. A member is unknown as long as nothing is known of its state.
+/// The maximum number of initial pings in each probe interval with a short list. Initial pings are sent to members of
+/// which nothing is known, after the start of a process and after each change of its list.
 const MAX_INITIAL_PINGS_PER_INTERVAL: usize = 7;
-/// The maximum number of unknown members that a process that has started with a long list pings in each probe interval
-/// until the first member has answered.
+/// The maximum number of initial pings in each probe interval with a long list, until the first member has answered.
 const MAX_LONG_LIST_INITIAL_PINGS_PER_INTERVAL: usize = 1;
 
 /// A probe that has no answer yet.
@@ -27,15 +26,15 @@
     pub(super) seq: u32,
     /// When indirect probes are requested from other members.
     indirect_at: Time,
-    /// When the target is suspected.
+    /// When the target becomes suspected if no answer has arrived.
     deadline: Time,
     /// The number of members from which an indirect probe was requested; `None` before that.
     relay_count: Option<u32>,
-    /// The number of these members that have reported that they received no answer either.
+    /// The number of these members that have reported that the target did not answer them either.
     pub(super) nacks: u32,
 }
 
-/// An indirect probe that this member sends for another one.
+/// An indirect probe that this member sends at the request of another one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RelayedProbe {
     pub(super) target: Key,
@@ -44,7 +43,7 @@
     pub(super) requester: Key,
     /// The sequence number of its request.
     pub(super) requester_seq: u32,
-    /// When the requester is sent a nack.
+    /// When the requester is sent a nack if the target has not answered.
     pub(super) deadline: Time,
 }
 
@@ -141,13 +140,13 @@
         None
     }
 
-    /// Pings a random member that is on the list and not reachable, as it may be back, or the partition may be over. A
-    /// missing answer has no consequence. The probability is so low that all members together ping each missing one
-    /// about once in a probe interval (Serf's reconnector draws at random in the same way). When each member pinged one
-    /// in each interval, a single missing member of 7,600 received 38,000 datagrams a second.
+    /// Pings a random member that is on the list and not reachable, as it may be back, or the partition may be over. If
+    /// it does not answer, its state does not change. The probability is so low that all members together ping each
+    /// missing one about once in a probe interval (Serf's reconnector draws at random in the same way). When each
+    /// member pinged one in each interval, a single missing member of 7,600 received 38,000 datagrams a second.
     ///
-    /// A process that has started also pings unknown members, for as long as it takes to ping each of them twice, or
-    /// with a long list until the first member has answered.
+    /// Also sends the initial pings of this interval. With a short list, there are two for each unknown member. With a
+    /// long list, they end when the first member has answered.
     fn ping_random_missing(&mut self, output: &mut Output) {
         let reachable = self.table.count_reachable();
         let missing = self.table.len() - reachable;
@@ -160,8 +159,8 @@
         }
         let unknown = self.table.count_unknown();
         let (remaining, per_interval) = match self.has_short_list() {
-            // Without the bound by the number of unknown members, all members would ping the last few unknown ones for
-            // as long as it takes to ping all.
+            // The remaining pings are limited to twice the number of members that are still unknown. Otherwise the
+            // pings that were meant for members that have become known would all go to the last few unknown ones.
             true => (
                 self.remaining_initial_pings.min(INITIAL_PINGS_PER_MEMBER * unknown),
                 MAX_INITIAL_PINGS_PER_INTERVAL,
@@ -176,9 +175,10 @@
         self.ping_random(Group::Unknown, pings, output);
     }
 
-    /// Pings up to 64 members that are not reachable. A process that has just started and the members that answer
-    /// thereby know each other within one round trip. With a long list, which all members take over at about the same
-    /// time, no member is pinged.
+    /// Pings up to 64 members that are not reachable, members of which nothing is known before others. A process that
+    /// has just started thereby records the members that answer as alive within one round trip; they record it when
+    /// they receive its next message, which has their nonce. With a long list no member is pinged, because all members
+    /// start to use a new list at about the same time.
     pub fn ping_missing_members(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         if !self.has_short_list() {
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Pings a member, whatever is known of it. Its answer is meant for this process, not for an earlier one at the
-    /// same address.
+    /// Pings a member in any state. The answer has the nonce of this process, and so acknowledges this process and not
+    /// an earlier one at the same address.
     pub fn ping(&mut self, key: Key, output: &mut Output) {
         let seq = self.next_seq();
         self.send(key, Body::Ping { seq }, output);
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Ends the probe in progress if it has this target and sequence number. The answer comes from the target itself or
-    /// from a relay.
+    /// Ends the probe in progress if it has this target and sequence number, and improves the local health. The answer
+    /// comes from the target itself or from a relay.
     pub(super) fn probe_answered(&mut self, from: Key, seq: u32) {
         if self.probe.is_some_and(|probe| (probe.target, probe.seq) == (from, seq)) {
             self.probe = None;
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -21,7 +21,7 @@
     /// the maximum with the logarithm of the number of confirmers.
     pub(super) fn suspicion_deadline(&self, started: Time, confirmers: usize) -> Time {
         let (shortest, longest) = self.suspicion_bounds();
-        // In a fleet with fewer members than the wanted number of confirmers, all of them suffice.
+        // In a fleet with fewer other members than the maximum number of confirmers, all of them are enough.
         let wanted_confirmers = MAX_CONFIRMERS.min(self.table.count_reachable().saturating_sub(1));
         let fraction = match wanted_confirmers {
             0 => 1.0,
@@ -118,8 +118,8 @@
         }
         self.queue_own_update();
         self.record_view_change(output);
-        // The suspicion has a deadline, and this member may be slow, so that the refutation does not wait for the next
-        // probe.
+        // The refutation is sent at once. The suspicion has a deadline, and the next probe of a slow member may be too
+        // late.
         self.gossip_to_random(self.timing.indirect_probes, output);
     }
 }
--- a/crates/membership/src/membership/transitions.rs
+++ b/crates/membership/src/membership/transitions.rs
@@ -9,6 +9,7 @@
 use crate::view::Reachability;
 
 impl Membership {
+    /// Increases the version of the view and recomputes how much of the fleet this member reaches.
     pub(super) fn record_view_change(&mut self, output: &mut Output) {
         self.view_version += 1;
         self.update_reachability(output);
@@ -18,7 +19,8 @@
     pub(super) fn update_reachability(&mut self, output: &mut Output) {
         let reachable = self.table.count_reachable();
         let listed = self.table.len() - self.table.count_left();
-        // Half of the members that are considered reachable have answered. Gossip corrects the rest of the view.
+        // Messages from half of the reachable members are enough to trust the view again. Gossip corrects the rest of
+        // it.
         if self.table.resync().is_some_and(|resync| resync.responders * 2 >= reachable) {
             self.table.set_resync(None);
         }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -121,7 +121,7 @@
     pub incarnation: u32,
     /// The number that the sender's process drew at random at its start.
     pub nonce: u32,
-    /// The nonce of the receiver as the sender knows it; 0 if the sender does not know it. A message without the
+    /// The nonce of the receiver that the sender has recorded; 0 if it has recorded none. A message without the
     /// receiver's own nonce has no effect, because it may be meant for an earlier process at the same address.
     pub receiver_nonce: u32,
     /// The digest of the sender's view.
--- a/crates/membership/src/meter.rs
+++ b/crates/membership/src/meter.rs
@@ -11,15 +11,15 @@
 /// The bytes of an absence query of one byte and of its answer (the headers of IP and ICMP, and the query), both with
 /// their headers.
 pub const ABSENCE_QUERY_BYTES: usize = (HEADER_BYTES + 1) + (28 + HEADER_BYTES + 1);
-/// The number of bytes of updates that may always be sent in a second, whatever else is sent. Members have to learn of
+/// The number of bytes of updates that may always be sent in a second, whatever else is sent. Gossip has to spread
 /// failures while tables are pulled too.
 pub(crate) const RESERVED_UPDATE_BYTES: usize = 300;
 /// Updates beyond [`RESERVED_UPDATE_BYTES`] are sent only while the last second had fewer bytes than this and no table
 /// is pulled. Without this bound, updates displaced all pages, which carry a hundred times as much in the same bytes.
 pub(crate) const UPDATE_BUDGET_BYTES: usize = 2400;
 
-/// The number of slots in a second, and one more for the part of the first slot that is already over. With it, no
-/// second of any beginning has more bytes than the meter states.
+/// Ten slots cover a second. One more covers the part of the oldest slot that may still be within the last second, so
+/// that no window of one second has more bytes than the meter states.
 const SLOT_COUNT: usize = 11;
 const SLOT_DURATION: Span = Span(100_000);
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TrafficMeter {
     slots: [Slot; SLOT_COUNT],
-    /// The number of the current slot since the clock's zero.
+    /// The number of the current slot, counted from time 0 of the clock.
     current_slot: i64,
 }
 
@@ -66,7 +66,7 @@
         budget.saturating_sub(self.slots.iter().map(|slot| slot.total).sum())
     }
 
-    /// Returns how many bytes of updates may be sent. While a table is pulled, these are no more than the minimum.
+    /// Returns how many bytes of updates may be sent. While a table is pulled, no more than the reserved bytes may.
     pub(crate) fn remaining_for_updates(&mut self, now: Time, is_pulling: bool) -> usize {
         self.slot_at(now);
         let sent: usize = self.slots.iter().map(|slot| slot.updates).sum();
--- a/crates/membership/src/meter/tests.rs
+++ b/crates/membership/src/meter/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// No second, whatever its beginning, has more bytes than the meter allows. Once traffic is over a second old, the
-/// whole budget is available again.
+/// No window of one second, whenever it begins, has more bytes than the meter allows. Once traffic is over a second
+/// old, the whole budget is available again.
 #[test]
 fn no_window_of_one_second_exceeds_the_budget() {
     for seed in 0..50u128 {
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Another member, as this process knows it.
+/// The state that this process has recorded of another member.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// The key of its name.
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -13,7 +13,7 @@
 use crate::message::Key;
 use crate::peer::{Health, Peer};
 
-/// The members from which a process that was suspended has received messages since it resumed.
+/// Counts the members from which a process that was suspended has received messages since it resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Resync {
     /// When the process resumed.
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -21,10 +21,10 @@
     /// Whether the member lengthens its own timeouts when it is late, suspected or not answered (Lifeguard's local
     /// health). Without it the protocol is plain SWIM, to which it can be compared.
     pub local_health_enabled: bool,
-    /// The maximum number of other members for which a process that starts pings all of them. With a longer list, pings
-    /// of all would shorten no wait: a process that starts pulls the table from the first member that answers, and only
-    /// after that sends absence queries to unknown members, as an operating system does not answer if its member is
-    /// running.
+    /// The maximum number of other members on a short list, all of which a process pings at its start. A process with a
+    /// longer list pulls the table from the first member that answers. Only after that does it send absence queries to
+    /// unknown members, because the operating system of a running member does not answer a query. Pings of all members
+    /// would not shorten that wait.
     pub max_short_list: usize,
 }
 
--- a/crates/membership/tests/budget.rs
+++ b/crates/membership/tests/budget.rs
@@ -6,8 +6,7 @@
 
 /// The length of the list. It exceeds that of a short list, whose members all ping one another.
 const MEMBERS: usize = 600;
-/// The time, in microseconds, by which the longest suspicion and the pings of processes that have started are long
-/// over.
+/// The time, in microseconds, by which the longest suspicion and the initial pings of all processes are long over.
 const SETTLED_AT: i64 = 25 * SECOND;
 
 /// A missing member receives about one ping in a probe interval from all members together, and not one from each.
@@ -19,6 +18,6 @@
     let from = sim.hosts[0].traffic;
     sim.run(SETTLED_AT + 5 * SECOND);
     let bytes_per_second = (sim.hosts[0].traffic - from) / 5;
-    // Five pings of about 70 bytes, headers included, are expected.
+    // Five pings a second of about 70 bytes, headers included, are expected.
     assert!(bytes_per_second < 1000, "{bytes_per_second} bytes a second reach the missing member");
 }
--- a/crates/membership/tests/pull.rs
+++ b/crates/membership/tests/pull.rs
@@ -16,7 +16,8 @@
 
 /// The length of the lists. A table of this length takes several pages.
 const LIST_LENGTH: usize = 600;
-/// Returns the members that send no messages.
+
+/// Returns the indexes of the members that send no messages themselves. Members 0 to 3 do.
 fn others() -> std::ops::Range<usize> {
     4..LIST_LENGTH
 }
@@ -121,7 +122,7 @@
     }
 }
 
-/// Exchanges the messages of both, with the timer of `first`, until `first` knows all members.
+/// Exchanges the messages of both, with the timer of `first`, until `first` has recorded all members as reachable.
 fn complete_pull(
     first: &mut Membership,
     second: &mut Membership,
@@ -161,8 +162,8 @@
     panic!("no page is requested");
 }
 
-/// A process that starts pulls the whole table from the first member that answers. No entry counts as a message from
-/// its member, and none is sent on as gossip.
+/// After its start, a process pulls the whole table from the first member that answers. No entry counts as a message
+/// from its member, and none is sent on as gossip.
 #[test]
 fn a_starting_process_pulls_the_table_of_the_first_responder() {
     let (mut a, mut b) = (member(0, LIST_LENGTH), member_with_full_view(1, 5));
@@ -381,8 +382,8 @@
     for_each_seed(0..3000, run_schedule);
 }
 
-/// Without gossip, members learn of most others by pulls alone. The members of a fleet that starts at once know each
-/// other within seconds.
+/// Without gossip, members find most others by pulls alone. The views of a fleet whose members all start at once agree
+/// within 15 seconds.
 #[test]
 fn pulls_alone_make_a_starting_fleet_agree() {
     for_each_seed(0..100, |seed| {
@@ -404,6 +405,6 @@
     let from = sim.hosts[0].traffic;
     sim.run(180 * SECOND);
     let bytes_per_second = (sim.hosts[0].traffic - from) / 60;
-    // Its probes and their answers are 20 datagrams of about 70 bytes a second.
+    // The member's probes and their answers are 20 datagrams of about 70 bytes a second.
     assert!(bytes_per_second < 1600, "{bytes_per_second} bytes a second");
 }
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -94,7 +94,8 @@
     assert_eq!(run_schedule(11), run_schedule(11));
 }
 
-/// With 30% of all datagrams lost for twenty seconds, no false death lasts.
+/// While 30% of all datagrams are lost for twenty seconds, no running member is considered dead for six seconds
+/// or longer.
 #[test]
 fn false_deaths_are_short_at_30_percent_loss() {
     for_each_seed(0..60, |seed| {
@@ -147,12 +148,12 @@
                 |c: &(i64, Change)| matches!(c.1, Change::Died { member, .. } if member == key(2));
             assert!(
                 sim.hosts[i].changes.iter().any(died),
-                "seed {seed}: {i} did not declare it dead"
+                "seed {seed}: {i} did not declare the suspended member dead"
             );
         }
         let resumed_at = sim.now;
         let agreement_time = sim.run_until_agreed(40 * SECOND);
-        assert!(agreement_time.is_some(), "seed {seed}: no agreement after it resumed");
+        assert!(agreement_time.is_some(), "seed {seed}: no agreement after the member resumed");
         let until = sim.now + 10 * SECOND;
         sim.run(until);
         let since =
@@ -167,17 +168,17 @@
             own_changes.iter().position(|c| *c == Change::Reachability(Reachability::Resumed));
         assert!(
             resumed.is_some(),
-            "seed {seed}: it did not report that it resumed: {own_changes:?}"
+            "seed {seed}: the member did not report that it resumed: {own_changes:?}"
         );
         assert!(
             own_changes[resumed.unwrap_or(0)..]
                 .contains(&Change::Reachability(Reachability::Complete)),
-            "seed {seed}: it is not complete again: {own_changes:?}"
+            "seed {seed}: the member's view is not complete again: {own_changes:?}"
         );
     });
 }
 
-/// If 60% of the members are killed at once, the others know it within the longest suspicion and a round of probes.
+/// If 60% of the members are killed at once, the others detect it within the longest suspicion and a round of probes.
 #[test]
 fn survivors_detect_the_death_of_a_majority() {
     for_each_seed(0..100, |seed| {
@@ -193,7 +194,7 @@
     });
 }
 
-/// During a partition into halves, each half declares the other dead. All views agree again after it.
+/// During a partition into halves, each half declares the other dead. After the partition, all views agree again.
 #[test]
 fn partitioned_halves_agree_again_after_the_partition() {
     for_each_seed(0..60, |seed| {
@@ -245,7 +246,7 @@
 }
 
 /// A process whose clock went back starts with an earlier process incarnation than the one before. The other members
-/// tell it, and it takes a later one.
+/// send it the later incarnation, and it takes one that is later still.
 #[test]
 fn a_process_incarnation_that_is_too_early_is_corrected() {
     for_each_seed(0..60, |seed| {
@@ -286,8 +287,8 @@
     });
 }
 
-/// If a fleet grows from 56 to 300 members in three seconds, all members know each other, and what each sends does not
-/// grow with the fleet.
+/// If a fleet grows from 56 to 300 members in three seconds, all views agree afterwards, and the traffic of each member
+/// does not grow with the fleet.
 #[test]
 fn a_fleet_that_grows_fivefold_agrees_at_constant_traffic_per_member() {
     let (few, many) = (56, 300);
@@ -314,7 +315,7 @@
 }
 
 /// A member reaches a majority of the others, and the rest in one direction or not at all. Members that declare it dead
-/// soon learn of its refutation from the others.
+/// soon receive its refutation from the others.
 #[test]
 fn a_member_that_reaches_a_majority_is_soon_refuted_everywhere() {
     for_each_seed(0..200, |seed| {
@@ -348,7 +349,7 @@
                     let dead_time = sim.now - *since[i].get_or_insert(sim.now);
                     assert!(
                         dead_time < MAX_DEAD_TIME,
-                        "seed {seed}: {i} considers it dead for {dead_time} us"
+                        "seed {seed}: {i} considers {victim} dead for {dead_time} us"
                     );
                 } else {
                     since[i] = None;
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -42,8 +42,8 @@
     addressed.map(|(_, bytes)| decode(&bytes).expect("a valid datagram")).collect()
 }
 
-/// Makes two members exchange pings until they know each other's nonces. Returns the second ping of `a`, the answer of
-/// `b` to the first, and the time.
+/// Makes two members exchange pings until each has recorded the other's nonce. Returns the second ping of `a`, the
+/// answer of `b` to the first, and the time.
 fn exchange_nonces(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
     let mut out = Output::default();
     a.tick(Time(0), &mut out);
@@ -56,7 +56,7 @@
         at += 200 * MILLISECOND;
         a.tick(Time(at), &mut out);
     };
-    assert_eq!(ping.receiver_nonce, 0, "a does not know the nonce of b yet");
+    assert_eq!(ping.receiver_nonce, 0, "a has not received the nonce of b yet");
     b.receive(Time(at), address(1), &encode(&ping).0, &mut out);
     let ack = messages_to(&mut out, 1).pop().expect("an answer");
     assert_eq!(ack.receiver_nonce, ping.nonce);
@@ -148,7 +148,7 @@
     next.receive(Time(0), address(1), &encode(&ping).0, &mut out);
     assert_eq!(next.count_dropped(DropReason::StaleNonce), 1);
     assert!(next.view().peers.iter().all(|p| p.health == Health::Unknown));
-    // The sender is told the nonce of the new process all the same.
+    // The answer to the sender still has the nonce of the new process.
     let answer = messages_to(&mut out, 1).pop().expect("an answer");
     assert!(
         answer.receiver_nonce == ping.nonce
@@ -195,7 +195,7 @@
     assert_eq!(messages_to(&mut out, 1).pop().map(|m| m.incarnation), Some(3));
 }
 
-/// A member reports that another process acts under its name, with ever later process incarnations.
+/// A member reports that another process runs under its name, with ever later process incarnations.
 #[test]
 fn a_duplicate_identity_is_reported() {
     let (mut a, mut b) = (member("a", 9, 1), member("b", 9, 2));
