--- a/crates/distribution/tests/sim/network.rs
+++ b/crates/distribution/tests/sim/network.rs
@@ -43,8 +43,8 @@
         );
     }
 
-    /// Completes or fails an attempt to connect. Without a control machine the attempt is refused in half of the cases,
-    /// and otherwise not answered, as with a partition.
+    /// Completes or fails an attempt to connect. If the control machine is not running, the attempt is refused in half
+    /// of the cases and not answered in the others. With a partition, it is not answered.
     pub(crate) fn connect(&mut self, id: u64) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -110,12 +110,12 @@
             Direction::ToControl => self.controls[control].publisher.is_none(),
             Direction::ToSubscriber => connection.closed_by_subscriber,
         };
-        let is_unknown = to_control && Some(self.controls[control].incarnation) != accepted_by;
+        let is_not_accepted = to_control && Some(self.controls[control].incarnation) != accepted_by;
         if to_control && receiver_closed {
             return;
         }
-        if receiver_closed || is_unknown || (to_control && connection.closed_by_control) {
-            // The receiver does not know the connection, or has closed it, and answers with a reset.
+        if receiver_closed || is_not_accepted || (to_control && connection.closed_by_control) {
+            // The receiver has not accepted the connection since its start, or has closed it, and answers with a reset.
             self.send_reset(id, direction);
             return;
         }
