--- a/crates/capacity-share/src/capacity_share.rs
+++ b/crates/capacity-share/src/capacity_share.rs
@@ -103,18 +103,18 @@
     pub fn set_resumed(&mut self, resumed: bool) {
         self.resumed = resumed;
         if resumed {
-            self.members.forget_proofs();
+            self.members.drop_proofs();
         }
     }
 
-    /// Records that another process acts under this process's name. From then on, each of the two has half a share.
+    /// Records that another process runs under this process's name. From then on, each of the two has half a share.
     pub fn set_duplicate_identity(&mut self) {
         self.duplicate_identity = true;
     }
 
-    /// Sets the key from which the first members are queried. Processes that start at the same key would all query the
-    /// same few members.
-    pub fn start_queries_at(&mut self, key: Key) {
+    /// Sets the key from which members are queried next. Processes should begin at different keys, or all of them would
+    /// query the same few members.
+    pub fn set_next_query_key(&mut self, key: Key) {
         self.next_query_key = key;
     }
 
@@ -140,8 +140,9 @@
         let interval = self.timing.query_interval;
         self.queries.expire(now);
         let mut queries = AbsenceQueries { to: Vec::new(), retry_at: now.plus(interval) };
-        let paced = self.queries.remaining_this_second(now, self.members.is_short());
-        let max = paced.min(max);
+        let remaining_this_second =
+            self.queries.remaining_this_second(now, self.members.is_short());
+        let max = remaining_this_second.min(max);
         for key in candidates {
             if self.queries.is_exhausted() || queries.to.len() == max {
                 break;
@@ -199,8 +200,9 @@
         self.members.proof_count() - expired.count()
     }
 
-    /// Returns the length of the longest list that this process knows of, its own included. Where lists differ, the
-    /// longest one counts, because the members that a shorter list lacks act too.
+    /// Returns the length of the longest list among this process's own and those that the other members, except absent
+    /// ones, have stated. Where lists differ, the longest one counts, because the members that a shorter list lacks use
+    /// capacity too.
     pub fn longest_list_length(&self) -> u32 {
         let own = self.members.len() as u32 + 1;
         own.max(u32::from(self.members.longest_list_length()))
@@ -208,9 +210,9 @@
 
     /// Returns the share at `now`.
     pub fn share(&self, now: Time) -> Share {
-        let identity_processes = if self.duplicate_identity { 2 } else { 1 };
+        let processes_of_name = if self.duplicate_identity { 2 } else { 1 };
         let longest_list = self.longest_list_length();
-        let balancers_after = longest_list * identity_processes;
+        let balancers_after = longest_list * processes_of_name;
         let awaited = self.count_awaited(now);
         if awaited > 0 {
             let (until, reason) = (Some(self.start_wait_end()), ShareReason::Waiting(awaited));
@@ -223,7 +225,7 @@
             _ => ShareReason::Sharing,
         };
         let until = self.first_proof_expiry(now);
-        Share { balancers: acting * identity_processes, until, balancers_after, reason }
+        Share { balancers: acting * processes_of_name, until, balancers_after, reason }
     }
 
     /// Returns when the share may next change without an event, or when a member may next be queried or probed.
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,6 @@
-//! Anti-entropy: a process that has started pulls one whole member table, and members whose views remain different pull
-//! what differs. A member has one pull at a time in progress, which transfers page by page within the budget of bytes.
+//! Anti-entropy: after its start, a process pulls one whole member table, and members whose views remain different pull
+//! what differs. A member has at most one pull in progress, which transfers the table page by page within a byte
+//! budget.
 
 use sableloom_types::{Span, Time};
 
@@ -11,10 +12,10 @@
 
 /// A page is requested only if its expected bytes and those of the last second are together within this number of
 /// bytes.
-const PULL_BELOW_BYTES: usize = 4500;
-/// A page is sent only as large as its bytes and those of the last second are together within this number of bytes.
-/// Without this bound, a member that many others ask at once would send more than its budget.
-const SERVE_BELOW_BYTES: usize = 4500;
+const PULL_BUDGET_BYTES: usize = 4500;
+/// A page is limited to the size at which its bytes and those of the last second are together within this number of
+/// bytes. Without this bound, a member that receives requests from many others at once would send more than its budget.
+const SERVE_BUDGET_BYTES: usize = 4500;
 /// The expected size of a page in bytes. A page is larger if all its entries are new to the receiver, as in a first
 /// pull.
 const EXPECTED_PAGE_BYTES: usize = MAX_PAGE_BYTES / 2;
@@ -55,11 +56,12 @@
     has_changed_view: bool,
 }
 
-/// The period in which other members have stated views that differ. A member that agrees does not end it: of two
-/// members that lack the same member, neither helps the other.
+/// The period in which other members have stated views that differ. A member with an equal view does not end it,
+/// because both views may lack the same member.
 #[derive(Clone, Copy, Debug)]
 struct Difference {
     since: Time,
+    /// When a different view was stated last.
     last: Time,
 }
 
@@ -71,7 +73,7 @@
     /// The earliest time at which the next pull may begin.
     not_before: Time,
     /// The wait after the next pull that changes nothing. It is `None` after a pull that changed the view: the next
-    /// pull then begins as soon as views are seen to differ.
+    /// pull then begins as soon as another member states a different view.
     backoff: Option<Span>,
     /// The digest of the view at the end of the last pull that changed nothing.
     digest_at_last_pull: u32,
@@ -102,12 +104,12 @@
     }
 
     /// Ends the pull in progress if its server is no longer known.
-    pub(super) fn retain(&mut self, is_known: impl Fn(Key) -> bool) {
-        self.current = self.current.take().filter(|pull| is_known(pull.server));
+    pub(super) fn retain(&mut self, is_listed: impl Fn(Key) -> bool) {
+        self.current = self.current.take().filter(|pull| is_listed(pull.server));
     }
 
     /// Records that a member's view differs. Returns the time since which views differ.
-    fn note_difference(&mut self, now: Time, settling: Span, min_backoff: Span) -> Time {
+    fn record_difference(&mut self, now: Time, settling: Span, min_backoff: Span) -> Time {
         let before = self.difference.filter(|difference| now < difference.last.plus(settling));
         let since = before.map_or(now, |difference| difference.since);
         self.difference = Some(Difference { since, last: now });
@@ -133,7 +135,7 @@
         }
         let settling = self.intervals(SETTLING_INTERVALS);
         let min_backoff = self.intervals(MIN_BACKOFF_INTERVALS);
-        let since = self.anti_entropy.note_difference(now, settling, min_backoff);
+        let since = self.anti_entropy.record_difference(now, settling, min_backoff);
         if let Some(pull) = self.anti_entropy.current.as_mut().filter(|pull| pull.server != other) {
             pull.fallback = Some(other);
         }
@@ -172,7 +174,7 @@
         }
         let expected = MAX_DATAGRAM_BYTES + EXPECTED_PAGE_BYTES + 2 * HEADER_BYTES;
         pull.due = now.plus(BUDGET_RETRY_INTERVAL);
-        if self.meter.remaining(now, PULL_BELOW_BYTES) >= expected {
+        if self.meter.remaining(now, PULL_BUDGET_BYTES) >= expected {
             let seq = self.next_seq();
             let CurrentPull { server, next_key, salt, grouping, .. } = pull;
             let own = self.table.peers_from(next_key).filter(|peer| peer.key != server);
@@ -184,10 +186,10 @@
         self.anti_entropy.current = Some(pull);
     }
 
-    /// Answers a request for a page. If the budget leaves no space for a page, there is no answer, and the requesting
-    /// member turns to another one.
+    /// Answers a request for a page. If the budget leaves no space for a page, there is no answer. The request then
+    /// times out, and the requesting member sends it to another one that has answered, if there is one.
     pub(super) fn answer_pull(&mut self, now: Time, to: Key, pull: &Pull, output: &mut Output) {
-        let remaining = self.meter.remaining(now, SERVE_BELOW_BYTES);
+        let remaining = self.meter.remaining(now, SERVE_BUDGET_BYTES);
         let max_bytes = remaining.saturating_sub(HEADER_BYTES).min(MAX_PAGE_BYTES);
         if max_bytes < MIN_PAGE_BYTES {
             return;
@@ -230,8 +232,8 @@
         self.continue_pull(now, output);
     }
 
-    /// Ends the pull in progress. After a pull that changed the view, the next one begins as soon as views are seen to
-    /// differ. After another, it waits for the backoff.
+    /// Ends the pull in progress. After a pull that changed the view, the next one begins as soon as another member
+    /// states a different view. After a pull that changed nothing, the next one waits for the backoff.
     fn end_pull(&mut self, now: Time, has_changed_view: bool) {
         let min_backoff = self.intervals(MIN_BACKOFF_INTERVALS);
         let max_backoff = self.intervals(MAX_BACKOFF_INTERVALS);
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -4,13 +4,13 @@
 
 use sableloom_types::Time;
 
-use super::probing::Relay;
+use super::probing::RelayedProbe;
 use super::{Membership, Output};
 use crate::codec::{DropReason, decode};
 use crate::message::{Body, Key, MemberState, Message, Update};
 
 /// The maximum number of indirect probes for other members that are in progress. Further requests are ignored.
-const MAX_RELAYS: usize = 64;
+const MAX_RELAYED_PROBES: usize = 64;
 
 impl Membership {
     /// Processes a datagram that was received from the address `from`. An invalid datagram is dropped and counted by
@@ -72,7 +72,7 @@
             });
             self.update_reachability(output);
         } else {
-            // An earlier process of that name had a later incarnation. That incarnation is sent to the new process, so
+            // An earlier process of the sender had a later incarnation. That incarnation is sent to the new process, so
             // that it takes a later one.
             self.table.change(position, |peer| peer.nonce = nonce);
             self.send_known_incarnation(sender, output);
@@ -86,8 +86,8 @@
         self.receive_body(now, sender, message.body, output);
     }
 
-    /// Handles a message without this process's nonce, which its sender does not know yet. The message has no effect,
-    /// but a ping is answered with the nonce, so that the sender can repeat its message with it.
+    /// Handles a message without this process's nonce, which its sender has not received yet. The message has no
+    /// effect, but a ping is answered with the nonce, so that the sender's next message can have it.
     fn answer_with_nonce(&mut self, position: usize, message: &Message, output: &mut Output) {
         let Body::Ping { seq } = message.body else { return };
         let nonce = message.nonce;
@@ -96,7 +96,7 @@
         self.table.change(position, |peer| peer.nonce = before);
     }
 
-    /// Sends a member the incarnations that are known of it.
+    /// Sends a member the incarnations that this process has recorded of it.
     fn send_known_incarnation(&mut self, key: Key, output: &mut Output) {
         let Some(peer) = self.peer(key) else { return };
         let update = Update {
@@ -141,22 +141,23 @@
         target: Key,
         output: &mut Output,
     ) {
-        let is_full = self.relays.len() >= MAX_RELAYS;
+        let is_full = self.relayed_probes.len() >= MAX_RELAYED_PROBES;
         if is_full || target == requester || self.peer(target).is_none() {
             return;
         }
         let seq = self.next_seq();
         // The requester needs the nack within its own probe interval.
         let deadline = now.plus(self.timing.probe_timeout);
-        self.relays.push(Relay { target, seq, requester, requester_seq, deadline });
+        self.relayed_probes.push(RelayedProbe { target, seq, requester, requester_seq, deadline });
         self.send(target, Body::Ping { seq }, output);
     }
 
     fn relay_ack(&mut self, from: Key, seq: u32, output: &mut Output) {
-        let found = self.relays.iter().position(|relay| (relay.target, relay.seq) == (from, seq));
-        if let Some(relay) = found.map(|index| self.relays.swap_remove(index)) {
-            let body = Body::IndirectAck { seq: relay.requester_seq, target: relay.target };
-            self.send(relay.requester, body, output);
+        let found =
+            self.relayed_probes.iter().position(|probe| (probe.target, probe.seq) == (from, seq));
+        if let Some(probe) = found.map(|index| self.relayed_probes.swap_remove(index)) {
+            let body = Body::IndirectAck { seq: probe.requester_seq, target: probe.target };
+            self.send(probe.requester, body, output);
         }
     }
 
