--- a/crates/routes/examples/matching.rs
+++ b/crates/routes/examples/matching.rs
@@ -57,7 +57,7 @@
             path: path.as_bytes(),
             method: b"GET",
             class: 0,
-            header: &|_, _| false,
+            has_header: &|_, _| false,
         };
         assert_eq!(black_box(table.find(&head)).is_some(), found.is_some());
     }
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -21,7 +21,7 @@
 
 /// Maximum number of pairs of a host and a path pattern of one route: each is listed by itself. Otherwise 60 KB of
 /// patterns could make a hundred million of them.
-pub const MAX_PAIRS_PER_ROUTE: usize = 20_000;
+pub const MAX_PATTERN_PAIRS_PER_ROUTE: usize = 20_000;
 
 /// The order of routes. Of two routes that match, the one with the lower rank is taken, then the one of the lower
 /// service, then the one of the lower name.
@@ -81,7 +81,7 @@
 }
 
 impl<T> RouteIndex<T> {
-    /// Adds a route, or replaces the one with its service and name. It must have at most [`MAX_PAIRS_PER_ROUTE`]
+    /// Adds a route, or replaces the one with its service and name. It must have at most [`MAX_PATTERN_PAIRS_PER_ROUTE`]
     /// pairs of patterns.
     pub fn set(&mut self, route: IndexedRoute<T>) {
         let RouteOrder { service, name, .. } = &route.order;
@@ -116,7 +116,7 @@
     }
 
     /// The names of a service's routes, in order.
-    pub fn names(&self, service: &str) -> impl Iterator<Item = &str> {
+    pub fn route_names(&self, service: &str) -> impl Iterator<Item = &str> {
         self.by_service.get(service).into_iter().flat_map(BTreeMap::keys).map(|name| &**name)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Number of host patterns, and of path patterns of routes for any host.
-    pub fn patterns(&self) -> usize {
+    pub fn pattern_count(&self) -> usize {
         let paths = [&self.any_host.exact, &self.any_host.prefixes, &self.any_host.suffixes];
         let paths: usize = paths.iter().map(|map| map.len()).sum();
         self.exact_hosts.len() + self.subdomain_hosts.len() + paths
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -24,7 +24,7 @@
 //!     path,
 //!     method: b"GET",
 //!     class: 0,
-//!     header: &|_, _| false,
+//!     has_header: &|_, _| false,
 //! };
 //! assert_eq!(table.find(&head(b"/points/7")), Some(0));
 //! assert_eq!(table.find(&head(b"/partners")), Some(1));
@@ -36,7 +36,7 @@
 mod rule;
 mod table;
 
-pub use index::{IndexedRoute, MAX_PAIRS_PER_ROUTE, RouteIndex, RouteOrder};
+pub use index::{IndexedRoute, MAX_PATTERN_PAIRS_PER_ROUTE, RouteIndex, RouteOrder};
 pub use request::RequestHead;
 pub use rule::{HeaderCondition, HostPattern, Mismatch, PathPattern, Rule};
-pub use table::{MAX_PAIRS, RouteTable, RouteTableError};
+pub use table::{MAX_PATTERN_PAIRS, RouteTable, RouteTableError};
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -15,7 +15,7 @@
     /// Its class, by index.
     pub class: usize,
     /// Whether it has a header of this name, with this value if one is given.
-    pub header: &'a dyn Fn(&str, Option<&str>) -> bool,
+    pub has_header: &'a dyn Fn(&str, Option<&str>) -> bool,
 }
 
 /// The name of a host without its port and its last dot; an IPv6 address keeps its brackets.
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -120,7 +120,7 @@
             return Some(Mismatch::Class);
         }
         let lacks =
-            |header: &&HeaderCondition| !(head.header)(&header.name, header.value.as_deref());
+            |header: &&HeaderCondition| !(head.has_header)(&header.name, header.value.as_deref());
         self.headers.iter().find(lacks).map(Mismatch::Header)
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -19,13 +19,13 @@
 /// Maximum number of patterns that match one host: one for each dot, the host itself, and any.
 const MAX_PATTERNS_PER_HOST: usize = MAX_HOST_BYTES / 2 + 3;
 /// Maximum number of pairs of a host and a path pattern over all rules.
-pub const MAX_PAIRS: usize = 4_000_000;
+pub const MAX_PATTERN_PAIRS: usize = 4_000_000;
 
 /// Why rules can't be compiled.
 #[derive(Debug, thiserror::Error)]
 pub enum RouteTableError {
     /// More pairs of patterns than a table holds.
-    #[error("{0} pairs of a host and a path are more than {MAX_PAIRS}")]
+    #[error("{0} pairs of a host and a path are more than {MAX_PATTERN_PAIRS}")]
     TooManyPairs(usize),
     /// A pattern that is too long for the table.
     #[error("patterns: {0}")]
@@ -50,10 +50,10 @@
     ///
     /// # Errors
     ///
-    /// If there are more than [`MAX_PAIRS`] pairs of patterns, or a pattern is too long.
+    /// If there are more than [`MAX_PATTERN_PAIRS`] pairs of patterns, or a pattern is too long.
     pub fn compile(rules: Vec<Rule>) -> Result<Self, RouteTableError> {
         let pairs = rules.iter().map(Rule::pairs).sum();
-        if pairs > MAX_PAIRS {
+        if pairs > MAX_PATTERN_PAIRS {
             return Err(RouteTableError::TooManyPairs(pairs));
         }
         let mut patterns = Patterns::default();
--- a/crates/routes/tests/allocation.rs
+++ b/crates/routes/tests/allocation.rs
@@ -29,7 +29,7 @@
             path: path.as_bytes(),
             method: method.as_bytes(),
             class: 0,
-            header: &|name, value| name == "x" && value == Some("1"),
+            has_header: &|name, value| name == "x" && value == Some("1"),
         };
         find(&head)
     };
--- a/crates/routes/tests/property.rs
+++ b/crates/routes/tests/property.rs
@@ -100,7 +100,7 @@
             path: path.as_bytes(),
             method: method.as_bytes(),
             class,
-            header: &has,
+            has_header: &has,
         };
         let expected = naive(&rules, &host, &path, method, class, &x);
         let found = table.find(&head);
@@ -181,7 +181,7 @@
                 path: path.as_bytes(),
                 method: ["GET", "POST"][rng.rand_range(0..2) as usize].as_bytes(),
                 class: rng.rand_range(0..3) as usize,
-                header: &has,
+                has_header: &has,
             };
             let expected = table.find(&head).and_then(|at| routes.keys().nth(at));
             let found = index.find(&head).map(|route| &route.order);
@@ -193,7 +193,7 @@
     ["alpha", "beta", "gamma"].iter().for_each(|service| {
         index.remove_service(service);
     });
-    assert_eq!(index.patterns(), 0, "SEED={seed}");
+    assert_eq!(index.pattern_count(), 0, "SEED={seed}");
     matched
 }
 
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -7,7 +7,7 @@
 
 fn head<'a>(host: &'a str, path: &'a str) -> RequestHead<'a> {
     let (host, path) = (host.as_bytes(), path.as_bytes());
-    RequestHead { host, path, method: b"GET", class: 0, header: &|_, _| false }
+    RequestHead { host, path, method: b"GET", class: 0, has_header: &|_, _| false }
 }
 
 fn table(rules: &[Rule]) -> RouteTable {
@@ -107,7 +107,7 @@
         "x-beta" => value.is_none(),
         _ => name == "x-tenant" && value == Some("gold"),
     };
-    let good = RequestHead { method: b"PUT", class: 2, header: &has, ..head("h", "/") };
+    let good = RequestHead { method: b"PUT", class: 2, has_header: &has, ..head("h", "/") };
     assert_eq!(t.find(&good), Some(0));
     assert_eq!(t.mismatch(0, &good), None);
     let bare = |_: &str, _: Option<&str>| false;
@@ -116,8 +116,8 @@
         (RequestHead { method: b"put", ..good }, Mismatch::Method),
         (RequestHead { method: b"GET", ..good }, Mismatch::Method),
         (RequestHead { class: 0, ..good }, Mismatch::Class),
-        (RequestHead { header: &bare, ..good }, Mismatch::Header(&t.rules()[0].headers[0])),
-        (RequestHead { header: &beta, ..good }, Mismatch::Header(&t.rules()[0].headers[1])),
+        (RequestHead { has_header: &bare, ..good }, Mismatch::Header(&t.rules()[0].headers[0])),
+        (RequestHead { has_header: &beta, ..good }, Mismatch::Header(&t.rules()[0].headers[1])),
     ] {
         assert_eq!(t.find(&other), None);
         assert_eq!(t.mismatch(0, &other), Some(why));
--- a/crates/sableloom/src/route.rs
+++ b/crates/sableloom/src/route.rs
@@ -93,7 +93,7 @@
         path: uri.path().as_bytes(),
         method: method.as_str().as_bytes(),
         class,
-        header: &has,
+        has_header: &has,
     };
     let found = table.find(&head);
     let host = String::from_utf8_lossy(host);
--- a/crates/sableloom/src/serve/endpoint_feed.rs
+++ b/crates/sableloom/src/serve/endpoint_feed.rs
@@ -49,7 +49,7 @@
 
     /// Sets how long servers that are removed from now on drain.
     pub(super) fn set_drain(&self, drain: Span) {
-        self.roster.borrow_mut().set_drain(drain);
+        self.roster.borrow_mut().set_drain_time(drain);
     }
 
     /// Puts changes in force: when this returns, no exchange sends a new request to a server that was removed or drains.
@@ -82,14 +82,14 @@
     }
 
     fn wait_for_drained(self: &Rc<Self>) {
-        if self.roster.borrow().next_forget().is_none() || self.drain_task_runs.replace(true) {
+        if self.roster.borrow().next_drain_end().is_none() || self.drain_task_runs.replace(true) {
             return;
         }
         let feed = self.clone();
         spawn_local(async move {
-            while let Some(at) = feed.with_roster(IncrementalList::next_forget) {
+            while let Some(at) = feed.with_roster(IncrementalList::next_drain_end) {
                 sleep_until(feed.clock.instant_of(at)).await;
-                let gone = feed.roster.borrow_mut().forget_drained(feed.clock.now());
+                let gone = feed.roster.borrow_mut().remove_drained(feed.clock.now());
                 feed.publish(&gone);
             }
             feed.drain_task_runs.set(false);
--- a/crates/sableloom/src/serve/planner.rs
+++ b/crates/sableloom/src/serve/planner.rs
@@ -9,7 +9,7 @@
     Change, Rejection, Resource, ResourceKind, ResourceName, ServiceUpdate,
 };
 use sableloom_resources::{Body, RouteRule, ServerEntry, ServerState, TenantLimit};
-use sableloom_routes::{IndexedRoute, MAX_PAIRS_PER_ROUTE, RouteOrder, Rule};
+use sableloom_routes::{IndexedRoute, MAX_PATTERN_PAIRS_PER_ROUTE, RouteOrder, Rule};
 use sableloom_server_list::{
     IncrementalList, MAX_CLOCK_DIFFERENCE_MS, MAX_SERVERS, MAX_WEIGHT, ServerChange,
     ServerDescription,
@@ -170,9 +170,9 @@
             }
         };
         let pairs = pairs_of(&rule);
-        if pairs > MAX_PAIRS_PER_ROUTE {
+        if pairs > MAX_PATTERN_PAIRS_PER_ROUTE {
             let problem = format!(
-                "{pairs} pairs of a host and a path; {MAX_PAIRS_PER_ROUTE} at most in one route"
+                "{pairs} pairs of a host and a path; {MAX_PATTERN_PAIRS_PER_ROUTE} at most in one route"
             );
             return self.reject(resource, "host", problem);
         }
@@ -202,7 +202,7 @@
         let set: HashSet<&str> = self.routes.iter().map(|route| &*route.order.name).collect();
         let router = self.router;
         let subscribed = router.subscribed.borrow();
-        let names = subscribed.routes.names(self.update.service.as_str());
+        let names = subscribed.routes.route_names(self.update.service.as_str());
         let gone = names.filter(|name| !set.contains(name)).map(Box::from);
         self.routes_removed.extend(gone);
         let set: HashSet<&str> = self.tenants.iter().map(|set| &*set.tenant).collect();
--- a/crates/sableloom/src/serve/routing.rs
+++ b/crates/sableloom/src/serve/routing.rs
@@ -87,7 +87,7 @@
         path: &message.target[..end.unwrap_or(message.target.len())],
         method: &message.method,
         class: context.class,
-        header: &has,
+        has_header: &has,
     })
 }
 
--- a/crates/sableloom/src/site_file.rs
+++ b/crates/sableloom/src/site_file.rs
@@ -7,7 +7,7 @@
 use sableloom_exchange::Clock;
 use sableloom_routes::RouteTable;
 use sableloom_server_files::{Files, read_file};
-use sableloom_server_list::{self as server_list, Lists, Spec};
+use sableloom_server_list::{self as server_list, FileLists, ListSpec};
 use sableloom_site_config::{Pool, Site};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::settings::span_from_ms;
@@ -44,12 +44,12 @@
 /// A pool's files of servers; their paths are relative to the folder of the site's file.
 pub(crate) fn files(path: &Path, site: &Site, pool: &Pool) -> Files {
     let folder = path.parent().unwrap_or(Path::new(""));
-    let spec = Spec {
+    let spec = ListSpec {
         pool: pool.name.clone(),
         files: pool.files.clone(),
         zones: site.locality.zones.clone(),
         max_removed_share: pool.max_removed_share,
-        drain: span_from_ms(pool.drain_ms),
+        drain_time: span_from_ms(pool.drain_ms),
     };
     let paths = pool.files.iter().map(|file| folder.join(file)).collect();
     Files { spec, paths, reread_interval: Duration::from_secs_f64(pool.reread_interval_ms / 1e3) }
@@ -60,9 +60,9 @@
 /// # Errors
 ///
 /// All problems of the files, or why the list would not come into force.
-pub(crate) fn read_lists(path: &Path, site: &Site, pool: &Pool) -> Result<Lists, Vec<Problem>> {
+pub(crate) fn read_lists(path: &Path, site: &Site, pool: &Pool) -> Result<FileLists, Vec<Problem>> {
     let files = files(path, site, pool);
-    let mut lists = Lists::new(files.spec.clone());
+    let mut lists = FileLists::new(files.spec.clone());
     let named = files.spec.files.iter().zip(&files.paths);
     let readings: Vec<_> = named
         .map(|(name, path)| {
@@ -71,7 +71,7 @@
         })
         .collect();
     let offer = lists.offer(Clock::new().now(), &readings);
-    match (offer.problems, offer.awaiting) {
+    match (offer.problems, offer.version_mismatch) {
         (problems, None) if problems.is_empty() => Ok(lists),
         (problems, Some(waits)) if problems.is_empty() => {
             Err(vec![Problem::of_file(&files.spec.files[0], waits)])
--- a/crates/server-files/src/cached_file.rs
+++ b/crates/server-files/src/cached_file.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use sableloom_server_list::{self as serverlist, Reading, Spec};
+use sableloom_server_list::{self as serverlist, ListSpec, ReadResult};
 use sableloom_toml_diagnostics::Problem;
 use sha2::{Digest, Sha256};
 
@@ -23,7 +23,7 @@
     path: PathBuf,
     observed: Option<ObservedStamp>,
     pub(crate) digest: [u8; 32],
-    reading: Reading,
+    reading: ReadResult,
 }
 
 /// The metadata of a file that changes whenever its text does.
@@ -74,7 +74,7 @@
 }
 
 /// The parsed files, in their order.
-pub(crate) fn readings(files: &[CachedFile]) -> Vec<Reading> {
+pub(crate) fn readings(files: &[CachedFile]) -> Vec<ReadResult> {
     files.iter().map(|file| file.reading.clone()).collect()
 }
 
@@ -89,7 +89,12 @@
         .collect()
 }
 
-fn read_changed(name: &str, path: &Path, before: Option<&CachedFile>, spec: &Spec) -> CachedFile {
+fn read_changed(
+    name: &str,
+    path: &Path,
+    before: Option<&CachedFile>,
+    spec: &ListSpec,
+) -> CachedFile {
     // Before the text, so that a change in between is read the next time.
     let stamp = std::fs::metadata(path).ok().map(|meta| Stamp::of(&meta));
     let observed_before = before.and_then(|before| before.observed);
--- a/crates/server-files/src/cached_file/tests.rs
+++ b/crates/server-files/src/cached_file/tests.rs
@@ -4,13 +4,13 @@
 
 use super::*;
 
-fn spec() -> Spec {
-    Spec {
+fn spec() -> ListSpec {
+    ListSpec {
         pool: "points".into(),
         files: vec!["a.toml".into()],
         zones: vec!["".into()],
         max_removed_share: 0.5,
-        drain: Span(0),
+        drain_time: Span(0),
     }
 }
 
--- a/crates/server-files/src/lib.rs
+++ b/crates/server-files/src/lib.rs
@@ -20,9 +20,9 @@
 //! # use std::{rc::Rc, time::Duration};
 //! # use sableloom_exchange::{Clock, EndpointListener, EndpointSource};
 //! # use sableloom_server_files::{Files, ServerFiles};
-//! # use sableloom_server_list::Spec;
+//! # use sableloom_server_list::ListSpec;
 //! # use sableloom_toml_diagnostics::Problem;
-//! # async fn example(spec: Spec, listener: Rc<dyn EndpointListener>) -> Result<(), Vec<Problem>> {
+//! # async fn example(spec: ListSpec, listener: Rc<dyn EndpointListener>) -> Result<(), Vec<Problem>> {
 //! let files = Files {
 //!     spec,
 //!     paths: vec!["points.toml".into()],
--- a/crates/server-files/src/source.rs
+++ b/crates/server-files/src/source.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sableloom_exchange::{Clock, EndpointListener, EndpointSource, Task};
-use sableloom_server_list::{Change, Lists, OfferResult};
+use sableloom_server_list::{FileLists, ListChange, OfferResult};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::ListKind;
 use tokio::sync::{Mutex, Notify, OwnedMutexGuard};
@@ -27,7 +27,7 @@
 /// The files of one pool, as a source of its endpoints.
 pub struct ServerFiles {
     files: RefCell<Files>,
-    lists: RefCell<Lists>,
+    lists: RefCell<FileLists>,
     cached: RefCell<Vec<CachedFile>>,
     logged: RefCell<LoggedProblems>,
     listener: RefCell<Option<Rc<dyn EndpointListener>>>,
@@ -60,7 +60,7 @@
 /// Files that are read and good, and not yet in force.
 pub struct PreparedFiles {
     files: Files,
-    lists: Lists,
+    lists: FileLists,
     cached: Vec<CachedFile>,
     offer: OfferResult,
     /// Keeps the watch from reading meanwhile.
@@ -75,7 +75,7 @@
     ///
     /// Everything that is wrong with the files.
     pub async fn open(files: Files, clock: Clock) -> Result<Rc<Self>, Vec<Problem>> {
-        let lists = Lists::new(files.spec.clone());
+        let lists = FileLists::new(files.spec.clone());
         let prepared = prepare(files, lists, Vec::new(), clock).await?;
         let opened = Rc::new(Self {
             files: RefCell::new(prepared.files.clone()),
@@ -133,7 +133,7 @@
     /// The list in force.
     pub fn version(&self) -> ListVersion {
         let lists = self.lists.borrow();
-        let (revision, hash) = lists.version();
+        let (revision, hash) = lists.revision_and_hash();
         ListVersion { revision, hash: hash.to_string(), servers: lists.server_count() }
     }
 
@@ -152,7 +152,7 @@
     /// Logs why files are not applied, unless the same texts had the same problems before.
     fn log_problems(&self, pool: &str, offer: &OfferResult) {
         let mut lines: Vec<String> = offer.problems.iter().map(Problem::to_string).collect();
-        lines.extend(offer.awaiting.clone());
+        lines.extend(offer.version_mismatch.clone());
         let digests = self.cached.borrow().iter().map(|file| file.digest).collect();
         let problems = LoggedProblems { lines, digests };
         if *self.logged.borrow() != problems {
@@ -179,7 +179,7 @@
         loop {
             self.wait().await;
             let now = self.clock.now();
-            if self.lists.borrow_mut().forget_drained(now) {
+            if self.lists.borrow_mut().remove_drained(now) {
                 self.publish();
             }
             self.read_again(&watcher, &subscription).await;
@@ -189,7 +189,7 @@
     /// Waits until the files are to be read again, or a server has drained.
     async fn wait(&self) {
         let reread_interval = self.files.borrow().reread_interval;
-        let drained_at = self.lists.borrow().next_forget().map(|at| self.clock.instant_of(at));
+        let drained_at = self.lists.borrow().next_drain_end().map(|at| self.clock.instant_of(at));
         let drained = async {
             match drained_at {
                 Some(at) => sleep_until(at).await,
@@ -244,7 +244,7 @@
 
 async fn prepare(
     files: Files,
-    mut lists: Lists,
+    mut lists: FileLists,
     cached: Vec<CachedFile>,
     clock: Clock,
 ) -> Result<PreparedFiles, Vec<Problem>> {
@@ -256,14 +256,14 @@
     if !offer.problems.is_empty() {
         return Err(offer.problems);
     }
-    match offer.awaiting.clone().filter(|_| !lists.in_force()) {
+    match offer.version_mismatch.clone().filter(|_| !lists.in_force()) {
         Some(waits) => Err(vec![Problem::of_file(&files.spec.files[0], waits)]),
         None => Ok(PreparedFiles { files, lists, cached, offer, reading: None }),
     }
 }
 
 /// The first changes of a list, for a line of the log.
-fn summary(changes: &[Change]) -> String {
+fn summary(changes: &[ListChange]) -> String {
     if changes.is_empty() {
         return "nothing".to_string();
     }
--- a/crates/server-files/tests/keys.rs
+++ b/crates/server-files/tests/keys.rs
@@ -5,7 +5,7 @@
 
 use sableloom_exchange::{Clock, EndpointListener, EndpointSource};
 use sableloom_server_files::{Files, ServerFiles};
-use sableloom_server_list::Spec;
+use sableloom_server_list::ListSpec;
 use sableloom_types::{EndpointStatus, ListKind, ListedEndpoint, Span};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
@@ -48,12 +48,12 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("points.toml");
     std::fs::write(&path, EVERY_KEY).expect("written");
-    let spec = Spec {
+    let spec = ListSpec {
         pool: "points".into(),
         files: vec!["points.toml".into()],
         zones: vec!["east".into(), "west".into()],
         max_removed_share: 1.0,
-        drain: Span(0),
+        drain_time: Span(0),
     };
     let files = Files { spec, paths: vec![path], reread_interval: Duration::from_secs(3600) };
     let local = LocalSet::new();
--- a/crates/server-files/tests/pools.rs
+++ b/crates/server-files/tests/pools.rs
@@ -6,7 +6,7 @@
 
 use sableloom_exchange::{Clock, EndpointListener, EndpointSource};
 use sableloom_server_files::{Files, ServerFiles};
-use sableloom_server_list::Spec;
+use sableloom_server_list::ListSpec;
 use sableloom_types::{ListKind, ListedEndpoint, Span};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
@@ -38,12 +38,12 @@
 
 fn files(path: &Path) -> Files {
     let name = path.display().to_string();
-    let spec = Spec {
+    let spec = ListSpec {
         pool: name.clone(),
         files: vec![name],
         zones: vec!["".into()],
         max_removed_share: 1.0,
-        drain: Span(0),
+        drain_time: Span(0),
     };
     // Without news nothing is read again while the test lasts.
     Files { spec, paths: vec![path.to_path_buf()], reread_interval: Duration::from_secs(3600) }
--- a/crates/server-list/src/file.rs
+++ b/crates/server-list/src/file.rs
@@ -4,8 +4,8 @@
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table, suggestion};
 use sha2::{Digest, Sha256};
 
+use crate::list_spec::ListSpec;
 use crate::server_record::{RecordState, ServerFields, ServerListing, SourceLocation};
-use crate::spec::Spec;
 
 /// Most servers of a pool.
 pub const MAX_SERVERS: usize = 20_000;
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// All problems of the file, each with its line and field.
-pub fn read(file: &str, bytes: &[u8], spec: &Spec) -> Result<ServerListing, Vec<Problem>> {
+pub fn read(file: &str, bytes: &[u8], spec: &ListSpec) -> Result<ServerListing, Vec<Problem>> {
     if bytes.iter().all(u8::is_ascii_whitespace) {
         let mut problem = Problem::of_file(file, "it is empty");
         problem.help = Some("to empty a pool, write [end], servers = 0 and takes_out".into());
@@ -35,7 +35,7 @@
     std::iter::once(0).chain(breaks).collect()
 }
 
-fn listing(root: &Table<'_>, spec: &Spec, lines: &[usize]) -> Option<ServerListing> {
+fn listing(root: &Table<'_>, spec: &ListSpec, lines: &[usize]) -> Option<ServerListing> {
     let version = root.string("version").map(|v| v.value);
     let takes_out = root.integer("takes_out", 0..=MAX_SERVERS, " servers").map(|n| n.value);
     if let Some(pool) = root.string("pool").filter(|pool| pool.value != spec.pool) {
--- a/crates/server-list/src/lists.rs
+++ b/crates/server-list/src/file_lists.rs
@@ -6,10 +6,10 @@
 use sableloom_types::{ListedEndpoint, Time};
 use sha2::{Digest, Sha256};
 
+use crate::list_spec::ListSpec;
 use crate::merge::{Merge, Merged};
-use crate::offer::{Applied, OfferResult, Reading};
+use crate::offer::{AppliedList, OfferResult, ReadResult};
 use crate::server_record::ServerListing;
-use crate::spec::Spec;
 use crate::tracked_server::TrackedServer;
 use crate::{combined_files, removal_guard};
 
@@ -20,8 +20,8 @@
 
 /// The lists of one pool.
 #[derive(Clone, Debug)]
-pub struct Lists {
-    spec: Spec,
+pub struct FileLists {
+    spec: ListSpec,
     /// What is in force of each file.
     accepted: Vec<Option<Arc<ServerListing>>>,
     tracked: Vec<TrackedServer>,
@@ -31,9 +31,9 @@
     validated: bool,
 }
 
-impl Lists {
+impl FileLists {
     /// A pool with no list in force.
-    pub fn new(spec: Spec) -> Self {
+    pub fn new(spec: ListSpec) -> Self {
         let accepted = vec![None; spec.files.len()];
         Self {
             spec,
@@ -46,12 +46,12 @@
     }
 
     /// What is set.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &ListSpec {
         &self.spec
     }
 
     /// Sets anew. What is in force of files that are still named stays so.
-    pub fn set_spec(&mut self, spec: Spec) {
+    pub fn set_spec(&mut self, spec: ListSpec) {
         let old = std::mem::take(&mut self.accepted);
         let of = |file: &String| {
             let at = self.spec.files.iter().position(|f| f == file)?;
@@ -68,7 +68,7 @@
     }
 
     /// The number and the hash of the list in force.
-    pub fn version(&self) -> (u64, &str) {
+    pub fn revision_and_hash(&self) -> (u64, &str) {
         (self.revision, &self.hash)
     }
 
@@ -84,11 +84,11 @@
 
     /// Offers what the pool's files say now, in their order. A file that can't be read stays as it was last; what the
     /// files say together is accepted as a whole or rejected.
-    pub fn offer(&mut self, now: Time, readings: &[Reading]) -> OfferResult {
+    pub fn offer(&mut self, now: Time, readings: &[ReadResult]) -> OfferResult {
         let mut offer = OfferResult::default();
         let mut new = self.readable_or_good(readings, &mut offer.problems);
-        if let Some(awaiting) = self.versions_differ(&new) {
-            offer.awaiting = Some(awaiting);
+        if let Some(version_mismatch) = self.versions_differ(&new) {
+            offer.version_mismatch = Some(version_mismatch);
             self.keep_versioned(&mut new);
         }
         let Some(new) = new.into_iter().collect::<Option<Vec<_>>>() else { return offer };
@@ -108,11 +108,12 @@
     /// The listings that were read, and for the others those in force; collects what is wrong with the files.
     fn readable_or_good(
         &self,
-        readings: &[Reading],
+        readings: &[ReadResult],
         problems: &mut Vec<Problem>,
     ) -> Vec<Option<Arc<ServerListing>>> {
         let pairs = readings.iter().zip(&self.accepted);
-        let choose = |(reading, accepted): (&Reading, &Option<Arc<ServerListing>>)| match reading {
+        let choose = |(reading, accepted): (&ReadResult, &Option<Arc<ServerListing>>)| match reading
+        {
             Ok(listing) => Some(listing.clone()),
             Err(found) => {
                 problems.extend(found.iter().cloned());
@@ -134,7 +135,11 @@
     }
 
     /// Takes over a list that was judged; `None` if it is the one in force.
-    fn put_in_force(&mut self, new: Vec<Arc<ServerListing>>, merged: Merged) -> Option<Applied> {
+    fn put_in_force(
+        &mut self,
+        new: Vec<Arc<ServerListing>>,
+        merged: Merged,
+    ) -> Option<AppliedList> {
         let mut hash = Sha256::new();
         new.iter().for_each(|listing| hash.update(listing.digest));
         let hash = hash.finalize();
@@ -148,7 +153,7 @@
             return None;
         }
         self.revision += 1;
-        Some(Applied { revision: self.revision, hash, changes: merged.changes })
+        Some(AppliedList { revision: self.revision, hash, changes: merged.changes })
     }
 
     fn versions_differ(&self, new: &[Option<Arc<ServerListing>>]) -> Option<String> {
@@ -175,7 +180,7 @@
         let servers = new.iter().flat_map(|listing| &listing.servers);
         let merge = Merge {
             now,
-            drain: self.spec.drain,
+            drain_time: self.spec.drain_time,
             in_force: self.in_force(),
             tracked: &self.tracked,
         };
@@ -185,14 +190,16 @@
     }
 
     /// Forgets the servers whose time to drain is over. Whether there were any.
-    pub fn forget_drained(&mut self, now: Time) -> bool {
+    pub fn remove_drained(&mut self, now: Time) -> bool {
         let before = self.tracked.len();
-        self.tracked.retain(|tracked| tracked.forget_at.is_none_or(|forget_at| now < forget_at));
+        self.tracked.retain(|tracked| {
+            tracked.drain_ends_at.is_none_or(|drain_ends_at| now < drain_ends_at)
+        });
         self.tracked.len() < before
     }
 
-    /// When [`Lists::forget_drained`] has something to do next.
-    pub fn next_forget(&self) -> Option<Time> {
-        self.tracked.iter().filter_map(|tracked| tracked.forget_at).min()
+    /// When [`FileLists::remove_drained`] has something to do next.
+    pub fn next_drain_end(&self) -> Option<Time> {
+        self.tracked.iter().filter_map(|tracked| tracked.drain_ends_at).min()
     }
 }
--- a/crates/server-list/src/incremental_list.rs
+++ b/crates/server-list/src/incremental_list.rs
@@ -1,6 +1,6 @@
 //! The servers of one pool, changed one by one.
 //!
-//! [`Lists`](crate::Lists) takes whole files; a [`IncrementalList`] takes single changes, at a cost that goes with the
+//! [`FileLists`](crate::FileLists) takes whole files; a [`IncrementalList`] takes single changes, at a cost that goes with the
 //! change. Both know a server by its address first, then by its id, so that what is at one address has one
 //! endpoint towards the policy, whatever its id. A removed server drains before it is forgotten.
 
@@ -45,7 +45,7 @@
     /// When it counts as started, in Unix milliseconds; 0 for long ago.
     up_since_ms: f64,
     /// Set once it is removed: when it is forgotten.
-    forget_at: Option<Time>,
+    drain_ends_at: Option<Time>,
 }
 
 /// A server's name towards the policy: its first id, for as long as it is known.
@@ -58,20 +58,20 @@
     by_id: FxHashMap<Box<str>, Name>,
     by_address: FxHashMap<SocketAddr, Name>,
     leaving: BTreeSet<(Time, Name)>,
-    drain: Span,
+    drain_time: Span,
     /// A first change has come: what comes later is new.
     filled: bool,
 }
 
 impl IncrementalList {
     /// A pool without servers, whose removed servers drain for so long.
-    pub fn new(drain: Span) -> Self {
-        Self { drain, ..Self::default() }
+    pub fn new(drain_time: Span) -> Self {
+        Self { drain_time, ..Self::default() }
     }
 
     /// Servers that are removed from now on drain for so long.
-    pub fn set_drain(&mut self, drain: Span) {
-        self.drain = drain;
+    pub fn set_drain_time(&mut self, drain_time: Span) {
+        self.drain_time = drain_time;
     }
 
     /// Servers that are known, with those that drain.
@@ -87,12 +87,15 @@
     /// The id of the server at an address, if one is listed there.
     pub fn id_at(&self, address: SocketAddr) -> Option<&str> {
         let known = self.known.get(self.by_address.get(&address)?)?;
-        known.forget_at.is_none().then_some(&*known.server.id)
+        known.drain_ends_at.is_none().then_some(&*known.server.id)
     }
 
     /// The ids of the servers that are listed.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
-        self.known.values().filter(|known| known.forget_at.is_none()).map(|known| &*known.server.id)
+        self.known
+            .values()
+            .filter(|known| known.drain_ends_at.is_none())
+            .map(|known| &*known.server.id)
     }
 
     /// Takes changes over; gives the entries that are different now.
@@ -117,7 +120,7 @@
     }
 
     /// Forgets servers whose time to drain is over; gives their last entries.
-    pub fn forget_drained(&mut self, now: Time) -> Vec<ListedEndpoint> {
+    pub fn remove_drained(&mut self, now: Time) -> Vec<ListedEndpoint> {
         let mut gone = Vec::new();
         while let Some((at, name)) = self.leaving.first().cloned()
             && at <= now
@@ -132,8 +135,8 @@
         gone
     }
 
-    /// When [`IncrementalList::forget_drained`] has something to do next.
-    pub fn next_forget(&self) -> Option<Time> {
+    /// When [`IncrementalList::remove_drained`] has something to do next.
+    pub fn next_drain_end(&self) -> Option<Time> {
         self.leaving.first().map(|(at, _)| *at)
     }
 
@@ -160,7 +163,7 @@
         }
         self.by_id.insert(server.id.clone(), name.clone());
         self.by_address.insert(server.address, name.clone());
-        self.known.insert(name.clone(), Known { server, up_since_ms, forget_at: None });
+        self.known.insert(name.clone(), Known { server, up_since_ms, drain_ends_at: None });
         touched.insert(name);
     }
 
@@ -173,7 +176,7 @@
             Some(before) => {
                 let renamed = before.server.id != server.id;
                 let moved = before.server.address != server.address;
-                let other = moved || (renamed && before.forget_at.is_some());
+                let other = moved || (renamed && before.drain_ends_at.is_some());
                 if other { unix_ms(now) } else { before.up_since_ms }
             }
         };
@@ -182,9 +185,9 @@
 
     fn leave(&mut self, now: Time, name: &Name) {
         let Some(known) = self.known.get_mut(name) else { return };
-        if known.forget_at.is_none() {
-            let at = now.plus(self.drain);
-            known.forget_at = Some(at);
+        if known.drain_ends_at.is_none() {
+            let at = now.plus(self.drain_time);
+            known.drain_ends_at = Some(at);
             self.leaving.insert((at, name.clone()));
         }
     }
@@ -197,7 +200,7 @@
         if self.by_address.get(&known.server.address) == Some(name) {
             self.by_address.remove(&known.server.address);
         }
-        if let Some(at) = known.forget_at {
+        if let Some(at) = known.drain_ends_at {
             self.leaving.remove(&(at, name.clone()));
         }
     }
@@ -209,8 +212,8 @@
     }
 
     fn entry(&self, name: &Name) -> Option<ListedEndpoint> {
-        let Known { server, up_since_ms, forget_at } = self.known.get(name)?;
-        let serves = forget_at.is_none() && !server.draining && server.weight > 0.0;
+        let Known { server, up_since_ms, drain_ends_at } = self.known.get(name)?;
+        let serves = drain_ends_at.is_none() && !server.draining && server.weight > 0.0;
         Some(ListedEndpoint {
             id: name.clone(),
             address: server.address,
--- a/crates/server-list/src/lib.rs
+++ b/crates/server-list/src/lib.rs
@@ -4,7 +4,7 @@
 //! mistake. This crate takes readings of files and returns an accepted change or a rejection; the last good list stays
 //! in force. It does no I/O and reads no clock.
 //!
-//! [`read`] checks one file. [`Lists`] holds the state of a pool whose files are read as a whole, [`IncrementalList`] that of a
+//! [`read`] checks one file. [`FileLists`] holds the state of a pool whose files are read as a whole, [`IncrementalList`] that of a
 //! pool whose servers change one by one.
 //!
 //! Invariants: a change is accepted as a whole or not at all; a server that a list leaves out drains before it is
@@ -13,41 +13,41 @@
 //! ```
 //! use std::sync::Arc;
 //!
-//! use sableloom_server_list::{Lists, Spec, read};
+//! use sableloom_server_list::{FileLists, ListSpec, read};
 //! use sableloom_types::{Span, Time};
 //!
-//! let spec = Spec {
+//! let spec = ListSpec {
 //!     pool: "points".into(),
 //!     files: vec!["points.toml".into()],
 //!     zones: Vec::new(),
 //!     max_removed_share: 0.5,
-//!     drain: Span(2_000_000),
+//!     drain_time: Span(2_000_000),
 //! };
 //! let text = b"[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\n[end]\nservers = 1\n";
 //! let reading = read("points.toml", text, &spec).map(Arc::new);
-//! let mut lists = Lists::new(spec);
+//! let mut lists = FileLists::new(spec);
 //! assert!(lists.offer(Time(0), &[reading]).applied.is_some());
 //! assert_eq!(lists.endpoints().len(), 1);
 //! ```
 
-mod change;
 mod clock;
 mod combined_files;
 mod file;
+mod file_lists;
 mod incremental_list;
-mod lists;
+mod list_change;
+mod list_spec;
 mod merge;
 mod offer;
 mod removal_guard;
 mod server_record;
-mod spec;
 mod tracked_server;
 
-pub use change::Change;
 pub use clock::MAX_CLOCK_DIFFERENCE_MS;
 pub use file::{MAX_SERVERS, MAX_WEIGHT, read, read_server, read_server_fields};
+pub use file_lists::FileLists;
 pub use incremental_list::{IncrementalList, ServerChange, ServerDescription};
-pub use lists::Lists;
-pub use offer::{Applied, OfferResult, Reading};
+pub use list_change::ListChange;
+pub use list_spec::ListSpec;
+pub use offer::{AppliedList, OfferResult, ReadResult};
 pub use server_record::{RecordState, ServerFields, ServerListing, ServerRecord};
-pub use spec::Spec;
--- a/crates/server-list/src/change.rs
+++ b/crates/server-list/src/list_change.rs
@@ -5,7 +5,7 @@
 
 /// What a change did to one server, by its id.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum ListChange {
     /// It is new.
     Added(String),
     /// It is back after it was left out; with a cold start if it is another or has started anew.
@@ -24,7 +24,7 @@
     /// It has started anew.
     Restarted(String),
     /// Another weight.
-    Weight {
+    WeightChanged {
         /// Its id.
         id: String,
         /// Before.
@@ -49,23 +49,25 @@
         to: SocketAddr,
     },
     /// Another zone.
-    Zone(String),
+    ZoneChanged(String),
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for ListChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Change::Added(id) => write!(f, "added {id}"),
-            Change::Returned { id, cold: true } => write!(f, "returned cold {id}"),
-            Change::Returned { id, cold: false } => write!(f, "returned {id}"),
-            Change::Removed(id) => write!(f, "removed {id}"),
-            Change::Drained(id) => write!(f, "drained {id}"),
-            Change::Resumed(id) => write!(f, "resumed {id}"),
-            Change::Restarted(id) => write!(f, "restarted {id}"),
-            Change::Weight { id, from, to } => write!(f, "weight of {id} from {from} to {to}"),
-            Change::Renamed { from, to } => write!(f, "renamed {from} to {to}"),
-            Change::Moved { id, from, to } => write!(f, "moved {id} from {from} to {to}"),
-            Change::Zone(id) => write!(f, "zone of {id}"),
+            ListChange::Added(id) => write!(f, "added {id}"),
+            ListChange::Returned { id, cold: true } => write!(f, "returned cold {id}"),
+            ListChange::Returned { id, cold: false } => write!(f, "returned {id}"),
+            ListChange::Removed(id) => write!(f, "removed {id}"),
+            ListChange::Drained(id) => write!(f, "drained {id}"),
+            ListChange::Resumed(id) => write!(f, "resumed {id}"),
+            ListChange::Restarted(id) => write!(f, "restarted {id}"),
+            ListChange::WeightChanged { id, from, to } => {
+                write!(f, "weight of {id} from {from} to {to}")
+            }
+            ListChange::Renamed { from, to } => write!(f, "renamed {from} to {to}"),
+            ListChange::Moved { id, from, to } => write!(f, "moved {id} from {from} to {to}"),
+            ListChange::ZoneChanged(id) => write!(f, "zone of {id}"),
         }
     }
 }
--- a/crates/server-list/src/spec.rs
+++ b/crates/server-list/src/list_spec.rs
@@ -4,7 +4,7 @@
 
 /// What an operator has set for a pool's lists.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct ListSpec {
     /// The pool's name.
     pub pool: String,
     /// Its files, as the operator named them.
@@ -14,5 +14,5 @@
     /// The largest share of the serving servers that one change takes out unless it says so.
     pub max_removed_share: f64,
     /// How long a server that a list leaves out is kept as draining.
-    pub drain: Span,
+    pub drain_time: Span,
 }
--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -5,22 +5,22 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use sableloom_types::{Span, Time};
 
-use crate::change::Change;
 use crate::clock::unix_ms;
+use crate::list_change::ListChange;
 use crate::server_record::{RecordState, ServerRecord};
 use crate::tracked_server::{TrackedServer, free_name};
 
 /// The servers that a pool would know, and what would change.
 pub(crate) struct Merged {
     pub(crate) tracked: Vec<TrackedServer>,
-    pub(crate) changes: Vec<Change>,
+    pub(crate) changes: Vec<ListChange>,
 }
 
 /// The state that a list is merged into.
 pub(crate) struct Merge<'a> {
     pub(crate) now: Time,
     /// How long a removed server drains.
-    pub(crate) drain: Span,
+    pub(crate) drain_time: Span,
     /// Whether a list is in force.
     pub(crate) in_force: bool,
     pub(crate) tracked: &'a [TrackedServer],
@@ -36,8 +36,8 @@
         let at: FxHashMap<SocketAddr, usize> =
             self.tracked.iter().enumerate().map(|(i, h)| (h.record.address, i)).collect();
         // Of two that had the same id, the one that is listed.
-        let leaving = self.tracked.iter().enumerate().filter(|(_, h)| h.forget_at.is_some());
-        let record = self.tracked.iter().enumerate().filter(|(_, h)| h.forget_at.is_none());
+        let leaving = self.tracked.iter().enumerate().filter(|(_, h)| h.drain_ends_at.is_some());
+        let record = self.tracked.iter().enumerate().filter(|(_, h)| h.drain_ends_at.is_none());
         let of: FxHashMap<&str, usize> =
             leaving.chain(record).map(|(i, h)| (&*h.record.id, i)).collect();
         let mut used = vec![false; self.tracked.len()];
@@ -57,7 +57,7 @@
                     self.updated(&self.tracked[i], server, &mut changes)
                 }
                 None => {
-                    changes.push(Change::Added(server.id.clone()));
+                    changes.push(ListChange::Added(server.id.clone()));
                     let name = free_name(&names, server);
                     names.insert(name.clone());
                     self.added(name, server)
@@ -67,9 +67,9 @@
         }
         for (tracked, _) in self.tracked.iter().zip(used).filter(|(_, used)| !used) {
             let mut tracked = tracked.clone();
-            if tracked.forget_at.is_none() {
-                changes.push(Change::Removed(tracked.record.id.clone()));
-                tracked.forget_at = Some(self.now.plus(self.drain));
+            if tracked.drain_ends_at.is_none() {
+                changes.push(ListChange::Removed(tracked.record.id.clone()));
+                tracked.drain_ends_at = Some(self.now.plus(self.drain_time));
             }
             next.push(tracked);
         }
@@ -80,7 +80,7 @@
     fn added(&self, name: Box<str>, server: &ServerRecord) -> TrackedServer {
         let unstated = if self.in_force { unix_ms(self.now) } else { 0.0 };
         let up_since_ms = server.started_ms.unwrap_or(unstated);
-        TrackedServer { name, record: server.clone(), up_since_ms, forget_at: None }
+        TrackedServer { name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 
     /// A known server as the new list has it.
@@ -88,13 +88,13 @@
         &self,
         old: &TrackedServer,
         server: &ServerRecord,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) -> TrackedServer {
         let id = || server.id.clone();
         let was = &old.record;
         let renamed = was.id != server.id;
         let moved = was.address != server.address;
-        let back = old.forget_at.is_some();
+        let back = old.drain_ends_at.is_some();
         // A start that was stated before and is left out now changes nothing.
         let restarted = server.started_ms.is_some_and(|s| s != old.up_since_ms);
         // Another machine for all that is known: whatever came back under another id, and whatever
@@ -106,30 +106,36 @@
             None => old.up_since_ms,
         };
         if back {
-            changes.push(Change::Returned { id: id(), cold: other || restarted });
+            changes.push(ListChange::Returned { id: id(), cold: other || restarted });
         } else if restarted {
-            changes.push(Change::Restarted(id()));
+            changes.push(ListChange::Restarted(id()));
         }
         if renamed {
-            changes.push(Change::Renamed { from: was.id.clone(), to: id() });
+            changes.push(ListChange::Renamed { from: was.id.clone(), to: id() });
         }
         if moved {
-            changes.push(Change::Moved { id: id(), from: was.address, to: server.address });
+            changes.push(ListChange::Moved { id: id(), from: was.address, to: server.address });
         }
         if was.weight != server.weight {
-            changes.push(Change::Weight { id: id(), from: was.weight, to: server.weight });
+            changes.push(ListChange::WeightChanged {
+                id: id(),
+                from: was.weight,
+                to: server.weight,
+            });
         }
         if was.zone != server.zone {
-            changes.push(Change::Zone(id()));
+            changes.push(ListChange::ZoneChanged(id()));
         }
         match (was.state, server.state) {
-            (RecordState::Serving, RecordState::Draining) => changes.push(Change::Drained(id())),
+            (RecordState::Serving, RecordState::Draining) => {
+                changes.push(ListChange::Drained(id()))
+            }
             (RecordState::Draining, RecordState::Serving) if !back => {
-                changes.push(Change::Resumed(id()))
+                changes.push(ListChange::Resumed(id()))
             }
             _ => {}
         }
         let name = old.name.clone();
-        TrackedServer { name, record: server.clone(), up_since_ms, forget_at: None }
+        TrackedServer { name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 }
--- a/crates/server-list/src/removal_guard.rs
+++ b/crates/server-list/src/removal_guard.rs
@@ -5,14 +5,14 @@
 use rustc_hash::FxHashSet;
 use sableloom_toml_diagnostics::Problem;
 
+use crate::list_spec::ListSpec;
 use crate::server_record::ServerListing;
-use crate::spec::Spec;
 use crate::tracked_server::TrackedServer;
 
 /// Rejects a list that removes more of the serving servers than the stated share at once, unless a changed file states
 /// how many it removes. Guards against a mistake in one file that would empty a pool.
 pub(crate) fn check(
-    spec: &Spec,
+    spec: &ListSpec,
     tracked: &[TrackedServer],
     next: &[TrackedServer],
     new: &[Arc<ServerListing>],
--- a/crates/server-list/src/tracked_server.rs
+++ b/crates/server-list/src/tracked_server.rs
@@ -14,7 +14,7 @@
     /// When it counts as started, in Unix milliseconds; 0 for long ago.
     pub(crate) up_since_ms: f64,
     /// No list names it; it is forgotten by then.
-    pub(crate) forget_at: Option<Time>,
+    pub(crate) drain_ends_at: Option<Time>,
 }
 
 impl TrackedServer {
@@ -35,7 +35,7 @@
 
     /// Whether it takes requests.
     pub(crate) fn serves(&self) -> bool {
-        self.forget_at.is_none() && self.record.serves()
+        self.drain_ends_at.is_none() && self.record.serves()
     }
 }
 
--- a/crates/server-list/tests/lists.rs
+++ b/crates/server-list/tests/file_lists.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use sableloom_server_list::{Change, Lists, MAX_SERVERS, OfferResult, Reading, Spec, read};
+use sableloom_server_list::{
+    FileLists, ListChange, ListSpec, MAX_SERVERS, OfferResult, ReadResult, read,
+};
 use sableloom_toml_diagnostics::Problem;
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
@@ -17,13 +19,13 @@
     time.0 as f64 / 1e3
 }
 
-fn spec(files: &[&str]) -> Spec {
-    Spec {
+fn spec(files: &[&str]) -> ListSpec {
+    ListSpec {
         pool: "points".into(),
         files: files.iter().map(|f| f.to_string()).collect(),
         zones: vec!["east".into(), "west".into()],
         max_removed_share: 0.5,
-        drain: Span(DRAIN),
+        drain_time: Span(DRAIN),
     }
 }
 
@@ -40,25 +42,25 @@
     text + &format!("[end]\nservers = {}\n", servers.len())
 }
 
-fn reading(spec: &Spec, name: &str, text: &str) -> Reading {
+fn reading(spec: &ListSpec, name: &str, text: &str) -> ReadResult {
     read(name, text.as_bytes(), spec).map(Arc::new)
 }
 
-fn offer(lists: &mut Lists, now: Time, texts: &[&str]) -> OfferResult {
+fn offer(lists: &mut FileLists, now: Time, texts: &[&str]) -> OfferResult {
     let spec = lists.spec().clone();
     let readings: Vec<_> =
         spec.files.iter().zip(texts).map(|(name, text)| reading(&spec, name, text)).collect();
     lists.offer(now, &readings)
 }
 
-fn accepted(lists: &mut Lists, now: Time, texts: &[&str]) -> Vec<String> {
+fn accepted(lists: &mut FileLists, now: Time, texts: &[&str]) -> Vec<String> {
     let offer = offer(lists, now, texts);
     assert_eq!(offer.problems, [], "nothing is wrong");
     let applied = offer.applied.expect("accepted");
-    applied.changes.iter().map(Change::to_string).collect()
+    applied.changes.iter().map(ListChange::to_string).collect()
 }
 
-fn rejected(lists: &mut Lists, texts: &[&str]) -> String {
+fn rejected(lists: &mut FileLists, texts: &[&str]) -> String {
     let before = lists.endpoints();
     let offer = offer(lists, at(1), texts);
     assert_eq!(offer.applied, None);
@@ -68,19 +70,19 @@
     summary.join("\n")
 }
 
-fn one(first: &[&str]) -> Lists {
-    let mut lists = Lists::new(spec(&["a.toml"]));
+fn one(first: &[&str]) -> FileLists {
+    let mut lists = FileLists::new(spec(&["a.toml"]));
     accepted(&mut lists, at(0), &[&file("", first)]);
     lists
 }
 
-fn entry(lists: &Lists, name: &str) -> ListedEndpoint {
+fn entry(lists: &FileLists, name: &str) -> ListedEndpoint {
     lists.endpoints().into_iter().find(|e| &*e.id == name).unwrap_or_else(|| panic!("no {name}"))
 }
 
 #[test]
 fn an_accepted_list_comes_into_force_with_a_revision_and_a_hash() {
-    let mut lists = Lists::new(spec(&["a.toml"]));
+    let mut lists = FileLists::new(spec(&["a.toml"]));
     assert!(!lists.in_force());
     let text = file(
         "pool = \"points\"",
@@ -88,7 +90,7 @@
     );
     let changes = accepted(&mut lists, at(0), &[&text]);
     assert_eq!(changes, ["added a", "added b", "added c", "added d"]);
-    let (revision, hash) = lists.version();
+    let (revision, hash) = lists.revision_and_hash();
     assert_eq!((revision, hash.len()), (1, 12));
     let status: Vec<_> =
         lists.endpoints().iter().map(|e| (e.status, e.size, e.up_since_ms)).collect();
@@ -98,10 +100,10 @@
         status,
         [(live, 1.0, 0.0), (live, 2.5, 0.0), (draining, 1.0, 0.0), (draining, 1.0, 0.0)]
     );
-    let before = lists.version().1.to_string();
+    let before = lists.revision_and_hash().1.to_string();
     let again = offer(&mut lists, at(1), &[&text]);
     assert_eq!(again, OfferResult::default(), "the same is no change");
-    assert_eq!(lists.version(), (1, &*before));
+    assert_eq!(lists.revision_and_hash(), (1, &*before));
 }
 
 #[test]
@@ -145,7 +147,7 @@
     let unreadable = vec![Problem::of_file("a.toml", "Permission denied")];
     let offer = lists.offer(at(1), &[Err(unreadable.clone())]);
     assert_eq!((offer.applied, offer.problems), (None, unreadable));
-    assert_eq!(lists.version().0, 1);
+    assert_eq!(lists.revision_and_hash().0, 1);
 }
 
 #[test]
@@ -183,11 +185,11 @@
     let mut lists = one(&["a 1", "b 2"]);
     accepted(&mut lists, at(10), &[&file("", &["a 1"])]);
     assert_eq!(entry(&lists, "b").status, EndpointStatus::Draining);
-    assert_eq!(lists.next_forget(), Some(Time(at(10).0 + DRAIN)));
-    assert!(!lists.forget_drained(Time(at(10).0 + DRAIN - 1)));
+    assert_eq!(lists.next_drain_end(), Some(Time(at(10).0 + DRAIN)));
+    assert!(!lists.remove_drained(Time(at(10).0 + DRAIN - 1)));
     assert_eq!(lists.server_count(), 2);
-    assert!(lists.forget_drained(Time(at(10).0 + DRAIN)));
-    assert_eq!((lists.server_count(), lists.next_forget()), (1, None));
+    assert!(lists.remove_drained(Time(at(10).0 + DRAIN)));
+    assert_eq!((lists.server_count(), lists.next_drain_end()), (1, None));
     // It counts as new from then on, and starts cold.
     assert_eq!(accepted(&mut lists, at(60), &[&file("", &["a 1", "b 2"])]), ["added b"]);
     assert_eq!(entry(&lists, "b").up_since_ms, ms(at(60)));
@@ -269,7 +271,7 @@
 
 #[test]
 fn files_change_independently_unless_they_state_a_version() {
-    let mut lists = Lists::new(spec(&["a.toml", "b.toml"]));
+    let mut lists = FileLists::new(spec(&["a.toml", "b.toml"]));
     let bad = "[[server]";
     // At first all must be good.
     let first = offer(&mut lists, at(0), &[&file("", &["a 1"]), bad]);
@@ -278,7 +280,7 @@
     // One that goes bad stays as it was; the other's change holds.
     let mixed = offer(&mut lists, at(1), &[&file("", &["a 1", "b 2", "d 4"]), bad]);
     assert_eq!(mixed.problems.len(), 1);
-    assert_eq!(mixed.applied.expect("the good one").changes, [Change::Added("d".into())]);
+    assert_eq!(mixed.applied.expect("the good one").changes, [ListChange::Added("d".into())]);
     assert_eq!(lists.server_count(), 4);
     // What is wrong only together is refused together.
     let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "c 9"]), &file("", &["c 3"])]);
@@ -295,22 +297,24 @@
 
 #[test]
 fn files_of_one_version_change_together() {
-    let mut lists = Lists::new(spec(&["a.toml", "b.toml", "c.toml"]));
+    let mut lists = FileLists::new(spec(&["a.toml", "b.toml", "c.toml"]));
     let v = |n: u32, servers: &[&str]| file(&format!("version = \"{n}\""), servers);
     let free = file("", &["f 9"]);
     accepted(&mut lists, at(0), &[&v(1, &["a 1"]), &v(1, &["b 2"]), &free]);
     // One of them is ahead: awaited, and nothing of it is in force.
     let ahead = offer(&mut lists, at(1), &[&v(2, &["a 1", "a2 3"]), &v(1, &["b 2"]), &free]);
     assert_eq!((ahead.applied, ahead.problems), (None, vec![]));
-    let awaiting = ahead.awaiting.expect("a message");
-    assert_eq!(awaiting, "versions differ: a.toml has `2`, b.toml has `1`");
+    let version_mismatch = ahead.version_mismatch.expect("a message");
+    assert_eq!(version_mismatch, "versions differ: a.toml has `2`, b.toml has `1`");
     // A file that says none goes its own way meanwhile.
     let more = file("", &["f 9", "g 10"]);
     let other = offer(&mut lists, at(2), &[&v(2, &["a 1", "a2 3"]), &v(1, &["b 2"]), &more]);
-    assert_eq!(other.applied.expect("the free one").changes, [Change::Added("g".into())]);
+    assert_eq!(other.applied.expect("the free one").changes, [ListChange::Added("g".into())]);
     // The other is broken: still awaited.
     let broken = offer(&mut lists, at(3), &[&v(2, &["a 1", "a2 3"]), "version = \"2", &more]);
-    assert!(broken.applied.is_none() && broken.awaiting.is_some() && broken.problems.len() == 1);
+    assert!(
+        broken.applied.is_none() && broken.version_mismatch.is_some() && broken.problems.len() == 1
+    );
     let changes =
         accepted(&mut lists, at(4), &[&v(2, &["a 1", "a2 3"]), &v(2, &["b 2", "b2 4"]), &more]);
     assert_eq!(changes, ["added a2", "added b2"]);
@@ -318,7 +322,7 @@
 
 #[test]
 fn lists_of_files_that_are_still_named_stay_in_force_when_others_are_named() {
-    let mut lists = Lists::new(spec(&["a.toml", "b.toml"]));
+    let mut lists = FileLists::new(spec(&["a.toml", "b.toml"]));
     accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
     lists.set_spec(spec(&["a.toml"]));
     let a = file("", &["a 1", "b 2"]);
@@ -326,18 +330,18 @@
     lists.set_spec(spec(&["a.toml", "d.toml"]));
     // The old one is broken now, and still as it was; the new one must be good.
     let offered = offer(&mut lists, at(2), &["[", &file("", &["d 4"])]);
-    assert_eq!(offered.applied.expect("the new file").changes, [Change::Added("d".into())]);
+    assert_eq!(offered.applied.expect("the new file").changes, [ListChange::Added("d".into())]);
     assert_eq!(lists.endpoints().iter().filter(|e| e.status == EndpointStatus::Live).count(), 3);
     // Set again, and nothing is new.
-    let number = lists.version().0;
+    let number = lists.revision_and_hash().0;
     lists.set_spec(spec(&["a.toml", "d.toml"]));
     assert_eq!(offer(&mut lists, at(3), &[&a, &file("", &["d 4"])]), OfferResult::default());
-    assert_eq!(lists.version().0, number);
+    assert_eq!(lists.revision_and_hash().0, number);
 }
 
 #[test]
 fn more_servers_than_a_pool_may_have_are_rejected() {
-    let mut lists = Lists::new(spec(&["a.toml", "b.toml"]));
+    let mut lists = FileLists::new(spec(&["a.toml", "b.toml"]));
     let servers: Vec<String> = (0..MAX_SERVERS).map(|i| format!("s{i} {}", 10_000 + i)).collect();
     let servers: Vec<&str> = servers.iter().map(String::as_str).collect();
     let first = offer(&mut lists, at(0), &[&file("", &servers), &file("", &["x 1"])]);
--- a/crates/server-list/tests/incremental_list.rs
+++ b/crates/server-list/tests/incremental_list.rs
@@ -52,10 +52,10 @@
         summary(entries),
         [row("a", 1, EndpointStatus::Draining), row("d", 4, EndpointStatus::Live)]
     );
-    assert_eq!(summary(list.forget_drained(seconds(3))), []);
-    assert_eq!(list.next_forget(), Some(seconds(4)));
-    assert_eq!(summary(list.forget_drained(seconds(4))), [row("a", 1, EndpointStatus::Gone)]);
-    assert_eq!((list.len(), list.next_forget()), (3, None));
+    assert_eq!(summary(list.remove_drained(seconds(3))), []);
+    assert_eq!(list.next_drain_end(), Some(seconds(4)));
+    assert_eq!(summary(list.remove_drained(seconds(4))), [row("a", 1, EndpointStatus::Gone)]);
+    assert_eq!((list.len(), list.next_drain_end()), (3, None));
 }
 
 #[test]
@@ -84,7 +84,7 @@
         (summary(entries.clone()), entries[0].up_since_ms),
         (vec![row("a", 1, EndpointStatus::Live)], 0.0)
     );
-    assert_eq!((list.next_forget(), list.forget_drained(seconds(9))), (None, Vec::new()));
+    assert_eq!((list.next_drain_end(), list.remove_drained(seconds(9))), (None, Vec::new()));
 }
 
 #[test]
@@ -101,7 +101,7 @@
     list.apply(seconds(4), vec![set("b", 3), set("c", 2)]);
     let mut ids: Vec<&str> = list.ids().collect();
     ids.sort();
-    assert_eq!((ids, list.next_forget()), (vec!["a", "b", "c", "x"], None));
+    assert_eq!((ids, list.next_drain_end()), (vec!["a", "b", "c", "x"], None));
     // One takes the place of another that is removed; where it was, nothing is any more.
     let entries = list.apply(seconds(5), vec![remove("c"), set("b", 2)]);
     assert_eq!(
--- a/crates/server-list/tests/property.rs
+++ b/crates/server-list/tests/property.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use sableloom_server_list::{Change, Lists, Reading, ServerListing, Spec, read};
+use sableloom_server_list::{FileLists, ListChange, ListSpec, ReadResult, ServerListing, read};
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
 const SEEDS: u64 = 1500;
@@ -111,13 +111,13 @@
     }
 }
 
-fn spec(files: usize) -> Spec {
-    Spec {
+fn spec(files: usize) -> ListSpec {
+    ListSpec {
         pool: "p".into(),
         files: (0..files).map(|i| format!("{i}.toml")).collect(),
         zones: vec![],
         max_removed_share: OUT_AT_MOST,
-        drain: Span(DRAIN),
+        drain_time: Span(DRAIN),
     }
 }
 
@@ -159,12 +159,12 @@
 /// read, and the files that are sound.
 fn write_and_read(
     rng: &mut Rand64,
-    spec: &Spec,
+    spec: &ListSpec,
     model: &Model,
     last: &mut [File],
     step: &str,
-) -> (Vec<Reading>, Vec<Option<File>>) {
-    let mut readings: Vec<Reading> = Vec::new();
+) -> (Vec<ReadResult>, Vec<Option<File>>) {
+    let mut readings: Vec<ReadResult> = Vec::new();
     let mut files = Vec::new();
     for (i, last) in last.iter_mut().enumerate() {
         // From what is in force as often as from what was written last.
@@ -212,18 +212,18 @@
     let mut rng = Rand64::new(u128::from(seed));
     let count = rng.rand_range(1..4) as usize;
     let spec = spec(count);
-    let mut lists = Lists::new(spec.clone());
+    let mut lists = FileLists::new(spec.clone());
     let mut model = Model { accepted: vec![None; count], ..Model::default() };
     let mut last = vec![File::default(); count];
     let mut now = Time(1_764_576_000_000_000);
     let mut seen = Seen::default();
     for step in 0..30 {
         now.0 += rng.rand_range(0..2_000_000) as i64;
-        lists.forget_drained(now);
+        lists.remove_drained(now);
         let step = format!("SEED={seed} step {step}");
         let (readings, files) = write_and_read(&mut rng, &spec, &model, &mut last, &step);
         let before = lists.endpoints();
-        let revision = lists.version().0;
+        let revision = lists.revision_and_hash().0;
         let offer = lists.offer(now, &readings);
         let tracked = before.iter().map(|e| u64::from(e.address.port())).collect();
         let expected = model.offer(&files, &tracked);
@@ -233,7 +233,7 @@
         if let Some(applied) = &offer.applied {
             assert_eq!(applied.revision, revision + 1, "{location}");
             seen.applied += 1;
-            let back = |c: &&Change| matches!(c, Change::Returned { .. });
+            let back = |c: &&ListChange| matches!(c, ListChange::Returned { .. });
             seen.returned += applied.changes.iter().filter(back).count();
         } else {
             assert_eq!(endpoints, before, "what is rejected changes nothing: {location}");
@@ -244,7 +244,7 @@
         let gone = before.iter().any(|old| !endpoints.iter().any(|e| e.id == old.id));
         assert!(!gone, "forgotten before its drain was over: {location}");
         // A server that no list names drains, and for no longer than it may.
-        let next = lists.next_forget().map_or(now.0, |next| next.0);
+        let next = lists.next_drain_end().map_or(now.0, |next| next.0);
         assert!(next <= now.0 + DRAIN, "{location}");
     }
     seen
