--- a/crates/routes/examples/matching.rs
+++ b/crates/routes/examples/matching.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 use sableloom_routes::{HostPattern, PathPattern, RequestHead, RouteTable, Rule};
 
-const MATCHES: usize = 1_000_000;
+const LOOKUPS: usize = 1_000_000;
 
 fn main() {
     println!(
@@ -15,43 +15,45 @@
         "routes", "compile ms", "ns/match", "ns/none", "resident kB"
     );
     for count in [10, 1_000, 100_000] {
-        let before = resident_kb();
-        let rules: Vec<Rule> = (0..count).map(rule).collect();
+        let kb_before = resident_kb();
+        let rules: Vec<Rule> = (0..count).map(shop_rule).collect();
         let start = Instant::now();
         let table = RouteTable::compile(rules).expect("rules");
-        let compiled = start.elapsed().as_secs_f64() * 1e3;
-        let held = resident_kb().saturating_sub(before);
+        let compile_ms = start.elapsed().as_secs_f64() * 1e3;
+        let table_kb = resident_kb().saturating_sub(kb_before);
         let mut rng = Rand64::new(1);
-        let heads: Vec<(String, String)> = (0..1024)
+        let matching: Vec<(String, String)> = (0..1024)
             .map(|_| {
                 let n = rng.rand_range(0..count as u64);
-                (host(n as usize), format!("/v1/shop-{n}/card/4711/balance"))
+                (shop_host(n as usize), format!("/v1/shop-{n}/card/4711/balance"))
             })
             .collect();
-        let met = time(&table, &heads, Some(()));
-        let none: Vec<_> =
-            heads.iter().map(|(h, p)| (h.clone(), p.replace("/card", "-"))).collect();
-        let none = time(&table, &none, None);
-        println!("{count:>8}  {compiled:>11.1}  {met:>9.0}  {none:>9.0}  {held:>10}");
+        let match_ns = lookup_ns(&table, &matching, Some(()));
+        let unmatched: Vec<_> = matching
+            .iter()
+            .map(|(host, path)| (host.clone(), path.replace("/card", "-")))
+            .collect();
+        let miss_ns = lookup_ns(&table, &unmatched, None);
+        println!("{count:>8}  {compile_ms:>11.1}  {match_ns:>9.0}  {miss_ns:>9.0}  {table_kb:>10}");
     }
 }
 
-fn host(n: usize) -> String {
+fn shop_host(n: usize) -> String {
     format!("till-{}.shop.example", n % 97)
 }
 
-fn rule(n: usize) -> Rule {
+fn shop_rule(n: usize) -> Rule {
     Rule {
-        hosts: vec![HostPattern::Exact(host(n))],
+        hosts: vec![HostPattern::Exact(shop_host(n))],
         paths: vec![PathPattern::Prefix(format!("/v1/shop-{n}/"))],
         ..Rule::default()
     }
 }
 
-fn time(table: &RouteTable, heads: &[(String, String)], found: Option<()>) -> f64 {
+fn lookup_ns(table: &RouteTable, requests: &[(String, String)], expected: Option<()>) -> f64 {
     let start = Instant::now();
-    for i in 0..MATCHES {
-        let (host, path) = &heads[i % heads.len()];
+    for i in 0..LOOKUPS {
+        let (host, path) = &requests[i % requests.len()];
         let head = RequestHead {
             host: host.as_bytes(),
             path: path.as_bytes(),
@@ -59,13 +61,13 @@
             class: 0,
             has_header: &|_, _| false,
         };
-        assert_eq!(black_box(table.find(&head)).is_some(), found.is_some());
+        assert_eq!(black_box(table.find(&head)).is_some(), expected.is_some());
     }
-    start.elapsed().as_secs_f64() * 1e9 / MATCHES as f64
+    start.elapsed().as_secs_f64() * 1e9 / LOOKUPS as f64
 }
 
 fn resident_kb() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
     line.trim().trim_end_matches(" kB").parse().unwrap_or(0)
 }
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -49,7 +49,7 @@
 /// Routes of one host pattern, by their path patterns.
 #[derive(Default)]
 struct PathIndex {
-    any: Postings,
+    any_path: Postings,
     exact: PatternMap,
     prefixes: PatternMap,
     suffixes: PatternMap,
@@ -59,7 +59,7 @@
 pub struct RouteIndex<T> {
     routes: Vec<Option<IndexedRoute<T>>>,
     free_slots: Vec<Slot>,
-    by_service: FxHashMap<Box<str>, BTreeMap<Box<str>, Slot>>,
+    slots_by_service: FxHashMap<Box<str>, BTreeMap<Box<str>, Slot>>,
     any_host: PathIndex,
     /// By the whole name, in lower case.
     exact_hosts: FxHashMap<Box<[u8]>, PathIndex>,
@@ -72,7 +72,7 @@
         Self {
             routes: Vec::new(),
             free_slots: Vec::new(),
-            by_service: FxHashMap::default(),
+            slots_by_service: FxHashMap::default(),
             any_host: PathIndex::default(),
             exact_hosts: FxHashMap::default(),
             subdomain_hosts: FxHashMap::default(),
@@ -92,15 +92,15 @@
         for host in &hosts {
             self.add_postings(host, slot);
         }
-        self.by_service.entry(service).or_default().insert(name, slot);
+        self.slots_by_service.entry(service).or_default().insert(name, slot);
     }
 
     /// Removes a route, and returns whether it was there.
     pub fn remove(&mut self, service: &str, name: &str) -> bool {
-        let Some(names) = self.by_service.get_mut(service) else { return false };
+        let Some(names) = self.slots_by_service.get_mut(service) else { return false };
         let Some(slot) = names.remove(name) else { return false };
         if names.is_empty() {
-            self.by_service.remove(service);
+            self.slots_by_service.remove(service);
         }
         self.remove_postings(slot);
         self.routes[slot as usize] = None;
@@ -110,14 +110,14 @@
 
     /// Removes all routes of a service, and returns their number.
     pub fn remove_service(&mut self, service: &str) -> usize {
-        let names = self.by_service.get(service);
+        let names = self.slots_by_service.get(service);
         let names: Vec<Box<str>> = names.into_iter().flat_map(BTreeMap::keys).cloned().collect();
         names.iter().filter(|name| self.remove(service, name)).count()
     }
 
     /// The names of a service's routes, in order.
     pub fn route_names(&self, service: &str) -> impl Iterator<Item = &str> {
-        self.by_service.get(service).into_iter().flat_map(BTreeMap::keys).map(|name| &**name)
+        self.slots_by_service.get(service).into_iter().flat_map(BTreeMap::keys).map(|name| &**name)
     }
 
     /// Number of routes.
@@ -145,16 +145,17 @@
         if name.len() > MAX_HOST_BYTES {
             return search.best;
         }
-        let lower: ArrayVec<u8, MAX_HOST_BYTES> = name.iter().map(u8::to_ascii_lowercase).collect();
-        if let Some(paths) = self.exact_hosts.get(lower.as_slice()) {
+        let lowercase: ArrayVec<u8, MAX_HOST_BYTES> =
+            name.iter().map(u8::to_ascii_lowercase).collect();
+        if let Some(paths) = self.exact_hosts.get(lowercase.as_slice()) {
             search.try_paths(paths);
         }
         if self.subdomain_hosts.is_empty() {
             return search.best;
         }
         // A subdomain has something before the dot.
-        for dot in (1..lower.len()).filter(|at| lower[*at] == b'.') {
-            if let Some(paths) = self.subdomain_hosts.get(&lower[dot + 1..]) {
+        for dot in (1..lowercase.len()).filter(|at| lowercase[*at] == b'.') {
+            if let Some(paths) = self.subdomain_hosts.get(&lowercase[dot + 1..]) {
                 search.try_paths(paths);
             }
         }
@@ -182,38 +183,40 @@
             HostKey::Exact(name) => self.exact_hosts.entry(name.clone()).or_default(),
             HostKey::Subdomains(name) => self.subdomain_hosts.entry(name.clone()).or_default(),
         };
-        let before = |other: &Slot| order_of(routes, *other).cmp(&Some(&route.order));
+        let compare = |other: &Slot| order_of(routes, *other).cmp(&Some(&route.order));
         if route.rule.paths.is_empty() {
-            paths.any.insert(slot, before);
+            paths.any_path.insert(slot, compare);
         }
         for path in &route.rule.paths {
             let (map, text) = paths.map_and_key(path);
-            map.insert(text, slot, before);
+            map.insert(text, slot, compare);
         }
     }
 
     fn remove_postings(&mut self, slot: Slot) {
         let routes = &self.routes;
         let Some(route) = &routes[slot as usize] else { return };
-        let before = |other: &Slot| order_of(routes, *other).cmp(&Some(&route.order));
-        let remove = |paths: &mut PathIndex| {
+        let compare = |other: &Slot| order_of(routes, *other).cmp(&Some(&route.order));
+        let remove_paths = |paths: &mut PathIndex| {
             if route.rule.paths.is_empty() {
-                paths.any.remove(before);
+                paths.any_path.remove(compare);
             }
             for path in &route.rule.paths {
                 let (map, text) = paths.map_and_key(path);
-                map.remove(text, before);
+                map.remove(text, compare);
             }
             paths.is_empty()
         };
         for host in host_keys(&route.rule) {
             match host {
                 HostKey::Any => {
-                    remove(&mut self.any_host);
+                    remove_paths(&mut self.any_host);
+                }
+                HostKey::Exact(name) => {
+                    remove_from_host(&mut self.exact_hosts, &name, remove_paths)
                 }
-                HostKey::Exact(name) => remove_from_host(&mut self.exact_hosts, &name, remove),
                 HostKey::Subdomains(name) => {
-                    remove_from_host(&mut self.subdomain_hosts, &name, remove)
+                    remove_from_host(&mut self.subdomain_hosts, &name, remove_paths)
                 }
             }
         }
@@ -230,13 +233,13 @@
 
 /// The host patterns of a rule, each once.
 fn host_keys(rule: &Rule) -> Vec<HostKey> {
-    let lower = |name: &str| name.to_ascii_lowercase().into_bytes().into_boxed_slice();
+    let lowercase = |name: &str| name.to_ascii_lowercase().into_bytes().into_boxed_slice();
     let mut hosts: Vec<HostKey> = rule
         .hosts
         .iter()
         .map(|host| match host {
-            HostPattern::Exact(name) => HostKey::Exact(lower(name)),
-            HostPattern::Subdomains(name) => HostKey::Subdomains(lower(name)),
+            HostPattern::Exact(name) => HostKey::Exact(lowercase(name)),
+            HostPattern::Subdomains(name) => HostKey::Subdomains(lowercase(name)),
         })
         .collect();
     if hosts.is_empty() {
@@ -255,9 +258,9 @@
 fn remove_from_host(
     hosts: &mut FxHashMap<Box<[u8]>, PathIndex>,
     name: &[u8],
-    remove: impl Fn(&mut PathIndex) -> bool,
+    remove_paths: impl Fn(&mut PathIndex) -> bool,
 ) {
-    if hosts.get_mut(name).is_some_and(remove) {
+    if hosts.get_mut(name).is_some_and(remove_paths) {
         hosts.remove(name);
     }
 }
@@ -274,7 +277,7 @@
 
     fn is_empty(&self) -> bool {
         let maps = [&self.exact, &self.prefixes, &self.suffixes];
-        self.any.is_empty() && maps.iter().all(|map| map.len() == 0)
+        self.any_path.is_empty() && maps.iter().all(|map| map.len() == 0)
     }
 }
 
@@ -288,10 +291,10 @@
 impl<T> Search<'_, '_, T> {
     fn try_paths(&mut self, paths: &PathIndex) {
         let path = self.head.path;
-        self.try_postings(&paths.any);
-        paths.exact.for_exact(path, |postings| self.try_postings(postings));
-        paths.prefixes.for_prefixes_of(path, |postings| self.try_postings(postings));
-        paths.suffixes.for_suffixes_of(path, |postings| self.try_postings(postings));
+        self.try_postings(&paths.any_path);
+        paths.exact.visit_exact(path, |postings| self.try_postings(postings));
+        paths.prefixes.visit_prefixes_of(path, |postings| self.try_postings(postings));
+        paths.suffixes.visit_suffixes_of(path, |postings| self.try_postings(postings));
     }
 
     /// Tries these routes in order, as long as they come before the best one so far.
--- a/crates/routes/src/index/patterns.rs
+++ b/crates/routes/src/index/patterns.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of patterns that are compared one by one: that takes less time than hashing, and a fifth of the
 /// memory.
-const MAX_LISTED: usize = 8;
+const MAX_LISTED_PATTERNS: usize = 8;
 
 /// Patterns of one kind by their text: a list if they are few, a hash map if they are many.
 pub(super) enum PatternMap {
@@ -43,36 +43,37 @@
     }
 
     /// Adds a route to a pattern.
-    pub(super) fn insert(&mut self, text: &[u8], slot: Slot, order: impl Fn(&Slot) -> Ordering) {
+    pub(super) fn insert(&mut self, text: &[u8], slot: Slot, compare: impl Fn(&Slot) -> Ordering) {
         if let PatternMap::Listed(listed) = self {
             if let Some((_, postings)) = listed.iter_mut().find(|(other, _)| **other == *text) {
-                return postings.insert(slot, order);
+                return postings.insert(slot, compare);
             }
-            if listed.len() < MAX_LISTED {
+            if listed.len() < MAX_LISTED_PATTERNS {
                 listed.reserve_exact(1);
                 return listed.push((text.into(), Postings::One(slot)));
             }
-            *self = PatternMap::Hashed(Box::new(HashedPatterns::of(std::mem::take(listed))));
+            *self =
+                PatternMap::Hashed(Box::new(HashedPatterns::from_listed(std::mem::take(listed))));
         }
         if let PatternMap::Hashed(hashed) = self {
-            hashed.postings(text).insert(slot, order);
+            hashed.postings(text).insert(slot, compare);
         }
     }
 
     /// Removes a route from a pattern, and the pattern once it has no route.
-    pub(super) fn remove(&mut self, text: &[u8], order: impl Fn(&Slot) -> Ordering) {
+    pub(super) fn remove(&mut self, text: &[u8], compare: impl Fn(&Slot) -> Ordering) {
         match self {
             PatternMap::Listed(listed) => {
-                let Some(at) = listed.iter().position(|(other, _)| **other == *text) else {
+                let Some(position) = listed.iter().position(|(other, _)| **other == *text) else {
                     return;
                 };
-                listed[at].1.remove(order);
-                if listed[at].1.is_empty() {
-                    listed.swap_remove(at);
+                listed[position].1.remove(compare);
+                if listed[position].1.is_empty() {
+                    listed.swap_remove(position);
                 }
             }
             PatternMap::Hashed(hashed) => {
-                hashed.remove(text, order);
+                hashed.remove(text, compare);
                 if hashed.by_text.is_empty() {
                     *self = PatternMap::default();
                 }
@@ -81,48 +82,49 @@
     }
 
     /// Visits the postings of the pattern that equals a text.
-    pub(super) fn for_exact(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
+    pub(super) fn visit_exact(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
         match self {
             PatternMap::Listed(listed) => {
-                let found = listed.iter().filter(|(pattern, _)| **pattern == *text);
-                found.for_each(|(_, postings)| visit(postings));
+                let matching = listed.iter().filter(|(pattern, _)| **pattern == *text);
+                matching.for_each(|(_, postings)| visit(postings));
             }
             PatternMap::Hashed(hashed) => hashed.by_text.get(text).into_iter().for_each(visit),
         }
     }
 
     /// Visits the postings of each pattern that a text begins with.
-    pub(super) fn for_prefixes_of(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
+    pub(super) fn visit_prefixes_of(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
         match self {
             PatternMap::Listed(listed) => {
-                let found = listed.iter().filter(|(pattern, _)| text.starts_with(pattern));
-                found.for_each(|(_, postings)| visit(postings));
+                let matching = listed.iter().filter(|(pattern, _)| text.starts_with(pattern));
+                matching.for_each(|(_, postings)| visit(postings));
             }
             PatternMap::Hashed(hashed) => {
-                let parts = hashed.lengths.range(..=text.len()).map(|(length, _)| &text[..*length]);
-                parts.filter_map(|part| hashed.by_text.get(part)).for_each(visit);
+                let prefixes =
+                    hashed.lengths.range(..=text.len()).map(|(length, _)| &text[..*length]);
+                prefixes.filter_map(|prefix| hashed.by_text.get(prefix)).for_each(visit);
             }
         }
     }
 
     /// Visits the postings of each pattern that a text ends with.
-    pub(super) fn for_suffixes_of(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
+    pub(super) fn visit_suffixes_of(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
         match self {
             PatternMap::Listed(listed) => {
-                let found = listed.iter().filter(|(pattern, _)| text.ends_with(pattern));
-                found.for_each(|(_, postings)| visit(postings));
+                let matching = listed.iter().filter(|(pattern, _)| text.ends_with(pattern));
+                matching.for_each(|(_, postings)| visit(postings));
             }
             PatternMap::Hashed(hashed) => {
                 let lengths = hashed.lengths.range(..=text.len());
-                let parts = lengths.map(|(length, _)| &text[text.len() - length..]);
-                parts.filter_map(|part| hashed.by_text.get(part)).for_each(visit);
+                let suffixes = lengths.map(|(length, _)| &text[text.len() - length..]);
+                suffixes.filter_map(|suffix| hashed.by_text.get(suffix)).for_each(visit);
             }
         }
     }
 }
 
 impl HashedPatterns {
-    fn of(listed: Vec<(Box<[u8]>, Postings)>) -> Self {
+    fn from_listed(listed: Vec<(Box<[u8]>, Postings)>) -> Self {
         let mut hashed = Self::default();
         for (text, postings) in listed {
             *hashed.postings(&text) = postings;
@@ -138,9 +140,9 @@
         })
     }
 
-    fn remove(&mut self, text: &[u8], order: impl Fn(&Slot) -> Ordering) {
+    fn remove(&mut self, text: &[u8], compare: impl Fn(&Slot) -> Ordering) {
         let Some(postings) = self.by_text.get_mut(text) else { return };
-        postings.remove(order);
+        postings.remove(compare);
         if !postings.is_empty() {
             return;
         }
--- a/crates/routes/src/index/postings.rs
+++ b/crates/routes/src/index/postings.rs
@@ -28,20 +28,20 @@
     }
 
     /// Adds a slot at its position in the order; a route that names a pattern twice is listed once.
-    pub(super) fn insert(&mut self, slot: Slot, order: impl Fn(&Slot) -> Ordering) {
-        let Err(at) = self.as_slice().binary_search_by(order) else { return };
+    pub(super) fn insert(&mut self, slot: Slot, compare: impl Fn(&Slot) -> Ordering) {
+        let Err(position) = self.as_slice().binary_search_by(compare) else { return };
         match self {
             Postings::None => *self = Postings::One(slot),
-            Postings::One(other) if at == 0 => *self = Postings::Many(vec![slot, *other]),
+            Postings::One(other) if position == 0 => *self = Postings::Many(vec![slot, *other]),
             Postings::One(other) => *self = Postings::Many(vec![*other, slot]),
-            Postings::Many(slots) => slots.insert(at, slot),
+            Postings::Many(slots) => slots.insert(position, slot),
         }
     }
 
-    pub(super) fn remove(&mut self, order: impl Fn(&Slot) -> Ordering) {
-        let Ok(at) = self.as_slice().binary_search_by(order) else { return };
+    pub(super) fn remove(&mut self, compare: impl Fn(&Slot) -> Ordering) {
+        let Ok(position) = self.as_slice().binary_search_by(compare) else { return };
         match self {
-            Postings::Many(slots) if slots.len() > 1 => _ = slots.remove(at),
+            Postings::Many(slots) if slots.len() > 1 => _ = slots.remove(position),
             _ => *self = Postings::None,
         }
     }
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -91,7 +91,7 @@
 
 impl Rule {
     /// Number of pairs of a host and a path pattern.
-    pub(crate) fn pairs(&self) -> usize {
+    pub(crate) fn pair_count(&self) -> usize {
         self.hosts.len().max(1) * self.paths.len().max(1)
     }
 
@@ -112,15 +112,15 @@
     /// The first condition that does not hold among those on the method, the class and headers, which neither the
     /// table nor the index looks up.
     pub(crate) fn unindexed_mismatch(&self, head: &RequestHead<'_>) -> Option<Mismatch<'_>> {
-        let same_method = |method: &String| method.as_bytes() == head.method;
-        if !self.methods.is_empty() && !self.methods.iter().any(same_method) {
+        let is_method = |method: &String| method.as_bytes() == head.method;
+        if !self.methods.is_empty() && !self.methods.iter().any(is_method) {
             return Some(Mismatch::Method);
         }
         if !self.classes.is_empty() && !self.classes.contains(&head.class) {
             return Some(Mismatch::Class);
         }
-        let lacks =
+        let is_missing =
             |header: &&HeaderCondition| !(head.has_header)(&header.name, header.value.as_deref());
-        self.headers.iter().find(lacks).map(Mismatch::Header)
+        self.headers.iter().find(is_missing).map(Mismatch::Header)
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -14,7 +14,7 @@
 
 use crate::request::{MAX_HOST_BYTES, RequestHead, host_name};
 use crate::rule::{HostPattern, Mismatch, PathPattern, Rule};
-use transducer::{Builder, PatternId, Transducer};
+use transducer::{PatternId, Transducer, TransducerBuilder};
 
 /// Maximum number of patterns that match one host: one for each dot, the host itself, and any.
 const MAX_PATTERNS_PER_HOST: usize = MAX_HOST_BYTES / 2 + 3;
@@ -35,13 +35,13 @@
 /// Rules, compiled.
 pub struct RouteTable {
     /// Host patterns from their end, in lower case; a pattern of subdomains begins with a dot.
-    hosts: Transducer,
+    host_patterns: Transducer,
     /// Exact path patterns and prefixes, from their start.
-    paths: Transducer,
+    path_patterns: Transducer,
     /// Suffixes of paths, from their end.
-    suffixes: Transducer,
+    suffix_patterns: Transducer,
     /// The rules of each pair of patterns, in order.
-    pairs: FxHashMap<(PatternId, PatternId), Vec<u32>>,
+    rules_by_pair: FxHashMap<(PatternId, PatternId), Vec<u32>>,
     rules: Vec<Rule>,
 }
 
@@ -52,25 +52,25 @@
     ///
     /// If there are more than [`MAX_PATTERN_PAIRS`] pairs of patterns, or a pattern is too long.
     pub fn compile(rules: Vec<Rule>) -> Result<Self, RouteTableError> {
-        let pairs = rules.iter().map(Rule::pairs).sum();
-        if pairs > MAX_PATTERN_PAIRS {
-            return Err(RouteTableError::TooManyPairs(pairs));
+        let pair_count = rules.iter().map(Rule::pair_count).sum();
+        if pair_count > MAX_PATTERN_PAIRS {
+            return Err(RouteTableError::TooManyPairs(pair_count));
         }
-        let mut patterns = Patterns::default();
-        let mut pairs: FxHashMap<_, Vec<u32>> = FxHashMap::default();
-        for (i, rule) in rules.iter().enumerate() {
-            let (hosts, paths) = (patterns.hosts_of(rule), patterns.paths_of(rule));
+        let mut patterns = PatternRegistry::default();
+        let mut rules_by_pair: FxHashMap<_, Vec<u32>> = FxHashMap::default();
+        for (index, rule) in rules.iter().enumerate() {
+            let (hosts, paths) = (patterns.host_ids(rule), patterns.path_ids(rule));
             for host in &hosts {
                 for path in &paths {
-                    pairs.entry((*host, *path)).or_default().push(i as u32);
+                    rules_by_pair.entry((*host, *path)).or_default().push(index as u32);
                 }
             }
         }
         Ok(Self {
-            hosts: patterns.hosts.build()?,
-            paths: patterns.paths.build()?,
-            suffixes: patterns.suffixes.build()?,
-            pairs,
+            host_patterns: patterns.hosts.build()?,
+            path_patterns: patterns.paths.build()?,
+            suffix_patterns: patterns.suffixes.build()?,
+            rules_by_pair,
             rules,
         })
     }
@@ -83,14 +83,15 @@
     /// The index of the first rule whose conditions all hold.
     pub fn find(&self, head: &RequestHead<'_>) -> Option<usize> {
         let hosts = self.matching_hosts(host_name(head.host));
-        let mut best = self.rules.len();
+        let mut first = self.rules.len();
         let mut try_path = |path: Option<PatternId>| {
             let Some(path) = path else { return };
             for host in &hosts {
-                let Some(rules) = self.pairs.get(&(*host, path)) else { continue };
-                for rule in rules.iter().map(|r| *r as usize).take_while(|r| *r < best) {
+                let Some(rules) = self.rules_by_pair.get(&(*host, path)) else { continue };
+                for rule in rules.iter().map(|rule| *rule as usize).take_while(|rule| *rule < first)
+                {
                     if self.rules[rule].unindexed_mismatch(head).is_none() {
-                        best = rule;
+                        first = rule;
                         break;
                     }
                 }
@@ -98,7 +99,7 @@
         };
         try_path(Some(PatternId::ANY));
         let path = head.path;
-        self.paths.walk(
+        self.path_patterns.walk(
             path.len(),
             |i| path[i],
             |ids, length| {
@@ -108,9 +109,13 @@
                 }
             },
         );
-        let last = path.len().wrapping_sub(1);
-        self.suffixes.walk(path.len(), |i| path[last - i], |ids, _| try_path(ids.prefix));
-        (best < self.rules.len()).then_some(best)
+        let last_index = path.len().wrapping_sub(1);
+        self.suffix_patterns.walk(
+            path.len(),
+            |i| path[last_index - i],
+            |ids, _| try_path(ids.prefix),
+        );
+        (first < self.rules.len()).then_some(first)
     }
 
     /// The first condition of a rule that does not hold for a request, each tried by itself: for an explanation to an
@@ -125,10 +130,10 @@
         if name.len() > MAX_HOST_BYTES {
             return matching;
         }
-        let last = name.len().wrapping_sub(1);
-        self.hosts.walk(
+        let last_index = name.len().wrapping_sub(1);
+        self.host_patterns.walk(
             name.len(),
-            |i| name[last - i].to_ascii_lowercase(),
+            |i| name[last_index - i].to_ascii_lowercase(),
             |ids, length| {
                 // A subdomain has something before the dot.
                 let id = if length == name.len() { ids.exact } else { ids.prefix };
@@ -143,39 +148,41 @@
 
 /// The patterns of all rules, numbered.
 #[derive(Default)]
-struct Patterns {
-    hosts: Builder,
-    paths: Builder,
-    suffixes: Builder,
-    last_host: PatternId,
-    last_path: PatternId,
+struct PatternRegistry {
+    hosts: TransducerBuilder,
+    paths: TransducerBuilder,
+    suffixes: TransducerBuilder,
+    last_host_id: PatternId,
+    last_path_id: PatternId,
 }
 
-impl Patterns {
+impl PatternRegistry {
     /// The host patterns of a rule, each once.
-    fn hosts_of(&mut self, rule: &Rule) -> Vec<PatternId> {
-        let (hosts, last) = (&mut self.hosts, &mut self.last_host);
+    fn host_ids(&mut self, rule: &Rule) -> Vec<PatternId> {
+        let (hosts, last_id) = (&mut self.hosts, &mut self.last_host_id);
         let ids = rule.hosts.iter().map(|host| match host {
-            HostPattern::Exact(name) => hosts.exact(reversed(name), last),
-            HostPattern::Subdomains(name) => hosts.prefix(reversed(&format!(".{name}")), last),
+            HostPattern::Exact(name) => hosts.exact_id(reversed_lowercase(name), last_id),
+            HostPattern::Subdomains(name) => {
+                hosts.prefix_id(reversed_lowercase(&format!(".{name}")), last_id)
+            }
         });
-        unique_or_any(ids.collect())
+        unique_ids_or_any(ids.collect())
     }
 
     /// The path patterns of a rule, each once.
-    fn paths_of(&mut self, rule: &Rule) -> Vec<PatternId> {
-        let (paths, last) = (&mut self.paths, &mut self.last_path);
+    fn path_ids(&mut self, rule: &Rule) -> Vec<PatternId> {
+        let (paths, last_id) = (&mut self.paths, &mut self.last_path_id);
         let suffixes = &mut self.suffixes;
         let ids = rule.paths.iter().map(|path| match path {
-            PathPattern::Exact(text) => paths.exact(text.clone().into(), last),
-            PathPattern::Prefix(text) => paths.prefix(text.clone().into(), last),
-            PathPattern::Suffix(text) => suffixes.prefix(text.bytes().rev().collect(), last),
+            PathPattern::Exact(text) => paths.exact_id(text.clone().into(), last_id),
+            PathPattern::Prefix(text) => paths.prefix_id(text.clone().into(), last_id),
+            PathPattern::Suffix(text) => suffixes.prefix_id(text.bytes().rev().collect(), last_id),
         });
-        unique_or_any(ids.collect())
+        unique_ids_or_any(ids.collect())
     }
 }
 
-fn unique_or_any(mut ids: Vec<PatternId>) -> Vec<PatternId> {
+fn unique_ids_or_any(mut ids: Vec<PatternId>) -> Vec<PatternId> {
     if ids.is_empty() {
         ids.push(PatternId::ANY);
     }
@@ -184,6 +191,6 @@
     ids
 }
 
-fn reversed(text: &str) -> Vec<u8> {
+fn reversed_lowercase(text: &str) -> Vec<u8> {
     text.bytes().rev().map(|b| b.to_ascii_lowercase()).collect()
 }
--- a/crates/routes/tests/allocation.rs
+++ b/crates/routes/tests/allocation.rs
@@ -5,7 +5,7 @@
     RouteTable, Rule,
 };
 
-fn rules() -> impl Iterator<Item = Rule> {
+fn overlapping_rules() -> impl Iterator<Item = Rule> {
     (0..1000).map(|n| Rule {
         hosts: vec![
             HostPattern::Subdomains("example".into()),
@@ -22,7 +22,7 @@
 }
 
 /// Four lookups in which many patterns match, without an allocation.
-fn check(find: impl Fn(&RequestHead<'_>) -> Option<usize>) {
+fn check_lookups(find: impl Fn(&RequestHead<'_>) -> Option<usize>) {
     let find = |host: &str, path: &str, method: &str| {
         let head = RequestHead {
             host: host.as_bytes(),
@@ -34,7 +34,7 @@
         find(&head)
     };
     let mut found = [None; 4];
-    let seen = allocation_counter::measure(|| {
+    let allocations = allocation_counter::measure(|| {
         found = [
             find("H7.EXAMPLE:80", "/a/77/x/999.png", "GET"),
             find("a.b.example.", "/z/999.png", "GET"),
@@ -43,19 +43,19 @@
         ];
     });
     assert_eq!(found, [Some(7), Some(9), None, None]);
-    assert_eq!(seen.count_total, 0);
+    assert_eq!(allocations.count_total, 0);
 }
 
 #[test]
 fn a_lookup_in_the_table_allocates_nothing() {
-    let table = RouteTable::compile(rules().collect()).expect("rules");
-    check(|head| table.find(head));
+    let table = RouteTable::compile(overlapping_rules().collect()).expect("rules");
+    check_lookups(|head| table.find(head));
 }
 
 #[test]
 fn a_lookup_in_the_index_allocates_nothing() {
     let mut index = RouteIndex::default();
-    for (n, rule) in rules().enumerate() {
+    for (n, rule) in overlapping_rules().enumerate() {
         let service = format!("service-{}", n % 10).into();
         let name = n.to_string().into();
         index.set(IndexedRoute {
@@ -64,5 +64,5 @@
             target: n,
         });
     }
-    check(|head| index.find(head).map(|route| route.target));
+    check_lookups(|head| index.find(head).map(|route| route.target));
 }
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -10,60 +10,60 @@
     RequestHead { host, path, method: b"GET", class: 0, has_header: &|_, _| false }
 }
 
-fn table(rules: &[Rule]) -> RouteTable {
+fn compile(rules: &[Rule]) -> RouteTable {
     RouteTable::compile(rules.to_vec()).expect("rules")
 }
 
-fn host(pattern: HostPattern) -> Rule {
+fn host_rule(pattern: HostPattern) -> Rule {
     Rule { hosts: vec![pattern], ..Rule::default() }
 }
 
-fn path(pattern: PathPattern) -> Rule {
+fn path_rule(pattern: PathPattern) -> Rule {
     Rule { paths: vec![pattern], ..Rule::default() }
 }
 
 #[test]
-fn an_empty_table_matches_nothing_and_an_empty_rule_matches_all() {
-    assert_eq!(table(&[]).find(&head("h", "/")), None);
-    let all = table(&[Rule::default()]);
+fn an_empty_table_matches_no_request_and_an_empty_rule_matches_every_request() {
+    assert_eq!(compile(&[]).find(&head("h", "/")), None);
+    let match_all = compile(&[Rule::default()]);
     for (host, path) in [("", ""), ("h", "/"), ("h:80", "*"), (&"h".repeat(9000), "/x")] {
-        assert_eq!(all.find(&head(host, path)), Some(0), "{host} {path}");
+        assert_eq!(match_all.find(&head(host, path)), Some(0), "{host} {path}");
     }
 }
 
 #[test]
-fn hosts_match_whatever_their_case_port_or_last_dot() {
-    let t = table(&[host(HostPattern::Exact("Shop.Example".into()))]);
+fn exact_hosts_match_regardless_of_case_port_and_trailing_dot() {
+    let table = compile(&[host_rule(HostPattern::Exact("Shop.Example".into()))]);
     for name in ["shop.example", "SHOP.example:8080", "shop.example.", "shop.example.:80"] {
-        assert_eq!(t.find(&head(name, "/")), Some(0), "{name}");
+        assert_eq!(table.find(&head(name, "/")), Some(0), "{name}");
     }
     for name in ["", "example", "a.shop.example", "shop.examples", "xshop.example", ".", ":"] {
-        assert_eq!(t.find(&head(name, "/")), None, "{name}");
+        assert_eq!(table.find(&head(name, "/")), None, "{name}");
     }
-    let six = table(&[host(HostPattern::Exact("[::1]".into()))]);
-    assert_eq!(six.find(&head("[::1]:8080", "/")), Some(0));
-    assert_eq!(six.find(&head("[::2]:8080", "/")), None);
-    assert_eq!(six.find(&head("[::1", "/")), None);
+    let ipv6 = compile(&[host_rule(HostPattern::Exact("[::1]".into()))]);
+    assert_eq!(ipv6.find(&head("[::1]:8080", "/")), Some(0));
+    assert_eq!(ipv6.find(&head("[::2]:8080", "/")), None);
+    assert_eq!(ipv6.find(&head("[::1", "/")), None);
 }
 
 #[test]
-fn subdomains_match_at_any_depth_and_the_parent_does_not() {
-    let t = table(&[host(HostPattern::Subdomains("shop.example".into()))]);
+fn a_subdomain_pattern_matches_at_any_depth_but_not_the_parent_domain() {
+    let table = compile(&[host_rule(HostPattern::Subdomains("shop.example".into()))]);
     for name in ["a.shop.example", "A.B.shop.EXAMPLE:1", "..shop.example"] {
-        assert_eq!(t.find(&head(name, "/")), Some(0), "{name}");
+        assert_eq!(table.find(&head(name, "/")), Some(0), "{name}");
     }
     for name in ["shop.example", ".shop.example", "ashop.example", "example"] {
-        assert_eq!(t.find(&head(name, "/")), None, "{name}");
+        assert_eq!(table.find(&head(name, "/")), None, "{name}");
     }
 }
 
 #[test]
-fn paths_match_byte_by_byte() {
-    let t = table(&[
-        path(PathPattern::Exact("/a".into())),
-        path(PathPattern::Prefix("/a/".into())),
-        path(PathPattern::Suffix(".png".into())),
-        path(PathPattern::Prefix("/".into())),
+fn paths_are_compared_byte_by_byte_without_decoding() {
+    let table = compile(&[
+        path_rule(PathPattern::Exact("/a".into())),
+        path_rule(PathPattern::Prefix("/a/".into())),
+        path_rule(PathPattern::Suffix(".png".into())),
+        path_rule(PathPattern::Prefix("/".into())),
     ]);
     for (text, rule) in [
         ("/a", Some(0)),
@@ -76,25 +76,25 @@
         ("", None),
         ("*", None),
     ] {
-        assert_eq!(t.find(&head("h", text)), rule, "{text}");
+        assert_eq!(table.find(&head("h", text)), rule, "{text}");
     }
 }
 
 #[test]
-fn the_first_rule_in_order_wins_over_a_more_exact_one() {
-    let t = table(&[
-        path(PathPattern::Prefix("/a".into())),
-        path(PathPattern::Exact("/a/b".into())),
+fn an_earlier_rule_is_found_before_a_more_specific_later_rule() {
+    let table = compile(&[
+        path_rule(PathPattern::Prefix("/a".into())),
+        path_rule(PathPattern::Exact("/a/b".into())),
         Rule { hosts: vec![HostPattern::Exact("h".into())], ..Rule::default() },
     ]);
-    assert_eq!(t.find(&head("h", "/a/b")), Some(0));
-    assert_eq!(t.find(&head("h", "/b")), Some(2));
-    assert_eq!(t.find(&head("g", "/b")), None);
+    assert_eq!(table.find(&head("h", "/a/b")), Some(0));
+    assert_eq!(table.find(&head("h", "/b")), Some(2));
+    assert_eq!(table.find(&head("g", "/b")), None);
 }
 
 #[test]
-fn methods_classes_and_headers_must_all_match() {
-    let t = table(&[Rule {
+fn a_rule_matches_only_if_method_class_and_all_headers_match() {
+    let table = compile(&[Rule {
         methods: vec!["POST".into(), "PUT".into()],
         classes: vec![1, 2],
         headers: vec![
@@ -103,46 +103,53 @@
         ],
         ..Rule::default()
     }]);
-    let has = |name: &str, value: Option<&str>| match name {
+    let has_both = |name: &str, value: Option<&str>| match name {
         "x-beta" => value.is_none(),
         _ => name == "x-tenant" && value == Some("gold"),
     };
-    let good = RequestHead { method: b"PUT", class: 2, has_header: &has, ..head("h", "/") };
-    assert_eq!(t.find(&good), Some(0));
-    assert_eq!(t.mismatch(0, &good), None);
-    let bare = |_: &str, _: Option<&str>| false;
-    let beta = |name: &str, _: Option<&str>| name == "x-beta";
-    for (other, why) in [
-        (RequestHead { method: b"put", ..good }, Mismatch::Method),
-        (RequestHead { method: b"GET", ..good }, Mismatch::Method),
-        (RequestHead { class: 0, ..good }, Mismatch::Class),
-        (RequestHead { has_header: &bare, ..good }, Mismatch::Header(&t.rules()[0].headers[0])),
-        (RequestHead { has_header: &beta, ..good }, Mismatch::Header(&t.rules()[0].headers[1])),
+    let matching =
+        RequestHead { method: b"PUT", class: 2, has_header: &has_both, ..head("h", "/") };
+    assert_eq!(table.find(&matching), Some(0));
+    assert_eq!(table.mismatch(0, &matching), None);
+    let has_none = |_: &str, _: Option<&str>| false;
+    let has_only_beta = |name: &str, _: Option<&str>| name == "x-beta";
+    for (head, expected) in [
+        (RequestHead { method: b"put", ..matching }, Mismatch::Method),
+        (RequestHead { method: b"GET", ..matching }, Mismatch::Method),
+        (RequestHead { class: 0, ..matching }, Mismatch::Class),
+        (
+            RequestHead { has_header: &has_none, ..matching },
+            Mismatch::Header(&table.rules()[0].headers[0]),
+        ),
+        (
+            RequestHead { has_header: &has_only_beta, ..matching },
+            Mismatch::Header(&table.rules()[0].headers[1]),
+        ),
     ] {
-        assert_eq!(t.find(&other), None);
-        assert_eq!(t.mismatch(0, &other), Some(why));
+        assert_eq!(table.find(&head), None);
+        assert_eq!(table.mismatch(0, &head), Some(expected));
     }
 }
 
 #[test]
-fn the_same_text_as_an_exact_prefix_and_suffix_pattern_is_kept_apart() {
-    let t = table(&[
-        path(PathPattern::Exact("/a".into())),
-        path(PathPattern::Suffix("/a".into())),
-        path(PathPattern::Prefix("/a".into())),
-        path(PathPattern::Exact("/a".into())),
+fn exact_prefix_and_suffix_patterns_of_the_same_text_match_independently() {
+    let table = compile(&[
+        path_rule(PathPattern::Exact("/a".into())),
+        path_rule(PathPattern::Suffix("/a".into())),
+        path_rule(PathPattern::Prefix("/a".into())),
+        path_rule(PathPattern::Exact("/a".into())),
     ]);
-    assert_eq!(t.find(&head("h", "/a")), Some(0));
-    assert_eq!(t.find(&head("h", "/b/a")), Some(1));
-    assert_eq!(t.find(&head("h", "/ab")), Some(2));
-    assert_eq!(t.mismatch(3, &head("h", "/ab")), Some(Mismatch::Path));
+    assert_eq!(table.find(&head("h", "/a")), Some(0));
+    assert_eq!(table.find(&head("h", "/b/a")), Some(1));
+    assert_eq!(table.find(&head("h", "/ab")), Some(2));
+    assert_eq!(table.mismatch(3, &head("h", "/ab")), Some(Mismatch::Path));
 }
 
 #[test]
-fn more_pairs_than_a_table_holds_are_rejected() {
-    let many: Vec<PathPattern> = (0..3000).map(|i| PathPattern::Exact(format!("/{i}"))).collect();
+fn rules_with_more_pattern_pairs_than_the_maximum_are_rejected() {
+    let paths: Vec<PathPattern> = (0..3000).map(|i| PathPattern::Exact(format!("/{i}"))).collect();
     let hosts: Vec<HostPattern> = (0..3000).map(|i| HostPattern::Exact(format!("h{i}"))).collect();
-    let rule = Rule { hosts, paths: many, ..Rule::default() };
+    let rule = Rule { hosts, paths, ..Rule::default() };
     assert!(matches!(
         RouteTable::compile(vec![rule]),
         Err(RouteTableError::TooManyPairs(9_000_000))
