--- a/crates/routes/tests/allocation.rs
+++ b/crates/routes/tests/allocation.rs
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_lookup_in_the_table_allocates_nothing() {
+fn a_lookup_in_a_table_allocates_no_memory() {
     let table = RouteTable::compile(overlapping_rules().collect()).expect("rules");
     check_lookups(|head| table.find(head));
 }
 
 #[test]
-fn a_lookup_in_the_index_allocates_nothing() {
+fn a_lookup_in_an_index_allocates_no_memory() {
     let mut index = RouteIndex::default();
     for (n, rule) in overlapping_rules().enumerate() {
         let service = format!("service-{}", n % 10).into();
--- a/crates/routes/tests/property.rs
+++ b/crates/routes/tests/property.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_table_agrees_with_the_naive_model() {
+fn a_table_finds_the_same_rule_as_a_scan_over_all_rules() {
     if let Some(seed) = std::env::var("SEED").ok().and_then(|s| s.parse().ok()) {
         check_table(seed);
         return;
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn the_index_agrees_with_a_table_compiled_of_all_routes() {
+fn an_index_finds_the_same_route_as_a_table_compiled_from_all_routes() {
     if let Some(seed) = std::env::var("SEED").ok().and_then(|s| s.parse().ok()) {
         check_index(seed);
         return;
