--- a/crates/routes/examples/matching.rs
+++ b/crates/routes/examples/matching.rs
@@ -1,4 +1,5 @@
-//! What a match costs at 10, 1,000 and 100,000 routes, in one run:
+//! Measures the time to compile a route table and to look up a route, and the resident memory of the table, with 10,
+//! 1,000 and 100,000 routes:
 //! `cargo run --release -p sableloom-routes --example matching`
 
 use std::hint::black_box;
@@ -7,6 +8,7 @@
 use oorandom::Rand64;
 use sableloom_routes::{HostPattern, PathPattern, RequestHead, RouteTable, Rule};
 
+/// Number of lookups in each time measurement.
 const LOOKUPS: usize = 1_000_000;
 
 fn main() {
@@ -18,7 +20,7 @@
         let kb_before = resident_kb();
         let rules: Vec<Rule> = (0..count).map(shop_rule).collect();
         let start = Instant::now();
-        let table = RouteTable::compile(rules).expect("rules");
+        let table = RouteTable::compile(rules).expect("the rules compile");
         let compile_ms = start.elapsed().as_secs_f64() * 1e3;
         let table_kb = resident_kb().saturating_sub(kb_before);
         let mut rng = Rand64::new(1);
@@ -50,6 +52,8 @@
     }
 }
 
+/// Mean time of a lookup in nanoseconds. Panics if a request matches although `expected` is `None`, or does not match
+/// although `expected` is `Some`.
 fn lookup_ns(table: &RouteTable, requests: &[(String, String)], expected: Option<()>) -> f64 {
     let start = Instant::now();
     for i in 0..LOOKUPS {
@@ -66,6 +70,7 @@
     start.elapsed().as_secs_f64() * 1e9 / LOOKUPS as f64
 }
 
+/// Resident memory of this process in kB, or 0 if the kernel does not report it.
 fn resident_kb() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -1,10 +1,12 @@
 //! Routes of many services that are added and removed one by one.
 //!
-//! [`RouteTable`](crate::RouteTable) is compiled as a whole: 21,000 routes of a fleet take a second of processor time
-//! each time that one of them changes. [`RouteIndex`] has the same meaning and takes one route at a time, at a cost in
-//! proportion to the patterns of that route. A lookup asks a hash map for the host and for each of its parent domains,
-//! and in each of those found, for the patterns that the path matches. It allocates nothing, and services whose hosts
-//! do not match cost it nothing.
+//! A [`RouteTable`](crate::RouteTable) is compiled as a whole. With the 21,000 routes of a fleet, a compilation takes a
+//! second of processor time, and each change of a route requires one. [`RouteIndex`] finds the same routes, but adds or
+//! removes one route at a time, at a cost in proportion to the number of patterns of the route.
+//!
+//! A lookup searches a hash map for the host and for each parent domain of the host. In each entry that it finds, it
+//! searches for the patterns that match the path. A lookup allocates no memory, and services whose hosts do not match
+//! do not add to its cost.
 
 mod patterns;
 mod postings;
@@ -19,51 +21,54 @@
 use patterns::PatternMap;
 use postings::{Postings, Slot};
 
-/// Maximum number of pairs of a host and a path pattern of one route: each is listed by itself. Otherwise 60 KB of
-/// patterns could make a hundred million of them.
+/// Maximum number of pairs of a host pattern and a path pattern of one route. The index has an entry for each pair, and
+/// 60 KB of patterns could otherwise make a hundred million pairs.
 pub const MAX_PATTERN_PAIRS_PER_ROUTE: usize = 20_000;
 
-/// The order of routes. Of two routes that match, the one with the lower rank is taken, then the one of the lower
-/// service, then the one of the lower name.
+/// Position of a route in the order of all routes. Routes are ordered by rank, then by service, then by name. The first
+/// route that matches a request is taken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteOrder {
-    /// Lower comes first.
+    /// Rank of the route; a lower rank comes first.
     pub rank: u32,
-    /// The service that the route belongs to.
+    /// Name of the service that the route belongs to.
     pub service: Box<str>,
-    /// The route's name, which no other route of its service has.
+    /// Name of the route, unique in its service.
     pub name: Box<str>,
 }
 
-/// A route and its target.
+/// A route with its position, its conditions and its target.
 #[derive(Clone, Debug)]
 pub struct IndexedRoute<T> {
-    /// Its position in the order of all routes.
+    /// Position of the route in the order of all routes.
     pub order: RouteOrder,
-    /// Its conditions on a request.
+    /// Conditions on a request.
     pub rule: Rule,
-    /// The target of a request that matches.
+    /// Target of the requests that take the route; the index does not interpret it.
     pub target: T,
 }
 
-/// Routes of one host pattern, by their path patterns.
+/// Routes that have the same host pattern, by path pattern.
 #[derive(Default)]
 struct PathIndex {
+    /// Routes without a path pattern.
     any_path: Postings,
     exact: PatternMap,
     prefixes: PatternMap,
     suffixes: PatternMap,
 }
 
-/// Routes by host pattern, then by path pattern.
+/// Index of routes by host pattern and path pattern.
 pub struct RouteIndex<T> {
+    /// Routes by slot; a free slot has `None`.
     routes: Vec<Option<IndexedRoute<T>>>,
     free_slots: Vec<Slot>,
     slots_by_service: FxHashMap<Box<str>, BTreeMap<Box<str>, Slot>>,
+    /// Routes without a host pattern.
     any_host: PathIndex,
-    /// By the whole name, in lower case.
+    /// Routes by the host of an exact host pattern, in lower case.
     exact_hosts: FxHashMap<Box<[u8]>, PathIndex>,
-    /// By the parent domain, in lower case.
+    /// Routes by the parent domain of a subdomain pattern, in lower case.
     subdomain_hosts: FxHashMap<Box<[u8]>, PathIndex>,
 }
 
@@ -81,8 +86,8 @@
 }
 
 impl<T> RouteIndex<T> {
-    /// Adds a route, or replaces the one with its service and name. It must have at most [`MAX_PATTERN_PAIRS_PER_ROUTE`]
-    /// pairs of patterns.
+    /// Adds a route, or replaces the route that has the same service and name. The caller ensures that the route has at
+    /// most [`MAX_PATTERN_PAIRS_PER_ROUTE`] pairs of a host pattern and a path pattern.
     pub fn set(&mut self, route: IndexedRoute<T>) {
         let RouteOrder { service, name, .. } = &route.order;
         self.remove(service, name);
@@ -95,7 +100,7 @@
         self.slots_by_service.entry(service).or_default().insert(name, slot);
     }
 
-    /// Removes a route, and returns whether it was there.
+    /// Removes a route, and returns whether the index contained it.
     pub fn remove(&mut self, service: &str, name: &str) -> bool {
         let Some(names) = self.slots_by_service.get_mut(service) else { return false };
         let Some(slot) = names.remove(name) else { return false };
@@ -115,29 +120,29 @@
         names.iter().filter(|name| self.remove(service, name)).count()
     }
 
-    /// The names of a service's routes, in order.
+    /// The names of the routes of a service, in ascending order.
     pub fn route_names(&self, service: &str) -> impl Iterator<Item = &str> {
         self.slots_by_service.get(service).into_iter().flat_map(BTreeMap::keys).map(|name| &**name)
     }
 
-    /// Number of routes.
+    /// Number of routes in the index.
     pub fn len(&self) -> usize {
         self.routes.len() - self.free_slots.len()
     }
 
-    /// Whether there is no route.
+    /// Whether the index contains no route.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Number of host patterns, and of path patterns of routes for any host.
+    /// Number of different host patterns, plus the number of different path patterns of routes without a host pattern.
     pub fn pattern_count(&self) -> usize {
         let paths = [&self.any_host.exact, &self.any_host.prefixes, &self.any_host.suffixes];
         let paths: usize = paths.iter().map(|map| map.len()).sum();
         self.exact_hosts.len() + self.subdomain_hosts.len() + paths
     }
 
-    /// The first route in order whose conditions all hold.
+    /// The first route in order whose conditions all hold, or `None` if the conditions of no route hold.
     pub fn find(&self, head: &RequestHead<'_>) -> Option<&IndexedRoute<T>> {
         let mut search = Search { index: self, head, best: None };
         search.try_paths(&self.any_host);
@@ -153,7 +158,7 @@
         if self.subdomain_hosts.is_empty() {
             return search.best;
         }
-        // A subdomain has something before the dot.
+        // A dot at position 0 is skipped: a subdomain has at least one byte before the dot.
         for dot in (1..lowercase.len()).filter(|at| lowercase[*at] == b'.') {
             if let Some(paths) = self.subdomain_hosts.get(&lowercase[dot + 1..]) {
                 search.try_paths(paths);
@@ -223,7 +228,7 @@
     }
 }
 
-/// The key of a host pattern.
+/// Key of a host pattern, in lower case.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum HostKey {
     Any,
@@ -231,7 +236,7 @@
     Subdomains(Box<[u8]>),
 }
 
-/// The host patterns of a rule, each once.
+/// Keys of the host patterns of a rule, without duplicates; [`HostKey::Any`] if the rule has no host pattern.
 fn host_keys(rule: &Rule) -> Vec<HostKey> {
     let lowercase = |name: &str| name.to_ascii_lowercase().into_bytes().into_boxed_slice();
     let mut hosts: Vec<HostKey> = rule
@@ -254,7 +259,8 @@
     routes[slot as usize].as_ref().map(|route| &route.order)
 }
 
-/// Removes a route from a host pattern, and the pattern once it has no route.
+/// Calls `remove_paths` on the entry of a host pattern, and removes the entry if `remove_paths` returns that it has no
+/// route left.
 fn remove_from_host(
     hosts: &mut FxHashMap<Box<[u8]>, PathIndex>,
     name: &[u8],
@@ -266,7 +272,7 @@
 }
 
 impl PathIndex {
-    /// The patterns of this pattern's kind, and its text as the key.
+    /// The map for patterns of the same kind as `path`, and the text of `path` as the key.
     fn map_and_key<'p>(&mut self, path: &'p PathPattern) -> (&mut PatternMap, &'p [u8]) {
         match path {
             PathPattern::Exact(text) => (&mut self.exact, text.as_bytes()),
@@ -281,10 +287,11 @@
     }
 }
 
-/// The state of a lookup.
+/// State of a lookup.
 struct Search<'i, 'h, T> {
     index: &'i RouteIndex<T>,
     head: &'h RequestHead<'h>,
+    /// First route in order among the routes that matched so far.
     best: Option<&'i IndexedRoute<T>>,
 }
 
@@ -297,7 +304,7 @@
         paths.suffixes.visit_suffixes_of(path, |postings| self.try_postings(postings));
     }
 
-    /// Tries these routes in order, as long as they come before the best one so far.
+    /// Tries routes in order, up to the first that matches or that does not come before the best route so far.
     fn try_postings(&mut self, postings: &Postings) {
         for slot in postings.as_slice() {
             let Some(route) = &self.index.routes[*slot as usize] else { continue };
--- a/crates/routes/src/index/patterns.rs
+++ b/crates/routes/src/index/patterns.rs
@@ -1,7 +1,8 @@
-//! Patterns of paths under one host, with the routes that have them.
+//! Path patterns that are combined with one host pattern, with the routes that have them.
 //!
-//! Most hosts have a few patterns, which lie in a small list. A host with many has them in a hash map, in which the
-//! path's prefixes and suffixes of the lengths that occur are looked up. A lookup allocates nothing.
+//! Most host patterns are combined with few path patterns, which are kept in a list. Many path patterns are kept in a
+//! hash map. A lookup searches the hash map for the prefixes or suffixes of the path that are as long as one of the
+//! patterns. A lookup allocates no memory.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -10,20 +11,22 @@
 
 use super::postings::{Postings, Slot};
 
-/// Maximum number of patterns that are compared one by one: that takes less time than hashing, and a fifth of the
-/// memory.
+/// Maximum number of patterns in a list. Comparing so few patterns one by one takes less time than hashing, and the
+/// list takes a fifth of the memory of a hash map.
 const MAX_LISTED_PATTERNS: usize = 8;
 
-/// Patterns of one kind by their text: a list if they are few, a hash map if they are many.
+/// Routes by the text of their pattern, for patterns of one kind (exact, prefix or suffix): a list of few patterns, or
+/// a hash map of many.
 pub(super) enum PatternMap {
     Listed(Vec<(Box<[u8]>, Postings)>),
     Hashed(Box<HashedPatterns>),
 }
 
+/// Routes by the text of their pattern, with the lengths that patterns have.
 #[derive(Default)]
 pub(super) struct HashedPatterns {
     by_text: FxHashMap<Box<[u8]>, Postings>,
-    /// Number of patterns of each length.
+    /// Number of patterns by length in bytes.
     lengths: BTreeMap<usize, u32>,
 }
 
@@ -42,7 +45,8 @@
         }
     }
 
-    /// Adds a route to a pattern.
+    /// Adds a route to the pattern with this text. `compare` returns the order of the route in another slot relative to
+    /// the added route.
     pub(super) fn insert(&mut self, text: &[u8], slot: Slot, compare: impl Fn(&Slot) -> Ordering) {
         if let PatternMap::Listed(listed) = self {
             if let Some((_, postings)) = listed.iter_mut().find(|(other, _)| **other == *text) {
@@ -60,7 +64,8 @@
         }
     }
 
-    /// Removes a route from a pattern, and the pattern once it has no route.
+    /// Removes a route from the pattern with this text, and the pattern if it has no route left. `compare` returns the
+    /// order of the route in another slot relative to the removed route.
     pub(super) fn remove(&mut self, text: &[u8], compare: impl Fn(&Slot) -> Ordering) {
         match self {
             PatternMap::Listed(listed) => {
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Visits the postings of the pattern that equals a text.
+    /// Calls `visit` with the routes of the pattern that equals a text.
     pub(super) fn visit_exact(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
         match self {
             PatternMap::Listed(listed) => {
@@ -92,7 +97,7 @@
         }
     }
 
-    /// Visits the postings of each pattern that a text begins with.
+    /// Calls `visit` with the routes of each pattern that a text begins with.
     pub(super) fn visit_prefixes_of(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
         match self {
             PatternMap::Listed(listed) => {
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Visits the postings of each pattern that a text ends with.
+    /// Calls `visit` with the routes of each pattern that a text ends with.
     pub(super) fn visit_suffixes_of(&self, text: &[u8], mut visit: impl FnMut(&Postings)) {
         match self {
             PatternMap::Listed(listed) => {
@@ -132,6 +137,7 @@
         hashed
     }
 
+    /// The routes of the pattern with this text, which is added if it is new.
     fn postings(&mut self, text: &[u8]) -> &mut Postings {
         let lengths = &mut self.lengths;
         self.by_text.entry(text.into()).or_insert_with(|| {
--- a/crates/routes/src/index/postings.rs
+++ b/crates/routes/src/index/postings.rs
@@ -1,11 +1,12 @@
-//! Routes that share a pattern.
+//! The routes that have the same pattern.
 
 use std::cmp::Ordering;
 
-/// The index of a route in its [`RouteIndex`](crate::RouteIndex).
+/// Index of a route in the list of routes of a [`RouteIndex`](crate::RouteIndex).
 pub(super) type Slot = u32;
 
-/// Slots of routes that share a pattern, in the order of the routes. Most patterns have one route.
+/// Slots of the routes that have the same pattern, in the order of the routes. Most patterns have one route, which is
+/// stored without an allocation.
 #[derive(Default)]
 pub(super) enum Postings {
     #[default]
@@ -27,7 +28,8 @@
         self.as_slice().is_empty()
     }
 
-    /// Adds a slot at its position in the order; a route that names a pattern twice is listed once.
+    /// Adds a slot at its position in the order, which is found with `compare`. A slot that is present already is not
+    /// added again, because a rule may list the same pattern twice.
     pub(super) fn insert(&mut self, slot: Slot, compare: impl Fn(&Slot) -> Ordering) {
         let Err(position) = self.as_slice().binary_search_by(compare) else { return };
         match self {
@@ -38,6 +40,7 @@
         }
     }
 
+    /// Removes the slot for which `compare` returns `Equal`, if it is present.
     pub(super) fn remove(&mut self, compare: impl Fn(&Slot) -> Ordering) {
         let Ok(position) = self.as_slice().binary_search_by(compare) else { return };
         match self {
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which route a request takes.
+//! Finds the route for a request.
 //!
-//! A balancer has thousands of routes, and each request must find the first one in order whose conditions all hold. To
-//! try them one after the other would cost time in proportion to their number. Two structures answer the same question:
+//! A balancer can have thousands of routes, and a request takes the first route, in the order of the routes, whose
+//! conditions all hold. A scan takes time in proportion to the number of routes. Two data structures avoid the scan:
 //!
-//! - [`RouteTable`] is compiled of all rules at once, for a site that lists its routes in a file;
-//! - [`RouteIndex`] takes routes of many services one at a time, for a balancer that subscribes to control machines.
+//! - [`RouteTable`] is compiled from all rules at once, for a site that lists its routes in a file;
+//! - [`RouteIndex`] adds and removes routes of many services one by one, for a balancer that subscribes to control
+//!   machines.
 //!
-//! Invariants: both find the route that a scan over all rules in order would find, and a lookup allocates nothing. Hosts
-//! are compared without their case, port and last dot; paths byte by byte, as the client sent them.
+//! Invariants: both find the route that a scan over all rules in order would find, and a lookup allocates no memory.
+//! Hosts are compared without case, port and trailing dot; paths are compared byte by byte, as the client sent them.
 //!
 //! The crate never decodes a path, opens a file or reads a clock.
 //!
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -1,27 +1,28 @@
-//! What routes see of a request.
+//! The parts of a request that the conditions of routes test.
 
-/// Longest host name (RFC 1035, section 2.3.4); a longer one matches no pattern of a host.
+/// Maximum length of a host name in bytes (RFC 1035, section 2.3.4). A longer name matches no host pattern.
 pub(crate) const MAX_HOST_BYTES: usize = 255;
 
-/// What routes see of a request.
+/// The parts of a request that the conditions of routes test.
 #[derive(Clone, Copy)]
 pub struct RequestHead<'a> {
-    /// The host that it is for, as its client wrote it.
+    /// Host as the client sent it, with the port if the client sent one.
     pub host: &'a [u8],
-    /// Its path, without the query.
+    /// Path as the client sent it, without the query.
     pub path: &'a [u8],
-    /// Its method.
+    /// Method, which is case-sensitive.
     pub method: &'a [u8],
-    /// Its class, by index.
+    /// Index of the class of the request.
     pub class: usize,
-    /// Whether it has a header of this name, with this value if one is given.
+    /// Returns whether the request has a header with this lower-case name. If a value is given, at least one line of
+    /// the header must have this value.
     pub has_header: &'a dyn Fn(&str, Option<&str>) -> bool,
 }
 
-/// The name of a host without its port and its last dot; an IPv6 address keeps its brackets.
+/// Returns a host without its port and its trailing dot. An IPv6 address keeps its brackets.
 pub(crate) fn host_name(host: &[u8]) -> &[u8] {
     let name = match host.first() {
-        // An IPv6 address has colons of its own.
+        // A colon between the brackets of an IPv6 address does not start the port.
         Some(b'[') => host.iter().position(|b| *b == b']').map_or(host, |end| &host[..=end]),
         _ => host.iter().position(|b| *b == b':').map_or(host, |port| &host[..port]),
     };
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -4,17 +4,18 @@
 
 use crate::request::{MAX_HOST_BYTES, RequestHead, host_name};
 
-/// A pattern of the host. Case and port do not matter.
+/// Pattern for the host of a request. Case, port and trailing dot of the requested host are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum HostPattern {
-    /// This host.
+    /// Matches only this host.
     Exact(String),
-    /// Any host below this one, at any depth, but not itself: `*.example` is `Subdomains("example")`.
+    /// Matches every host below this parent domain, at any depth, but not the parent domain: `*.example` is
+    /// `Subdomains("example")`.
     Subdomains(String),
 }
 
 impl HostPattern {
-    /// Whether it matches a name that [`host_name`] returned.
+    /// Whether the pattern matches a name that [`host_name`] returned.
     fn matches(&self, name: &[u8]) -> bool {
         match self {
             HostPattern::Exact(exact) => name.eq_ignore_ascii_case(exact.as_bytes()),
@@ -28,14 +29,15 @@
     }
 }
 
-/// A pattern of the path without its query, byte by byte as the client sent it: nothing is decoded.
+/// Pattern for the path of a request without the query. The path is compared byte by byte as the client sent it;
+/// percent-encoded bytes are not decoded.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PathPattern {
-    /// This path.
+    /// Matches only this path.
     Exact(String),
-    /// Any path that begins so.
+    /// Matches every path that begins with this text.
     Prefix(String),
-    /// Any path that ends so.
+    /// Matches every path that ends with this text.
     Suffix(String),
 }
 
@@ -49,53 +51,55 @@
     }
 }
 
-/// A condition on a header.
+/// Condition that a request has a header, with a given value if there is one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeaderCondition {
-    /// Its name, in lower case.
+    /// Name of the header, in lower case.
     pub name: String,
-    /// The value that one of its lines must have; any value if none is given.
+    /// Value that at least one line of the header must have; `None` accepts any value.
     pub value: Option<String>,
 }
 
-/// The conditions of a route. All kinds must hold. Of several patterns of one kind one must match, and a kind without
-/// patterns holds for every request.
+/// Conditions of a route on a request: on the host, path, method, headers and class. All five kinds of condition must
+/// hold, and a kind with an empty list holds for every request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rule {
-    /// Hosts.
+    /// Host patterns, one of which must match.
     pub hosts: Vec<HostPattern>,
-    /// Paths.
+    /// Path patterns, one of which must match.
     pub paths: Vec<PathPattern>,
-    /// Methods.
+    /// Methods, one of which must equal the method of the request, including case.
     pub methods: Vec<String>,
-    /// Headers, all of which must hold.
+    /// Header conditions, all of which must hold.
     pub headers: Vec<HeaderCondition>,
-    /// Classes, by index.
+    /// Indices of classes, one of which must be the class of the request.
     pub classes: Vec<usize>,
 }
 
-/// The condition that does not hold for a request.
+/// Condition of a rule that does not hold for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch<'r> {
-    /// It is for another host.
+    /// No host pattern matches.
     Host,
-    /// Its path is another.
+    /// No path pattern matches.
     Path,
-    /// Its method is another.
+    /// The rule does not list the method.
     Method,
-    /// It lacks this header, or the value.
+    /// The request has no such header, or no line of the header has the value.
     Header(&'r HeaderCondition),
-    /// It is of another class.
+    /// The rule does not list the class.
     Class,
 }
 
 impl Rule {
-    /// Number of pairs of a host and a path pattern.
+    /// Number of pairs of a host pattern and a path pattern. An empty list counts as one pattern, which matches
+    /// everything.
     pub(crate) fn pair_count(&self) -> usize {
         self.hosts.len().max(1) * self.paths.len().max(1)
     }
 
-    /// The first condition that does not hold, each tried by itself.
+    /// The first condition that does not hold, in the order host, path, method, class, headers. Every pattern is
+    /// compared one by one.
     pub(crate) fn mismatch(&self, head: &RequestHead<'_>) -> Option<Mismatch<'_>> {
         let name = host_name(head.host);
         let too_long = name.len() > MAX_HOST_BYTES;
@@ -109,8 +113,9 @@
         self.unindexed_mismatch(head)
     }
 
-    /// The first condition that does not hold among those on the method, the class and headers, which neither the
-    /// table nor the index looks up.
+    /// The first condition on the method, the class or a header that does not hold. Neither
+    /// [`RouteTable`](crate::RouteTable) nor [`RouteIndex`](crate::RouteIndex) searches by these conditions, so that
+    /// they are tested for each rule whose host and path patterns match.
     pub(crate) fn unindexed_mismatch(&self, head: &RequestHead<'_>) -> Option<Mismatch<'_>> {
         let is_method = |method: &String| method.as_bytes() == head.method;
         if !self.methods.is_empty() && !self.methods.iter().any(is_method) {
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,11 +1,12 @@
-//! All rules of a site, compiled at once.
+//! Table of routes that is compiled from all rules of a site at once.
 //!
-//! A lookup costs a walk over the path's bytes and over the host's, whatever the number of rules, plus one look-up for
-//! each pair of a path pattern and a host pattern that match; only rules with the very same patterns are tried one
-//! after the other.
+//! Whatever the number of rules, a lookup walks over the bytes of the path and of the host. It then searches a hash map
+//! once for each pair of a host pattern and a path pattern that both match. Only rules that have the same pair are
+//! tried one after the other.
 //!
-//! Hosts and paths lie in finite state transducers (the `fst` crate; Mihov and Maurel, "Direct Construction of Minimal
-//! Acyclic Subsequential Transducers", 2000): one walk finds every prefix that is a pattern.
+//! Patterns of hosts and paths are stored in finite state transducers (the `fst` crate; Mihov and Maurel, "Direct
+//! Construction of Minimal Acyclic Subsequential Transducers", 2000). One walk over a text finds all patterns that are
+//! a prefix of the text.
 
 mod transducer;
 
@@ -16,41 +17,45 @@
 use crate::rule::{HostPattern, Mismatch, PathPattern, Rule};
 use transducer::{PatternId, Transducer, TransducerBuilder};
 
-/// Maximum number of patterns that match one host: one for each dot, the host itself, and any.
+/// Maximum number of host patterns that match one host: a subdomain pattern for each dot (a dot and the label before it
+/// take at least two bytes), an exact pattern, and [`PatternId::ANY`].
 const MAX_PATTERNS_PER_HOST: usize = MAX_HOST_BYTES / 2 + 3;
-/// Maximum number of pairs of a host and a path pattern over all rules.
+/// Maximum number of pairs of a host pattern and a path pattern over all rules of a table. Each pair takes an entry in
+/// memory, and a rule with `h` hosts and `p` paths has `h * p` pairs.
 pub const MAX_PATTERN_PAIRS: usize = 4_000_000;
 
-/// Why rules can't be compiled.
+/// Reason why rules can't be compiled.
 #[derive(Debug, thiserror::Error)]
 pub enum RouteTableError {
-    /// More pairs of patterns than a table holds.
+    /// The rules have this number of pairs of a host pattern and a path pattern, more than [`MAX_PATTERN_PAIRS`].
     #[error("{0} pairs of a host and a path are more than {MAX_PATTERN_PAIRS}")]
     TooManyPairs(usize),
-    /// A pattern that is too long for the table.
-    #[error("patterns: {0}")]
+    /// A pattern is too long for a transducer.
+    #[error("the patterns of hosts and paths can't be compiled: {0}")]
     Patterns(#[from] fst::Error),
 }
 
-/// Rules, compiled.
+/// Rules in a form that is compiled for lookups.
 pub struct RouteTable {
-    /// Host patterns from their end, in lower case; a pattern of subdomains begins with a dot.
+    /// Host patterns in lower case, with their bytes reversed. A subdomain pattern includes the dot before the parent
+    /// domain.
     host_patterns: Transducer,
-    /// Exact path patterns and prefixes, from their start.
+    /// Exact patterns and prefix patterns of paths.
     path_patterns: Transducer,
-    /// Suffixes of paths, from their end.
+    /// Suffix patterns of paths, with their bytes reversed.
     suffix_patterns: Transducer,
-    /// The rules of each pair of patterns, in order.
+    /// Indices of the rules that have a pair of a host pattern and a path pattern, in ascending order.
     rules_by_pair: FxHashMap<(PatternId, PatternId), Vec<u32>>,
     rules: Vec<Rule>,
 }
 
 impl RouteTable {
-    /// Compiles rules in their order.
+    /// Compiles rules. Of several rules that match a request, [`RouteTable::find`] returns the first in this order.
     ///
     /// # Errors
     ///
-    /// If there are more than [`MAX_PATTERN_PAIRS`] pairs of patterns, or a pattern is too long.
+    /// Fails if the rules have more than [`MAX_PATTERN_PAIRS`] pairs of a host pattern and a path pattern, or if a
+    /// pattern is too long for a transducer.
     pub fn compile(rules: Vec<Rule>) -> Result<Self, RouteTableError> {
         let pair_count = rules.iter().map(Rule::pair_count).sum();
         if pair_count > MAX_PATTERN_PAIRS {
@@ -75,12 +80,12 @@
         })
     }
 
-    /// The rules, in order.
+    /// The rules, in the order in which they were compiled.
     pub fn rules(&self) -> &[Rule] {
         &self.rules
     }
 
-    /// The index of the first rule whose conditions all hold.
+    /// The index of the first rule whose conditions all hold, or `None` if the conditions of no rule hold.
     pub fn find(&self, head: &RequestHead<'_>) -> Option<usize> {
         let hosts = self.matching_hosts(host_name(head.host));
         let mut first = self.rules.len();
@@ -118,8 +123,11 @@
         (first < self.rules.len()).then_some(first)
     }
 
-    /// The first condition of a rule that does not hold for a request, each tried by itself: for an explanation to an
-    /// operator, not for a decision.
+    /// The first condition of a rule that does not hold for a request. Returns `None` if all conditions hold, or if
+    /// there is no rule with the index `rule`.
+    ///
+    /// The patterns are compared one by one. The method is meant to explain a lookup to an operator;
+    /// [`RouteTable::find`] is the method that routes a request.
     pub fn mismatch(&self, rule: usize, head: &RequestHead<'_>) -> Option<Mismatch<'_>> {
         self.rules.get(rule)?.mismatch(head)
     }
@@ -135,7 +143,8 @@
             name.len(),
             |i| name[last_index - i].to_ascii_lowercase(),
             |ids, length| {
-                // A subdomain has something before the dot.
+                // A subdomain pattern that takes up the whole name does not match: a subdomain has at least one byte
+                // before the dot.
                 let id = if length == name.len() { ids.exact } else { ids.prefix };
                 if let Some(id) = id {
                     let _ = matching.try_push(id);
@@ -146,7 +155,7 @@
     }
 }
 
-/// The patterns of all rules, numbered.
+/// Assigns a number to each pattern of the rules, and collects the texts of the patterns for the transducers.
 #[derive(Default)]
 struct PatternRegistry {
     hosts: TransducerBuilder,
@@ -157,7 +166,7 @@
 }
 
 impl PatternRegistry {
-    /// The host patterns of a rule, each once.
+    /// The numbers of the host patterns of a rule, without duplicates.
     fn host_ids(&mut self, rule: &Rule) -> Vec<PatternId> {
         let (hosts, last_id) = (&mut self.hosts, &mut self.last_host_id);
         let ids = rule.hosts.iter().map(|host| match host {
@@ -169,7 +178,7 @@
         unique_ids_or_any(ids.collect())
     }
 
-    /// The path patterns of a rule, each once.
+    /// The numbers of the path patterns of a rule, without duplicates.
     fn path_ids(&mut self, rule: &Rule) -> Vec<PatternId> {
         let (paths, last_id) = (&mut self.paths, &mut self.last_path_id);
         let suffixes = &mut self.suffixes;
@@ -182,6 +191,7 @@
     }
 }
 
+/// Sorts numbers of patterns and removes duplicates; an empty list becomes [`PatternId::ANY`].
 fn unique_ids_or_any(mut ids: Vec<PatternId>) -> Vec<PatternId> {
     if ids.is_empty() {
         ids.push(PatternId::ANY);
--- a/crates/routes/src/table/transducer.rs
+++ b/crates/routes/src/table/transducer.rs
@@ -1,35 +1,37 @@
-//! Patterns in a finite state transducer, which is walked from one end of a text.
+//! Patterns in a finite state transducer. One walk over a text finds all patterns that match from its first byte.
 
 use std::collections::BTreeMap;
 
 use fst::raw::{Fst, Output};
 
-/// The number of a pattern. The same text may be two patterns, an exact one and a prefix.
+/// Number of a pattern. An exact pattern and a prefix pattern with the same text have different numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct PatternId(u32);
 
 impl PatternId {
-    /// The pattern that every host or path matches.
+    /// The pattern that matches every host or path.
     pub(super) const ANY: PatternId = PatternId(0);
 }
 
-/// The patterns that a text stands for.
+/// Numbers of the patterns that have the same text.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PatternIds {
-    /// The pattern that only the text itself matches.
+    /// Number of the pattern that matches only the text.
     pub(super) exact: Option<PatternId>,
-    /// The pattern that every text which begins so matches.
+    /// Number of the pattern that matches everything that begins with the text.
     pub(super) prefix: Option<PatternId>,
 }
 
-/// Texts with the patterns that they stand for.
+/// Texts of patterns, each with the numbers of its patterns.
 pub(super) struct Transducer {
     fst: Fst<Vec<u8>>,
+    /// Numbers of the patterns of each text; the output of `fst` for a text is the index.
     ids: Vec<PatternIds>,
 }
 
 impl Transducer {
-    /// Walks over `length` bytes, and calls `on_match` for each text on the way with the number of bytes that it has.
+    /// Walks over `length` bytes, which `byte` returns by position. Calls `on_match` for each text of a pattern that is
+    /// a prefix of these bytes, with the numbers of the patterns and the length of the text in bytes.
     pub(super) fn walk(
         &self,
         length: usize,
@@ -55,17 +57,19 @@
     }
 }
 
-/// Numbers patterns in the order in which they come.
+/// Collects the texts of patterns, and assigns numbers to patterns in the order in which they are added.
 #[derive(Default)]
 pub(super) struct TransducerBuilder(BTreeMap<Vec<u8>, PatternIds>);
 
 impl TransducerBuilder {
-    /// The number of a pattern that only this text matches; a new one comes after `last_id`.
+    /// Returns the number of the exact pattern with this text. A new pattern gets the number after `last_id`, which
+    /// becomes the new `last_id`.
     pub(super) fn exact_id(&mut self, text: Vec<u8>, last_id: &mut PatternId) -> PatternId {
         get_or_assign(&mut self.0.entry(text).or_default().exact, last_id)
     }
 
-    /// The number of a pattern that every text which begins so matches; a new one comes after `last_id`.
+    /// Returns the number of the prefix pattern with this text. A new pattern gets the number after `last_id`, which
+    /// becomes the new `last_id`.
     pub(super) fn prefix_id(&mut self, text: Vec<u8>, last_id: &mut PatternId) -> PatternId {
         get_or_assign(&mut self.0.entry(text).or_default().prefix, last_id)
     }
--- a/crates/routes/tests/allocation.rs
+++ b/crates/routes/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! A lookup allocates nothing, however many patterns match.
+//! A lookup in a table or in an index allocates no memory, however many patterns match.
 
 use sableloom_routes::{
     HeaderCondition, HostPattern, IndexedRoute, PathPattern, RequestHead, RouteIndex, RouteOrder,
@@ -21,7 +21,7 @@
     })
 }
 
-/// Four lookups in which many patterns match, without an allocation.
+/// Checks that four lookups among overlapping patterns return the expected rules and allocate no memory.
 fn check_lookups(find: impl Fn(&RequestHead<'_>) -> Option<usize>) {
     let find = |host: &str, path: &str, method: &str| {
         let head = RequestHead {
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_lookup_in_a_table_allocates_no_memory() {
-    let table = RouteTable::compile(overlapping_rules().collect()).expect("rules");
+    let table = RouteTable::compile(overlapping_rules().collect()).expect("the rules compile");
     check_lookups(|head| table.find(head));
 }
 
--- a/crates/routes/tests/property.rs
+++ b/crates/routes/tests/property.rs
@@ -1,4 +1,5 @@
-//! The compiled table against a naive model: rules tried one by one, in order. `SEED=n` replays one.
+//! Random rules: a table finds the same rule as a scan over the rules, and an index finds the same route as a table
+//! compiled from the same routes. The environment variable `SEED=n` runs only the random rules of seed `n`.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +9,11 @@
     RouteTable, Rule,
 };
 
+/// Number of seeds for the test of the table. The test of the index, which compiles a table after each step, runs a
+/// fortieth of the seeds.
 const SEEDS: u64 = 2000;
 
-/// Few letters, so that patterns overlap, contain each other and meet.
+/// Returns a random text of few different bytes, so that patterns often overlap, contain each other or are equal.
 fn random_text(rng: &mut Rand64, max_bytes: u64) -> String {
     let letters = ["a", "b", "A", ".", "/", "%"];
     let n = rng.rand_range(0..max_bytes + 1);
@@ -49,7 +52,8 @@
     }
 }
 
-/// The model: no table, no walk, and a reading of the host of its own.
+/// The model that lookups are compared with. It tries the rules one by one in order, and normalizes the host without
+/// code of the crate under test. `x_values` has the values of the request header `x`.
 fn first_match_by_scan(
     rules: &[Rule],
     host: &str,
@@ -88,7 +92,7 @@
 fn check_table(seed: u64) -> usize {
     let mut rng = Rand64::new(u128::from(seed));
     let rules = random_vec(&mut rng, 12, random_rule);
-    let table = RouteTable::compile(rules.clone()).expect("few rules");
+    let table = RouteTable::compile(rules.clone()).expect("fewer pattern pairs than the maximum");
     let mut matched = 0;
     for _ in 0..60 {
         let host = random_text(&mut rng, 6) + ["", ":80"][rng.rand_range(0..2) as usize];
@@ -112,7 +116,7 @@
             found, expected,
             "SEED={seed}: {host:?} {path:?} {method} {class} {x_values:?}\n{rules:#?}"
         );
-        // The explanation of a rule agrees with the decision.
+        // `mismatch` returns a condition exactly for those rules that the scan rejects.
         for rule in 0..rules.len() {
             let alone =
                 first_match_by_scan(&rules[rule..=rule], &host, &path, method, class, &x_values);
@@ -134,18 +138,21 @@
         return;
     }
     let matched: usize = (0..SEEDS).map(check_table).sum();
-    // Some requests matched a rule and some did not: both outcomes are tried.
+    // More than a tenth of the requests match a rule and more than a tenth match none, so that both outcomes are
+    // tested.
     let lookups = SEEDS as usize * 60;
     assert!(matched > lookups / 10 && matched < lookups * 9 / 10, "{matched} of {lookups}");
 }
 
-/// Changes routes of few services one by one, and compares each lookup with one table compiled of all.
+/// Adds and removes routes of three services one by one. After each step, compares lookups in the index with lookups in
+/// a table that is compiled from all routes.
 fn check_index(seed: u64) -> usize {
     let mut rng = Rand64::new(u128::from(seed));
     let mut index = RouteIndex::default();
     let mut routes: BTreeMap<RouteOrder, Rule> = BTreeMap::new();
     let mut matched = 0;
-    // Every other history gathers many patterns under few hosts.
+    // Odd seeds add more routes, most of them without a host pattern, so that the entry for any host has many path
+    // patterns.
     let many_patterns = seed % 2 == 1;
     let (steps, name_count) = if many_patterns { (120, 40) } else { (40, 6) };
     for step in 0..steps {
@@ -176,7 +183,8 @@
             }
         }
         assert_eq!(index.len(), routes.len(), "SEED={seed}");
-        let table = RouteTable::compile(routes.values().cloned().collect()).expect("few rules");
+        let table = RouteTable::compile(routes.values().cloned().collect())
+            .expect("fewer pattern pairs than the maximum");
         for _ in 0..10 {
             let host = random_text(&mut rng, 6) + ["", ":80"][rng.rand_range(0..2) as usize];
             let path = random_text(&mut rng, 6);
@@ -194,7 +202,7 @@
             matched += usize::from(found.is_some());
         }
     }
-    // Nothing remains of removed routes.
+    // The index keeps no pattern once all routes are removed.
     ["alpha", "beta", "gamma"].iter().for_each(|service| {
         index.remove_service(service);
     });
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each condition by itself and with others, in order.
+//! Conditions on hosts, paths, methods, classes and headers, alone and combined, and the order of rules.
 
 use sableloom_routes::{
     HeaderCondition, HostPattern, Mismatch, PathPattern, RequestHead, RouteTable, RouteTableError,
@@ -11,7 +11,7 @@
 }
 
 fn compile(rules: &[Rule]) -> RouteTable {
-    RouteTable::compile(rules.to_vec()).expect("rules")
+    RouteTable::compile(rules.to_vec()).expect("the rules compile")
 }
 
 fn host_rule(pattern: HostPattern) -> Rule {
