--- a/crates/server-list/src/combined_files.rs
+++ b/crates/server-list/src/combined_files.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the files of a pool together.
+//! Checks of the files of a pool in combination.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::file::MAX_SERVERS;
 use crate::server_record::{ServerListing, ServerRecord};
 
-/// Checks listings, in the order of the files' names.
+/// Checks the listings of all files of a pool; `listings` is in the order of `files`. Returns all problems found.
 pub(crate) fn check(
     now: Time,
     files: &[String],
@@ -37,11 +37,11 @@
     if problems.is_empty() { Ok(()) } else { Err(problems) }
 }
 
-/// Finds ids and addresses that stand in two files, and starts in the future.
+/// Reports ids and addresses that occur in two files, and start times in the future.
 fn check_servers(now: Time, servers: &[(&String, &ServerRecord)], problems: &mut Vec<Problem>) {
     let (mut ids, mut addresses) = (FxHashMap::default(), FxHashMap::default());
     for &(file, server) in servers {
-        // Within a file it was reported when that was read.
+        // Duplicates within one file are reported by `read`.
         let mut report_duplicate = |field: &str, value: String, first_file: Option<&String>| {
             if let Some(first_file) = first_file.filter(|first_file| *first_file != file) {
                 let message = format!("{value} is in {first_file} as well");
--- a/crates/server-list/src/file.rs
+++ b/crates/server-list/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads one file of servers, and finds all that is wrong with it by itself.
+//! Parses one file of servers, and finds all problems that do not depend on other files.
 
 use rustc_hash::FxHashMap;
 use sableloom_toml_diagnostics::{self as toml_diagnostics, Problem, Table, suggestion};
@@ -7,21 +7,22 @@
 use crate::list_spec::ListSpec;
 use crate::server_record::{RecordState, ServerFields, ServerListing, SourceLocation};
 
-/// Most servers of a pool.
+/// Maximum number of servers in all files of a pool.
 pub const MAX_SERVERS: usize = 20_000;
-/// The largest weight. More is a slip of the hand, not a larger machine.
+/// Maximum weight of a server. A larger value is a typing error rather than a larger machine.
 pub const MAX_WEIGHT: f64 = 1000.0;
 
-/// Reads a file of servers. A text that was cut anywhere is rejected: the last table states that it is the end, and how
-/// many servers came before.
+/// Parses and checks the contents of a file of servers; `file` is the name that problems report. A truncated file is
+/// rejected, because the last table, `[end]`, states the number of servers.
 ///
 /// # Errors
 ///
-/// All problems of the file, each with its line and field.
+/// Returns all problems of the file, each with its line and field.
 pub fn read(file: &str, bytes: &[u8], spec: &ListSpec) -> Result<ServerListing, Vec<Problem>> {
     if bytes.iter().all(u8::is_ascii_whitespace) {
-        let mut problem = Problem::of_file(file, "it is empty");
-        problem.help = Some("to empty a pool, write [end], servers = 0 and takes_out".into());
+        let mut problem = Problem::of_file(file, "the file is empty");
+        problem.help =
+            Some("to empty a pool, write takes_out and a table [end] with servers = 0".into());
         return Err(vec![problem]);
     }
     let line_starts = find_line_starts(bytes);
@@ -31,6 +32,7 @@
     Ok(listing)
 }
 
+/// The byte offset at which each line starts.
 fn find_line_starts(bytes: &[u8]) -> Vec<usize> {
     let after_breaks = bytes.iter().enumerate().filter(|(_, b)| **b == b'\n').map(|(i, _)| i + 1);
     std::iter::once(0).chain(after_breaks).collect()
@@ -40,8 +42,8 @@
     let version = root.string("version").map(|v| v.value);
     let takes_out = root.integer("takes_out", 0..=MAX_SERVERS, " servers").map(|n| n.value);
     if let Some(pool) = root.string("pool").filter(|pool| pool.value != spec.pool) {
-        let message = format!("{:?} is not the pool that names this file", pool.value);
-        root.report(&pool, message, Some(format!("that is `{}`", spec.pool)));
+        let message = format!("{:?} is not the pool that lists this file", pool.value);
+        root.report(&pool, message, Some(format!("the pool is `{}`", spec.pool)));
     }
     let tables = root.tables("server");
     let (mut ids, mut addresses) = (FxHashMap::default(), FxHashMap::default());
@@ -61,14 +63,19 @@
         servers.push(fields.record(SourceLocation { span, line, index }));
     }
     match root.table("end") {
-        None => {
-            root.report_missing("end", "a last table [end] with servers = their number; is it cut?")
-        }
+        None => root.report_missing(
+            "end",
+            "a last table [end] with the number of servers; the file may be truncated",
+        ),
         Some(end) => {
             let count = end.required_number("servers", 0.0..=MAX_SERVERS as f64, " servers");
             if let Some(count) = count.filter(|count| count.value != tables.len() as f64) {
-                let message = format!("{} servers are here, not {}", tables.len(), count.value);
-                end.report(&count, message, Some("is the file cut, or half written?".into()));
+                let message = format!("the file has {} servers, not {}", tables.len(), count.value);
+                end.report(
+                    &count,
+                    message,
+                    Some("the file may be truncated or half written".into()),
+                );
             }
             end.finish();
         }
@@ -76,15 +83,17 @@
     Some(ServerListing { version, takes_out, servers, digest: [0; 32] })
 }
 
-/// Reads one server from a table, and finishes the table: it may have no other field. With `zones`, the
-/// server's zone must be one of them.
+/// Reads one server from a table, and reports every field of the table that does not belong to a server. Unless `zones`
+/// is empty, the zone of the server must be one of `zones`. Problems are reported to the document of the table; `None`
+/// is returned if the id or the address is missing or invalid.
 pub fn read_server(table: &Table<'_>, zones: &[String]) -> Option<ServerFields> {
     let fields = read_server_fields(table, zones);
     table.finish();
     fields
 }
 
-/// As [`read_server`], for a table that has fields of its own beside.
+/// Reads one server as [`read_server`] does, from a table that also has other fields. The caller reads the other fields
+/// and then calls [`Table::finish`].
 pub fn read_server_fields(table: &Table<'_>, zones: &[String]) -> Option<ServerFields> {
     let id = table.required_name("id");
     let address = table.required_address("address");
@@ -110,6 +119,7 @@
     })
 }
 
+/// The field `started` in Unix milliseconds.
 fn read_started(table: &Table<'_>) -> Option<f64> {
     let date = table.date("started")?;
     match date.value.parse::<jiff::Timestamp>() {
--- a/crates/server-list/src/file_lists.rs
+++ b/crates/server-list/src/file_lists.rs
@@ -1,4 +1,4 @@
-//! The lists of one pool: which is in force.
+//! The lists of the files of one pool, and the combined list that is in force.
 
 use std::sync::Arc;
 
@@ -13,21 +13,22 @@
 use crate::tracked_server::TrackedServer;
 use crate::{combined_files, removal_guard};
 
-/// Bytes of the hash that names a list.
+/// Length in bytes of the hash that identifies a list. The hash is printed in hexadecimal, two digits for a byte.
 const HASH_BYTES: usize = 6;
-/// Most files that a message about versions names.
+/// Maximum number of files that a message about different versions names, so that the message stays short.
 const MAX_REPORTED_VERSIONS: usize = 8;
 
-/// The lists of one pool.
+/// The lists of the files of one pool, and the combined list that is in force.
 #[derive(Clone, Debug)]
 pub struct FileLists {
     spec: ListSpec,
-    /// What is in force of each file.
+    /// The listing in force of each file, in the order of the files in `spec`.
     accepted: Vec<Option<Arc<ServerListing>>>,
+    /// Listed and draining servers.
     tracked: Vec<TrackedServer>,
     revision: u64,
     hash: String,
-    /// Nothing was set since the list in force was judged.
+    /// Whether the accepted listings were validated under the current `spec`.
     accepted_is_valid: bool,
 }
 
@@ -45,12 +46,13 @@
         }
     }
 
-    /// What is set.
+    /// The settings.
     pub fn spec(&self) -> &ListSpec {
         &self.spec
     }
 
-    /// Sets anew. What is in force of files that are still named stays so.
+    /// Replaces the settings. Listings of files that the new settings name as well stay in force. The next offer is
+    /// validated even if its files are unchanged.
     pub fn set_spec(&mut self, spec: ListSpec) {
         let old = std::mem::take(&mut self.accepted);
         let accepted_of = |file: &String| {
@@ -67,23 +69,25 @@
         self.revision > 0
     }
 
-    /// The number and the hash of the list in force.
+    /// Revision and hash of the list in force; 0 and an empty text if no list is in force.
     pub fn revision_and_hash(&self) -> (u64, &str) {
         (self.revision, &self.hash)
     }
 
-    /// Servers that are held, those included that drain.
+    /// Number of servers, including those that drain.
     pub fn server_count(&self) -> usize {
         self.tracked.len()
     }
 
-    /// The whole list as it is in force.
+    /// The endpoints of all servers, including those that drain.
     pub fn endpoints(&self) -> Vec<ListedEndpoint> {
         self.tracked.iter().map(TrackedServer::endpoint).collect()
     }
 
-    /// Offers what the pool's files say now, in their order. A file that can't be read stays as it was last; what the
-    /// files say together is accepted as a whole or rejected.
+    /// Offers the results of reading all files of the pool, in the order of [`ListSpec::files`].
+    ///
+    /// A file that can't be read keeps its accepted listing. While files state different versions, every file with a
+    /// version keeps its accepted listing. The resulting listings are accepted or rejected together.
     pub fn offer(&mut self, now: Time, readings: &[ReadResult]) -> OfferResult {
         let mut result = OfferResult::default();
         let mut new = self.read_or_accepted(readings, &mut result.problems);
@@ -105,7 +109,8 @@
         result
     }
 
-    /// The listings that were read, and for the others those in force; collects what is wrong with the files.
+    /// The new listing of each file, or the accepted listing of a file that can't be read. Adds the problems of files
+    /// that can't be read to `problems`.
     fn read_or_accepted(
         &self,
         readings: &[ReadResult],
@@ -123,7 +128,7 @@
         with_accepted.map(choose).collect()
     }
 
-    /// Leaves files that state a version, now or before, as they are in force.
+    /// Replaces each new listing by the accepted listing if either of them states a version.
     fn keep_accepted_if_versioned(&self, new: &mut [Option<Arc<ServerListing>>]) {
         let versioned = |listing: &Option<Arc<ServerListing>>| {
             listing.as_ref().is_some_and(|listing| listing.version.is_some())
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Takes over a list that was judged; `None` if it is the one in force.
+    /// Puts a validated list in force. Returns `None` if the files have the same contents as the list in force.
     fn put_in_force(
         &mut self,
         new: Vec<Arc<ServerListing>>,
@@ -157,6 +162,7 @@
         Some(AppliedList { revision: self.revision, hash, changes: merged.changes })
     }
 
+    /// A message with the versions that files state, or `None` if all of them are equal.
     fn version_mismatch(&self, new: &[Option<Arc<ServerListing>>]) -> Option<String> {
         let versioned: Vec<(&String, &String)> = new
             .iter()
@@ -175,7 +181,7 @@
         Some(format!("versions differ: {}", versions.join(", ")))
     }
 
-    /// What the pool would know under these files, or why they can't be in force together.
+    /// The servers of the pool with these listings, or the problems for which the listings are rejected together.
     fn validate(&self, now: Time, new: &[Arc<ServerListing>]) -> Result<Merged, Vec<Problem>> {
         combined_files::check(now, &self.spec.files, new)?;
         let servers = new.iter().flat_map(|listing| &listing.servers);
@@ -190,7 +196,7 @@
         Ok(merged)
     }
 
-    /// Forgets the servers whose time to drain is over. Whether there were any.
+    /// Removes the servers whose drain time has ended by `now`, and returns whether there were any.
     pub fn remove_drained(&mut self, now: Time) -> bool {
         let before = self.tracked.len();
         self.tracked.retain(|tracked| {
@@ -199,7 +205,7 @@
         self.tracked.len() < before
     }
 
-    /// When [`FileLists::remove_drained`] has something to do next.
+    /// The time from which [`FileLists::remove_drained`] removes a server, or `None` if no server drains.
     pub fn next_drain_end(&self) -> Option<Time> {
         self.tracked.iter().filter_map(|tracked| tracked.drain_ends_at).min()
     }
--- a/crates/server-list/src/incremental_list.rs
+++ b/crates/server-list/src/incremental_list.rs
@@ -1,8 +1,9 @@
-//! The servers of one pool, changed one by one.
+//! The servers of one pool, which are changed one by one.
 //!
-//! [`FileLists`](crate::FileLists) takes whole files; a [`IncrementalList`] takes single changes, at a cost that goes with the
-//! change. Both know a server by its address first, then by its id, so that what is at one address has one
-//! endpoint towards the policy, whatever its id. A removed server drains before it is forgotten.
+//! [`FileLists`](crate::FileLists) applies whole files; an [`IncrementalList`] applies single changes, at a cost in
+//! proportion to the number of changes. Both identify a server by its address first and by its id second, so that each
+//! address has one endpoint for the policy, whatever the id of the server. A removed server drains before its endpoint
+//! is removed.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,85 +13,87 @@
 
 use crate::clock::unix_ms;
 
-/// A server of a pool.
+/// Description of a server of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerDescription {
-    /// Its id, unique in its pool.
+    /// Id of the server, unique in the pool.
     pub id: Box<str>,
-    /// Where it is.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Its zone; empty for none.
+    /// Zone of the server; empty if the server has none.
     pub zone: Box<str>,
-    /// Its relative size; one of 0 gets no requests.
+    /// Relative size of the server. A server of weight 0 receives no requests.
     pub weight: f64,
-    /// It is to finish what it has.
+    /// Whether the server finishes its requests in flight and receives no new ones.
     pub draining: bool,
-    /// When it last started, in Unix milliseconds, if that is stated.
+    /// Last start of the server in Unix milliseconds, if it is stated.
     pub started_ms: Option<f64>,
 }
 
 /// A change to the servers of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerChange {
-    /// The server is there, as described.
+    /// Adds a server, or replaces the description of the server at the same address or with the same id.
     Set(ServerDescription),
-    /// The server with this id is no more: it drains.
+    /// Removes the server with this id, which then drains.
     Remove(Box<str>),
 }
 
-/// A server that is known, or drains after it was removed.
+/// A listed server, or a removed server that drains.
 #[derive(Clone, Debug)]
 struct KnownServer {
     server: ServerDescription,
-    /// When it counts as started, in Unix milliseconds; 0 for long ago.
+    /// Start of the server for its warm-up, in Unix milliseconds; 0 stands for long ago.
     up_since_ms: f64,
-    /// Set once it is removed: when it is forgotten.
+    /// End of the drain time of a removed server; `None` for a listed server.
     drain_ends_at: Option<Time>,
 }
 
-/// A server's name towards the policy: its first id, for as long as it is known.
+/// Name of a server as an endpoint of the policy: normally the first id of the server, kept when the id changes.
 type EndpointName = Box<str>;
 
-/// The servers of one pool.
+/// The servers of one pool, changed one by one.
 #[derive(Debug, Default)]
 pub struct IncrementalList {
+    /// Listed and draining servers.
     known: FxHashMap<EndpointName, KnownServer>,
     by_id: FxHashMap<Box<str>, EndpointName>,
     by_address: FxHashMap<SocketAddr, EndpointName>,
+    /// Ends of drain times with the draining servers, in the order of time.
     drain_ends: BTreeSet<(Time, EndpointName)>,
     drain_time: Span,
-    /// A first change has come: what comes later is new.
+    /// Whether the first changes were applied. A server that is added later counts as just started.
     initialized: bool,
 }
 
 impl IncrementalList {
-    /// A pool without servers, whose removed servers drain for so long.
+    /// A pool without servers. Servers that are removed drain for `drain_time`.
     pub fn new(drain_time: Span) -> Self {
         Self { drain_time, ..Self::default() }
     }
 
-    /// Servers that are removed from now on drain for so long.
+    /// Sets the drain time of the servers that are removed from now on.
     pub fn set_drain_time(&mut self, drain_time: Span) {
         self.drain_time = drain_time;
     }
 
-    /// Servers that are known, with those that drain.
+    /// Number of servers, including those that drain.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether no server is known.
+    /// Whether there is no server, neither listed nor draining.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// The id of the server at an address, if one is listed there.
+    /// The id of the server that is listed at an address.
     pub fn id_at(&self, address: SocketAddr) -> Option<&str> {
         let known = self.known.get(self.by_address.get(&address)?)?;
         known.drain_ends_at.is_none().then_some(&*known.server.id)
     }
 
-    /// The ids of the servers that are listed.
+    /// The ids of the listed servers, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.known
             .values()
@@ -98,10 +101,10 @@
             .map(|known| &*known.server.id)
     }
 
-    /// Takes changes over; gives the entries that are different now.
+    /// Applies changes, all removals first, and returns the endpoints of the changed servers.
     pub fn apply(&mut self, now: Time, changes: Vec<ServerChange>) -> Vec<ListedEndpoint> {
         let mut changed = FxHashSet::default();
-        // Removals first: what follows may be at the address of a server that is removed.
+        // Removals come first, because another change may set a server at the address of a removed server.
         for change in &changes {
             if let ServerChange::Remove(id) = change
                 && let Some(name) = self.by_id.get(id).cloned()
@@ -119,7 +122,7 @@
         changed.iter().filter_map(|name| self.endpoint(name)).collect()
     }
 
-    /// Forgets servers whose time to drain is over; gives their last entries.
+    /// Removes the servers whose drain time has ended by `now`, and returns their endpoints with the status `Gone`.
     pub fn remove_drained(&mut self, now: Time) -> Vec<ListedEndpoint> {
         let mut gone = Vec::new();
         while let Some((drain_end, name)) = self.drain_ends.first().cloned()
@@ -135,12 +138,12 @@
         gone
     }
 
-    /// When [`IncrementalList::remove_drained`] has something to do next.
+    /// The time from which [`IncrementalList::remove_drained`] removes a server, or `None` if no server drains.
     pub fn next_drain_end(&self) -> Option<Time> {
         self.drain_ends.first().map(|(drain_end, _)| *drain_end)
     }
 
-    /// All entries.
+    /// The endpoints of all servers, including those that drain.
     pub fn endpoints(&self) -> Vec<ListedEndpoint> {
         self.known.keys().filter_map(|name| self.endpoint(name)).collect()
     }
@@ -151,7 +154,7 @@
         if let (Some(name_at_address), Some(name_with_id)) = (&at_address, &with_id)
             && name_at_address != name_with_id
         {
-            // Another server has its address now; the one that it was has no id of its own any more.
+            // The endpoint at the address takes over the id, so that the endpoint that had the id is no longer listed.
             self.start_drain(now, name_with_id);
             changed.insert(name_with_id.clone());
         }
@@ -167,8 +170,10 @@
         changed.insert(name);
     }
 
-    /// When a server counts as started. What is there at first has long been there, for all that is known;
-    /// another machine, by its address or by an id that came back as another, has just started.
+    /// Start of a server for its warm-up, in Unix milliseconds. If the server states no start time, the change decides.
+    /// Servers of the first changes count as started long ago (0), because nothing else is known about them. Later, a
+    /// new server, a server with another address, and a draining server that returns with another id count as another
+    /// machine that has just started.
     fn up_since(&self, now: Time, before: Option<&KnownServer>, server: &ServerDescription) -> f64 {
         let default_up_since_ms = match before {
             None if !self.initialized => 0.0,
@@ -183,6 +188,7 @@
         server.started_ms.unwrap_or(default_up_since_ms)
     }
 
+    /// Starts the drain of a server, unless the server drains already.
     fn start_drain(&mut self, now: Time, name: &EndpointName) {
         let Some(known) = self.known.get_mut(name) else { return };
         if known.drain_ends_at.is_none() {
@@ -192,7 +198,7 @@
         }
     }
 
-    /// Takes a server out of all that leads to it.
+    /// Removes a server from the lookups by id, by address and by end of the drain time.
     fn remove_lookups(&mut self, name: &EndpointName, known: &KnownServer) {
         if self.by_id.get(&known.server.id) == Some(name) {
             self.by_id.remove(&known.server.id);
@@ -226,7 +232,8 @@
         })
     }
 
-    /// The server's id, unless one that was renamed is still called so.
+    /// A free name for the endpoint of a server: the id of the server, or the id with a number if the endpoint of a
+    /// renamed server still has the id as its name.
     fn free_name(&self, id: &str) -> EndpointName {
         let candidates = std::iter::once(EndpointName::from(id))
             .chain((2..).map(|n| format!("{id} {n}").into()));
--- a/crates/server-list/src/lib.rs
+++ b/crates/server-list/src/lib.rs
@@ -1,14 +1,17 @@
-//! Which list of servers is in force.
+//! Decides which list of servers is in force for a pool.
 //!
-//! An operator's files change at any moment, and may be half written, contradict each other or remove a pool by
-//! mistake. This crate takes readings of files and returns an accepted change or a rejection; the last good list stays
-//! in force. It does no I/O and reads no clock.
+//! The files of an operator change at any time. They may be half written, contradict each other or remove all servers
+//! of a pool by mistake. This crate receives the results of reading the files, and returns an accepted change or a
+//! rejection. After a rejection, the last accepted list stays in force. The crate does no I/O and reads no clock.
 //!
-//! [`read`] checks one file. [`FileLists`] holds the state of a pool whose files are read as a whole, [`IncrementalList`] that of a
-//! pool whose servers change one by one.
+//! [`read`] parses and checks the contents of one file. [`FileLists`] holds the state of a pool whose files are read as
+//! a whole, [`IncrementalList`] holds the state of a pool whose servers change one by one.
 //!
-//! Invariants: a change is accepted as a whole or not at all; a server that a list leaves out drains before it is
-//! forgotten; an address is one endpoint towards the policy, whatever it is called.
+//! Invariants:
+//!
+//! - a change is accepted as a whole or not at all;
+//! - a server that a list leaves out drains before its endpoint is removed;
+//! - each address has one endpoint for the policy, whatever the id of the server at the address.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/server-list/src/list_change.rs
+++ b/crates/server-list/src/list_change.rs
@@ -1,54 +1,54 @@
-//! What a change of the list does to single servers.
+//! Differences between the list in force and the list that replaces it, server by server.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What a change did to one server, by its id.
+/// Difference of one server between the list in force and the list that replaces it. Servers are named by their ids.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListChange {
-    /// It is new.
+    /// The server is new.
     Added(String),
-    /// It is back after it was left out; with a cold start if it is another or has started anew.
+    /// The server was draining after a list had left it out, and is listed again.
     Returned {
-        /// Its id.
+        /// Id of the server.
         id: String,
-        /// It starts cold.
+        /// Whether the server starts cold, because its id, its address or its stated start time is different.
         cold: bool,
     },
-    /// No list names it any more: it drains.
+    /// No list names the server any more, so that it drains.
     Removed(String),
-    /// It is to finish what it has.
+    /// The state of the server changed from serving to draining.
     Drained(String),
-    /// It serves again.
+    /// The state of the server changed from draining to serving.
     Resumed(String),
-    /// It has started anew.
+    /// The server states a start time that differs from the known start time, so that it counts as restarted.
     Restarted(String),
-    /// Another weight.
+    /// The weight of the server changed.
     WeightChanged {
-        /// Its id.
+        /// Id of the server.
         id: String,
-        /// Before.
+        /// Weight in the replaced list.
         from: f64,
-        /// Now.
+        /// Weight in the new list.
         to: f64,
     },
-    /// Another id for what is at the same address.
+    /// The server has another id.
     Renamed {
-        /// Before.
+        /// Id in the replaced list.
         from: String,
-        /// Now.
+        /// Id in the new list.
         to: String,
     },
-    /// The same id at another address.
+    /// The server with this id has another address.
     Moved {
-        /// Its id.
+        /// Id of the server.
         id: String,
-        /// Before.
+        /// Address in the replaced list.
         from: SocketAddr,
-        /// Now.
+        /// Address in the new list.
         to: SocketAddr,
     },
-    /// Another zone.
+    /// The server is in another zone.
     ZoneChanged(String),
 }
 
--- a/crates/server-list/src/list_spec.rs
+++ b/crates/server-list/src/list_spec.rs
@@ -1,18 +1,19 @@
-//! The settings of a pool's lists.
+//! Settings for the lists of a pool.
 
 use sableloom_types::Span;
 
-/// What an operator has set for a pool's lists.
+/// Settings of an operator for the lists of one pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListSpec {
-    /// The pool's name.
+    /// Name of the pool.
     pub pool: String,
-    /// Its files, as the operator named them.
+    /// Names of the files of the pool, as the operator wrote them.
     pub files: Vec<String>,
-    /// Names of the zones that a server may be in; none if any will do.
+    /// Names of the zones that a server may be in; any zone is allowed if there are none.
     pub zones: Vec<String>,
-    /// The largest share of the serving servers that one change takes out unless it says so.
+    /// Maximum share of the serving servers, from 0 to 1, that one change may take out without stating their number in
+    /// `takes_out`.
     pub max_removed_share: f64,
-    /// How long a server that a list leaves out is kept as draining.
+    /// How long a server that the lists leave out drains before its endpoint is removed.
     pub drain_time: Span,
 }
--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merges a list into the servers that a pool knows.
+//! Merges a new list into the listed and draining servers of a pool.
 
 use std::net::SocketAddr;
 
@@ -10,25 +10,27 @@
 use crate::server_record::{RecordState, ServerRecord};
 use crate::tracked_server::{TrackedServer, free_name};
 
-/// The servers that a pool would know, and what would change.
+/// Result of a merge: the listed and draining servers of the pool, and the changes by the new list.
 pub(crate) struct Merged {
     pub(crate) tracked: Vec<TrackedServer>,
     pub(crate) changes: Vec<ListChange>,
 }
 
-/// The state that a list is merged into.
+/// State of a pool that a new list is merged into.
 pub(crate) struct Merge<'a> {
     pub(crate) now: Time,
     /// How long a removed server drains.
     pub(crate) drain_time: Span,
-    /// Whether a list is in force.
+    /// Whether a list was in force before.
     pub(crate) in_force: bool,
     pub(crate) tracked: &'a [TrackedServer],
 }
 
 impl Merge<'_> {
-    /// The servers once these are the list. Each is the one at its address already; else the one that had its id; else
-    /// new. So whatever the files say, an address is one endpoint, and its requests in flight count once.
+    /// Merges the servers of a new list. Each server continues the tracked server at the same address. Without one, it
+    /// continues the tracked server with the same id, unless another server of the new list is at the address of that
+    /// tracked server. Otherwise the server is new. Thus each address has one endpoint, whatever ids the files state,
+    /// and the requests in flight to an address are counted once.
     pub(crate) fn apply<'s>(
         &self,
         servers: impl Iterator<Item = &'s ServerRecord> + Clone,
@@ -39,7 +41,7 @@
             .enumerate()
             .map(|(i, tracked)| (tracked.record.address, i))
             .collect();
-        // Of two that had the same id, the one that is listed.
+        // Of two tracked servers with the same id, the listed server is inserted last and takes precedence.
         let draining =
             self.tracked.iter().enumerate().filter(|(_, tracked)| tracked.drain_ends_at.is_some());
         let listed =
@@ -83,14 +85,15 @@
         Merged { tracked: merged, changes }
     }
 
-    /// A server that is new. What is there when this process starts counts as long up; what comes later as just started.
+    /// A new server. If the server states no start time, it counts as started long ago in the first list of this
+    /// process, and as just started in a later list.
     fn new_server(&self, name: Box<str>, server: &ServerRecord) -> TrackedServer {
         let default_up_since_ms = if self.in_force { unix_ms(self.now) } else { 0.0 };
         let up_since_ms = server.started_ms.unwrap_or(default_up_since_ms);
         TrackedServer { name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 
-    /// A known server as the new list has it.
+    /// A tracked server with the record of the new list. Adds the differences to `changes`.
     fn updated_server(
         &self,
         old: &TrackedServer,
@@ -102,10 +105,10 @@
         let renamed = old_record.id != server.id;
         let moved = old_record.address != server.address;
         let returned = old.drain_ends_at.is_some();
-        // A start that was stated before and is left out now changes nothing.
+        // A start time that was stated before and is no longer stated is not a restart.
         let restarted = server.started_ms.is_some_and(|started| started != old.up_since_ms);
-        // Another machine for all that is known: whatever came back under another id, and whatever
-        // is at another address.
+        // A server that returns with another id, and a server with another address, are taken for another machine,
+        // because nothing shows that they are the same one.
         let other_machine = (returned && renamed) || moved;
         let up_since_ms = match server.started_ms {
             Some(stated) => stated,
--- a/crates/server-list/src/offer.rs
+++ b/crates/server-list/src/offer.rs
@@ -1,4 +1,4 @@
-//! Readings of files that are offered, and the result.
+//! Results of reading files, and the result of offering them.
 
 use std::sync::Arc;
 
@@ -7,27 +7,28 @@
 use crate::list_change::ListChange;
 use crate::server_record::ServerListing;
 
-/// What came of reading a file.
+/// Result of reading one file: the listing of the file, or all problems of the file.
 pub type ReadResult = Result<Arc<ServerListing>, Vec<Problem>>;
 
-/// A change that is accepted.
+/// A list that was accepted and put in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedList {
-    /// The list's number in this process, from 1.
+    /// Number of the list in this process, counted from 1.
     pub revision: u64,
-    /// A hash of the files' contents, the same in every process.
+    /// Hash of the contents of the files. Every process computes the same hash for the same contents.
     pub hash: String,
-    /// What it did.
+    /// Differences to the list that was in force before.
     pub changes: Vec<ListChange>,
 }
 
-/// The result of offering files.
+/// Result of offering files.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OfferResult {
-    /// The change, if one was accepted.
+    /// The list that was put in force; `None` if nothing changed or the list was rejected.
     pub applied: Option<AppliedList>,
-    /// What was refused, and why. The last good list stays in force.
+    /// Problems for which files or the combined list were rejected. The last accepted listings stay in force.
     pub problems: Vec<Problem>,
-    /// Files that belong together say different versions: the rest is awaited.
+    /// A message with the versions of files, if files state different versions. Files that state a version are not
+    /// applied until all versions agree.
     pub version_mismatch: Option<String>,
 }
--- a/crates/server-list/src/removal_guard.rs
+++ b/crates/server-list/src/removal_guard.rs
@@ -1,4 +1,4 @@
-//! The guard against a change that removes too many servers at once.
+//! Guard against a change that takes too many serving servers out at once.
 
 use std::sync::Arc;
 
@@ -9,8 +9,11 @@
 use crate::server_record::ServerListing;
 use crate::tracked_server::TrackedServer;
 
-/// Rejects a list that removes more of the serving servers than the stated share at once, unless a changed file states
-/// how many it removes. Guards against a mistake in one file that would empty a pool.
+/// Rejects a list that takes more than `max_removed_share` of the serving servers out, unless the changed files state
+/// the exact number in `takes_out`. The check guards against a mistake in one file that would empty a pool.
+///
+/// `before` and `after` are the servers without and with the new listings. `new` and `accepted` are the new and the
+/// accepted listings, in the order of the files.
 pub(crate) fn check(
     spec: &ListSpec,
     before: &[TrackedServer],
@@ -43,9 +46,11 @@
     let max_percent = spec.max_removed_share * 100.0;
     let mut problem = Problem::of_file(
         file,
-        format!("it takes {removed} of {serving} serving servers out, over {max_percent}% at once"),
+        format!(
+            "the change takes {removed} of {serving} serving servers out, over {max_percent}% at once"
+        ),
     );
     problem.field = "takes_out".to_string();
-    problem.help = Some(format!("if that is meant, write takes_out = {removed}"));
+    problem.help = Some(format!("if this is intended, write takes_out = {removed}"));
     Err(vec![problem])
 }
--- a/crates/server-list/src/server_record.rs
+++ b/crates/server-list/src/server_record.rs
@@ -1,42 +1,46 @@
-//! Servers as a file names them.
+//! Servers as a file lists them.
 
 use std::net::SocketAddr;
 use std::ops::Range;
 
 use sableloom_toml_diagnostics::{Located, Problem};
 
-/// What a server is to do.
+/// State that a file sets for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordState {
-    /// It takes requests.
+    /// The server receives requests.
     Serving,
-    /// It finishes what it has.
+    /// The server finishes its requests in flight and receives no new ones.
     Draining,
 }
 
-/// A server as a file names it.
+/// A server as a file lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerRecord {
-    /// Its name.
+    /// Id of the server, unique in the pool.
     pub id: String,
-    /// Where it is.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Its zone; empty for none.
+    /// Zone of the server; empty if the server has none.
     pub zone: String,
-    /// Its relative size; one of 0 gets no requests.
+    /// Relative size of the server. A server of weight 0 receives no requests.
     pub weight: f64,
-    /// What it is to do.
+    /// Whether the server is serving or draining.
     pub state: RecordState,
-    /// When it last started, in Unix milliseconds, if that is stated.
+    /// Last start of the server in Unix milliseconds, if it is stated.
     pub started_ms: Option<f64>,
     pub(crate) location: SourceLocation,
 }
 
-/// Where it stands in its file. Two servers that differ only in this are the same.
+/// Location of a server in its file. All locations compare as equal, so that two server records which differ only in
+/// their locations are equal.
 #[derive(Clone, Debug)]
 pub(crate) struct SourceLocation {
+    /// Byte range of the table of the server.
     pub(crate) span: Range<usize>,
+    /// Line at which the table starts, counted from 1.
     pub(crate) line: usize,
+    /// Index of the server among the servers of the file.
     pub(crate) index: usize,
 }
 
@@ -47,17 +51,18 @@
 }
 
 impl ServerRecord {
-    /// A server that comes from elsewhere than a file of servers: `index` is its place in its listing,
-    /// `line` the line that set it.
+    /// A server that does not come from a file of servers. Problems of the server are reported for the field
+    /// `server[index]` and the line `line`, counted from 1.
     pub fn new(fields: ServerFields, index: usize, line: usize) -> Self {
         fields.record(SourceLocation { span: 0..0, line, index })
     }
 
-    /// Whether it takes requests.
+    /// Whether the server receives requests: it is serving and its weight is above 0.
     pub fn serves(&self) -> bool {
         self.state == RecordState::Serving && self.weight > 0.0
     }
 
+    /// A problem with a field of this server in the file named `file`.
     pub(crate) fn problem(&self, file: &str, field: &str, message: String) -> Problem {
         Problem {
             file: file.to_string(),
@@ -71,37 +76,38 @@
     }
 }
 
-/// What a file says.
+/// The contents of one file of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerListing {
-    /// Files of a pool that say a version change together.
+    /// Version that the file states. Files of a pool that state a version are applied only when their versions agree.
     pub version: Option<String>,
-    /// How many serving servers it takes out, if it says so.
+    /// Number of serving servers that a change of the file takes out, if the file states it.
     pub takes_out: Option<usize>,
-    /// Its servers, in their order.
+    /// Servers, in the order of the file.
     pub servers: Vec<ServerRecord>,
-    /// Of its bytes.
+    /// Digest that changes with the contents; for a file, the SHA-256 digest of its bytes.
     pub digest: [u8; 32],
 }
 
-/// The fields of one server.
+/// Fields of one server, read from a table.
 #[derive(Clone, Debug)]
 pub struct ServerFields {
-    /// Its id.
+    /// Id of the server.
     pub id: Located<String>,
-    /// Where it is.
+    /// Address of the server.
     pub address: Located<SocketAddr>,
-    /// Its zone; empty for none.
+    /// Zone of the server; empty if the server has none.
     pub zone: String,
-    /// Its relative size.
+    /// Relative size of the server. A server of weight 0 receives no requests.
     pub weight: f64,
-    /// What it is to do.
+    /// Whether the server is serving or draining.
     pub state: RecordState,
-    /// When it last started, in Unix milliseconds, if that is stated.
+    /// Last start of the server in Unix milliseconds, if it is stated.
     pub started_ms: Option<f64>,
 }
 
 impl ServerFields {
+    /// The record of a server with these fields at a location.
     pub(crate) fn record(self, location: SourceLocation) -> ServerRecord {
         ServerRecord {
             id: self.id.value,
--- a/crates/server-list/src/tracked_server.rs
+++ b/crates/server-list/src/tracked_server.rs
@@ -1,24 +1,24 @@
-//! A server that a pool knows, from the list that names it until its drain is over.
+//! A server of a pool, from the first list that names it to the end of its drain time.
 
 use rustc_hash::FxHashSet;
 use sableloom_types::{EndpointStatus, ListedEndpoint, Time};
 
 use crate::server_record::ServerRecord;
 
-/// A server that is in force, or drains.
+/// A listed server, or a removed server that drains.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedServer {
-    /// Its name towards the policy for as long as it is known.
+    /// Name of the server as an endpoint of the policy, kept when the id of the server changes.
     pub(crate) name: Box<str>,
     pub(crate) record: ServerRecord,
-    /// When it counts as started, in Unix milliseconds; 0 for long ago.
+    /// Start of the server for its warm-up, in Unix milliseconds; 0 stands for long ago.
     pub(crate) up_since_ms: f64,
-    /// No list names it; it is forgotten by then.
+    /// End of the drain time of a removed server; `None` for a listed server.
     pub(crate) drain_ends_at: Option<Time>,
 }
 
 impl TrackedServer {
-    /// The endpoint as the policy sees it.
+    /// The endpoint that stands for the server in the policy.
     pub(crate) fn endpoint(&self) -> ListedEndpoint {
         let weight = self.record.weight;
         ListedEndpoint {
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Whether it takes requests.
+    /// Whether the server is listed and receives requests.
     pub(crate) fn serves(&self) -> bool {
         self.drain_ends_at.is_none() && self.record.serves()
     }
 }
 
-/// The server's id, unless one that was renamed still has it as its name.
+/// A free name for the endpoint of a server: the id of the server, or the id with a number if the endpoint of a renamed
+/// server still has the id as its name.
 pub(crate) fn free_name(names: &FxHashSet<Box<str>>, server: &ServerRecord) -> Box<str> {
     let id: Box<str> = server.id.as_str().into();
     if !names.contains(&id) {
--- a/crates/server-list/tests/file_lists.rs
+++ b/crates/server-list/tests/file_lists.rs
@@ -1,4 +1,4 @@
-//! Every form of a list, and every way in which one can be wrong.
+//! Lists from files: which contents are accepted or rejected, and what each change does to the endpoints.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A file of these servers, each as `id port more`.
+/// The contents of a file with these servers, each given as `id port fields`. Commas separate the fields.
 fn file(top_level: &str, servers: &[&str]) -> String {
     let mut text = format!("{top_level}\n");
     for server in servers {
@@ -99,7 +99,7 @@
     let status: Vec<_> =
         lists.endpoints().iter().map(|e| (e.status, e.size, e.up_since_ms)).collect();
     let (live, draining) = (EndpointStatus::Live, EndpointStatus::Draining);
-    // What is there at the start has long been there; a weight of 0 gets nothing.
+    // Servers of the first list count as started long ago, and a server of weight 0 is listed as draining.
     assert_eq!(
         status,
         [(live, 1.0, 0.0), (live, 2.5, 0.0), (draining, 1.0, 0.0), (draining, 1.0, 0.0)]
@@ -114,8 +114,8 @@
 fn a_list_with_any_problem_is_rejected_as_a_whole() {
     let mut lists = lists_from(&["a 1", "b 2"]);
     for (text, expected) in [
-        (String::new(), "a.toml:1:1: it is empty"),
-        (" \n\t\r\n".into(), "it is empty"),
+        (String::new(), "a.toml:1:1: the file is empty"),
+        (" \n\t\r\n".into(), "the file is empty"),
         ("[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\n".into(), "field `end`: missing"),
         (file("", &["a 1", "a 2"]), "field `server[1].id`: \"a\" is the id of server[0] as well"),
         (file("", &["a 1", "b 1"]), "127.0.0.1:1 is the address of server[0] as well"),
@@ -133,11 +133,11 @@
         (file("", &["a 1 started = 2026-12-01", "b 2"]), "a date and time with an offset"),
         (file("", &["a 1 started = 1969-12-01T00:00:00Z", "b 2"]), "expected a date after 1970"),
         (file("", &["a 1 started = 2999-12-01T00:00:00Z", "b 2"]), "an hour ahead"),
-        (file("pool = \"pionts\"", &["a 1", "b 2"]), "that is `points`"),
+        (file("pool = \"pionts\"", &["a 1", "b 2"]), "the pool is `points`"),
         (file("", &["a 1", "b 2"]).replace("127.0.0.1:1", "points-1:1"), "names are not looked up"),
         (
             file("", &["a 1", "b 2"]).replace("servers = 2", "servers = 3"),
-            "2 servers are here, not 3",
+            "the file has 2 servers, not 3",
         ),
         (
             file("", &["a 1", "b 2"]) + "[[server]]\nid = \"c\"",
@@ -157,23 +157,23 @@
 #[test]
 fn removing_more_than_the_maximum_share_requires_the_exact_takes_out() {
     let mut lists = lists_from(&["a 1", "b 2", "c 3", "d 4"]);
-    // Half of them is the share.
+    // At most half of the servers may be taken out without a statement.
     let summary = rejected(&mut lists, &[&file("", &["a 1"])]);
     assert!(summary.contains("takes 3 of 4 serving servers out, over 50%"), "{summary}");
     assert!(summary.contains("write takes_out = 3"), "{summary}");
     for top_level in ["takes_out = 2", "takes_out = 4"] {
         rejected(&mut lists, &[&file(top_level, &["a 1"])]);
     }
-    // Drained, without weight or left out: all the same.
+    // Servers that are left out, are draining or have weight 0 all count as taken out.
     let one_serving = ["a 1 weight = 0", "b 2 state = \"draining\"", "d 4"];
     assert!(rejected(&mut lists, &[&file("", &one_serving)]).contains("takes 3 of 4"));
     let changes = accepted(&mut lists, at(1), &[&file("takes_out = 3", &["a 1"])]);
     assert_eq!(changes, ["removed b", "removed c", "removed d"]);
-    // The same words are no leave for the next change.
+    // The `takes_out = 3` of the last change does not permit the next change, which takes one server out.
     rejected(&mut lists, &[&file("takes_out = 3", &[])]);
     let changes = accepted(&mut lists, at(2), &[&file("takes_out = 1", &[])]);
     assert_eq!(changes, ["removed a"]);
-    // Emptied, and filled again.
+    // The emptied pool accepts servers again, and a server that drains returns.
     assert!(lists.endpoints().iter().all(|e| e.status == EndpointStatus::Draining));
     let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "e 5"])]);
     assert_eq!(changes, ["returned a", "added e"]);
@@ -194,7 +194,7 @@
     assert_eq!(lists.server_count(), 2);
     assert!(lists.remove_drained(Time(at(10).0 + DRAIN_US)));
     assert_eq!((lists.server_count(), lists.next_drain_end()), (1, None));
-    // It counts as new from then on, and starts cold.
+    // A server that is listed again after its drain time counts as new and starts cold.
     assert_eq!(accepted(&mut lists, at(60), &[&file("", &["a 1", "b 2"])]), ["added b"]);
     assert_eq!(endpoint(&lists, "b").up_since_ms, unix_ms(at(60)));
 }
@@ -221,7 +221,7 @@
         accepted(&mut lists, at(1), &[&file("", &["a 1"])]);
         let changes = accepted(&mut lists, at(2), &[&file("", &["a 1", returned])]);
         assert_eq!(changes, expected, "{returned}");
-        // The policy knows it as the same: its requests in flight count.
+        // The endpoint keeps its name, so that its requests in flight still count.
         let endpoint = endpoint(&lists, "b");
         assert_eq!(endpoint.status, EndpointStatus::Live);
         assert_eq!(endpoint.up_since_ms > 0.0, cold, "{returned}");
@@ -239,11 +239,11 @@
     let changes = accepted(&mut lists, at(1), &[&file("", &["a 1", "c 2"])]);
     assert_eq!(changes, ["renamed b to c"]);
     assert_eq!((lists.server_count(), endpoint(&lists, "b").up_since_ms), (2, 0.0));
-    // Another is free to take the old id, and is not taken for the first.
+    // Another server may take the old id, and gets an endpoint of its own.
     let changes = accepted(&mut lists, at(2), &[&file("", &["a 1", "c 2", "b 3"])]);
     assert_eq!(changes, ["added b"]);
     assert_eq!(endpoint(&lists, "b 2").address, "127.0.0.1:3".parse().expect("an address"));
-    // Two that swap their ids stay what they are.
+    // Two servers that swap their ids keep their endpoints.
     let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "b 2", "c 3"])]);
     assert_eq!(changes, ["renamed c to b", "renamed b to c"]);
     assert_eq!(lists.server_count(), 3);
@@ -258,7 +258,7 @@
     assert_eq!(changes, ["restarted a", "moved b from 127.0.0.1:2 to 127.0.0.1:7"]);
     assert_eq!(endpoint(&lists, "a").up_since_ms, before + 59.0 * 60_000.0);
     assert_eq!(endpoint(&lists, "b").up_since_ms, unix_ms(at(1)));
-    // A start that is no longer stated is no news.
+    // A start time that is no longer stated changes nothing.
     assert_eq!(accepted(&mut lists, at(2), &[&file("", &["a 1", "b 7"])]), Vec::<String>::new());
     assert_eq!(endpoint(&lists, "a").up_since_ms, before + 59.0 * 60_000.0);
 }
@@ -284,11 +284,11 @@
 fn an_invalid_file_keeps_its_last_list_while_other_files_change() {
     let mut lists = FileLists::new(spec(&["a.toml", "b.toml"]));
     let bad = "[[server]";
-    // At first all must be good.
+    // The first list is accepted only if all files are valid.
     let first = offer(&mut lists, at(0), &[&file("", &["a 1"]), bad]);
     assert!(first.applied.is_none() && first.problems[0].file == "b.toml");
     accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
-    // One that goes bad stays as it was; the other's change holds.
+    // A file that becomes invalid keeps its listing, and the change of the other file is applied.
     let mixed = offer(&mut lists, at(1), &[&file("", &["a 1", "b 2", "d 4"]), bad]);
     assert_eq!(mixed.problems.len(), 1);
     assert_eq!(
@@ -296,7 +296,7 @@
         [ListChange::Added("d".into())]
     );
     assert_eq!(lists.server_count(), 4);
-    // What is wrong only together is refused together.
+    // Files that are valid alone and contradict each other are rejected together.
     let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "c 9"]), &file("", &["c 3"])]);
     assert!(
         summary.contains("b.toml") && summary.contains("\"c\" is in a.toml as well"),
@@ -304,7 +304,7 @@
     );
     let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "x 3"]), &file("", &["c 3"])]);
     assert!(summary.contains("127.0.0.1:3 is in a.toml as well"), "{summary}");
-    // One that moves from file to file goes with both.
+    // A server may move from one file to another if both files change in the same offer.
     let moved = [&file("", &["a 1", "b 2", "c 3"])[..], &file("", &["d 4"])];
     assert_eq!(accepted(&mut lists, at(2), &moved), Vec::<String>::new());
 }
@@ -315,7 +315,7 @@
     let versioned = |n: u32, servers: &[&str]| file(&format!("version = \"{n}\""), servers);
     let unversioned = file("", &["f 9"]);
     accepted(&mut lists, at(0), &[&versioned(1, &["a 1"]), &versioned(1, &["b 2"]), &unversioned]);
-    // One of them is ahead: awaited, and nothing of it is in force.
+    // A file that states a new version before the other file does is not applied.
     let ahead = offer(
         &mut lists,
         at(1),
@@ -324,7 +324,7 @@
     assert_eq!((ahead.applied, ahead.problems), (None, vec![]));
     let message = ahead.version_mismatch.expect("a message");
     assert_eq!(message, "versions differ: a.toml has `2`, b.toml has `1`");
-    // A file that says none goes its own way meanwhile.
+    // A file that states no version is applied independently of the others.
     let changed_unversioned = file("", &["f 9", "g 10"]);
     let unversioned_change = offer(
         &mut lists,
@@ -335,7 +335,7 @@
         unversioned_change.applied.expect("the unversioned file changed").changes,
         [ListChange::Added("g".into())]
     );
-    // The other is broken: still awaited.
+    // The new version is still not applied while the other file is invalid.
     let broken = offer(
         &mut lists,
         at(3),
@@ -360,14 +360,14 @@
     let a = file("", &["a 1", "b 2"]);
     assert_eq!(accepted(&mut lists, at(1), &[&a]), ["removed c"]);
     lists.set_spec(spec(&["a.toml", "d.toml"]));
-    // The old one is broken now, and still as it was; the new one must be good.
+    // a.toml is invalid now and keeps its listing. d.toml is new and valid.
     let offered = offer(&mut lists, at(2), &["[", &file("", &["d 4"])]);
     assert_eq!(
         offered.applied.expect("d.toml is valid and new").changes,
         [ListChange::Added("d".into())]
     );
     assert_eq!(lists.endpoints().iter().filter(|e| e.status == EndpointStatus::Live).count(), 3);
-    // Set again, and nothing is new.
+    // The same settings and files again apply nothing.
     let revision = lists.revision_and_hash().0;
     lists.set_spec(spec(&["a.toml", "d.toml"]));
     assert_eq!(offer(&mut lists, at(3), &[&a, &file("", &["d 4"])]), OfferResult::default());
--- a/crates/server-list/tests/incremental_list.rs
+++ b/crates/server-list/tests/incremental_list.rs
@@ -1,4 +1,4 @@
-//! Servers that change one by one.
+//! A list of servers that are changed one by one.
 
 use sableloom_server_list::{IncrementalList, ServerChange, ServerDescription};
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
@@ -28,7 +28,7 @@
     Time(seconds * 1_000_000)
 }
 
-/// Name, port and state of each entry, in order.
+/// Name, port and status of each endpoint, sorted by name.
 fn summary(mut endpoints: Vec<ListedEndpoint>) -> Vec<(String, u16, EndpointStatus)> {
     endpoints.sort_by(|a, b| a.id.cmp(&b.id));
     endpoints.iter().map(|e| (e.id.to_string(), e.address.port(), e.status)).collect()
@@ -67,7 +67,7 @@
     let stated = ServerDescription { started_ms: Some(5000.0), ..server("d", 4) };
     let changed = list.apply(seconds(10), vec![ServerChange::Set(stated)]);
     assert_eq!(changed[0].up_since_ms, 5000.0);
-    // The same id at another address is another machine.
+    // A server with the same id at another address counts as another machine.
     let changed = list.apply(seconds(11), vec![set("b", 20)]);
     assert_eq!(
         (summary(changed.clone()), changed[0].up_since_ms),
@@ -90,19 +90,19 @@
 #[test]
 fn an_address_keeps_its_endpoint_when_its_server_id_changes() {
     let mut list = list_of_three();
-    // Renamed: the policy knows it by its first id.
+    // The endpoint of a renamed server keeps the first id of the server as its name.
     let changed = list.apply(seconds(2), vec![remove("a"), set("x", 1)]);
     assert_eq!(summary(changed), [row("a", 1, EndpointStatus::Live)]);
     assert_eq!(list.id_at(([127, 0, 0, 1], 1).into()), Some("x"));
-    // Its first id is another machine's name now, and is not given twice.
+    // Another server takes the id `a`. The name `a` is in use, so that the new endpoint gets another name.
     let changed = list.apply(seconds(3), vec![set("a", 5)]);
     assert_eq!(summary(changed), [row("a 2", 5, EndpointStatus::Live)]);
-    // Two change places.
+    // Two servers swap their addresses.
     list.apply(seconds(4), vec![set("b", 3), set("c", 2)]);
     let mut ids: Vec<&str> = list.ids().collect();
     ids.sort();
     assert_eq!((ids, list.next_drain_end()), (vec!["a", "b", "c", "x"], None));
-    // One takes the place of another that is removed; where it was, nothing is any more.
+    // A server moves to the address of a removed server, and the endpoint at its former address drains.
     let changed = list.apply(seconds(5), vec![remove("c"), set("b", 2)]);
     assert_eq!(
         summary(changed),
--- a/crates/server-list/tests/property.rs
+++ b/crates/server-list/tests/property.rs
@@ -1,5 +1,5 @@
-//! Seeded histories of files, broken and whole, against a naive model; and cuts at every byte.
-//! `SEED=n` replays one history.
+//! Random histories of valid, invalid and truncated files are compared with a simple model, and a file is truncated at
+//! every byte. The environment variable `SEED=n` runs only the history of seed `n`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,10 +9,12 @@
 use sableloom_server_list::{FileLists, ListChange, ListSpec, ReadResult, ServerListing, read};
 use sableloom_types::{EndpointStatus, ListedEndpoint, Span, Time};
 
+/// Number of random histories.
 const SEEDS: u64 = 1500;
 const DRAIN_US: i64 = 3_000_000;
 const MAX_REMOVED_SHARE: f64 = 0.5;
 
+/// A server of the model. `started` is a second of the first minute of 2025-12-01.
 #[derive(Clone, Debug, PartialEq)]
 struct ModelServer {
     id: u64,
@@ -22,6 +24,7 @@
     started: Option<u64>,
 }
 
+/// The contents of a file of the model.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ModelFile {
     version: Option<u64>,
@@ -48,6 +51,7 @@
         text + &format!("[end]\nservers = {}\n", self.servers.len())
     }
 
+    /// Whether no two servers have the same id or port.
     fn is_valid(&self) -> bool {
         let ids: BTreeSet<_> = self.servers.iter().map(|s| s.id).collect();
         let ports: BTreeSet<_> = self.servers.iter().map(|s| s.port).collect();
@@ -55,7 +59,7 @@
     }
 }
 
-/// What a pool is by the rules, said as plainly as possible.
+/// The list that is in force by the rules, in a simple implementation.
 #[derive(Clone, Default)]
 struct Model {
     accepted: Vec<Option<ModelFile>>,
@@ -63,8 +67,8 @@
 }
 
 impl Model {
-    /// The list in force after these files; whether it is a new one. `tracked` are the ports of what
-    /// is in force or drains: what is there is known by its address.
+    /// Offers files, with `None` for each invalid file, and returns whether they make a new list. `tracked` has the ports
+    /// of all listed and draining servers, because a server at one of these ports is identified by its address.
     fn offer(&mut self, files: &[Option<ModelFile>], tracked: &BTreeSet<u64>) -> bool {
         let mut new: Vec<Option<ModelFile>> =
             files.iter().zip(&self.accepted).map(|(f, g)| f.clone().or(g.clone())).collect();
@@ -87,7 +91,7 @@
         if !combined.is_valid() || (!servers.is_empty() && servers.iter().all(|s| s.weight == 0)) {
             return false;
         }
-        // Who serves is known by its address, or else by its id.
+        // A server continues at its address, or else with its id at an address that is not tracked.
         let serves = |server: &&ModelServer| server.weight > 0 && !server.draining;
         let ports: BTreeSet<_> = servers.iter().map(|s| s.port).collect();
         let stops_serving = |old: &&ModelServer| {
@@ -123,6 +127,7 @@
     }
 }
 
+/// Returns a file with one to three random changes.
 fn mutate(rng: &mut Rand64, last: &ModelFile) -> ModelFile {
     let mut file = last.clone();
     for _ in 0..rng.rand_range(1..4) {
@@ -150,6 +155,7 @@
     file
 }
 
+/// Numbers of applied and rejected offers, and of servers that returned during their drain.
 #[derive(Default)]
 struct OfferCounts {
     applied: usize,
@@ -157,8 +163,8 @@
     returned: usize,
 }
 
-/// Writes each file anew, perhaps changed or cut, and reads it; checks that just valid ones can be read. Returns what was
-/// read, and the files that are valid.
+/// Changes and truncates files at random, and reads them. Checks that exactly the valid files can be read. Returns the
+/// results of reading, and the valid files.
 fn write_and_read(
     rng: &mut Rand64,
     spec: &ListSpec,
@@ -169,7 +175,7 @@
     let mut readings: Vec<ReadResult> = Vec::new();
     let mut files = Vec::new();
     for (i, file) in written.iter_mut().enumerate() {
-        // From what is in force as often as from what was written last.
+        // Half of the files are based on the accepted file, the others on the file that was written last.
         if rng.rand_range(0..2) == 0 {
             *file = model.accepted[i].clone().unwrap_or_default();
         }
@@ -177,7 +183,7 @@
             *file = mutate(rng, file);
         }
         let mut text = file.text();
-        // Broken by a cut somewhere.
+        // One of eight files is truncated at a random byte.
         let truncated = rng.rand_range(0..8) == 0;
         if truncated {
             text.truncate(rng.rand_range(0..text.len() as u64 - 1) as usize);
@@ -190,7 +196,7 @@
     (readings, files)
 }
 
-/// Checks that what is in force is what the model has, no more and no less.
+/// Checks that the live endpoints are exactly the serving servers of the model.
 fn check_in_force(endpoints: &[ListedEndpoint], model: &Model, context: &str) {
     let live: BTreeMap<SocketAddr, f64> = endpoints
         .iter()
@@ -204,7 +210,7 @@
         .map(|s| (SocketAddr::from(([127, 0, 0, 1], s.port as u16)), s.weight as f64))
         .collect();
     assert_eq!(live, expected, "{context}");
-    // One endpoint for each address and one name for each endpoint: no limit counted twice.
+    // No two endpoints have the same address or the same name, so that no limit is counted twice.
     let addresses: BTreeSet<_> = endpoints.iter().map(|e| e.address).collect();
     let names: BTreeSet<_> = endpoints.iter().map(|e| &e.id).collect();
     assert_eq!((addresses.len(), names.len()), (endpoints.len(), endpoints.len()), "{context}");
@@ -242,10 +248,10 @@
             counts.rejected += 1;
         }
         check_in_force(&endpoints, &model, &context);
-        // A name keeps its address unless that moved, and none is forgotten before its time.
+        // An offer removes no endpoint: endpoints are removed only after their drain time.
         let removed = before.iter().any(|old| !endpoints.iter().any(|e| e.id == old.id));
         assert!(!removed, "removed before the end of its drain time: {context}");
-        // A server that no list names drains, and for no longer than it may.
+        // No server drains for longer than the drain time.
         let drain_end = lists.next_drain_end().map_or(now.0, |drain_end| drain_end.0);
         assert!(drain_end <= now.0 + DRAIN_US, "{context}");
     }
@@ -265,7 +271,7 @@
         total.rejected += counts.rejected;
         total.returned += counts.returned;
     }
-    // The histories do go everywhere.
+    // The histories contain many accepted offers, rejected offers and returned servers.
     let summary = format!(
         "{} applied, {} rejected, {} returned",
         total.applied, total.rejected, total.returned
@@ -276,7 +282,7 @@
 #[test]
 fn a_file_truncated_at_any_byte_is_rejected_unless_only_the_trailing_comment_is_lost() {
     let spec = spec(1);
-    let text = "# Points nodes, \u{fc}ber alles\nversion = \"1\"\npool = \"p\"\ntakes_out = 12\n\n\
+    let text = "# Points nodes, \u{fc}berall\nversion = \"1\"\npool = \"p\"\ntakes_out = 12\n\n\
         [[server]]\nid = \"a\"\naddress = \"127.0.0.1:9001\"\nweight = 10.25\n\n\
         [[server]]\nid = \"b\"\naddress = \"[::1]:90\"\nzone = \"z\"\nstate = \"draining\"\n\
         started = 2026-12-01T08:30:00.125+01:00\n\n\
@@ -300,6 +306,6 @@
             }
         }
     }
-    // All that may be missing is the comment and the line's end behind the number.
+    // A file can be read without its last comment and line break, but not if any byte before them is missing.
     assert_eq!((rejected, same), (text.len() - " # all\n".len(), " # all\n".len()));
 }
