--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -88,15 +88,16 @@
     /// The index of the first rule whose conditions all hold, or `None` if the conditions of no rule hold.
     pub fn find(&self, head: &RequestHead<'_>) -> Option<usize> {
         let hosts = self.matching_hosts(host_name(head.host));
-        let mut first = self.rules.len();
+        let mut first_match = self.rules.len();
         let mut try_path = |path: Option<PatternId>| {
             let Some(path) = path else { return };
             for host in &hosts {
                 let Some(rules) = self.rules_by_pair.get(&(*host, path)) else { continue };
-                for rule in rules.iter().map(|rule| *rule as usize).take_while(|rule| *rule < first)
+                for rule in
+                    rules.iter().map(|rule| *rule as usize).take_while(|rule| *rule < first_match)
                 {
                     if self.rules[rule].unindexed_mismatch(head).is_none() {
-                        first = rule;
+                        first_match = rule;
                         break;
                     }
                 }
@@ -120,7 +121,7 @@
             |i| path[last_index - i],
             |ids, _| try_path(ids.prefix),
         );
-        (first < self.rules.len()).then_some(first)
+        (first_match < self.rules.len()).then_some(first_match)
     }
 
     /// The first condition of a rule that does not hold for a request. Returns `None` if all conditions hold, or if
--- a/crates/routes/src/table/transducer.rs
+++ b/crates/routes/src/table/transducer.rs
@@ -65,13 +65,13 @@
     /// Returns the number of the exact pattern with this text. A new pattern gets the number after `last_id`, which
     /// becomes the new `last_id`.
     pub(super) fn exact_id(&mut self, text: Vec<u8>, last_id: &mut PatternId) -> PatternId {
-        get_or_assign(&mut self.0.entry(text).or_default().exact, last_id)
+        get_or_assign_id(&mut self.0.entry(text).or_default().exact, last_id)
     }
 
     /// Returns the number of the prefix pattern with this text. A new pattern gets the number after `last_id`, which
     /// becomes the new `last_id`.
     pub(super) fn prefix_id(&mut self, text: Vec<u8>, last_id: &mut PatternId) -> PatternId {
-        get_or_assign(&mut self.0.entry(text).or_default().prefix, last_id)
+        get_or_assign_id(&mut self.0.entry(text).or_default().prefix, last_id)
     }
 
     pub(super) fn build(self) -> Result<Transducer, fst::Error> {
@@ -81,7 +81,7 @@
     }
 }
 
-fn get_or_assign(id: &mut Option<PatternId>, last_id: &mut PatternId) -> PatternId {
+fn get_or_assign_id(id: &mut Option<PatternId>, last_id: &mut PatternId) -> PatternId {
     *id.get_or_insert_with(|| {
         last_id.0 += 1;
         *last_id
--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -58,8 +58,8 @@
             self.tracked.iter().map(|tracked| tracked.name.clone()).collect();
         let (mut merged, mut changes) = (Vec::new(), Vec::new());
         for server in servers {
-            let at_old_address = || by_id.get(&*server.id).copied().filter(|i| !matched[*i]);
-            let known = by_address.get(&server.address).copied().or_else(at_old_address);
+            let known_with_id = || by_id.get(&*server.id).copied().filter(|i| !matched[*i]);
+            let known = by_address.get(&server.address).copied().or_else(known_with_id);
             let tracked = match known {
                 Some(i) => {
                     matched[i] = true;
--- a/crates/server-list/tests/file_lists.rs
+++ b/crates/server-list/tests/file_lists.rs
@@ -42,25 +42,25 @@
     text + &format!("[end]\nservers = {}\n", servers.len())
 }
 
-fn reading(spec: &ListSpec, name: &str, text: &str) -> ReadResult {
+fn read_result(spec: &ListSpec, name: &str, text: &str) -> ReadResult {
     read(name, text.as_bytes(), spec).map(Arc::new)
 }
 
 fn offer(lists: &mut FileLists, now: Time, texts: &[&str]) -> OfferResult {
     let spec = lists.spec().clone();
     let readings: Vec<_> =
-        spec.files.iter().zip(texts).map(|(name, text)| reading(&spec, name, text)).collect();
+        spec.files.iter().zip(texts).map(|(name, text)| read_result(&spec, name, text)).collect();
     lists.offer(now, &readings)
 }
 
-fn accepted(lists: &mut FileLists, now: Time, texts: &[&str]) -> Vec<String> {
+fn expect_accepted(lists: &mut FileLists, now: Time, texts: &[&str]) -> Vec<String> {
     let offer = offer(lists, now, texts);
     assert_eq!(offer.problems, [], "the list has no problems");
     let applied = offer.applied.expect("the list is accepted");
     applied.changes.iter().map(ListChange::to_string).collect()
 }
 
-fn rejected(lists: &mut FileLists, texts: &[&str]) -> String {
+fn expect_rejected(lists: &mut FileLists, texts: &[&str]) -> String {
     let before = lists.endpoints();
     let offer = offer(lists, at(1), texts);
     assert_eq!(offer.applied, None);
@@ -72,7 +72,7 @@
 
 fn lists_from(first: &[&str]) -> FileLists {
     let mut lists = FileLists::new(spec(&["a.toml"]));
-    accepted(&mut lists, at(0), &[&file("", first)]);
+    expect_accepted(&mut lists, at(0), &[&file("", first)]);
     lists
 }
 
@@ -92,7 +92,7 @@
         "pool = \"points\"",
         &["a 1 zone = \"east\"", "b 2 weight = 2.5", "c 3 state = \"draining\"", "d 4 weight = 0"],
     );
-    let changes = accepted(&mut lists, at(0), &[&text]);
+    let changes = expect_accepted(&mut lists, at(0), &[&text]);
     assert_eq!(changes, ["added a", "added b", "added c", "added d"]);
     let (revision, hash) = lists.revision_and_hash();
     assert_eq!((revision, hash.len()), (1, 12));
@@ -145,7 +145,7 @@
         ),
         (file("", &["a 1", "b 2"]).replace("id = \"b\"", "id = b"), "a.toml:"),
     ] {
-        let summary = rejected(&mut lists, &[&text]);
+        let summary = expect_rejected(&mut lists, &[&text]);
         assert!(summary.contains(expected), "expected {expected:?} for\n{text}\nfound\n{summary}");
     }
     let unreadable = vec![Problem::of_file("a.toml", "Permission denied")];
@@ -158,28 +158,28 @@
 fn removing_more_than_the_maximum_share_requires_the_exact_takes_out() {
     let mut lists = lists_from(&["a 1", "b 2", "c 3", "d 4"]);
     // At most half of the servers may be taken out without a statement.
-    let summary = rejected(&mut lists, &[&file("", &["a 1"])]);
+    let summary = expect_rejected(&mut lists, &[&file("", &["a 1"])]);
     assert!(summary.contains("takes 3 of 4 serving servers out, over 50%"), "{summary}");
     assert!(summary.contains("write takes_out = 3"), "{summary}");
     for top_level in ["takes_out = 2", "takes_out = 4"] {
-        rejected(&mut lists, &[&file(top_level, &["a 1"])]);
+        expect_rejected(&mut lists, &[&file(top_level, &["a 1"])]);
     }
     // Servers that are left out, are draining or have weight 0 all count as taken out.
     let one_serving = ["a 1 weight = 0", "b 2 state = \"draining\"", "d 4"];
-    assert!(rejected(&mut lists, &[&file("", &one_serving)]).contains("takes 3 of 4"));
-    let changes = accepted(&mut lists, at(1), &[&file("takes_out = 3", &["a 1"])]);
+    assert!(expect_rejected(&mut lists, &[&file("", &one_serving)]).contains("takes 3 of 4"));
+    let changes = expect_accepted(&mut lists, at(1), &[&file("takes_out = 3", &["a 1"])]);
     assert_eq!(changes, ["removed b", "removed c", "removed d"]);
     // The `takes_out = 3` of the last change does not permit the next change, which takes one server out.
-    rejected(&mut lists, &[&file("takes_out = 3", &[])]);
-    let changes = accepted(&mut lists, at(2), &[&file("takes_out = 1", &[])]);
+    expect_rejected(&mut lists, &[&file("takes_out = 3", &[])]);
+    let changes = expect_accepted(&mut lists, at(2), &[&file("takes_out = 1", &[])]);
     assert_eq!(changes, ["removed a"]);
     // The emptied pool accepts servers again, and a server that drains returns.
     assert!(lists.endpoints().iter().all(|e| e.status == EndpointStatus::Draining));
-    let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "e 5"])]);
+    let changes = expect_accepted(&mut lists, at(3), &[&file("", &["a 1", "e 5"])]);
     assert_eq!(changes, ["returned a", "added e"]);
     let mut halved = lists_from(&["a 1", "b 2", "c 3", "d 4"]);
     assert_eq!(
-        accepted(&mut halved, at(1), &[&file("", &["a 1", "b 2"])]),
+        expect_accepted(&mut halved, at(1), &[&file("", &["a 1", "b 2"])]),
         ["removed c", "removed d"]
     );
 }
@@ -187,7 +187,7 @@
 #[test]
 fn a_server_left_out_drains_for_the_drain_time_and_is_then_removed() {
     let mut lists = lists_from(&["a 1", "b 2"]);
-    accepted(&mut lists, at(10), &[&file("", &["a 1"])]);
+    expect_accepted(&mut lists, at(10), &[&file("", &["a 1"])]);
     assert_eq!(endpoint(&lists, "b").status, EndpointStatus::Draining);
     assert_eq!(lists.next_drain_end(), Some(Time(at(10).0 + DRAIN_US)));
     assert!(!lists.remove_drained(Time(at(10).0 + DRAIN_US - 1)));
@@ -195,7 +195,7 @@
     assert!(lists.remove_drained(Time(at(10).0 + DRAIN_US)));
     assert_eq!((lists.server_count(), lists.next_drain_end()), (1, None));
     // A server that is listed again after its drain time counts as new and starts cold.
-    assert_eq!(accepted(&mut lists, at(60), &[&file("", &["a 1", "b 2"])]), ["added b"]);
+    assert_eq!(expect_accepted(&mut lists, at(60), &[&file("", &["a 1", "b 2"])]), ["added b"]);
     assert_eq!(endpoint(&lists, "b").up_since_ms, unix_ms(at(60)));
 }
 
@@ -203,7 +203,7 @@
 fn servers_added_later_start_cold_unless_a_start_time_is_stated() {
     let mut lists = lists_from(&["a 1"]);
     let stated = "started = 2025-11-30T12:00:00+02:00";
-    accepted(&mut lists, at(5), &[&file("", &["a 1", "b 2", &format!("c 3 {stated}")])]);
+    expect_accepted(&mut lists, at(5), &[&file("", &["a 1", "b 2", &format!("c 3 {stated}")])]);
     assert_eq!(endpoint(&lists, "a").up_since_ms, 0.0);
     assert_eq!(endpoint(&lists, "b").up_since_ms, unix_ms(at(5)));
     assert_eq!(endpoint(&lists, "c").up_since_ms, unix_ms(at(-22 * 3600)));
@@ -218,8 +218,8 @@
         ("b 9", true, vec!["returned cold b", "moved b from 127.0.0.1:2 to 127.0.0.1:9"]),
     ] {
         let mut lists = lists_from(&["a 1", "b 2"]);
-        accepted(&mut lists, at(1), &[&file("", &["a 1"])]);
-        let changes = accepted(&mut lists, at(2), &[&file("", &["a 1", returned])]);
+        expect_accepted(&mut lists, at(1), &[&file("", &["a 1"])]);
+        let changes = expect_accepted(&mut lists, at(2), &[&file("", &["a 1", returned])]);
         assert_eq!(changes, expected, "{returned}");
         // The endpoint keeps its name, so that its requests in flight still count.
         let endpoint = endpoint(&lists, "b");
@@ -236,15 +236,15 @@
 #[test]
 fn a_renamed_server_keeps_its_endpoint_and_start_time() {
     let mut lists = lists_from(&["a 1", "b 2"]);
-    let changes = accepted(&mut lists, at(1), &[&file("", &["a 1", "c 2"])]);
+    let changes = expect_accepted(&mut lists, at(1), &[&file("", &["a 1", "c 2"])]);
     assert_eq!(changes, ["renamed b to c"]);
     assert_eq!((lists.server_count(), endpoint(&lists, "b").up_since_ms), (2, 0.0));
     // Another server may take the old id, and gets an endpoint of its own.
-    let changes = accepted(&mut lists, at(2), &[&file("", &["a 1", "c 2", "b 3"])]);
+    let changes = expect_accepted(&mut lists, at(2), &[&file("", &["a 1", "c 2", "b 3"])]);
     assert_eq!(changes, ["added b"]);
     assert_eq!(endpoint(&lists, "b 2").address, "127.0.0.1:3".parse().expect("an address"));
     // Two servers that swap their ids keep their endpoints.
-    let changes = accepted(&mut lists, at(3), &[&file("", &["a 1", "b 2", "c 3"])]);
+    let changes = expect_accepted(&mut lists, at(3), &[&file("", &["a 1", "b 2", "c 3"])]);
     assert_eq!(changes, ["renamed c to b", "renamed b to c"]);
     assert_eq!(lists.server_count(), 3);
 }
@@ -253,26 +253,32 @@
 fn a_restarted_or_moved_server_is_reported_and_starts_cold() {
     let mut lists = lists_from(&["a 1 started = 2025-12-01T07:00:00Z", "b 2"]);
     let before = endpoint(&lists, "a").up_since_ms;
-    let changes =
-        accepted(&mut lists, at(1), &[&file("", &["a 1 started = 2025-12-01T07:59:00Z", "b 7"])]);
+    let changes = expect_accepted(
+        &mut lists,
+        at(1),
+        &[&file("", &["a 1 started = 2025-12-01T07:59:00Z", "b 7"])],
+    );
     assert_eq!(changes, ["restarted a", "moved b from 127.0.0.1:2 to 127.0.0.1:7"]);
     assert_eq!(endpoint(&lists, "a").up_since_ms, before + 59.0 * 60_000.0);
     assert_eq!(endpoint(&lists, "b").up_since_ms, unix_ms(at(1)));
     // A start time that is no longer stated changes nothing.
-    assert_eq!(accepted(&mut lists, at(2), &[&file("", &["a 1", "b 7"])]), Vec::<String>::new());
+    assert_eq!(
+        expect_accepted(&mut lists, at(2), &[&file("", &["a 1", "b 7"])]),
+        Vec::<String>::new()
+    );
     assert_eq!(endpoint(&lists, "a").up_since_ms, before + 59.0 * 60_000.0);
 }
 
 #[test]
 fn changes_of_weight_state_and_zone_are_reported_and_keep_the_start_time() {
     let mut lists = lists_from(&["a 1", "b 2 zone = \"east\""]);
-    let changes = accepted(
+    let changes = expect_accepted(
         &mut lists,
         at(1),
         &[&file("", &["a 1 weight = 3", "b 2 zone = \"west\",state = \"draining\""])],
     );
     assert_eq!(changes, ["weight of a from 1 to 3", "zone of b", "drained b"]);
-    let changes = accepted(&mut lists, at(2), &[&file("", &["a 1 weight = 3", "b 2"])]);
+    let changes = expect_accepted(&mut lists, at(2), &[&file("", &["a 1 weight = 3", "b 2"])]);
     assert_eq!(changes, ["zone of b", "resumed b"]);
     assert!(
         lists.endpoints().iter().all(|e| e.up_since_ms == 0.0),
@@ -287,7 +293,7 @@
     // The first list is accepted only if all files are valid.
     let first = offer(&mut lists, at(0), &[&file("", &["a 1"]), bad]);
     assert!(first.applied.is_none() && first.problems[0].file == "b.toml");
-    accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
+    expect_accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
     // A file that becomes invalid keeps its listing, and the change of the other file is applied.
     let mixed = offer(&mut lists, at(1), &[&file("", &["a 1", "b 2", "d 4"]), bad]);
     assert_eq!(mixed.problems.len(), 1);
@@ -297,16 +303,18 @@
     );
     assert_eq!(lists.server_count(), 4);
     // Files that are valid alone and contradict each other are rejected together.
-    let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "c 9"]), &file("", &["c 3"])]);
+    let summary =
+        expect_rejected(&mut lists, &[&file("", &["a 1", "b 2", "c 9"]), &file("", &["c 3"])]);
     assert!(
         summary.contains("b.toml") && summary.contains("\"c\" is in a.toml as well"),
         "{summary}"
     );
-    let summary = rejected(&mut lists, &[&file("", &["a 1", "b 2", "x 3"]), &file("", &["c 3"])]);
+    let summary =
+        expect_rejected(&mut lists, &[&file("", &["a 1", "b 2", "x 3"]), &file("", &["c 3"])]);
     assert!(summary.contains("127.0.0.1:3 is in a.toml as well"), "{summary}");
     // A server may move from one file to another if both files change in the same offer.
     let moved = [&file("", &["a 1", "b 2", "c 3"])[..], &file("", &["d 4"])];
-    assert_eq!(accepted(&mut lists, at(2), &moved), Vec::<String>::new());
+    assert_eq!(expect_accepted(&mut lists, at(2), &moved), Vec::<String>::new());
 }
 
 #[test]
@@ -314,7 +322,11 @@
     let mut lists = FileLists::new(spec(&["a.toml", "b.toml", "c.toml"]));
     let versioned = |n: u32, servers: &[&str]| file(&format!("version = \"{n}\""), servers);
     let unversioned = file("", &["f 9"]);
-    accepted(&mut lists, at(0), &[&versioned(1, &["a 1"]), &versioned(1, &["b 2"]), &unversioned]);
+    expect_accepted(
+        &mut lists,
+        at(0),
+        &[&versioned(1, &["a 1"]), &versioned(1, &["b 2"]), &unversioned],
+    );
     // A file that states a new version before the other file does is not applied.
     let ahead = offer(
         &mut lists,
@@ -344,7 +356,7 @@
     assert!(
         broken.applied.is_none() && broken.version_mismatch.is_some() && broken.problems.len() == 1
     );
-    let changes = accepted(
+    let changes = expect_accepted(
         &mut lists,
         at(4),
         &[&versioned(2, &["a 1", "a2 3"]), &versioned(2, &["b 2", "b2 4"]), &changed_unversioned],
@@ -355,10 +367,10 @@
 #[test]
 fn after_a_change_of_files_lists_of_files_in_both_specs_stay_in_force() {
     let mut lists = FileLists::new(spec(&["a.toml", "b.toml"]));
-    accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
+    expect_accepted(&mut lists, at(0), &[&file("", &["a 1", "b 2"]), &file("", &["c 3"])]);
     lists.set_spec(spec(&["a.toml"]));
     let a = file("", &["a 1", "b 2"]);
-    assert_eq!(accepted(&mut lists, at(1), &[&a]), ["removed c"]);
+    assert_eq!(expect_accepted(&mut lists, at(1), &[&a]), ["removed c"]);
     lists.set_spec(spec(&["a.toml", "d.toml"]));
     // a.toml is invalid now and keeps its listing. d.toml is new and valid.
     let offered = offer(&mut lists, at(2), &["[", &file("", &["d 4"])]);
--- a/crates/server-list/tests/property.rs
+++ b/crates/server-list/tests/property.rs
@@ -70,8 +70,11 @@
     /// Offers files, with `None` for each invalid file, and returns whether they make a new list. `tracked` has the ports
     /// of all listed and draining servers, because a server at one of these ports is identified by its address.
     fn offer(&mut self, files: &[Option<ModelFile>], tracked: &BTreeSet<u64>) -> bool {
-        let mut new: Vec<Option<ModelFile>> =
-            files.iter().zip(&self.accepted).map(|(f, g)| f.clone().or(g.clone())).collect();
+        let mut new: Vec<Option<ModelFile>> = files
+            .iter()
+            .zip(&self.accepted)
+            .map(|(file, accepted)| file.clone().or(accepted.clone()))
+            .collect();
         let versions: BTreeSet<_> = new.iter().flatten().filter_map(|f| f.version).collect();
         if versions.len() > 1 {
             for (new, accepted) in new.iter_mut().zip(&self.accepted) {
@@ -117,10 +120,10 @@
     }
 }
 
-fn spec(files: usize) -> ListSpec {
+fn spec(file_count: usize) -> ListSpec {
     ListSpec {
         pool: "p".into(),
-        files: (0..files).map(|i| format!("{i}.toml")).collect(),
+        files: (0..file_count).map(|i| format!("{i}.toml")).collect(),
         zones: vec![],
         max_removed_share: MAX_REMOVED_SHARE,
         drain_time: Span(DRAIN_US),
@@ -218,11 +221,11 @@
 
 fn check_history(seed: u64) -> OfferCounts {
     let mut rng = Rand64::new(u128::from(seed));
-    let count = rng.rand_range(1..4) as usize;
-    let spec = spec(count);
+    let file_count = rng.rand_range(1..4) as usize;
+    let spec = spec(file_count);
     let mut lists = FileLists::new(spec.clone());
-    let mut model = Model { accepted: vec![None; count], ..Model::default() };
-    let mut written = vec![ModelFile::default(); count];
+    let mut model = Model { accepted: vec![None; file_count], ..Model::default() };
+    let mut written = vec![ModelFile::default(); file_count];
     let mut now = Time(1_764_576_000_000_000);
     let mut counts = OfferCounts::default();
     for step in 0..30 {
@@ -296,7 +299,7 @@
                 assert_eq!(
                     ServerListing { digest: whole.digest, ..listing },
                     whole,
-                    "cut to {length} bytes"
+                    "truncated to {length} bytes"
                 );
                 same += 1;
             }
