--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -50,7 +50,8 @@
 }
 
 impl RouteTable {
-    /// Compiles rules. Of several rules that match a request, [`RouteTable::find`] returns the first in this order.
+    /// Compiles rules, which are in order of precedence: [`RouteTable::find`] returns the first rule that matches a
+    /// request.
     ///
     /// # Errors
     ///
--- a/crates/routes/tests/property.rs
+++ b/crates/routes/tests/property.rs
@@ -89,6 +89,7 @@
     })
 }
 
+/// Compares 60 lookups in a table of random rules with the scan, and returns the number of lookups that found a rule.
 fn check_table(seed: u64) -> usize {
     let mut rng = Rand64::new(u128::from(seed));
     let rules = random_vec(&mut rng, 12, random_rule);
@@ -145,7 +146,7 @@
 }
 
 /// Adds and removes routes of three services one by one. After each step, compares lookups in the index with lookups in
-/// a table that is compiled from all routes.
+/// a table that is compiled from all routes. Returns the number of lookups that found a route.
 fn check_index(seed: u64) -> usize {
     let mut rng = Rand64::new(u128::from(seed));
     let mut index = RouteIndex::default();
--- a/crates/server-list/src/removal_guard.rs
+++ b/crates/server-list/src/removal_guard.rs
@@ -10,7 +10,8 @@
 use crate::tracked_server::TrackedServer;
 
 /// Rejects a list that takes more than `max_removed_share` of the serving servers out, unless the changed files state
-/// the exact number in `takes_out`. The check guards against a mistake in one file that would empty a pool.
+/// the exact number in `takes_out`. A server is taken out if the list does not name the server, or sets it to draining
+/// or to weight 0. The check guards against a mistake in one file that would empty a pool.
 ///
 /// `before` and `after` are the servers without and with the new listings. `new` and `accepted` are the new and the
 /// accepted listings, in the order of the files.
--- a/crates/server-list/tests/file_lists.rs
+++ b/crates/server-list/tests/file_lists.rs
@@ -53,6 +53,7 @@
     lists.offer(now, &readings)
 }
 
+/// Offers files, checks that they make a new list, and returns the changes.
 fn expect_accepted(lists: &mut FileLists, now: Time, texts: &[&str]) -> Vec<String> {
     let offer = offer(lists, now, texts);
     assert_eq!(offer.problems, [], "the list has no problems");
@@ -60,6 +61,7 @@
     applied.changes.iter().map(ListChange::to_string).collect()
 }
 
+/// Offers files, checks that they are rejected and change no endpoint, and returns the problems.
 fn expect_rejected(lists: &mut FileLists, texts: &[&str]) -> String {
     let before = lists.endpoints();
     let offer = offer(lists, at(1), texts);
@@ -70,6 +72,7 @@
     summary.join("\n")
 }
 
+/// Lists of the single file `a.toml`, with these servers in force.
 fn lists_from(first: &[&str]) -> FileLists {
     let mut lists = FileLists::new(spec(&["a.toml"]));
     expect_accepted(&mut lists, at(0), &[&file("", first)]);
@@ -169,7 +172,7 @@
     assert!(expect_rejected(&mut lists, &[&file("", &one_serving)]).contains("takes 3 of 4"));
     let changes = expect_accepted(&mut lists, at(1), &[&file("takes_out = 3", &["a 1"])]);
     assert_eq!(changes, ["removed b", "removed c", "removed d"]);
-    // The `takes_out = 3` of the last change does not permit the next change, which takes one server out.
+    // A file that still states `takes_out = 3` does not permit the next change, which takes one server out.
     expect_rejected(&mut lists, &[&file("takes_out = 3", &[])]);
     let changes = expect_accepted(&mut lists, at(2), &[&file("takes_out = 1", &[])]);
     assert_eq!(changes, ["removed a"]);
--- a/crates/server-list/tests/property.rs
+++ b/crates/server-list/tests/property.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// The list that is in force by the rules, in a simple implementation.
+/// Model of the lists of a pool: a simple implementation of the rules by which files are accepted.
 #[derive(Clone, Default)]
 struct Model {
     accepted: Vec<Option<ModelFile>>,
@@ -67,8 +67,8 @@
 }
 
 impl Model {
-    /// Offers files, with `None` for each invalid file, and returns whether they make a new list. `tracked` has the ports
-    /// of all listed and draining servers, because a server at one of these ports is identified by its address.
+    /// Offers files, with `None` for each invalid file, and returns whether they make a new list. `tracked` has the
+    /// ports of all listed and draining servers, because a server at one of these ports is identified by its address.
     fn offer(&mut self, files: &[Option<ModelFile>], tracked: &BTreeSet<u64>) -> bool {
         let mut new: Vec<Option<ModelFile>> = files
             .iter()
@@ -94,7 +94,8 @@
         if !combined.is_valid() || (!servers.is_empty() && servers.iter().all(|s| s.weight == 0)) {
             return false;
         }
-        // A server continues at its address, or else with its id at an address that is not tracked.
+        // A server that was serving is identified in the new files by its address, or else by its id at an address that
+        // is not tracked.
         let serves = |server: &&ModelServer| server.weight > 0 && !server.draining;
         let ports: BTreeSet<_> = servers.iter().map(|s| s.port).collect();
         let stops_serving = |old: &&ModelServer| {
@@ -199,7 +200,7 @@
     (readings, files)
 }
 
-/// Checks that the live endpoints are exactly the serving servers of the model.
+/// Checks that the live endpoints are exactly the serving servers of the model, and that no endpoint occurs twice.
 fn check_in_force(endpoints: &[ListedEndpoint], model: &Model, context: &str) {
     let live: BTreeMap<SocketAddr, f64> = endpoints
         .iter()
@@ -219,6 +220,7 @@
     assert_eq!((addresses.len(), names.len()), (endpoints.len(), endpoints.len()), "{context}");
 }
 
+/// Offers random files in 30 steps, and compares the lists with the model after each step.
 fn check_history(seed: u64) -> OfferCounts {
     let mut rng = Rand64::new(u128::from(seed));
     let file_count = rng.rand_range(1..4) as usize;
