--- a/crates/capacity-share/tests/rules.rs
+++ b/crates/capacity-share/tests/share_rules.rs
@@ -1,17 +1,17 @@
-//! The rules of shares, one by one. That shares add up to one at most in every schedule is shown in simulation by
-//! the crate `fleet`, which joins them with the membership protocol.
+//! Tests of the single rules that determine a share. The simulations of the crate `fleet`, which combines shares with
+//! the membership protocol, test that shares add up to at most one in every schedule.
 
 use sableloom_capacity_share::{CapacityShare, Share, ShareReason, Timing};
 use sableloom_types::{Span, Time};
 
-const S: i64 = 1_000_000;
+const SECOND: i64 = 1_000_000;
 
 fn at(seconds: f64) -> Time {
-    Time((seconds * S as f64) as i64)
+    Time((seconds * SECOND as f64) as i64)
 }
 
-/// The share of one of `n` members, which all others have acknowledged.
-fn acknowledged_by_all(n: u16) -> CapacityShare {
+/// Returns the share of one of `n` members after all others have acknowledged it.
+fn share_acknowledged_by_all(n: u16) -> CapacityShare {
     let mut share = CapacityShare::new(at(0.0), 1..u32::from(n), Timing::default());
     (1..n).for_each(|key| share.acknowledged(at(0.1), key.into(), n));
     share
@@ -22,7 +22,7 @@
     (current.balancers, current.reason)
 }
 
-/// The members that are queried, of those that are candidates.
+/// Returns the members that are queried, of those that are candidates.
 fn query(share: &mut CapacityShare, now: f64, is_candidate: impl Fn(u32) -> bool) -> Vec<u32> {
     let candidates: Vec<u32> = share.query_order().filter(|key| is_candidate(*key)).collect();
     share.query_absence(at(now), usize::MAX, candidates).to
@@ -44,7 +44,7 @@
     assert_eq!(
         balancers_and_reason(&share, 0.1),
         (0, ShareReason::Waiting(2)),
-        "a datagram that acknowledges nothing"
+        "a datagram without an acknowledgement does not count"
     );
     share.acknowledged(at(0.2), 2, 4);
     assert_eq!(balancers_and_reason(&share, 0.2), (0, ShareReason::Waiting(1)));
@@ -64,24 +64,24 @@
 
 #[test]
 fn a_proof_of_absence_makes_the_share_larger_for_one_lease() {
-    let mut share = acknowledged_by_all(4);
+    let mut share = share_acknowledged_by_all(4);
     assert_eq!(balancers_and_reason(&share, 0.2), (4, ShareReason::Sharing));
-    assert!(share.proved_absent(2, at(0.3)), "the proof is new");
+    assert!(share.proved_absent(2, at(0.3)), "the first proof is new");
     let current = share.share(at(0.4));
     assert_eq!((current.balancers, current.until, current.balancers_after), (3, Some(at(2.3)), 4));
-    // A process that does not look again in time shares with all members.
+    // A process that does not recompute its share in time shares with all members.
     assert_eq!((current.fraction(at(2.29)), current.fraction(at(2.3))), (1.0 / 3.0, 0.25));
-    assert!(!share.proved_absent(2, at(0.9)), "it was known before");
-    assert_eq!(balancers_and_reason(&share, 2.8).0, 3, "it was renewed");
-    // An answer that comes late is as old as its query.
+    assert!(!share.proved_absent(2, at(0.9)), "the absence was known before");
+    assert_eq!(balancers_and_reason(&share, 2.8).0, 3, "the proof was renewed");
+    // A late answer is as old as its query.
     share.proved_absent(3, at(0.5));
     assert_eq!(balancers_and_reason(&share, 2.8).0, 3);
     assert_eq!(balancers_and_reason(&share, 2.9).0, 4);
 }
 
 #[test]
-fn a_datagram_ends_the_proof_of_absence_at_once() {
-    let mut share = acknowledged_by_all(4);
+fn a_received_datagram_ends_the_proof_of_absence_at_once() {
+    let mut share = share_acknowledged_by_all(4);
     share.proved_absent(2, at(0.3));
     share.datagram_received(at(0.5), 2);
     assert_eq!(balancers_and_reason(&share, 0.5).0, 4);
@@ -90,12 +90,12 @@
     share.proved_absent(2, at(0.5));
     assert_eq!(balancers_and_reason(&share, 0.6).0, 4);
     share.proved_absent(2, at(0.7));
-    assert_eq!(balancers_and_reason(&share, 0.8).0, 3, "it is absent again");
+    assert_eq!(balancers_and_reason(&share, 0.8).0, 3, "the member is proved absent again");
 }
 
 #[test]
 fn a_resumed_process_drops_its_proofs() {
-    let mut share = acknowledged_by_all(4);
+    let mut share = share_acknowledged_by_all(4);
     share.proved_absent(2, at(0.3));
     share.set_resumed(true);
     assert_eq!(balancers_and_reason(&share, 0.5), (4, ShareReason::Resumed));
@@ -105,20 +105,20 @@
 
 #[test]
 fn a_duplicate_identity_halves_the_share() {
-    let mut share = acknowledged_by_all(4);
+    let mut share = share_acknowledged_by_all(4);
     share.set_duplicate_identity();
     assert_eq!(balancers_and_reason(&share, 0.5), (8, ShareReason::DuplicateIdentity));
 }
 
 #[test]
-fn the_longest_list_counts_where_lists_differ() {
-    let mut share = acknowledged_by_all(3);
+fn the_longest_list_determines_the_share_where_lists_differ() {
+    let mut share = share_acknowledged_by_all(3);
     share.acknowledged(at(0.3), 1, 7);
     assert_eq!(balancers_and_reason(&share, 0.3).0, 7);
-    // An absent member counts for nothing, and neither does the list length that it stated.
+    // Neither an absent member nor the list length that it stated counts.
     share.proved_absent(1, at(0.4));
     assert_eq!(balancers_and_reason(&share, 0.5).0, 2);
-    // A member that is added takes its share at once.
+    // A member that is added gets its share at once.
     share.proved_absent(1, at(5.0));
     share.update_members(1..10);
     let current = share.share(at(5.1));
@@ -130,7 +130,7 @@
         "members that are removed leave their shares"
     );
     // A member that is added within the start wait may hold a proof against this process.
-    let mut share = acknowledged_by_all(2);
+    let mut share = share_acknowledged_by_all(2);
     share.update_members(1..3);
     assert_eq!(balancers_and_reason(&share, 0.3), (0, ShareReason::Waiting(1)));
 }
@@ -140,7 +140,11 @@
     let timing = Timing { max_queries_per_lease: 10, ..Timing::default() };
     let mut share = CapacityShare::new(at(0.0), 1..31, timing);
     assert_eq!(query(&mut share, 0.0, |key| key % 2 == 0).len(), 10);
-    assert_eq!(query(&mut share, 1.9, |key| key % 2 == 0), Vec::<u32>::new(), "none is left");
+    assert_eq!(
+        query(&mut share, 1.9, |key| key % 2 == 0),
+        Vec::<u32>::new(),
+        "the lease allows no further query"
+    );
     let mut queried: Vec<u32> = Vec::new();
     let mut now = 0.0;
     for _ in 0..2 {
@@ -150,17 +154,18 @@
     queried.sort_unstable();
     queried.dedup();
     assert_eq!(queried.len(), 15, "{queried:?}");
-    // One member is queried again only after the interval.
-    let mut share = acknowledged_by_all(3);
+    // The same member is queried again only after the interval.
+    let mut share = share_acknowledged_by_all(3);
     assert_eq!(query(&mut share, 1.0, |_| true), [1, 2]);
     assert_eq!(query(&mut share, 1.49, |_| true), Vec::<u32>::new());
     assert_eq!(query(&mut share, 1.5, |_| true), [1, 2]);
 }
 
-/// About a long list few queries are sent in any second, and each member has its turn; about a short one all at once.
+/// Queries about a long list are limited in every second and reach each member in turn. Queries about a short list are
+/// all sent at once.
 #[test]
 fn queries_about_a_long_list_are_paced() {
-    let timing = Timing { lease: Span(60 * S), ..Timing::default() };
+    let timing = Timing { lease: Span(60 * SECOND), ..Timing::default() };
     let mut share = CapacityShare::new(at(0.0), 1..7600, timing);
     let mut queried: Vec<(f64, u32)> = Vec::new();
     for step in 0..1000 {
@@ -170,24 +175,24 @@
     }
     for (from, _) in &queried {
         let within = queried.iter().filter(|(now, _)| now >= from && *now < from + 1.0).count();
-        assert!(within <= 32, "{within} from {from} on");
+        assert!(within <= 32, "{within} queries in the second from {from} s on");
     }
     let mut distinct: Vec<u32> = queried.iter().map(|(_, key)| *key).collect();
     distinct.sort_unstable();
     distinct.dedup();
-    assert_eq!(distinct.len(), 399, "each missing member had its turn");
+    assert_eq!(distinct.len(), 399, "each missing member is queried");
     let mut share = CapacityShare::new(at(0.0), 1..512, Timing::default());
     assert_eq!(query(&mut share, 0.0, |_| true).len(), 511);
 }
 
-/// Shares of lists of any length never overflow, and are never more than all.
+/// A share never overflows and never exceeds all capacity, for any list length and any sequence of events.
 #[test]
 fn a_share_is_never_more_than_all_capacity() {
     let mut rng = oorandom::Rand64::new(5);
     for _ in 0..2000 {
         let n = 1 + rng.rand_range(0..40) as u32;
         let mut share =
-            CapacityShare::new(Time(0), 1..n, Timing { lease: Span(S), ..Timing::default() });
+            CapacityShare::new(Time(0), 1..n, Timing { lease: Span(SECOND), ..Timing::default() });
         let mut now = Time(0);
         for _ in 0..60 {
             now = now.plus(Span(rng.rand_range(0..400_000) as i64));
@@ -203,11 +208,11 @@
             let Share { balancers, until, balancers_after, reason } = share.share(now);
             assert!(
                 balancers_after >= n && (balancers <= balancers_after),
-                "{balancers} {balancers_after}"
+                "{balancers} balancers now, {balancers_after} afterwards"
             );
             assert!(balancers > 0 || matches!(reason, ShareReason::Waiting(_)));
-            assert!(until.is_none_or(|until| until > now), "an end in the past");
-            assert!(share.next_wakeup(now) > now, "its timer would fire for ever");
+            assert!(until.is_none_or(|until| until > now), "the share ends in the past");
+            assert!(share.next_wakeup(now) > now, "the timer would fire without end");
         }
     }
 }
--- a/crates/exchange/tests/simulation/schedule.rs
+++ b/crates/exchange/tests/simulation/schedule.rs
@@ -16,12 +16,12 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::recorder::Recorder;
 use crate::support::{SilentSource, endpoint, message};
 use crate::transport::FaultyTransport;
-use crate::world::World;
 
 const DEADLINE_MS: i64 = 400;
-/// For so long servers recognize the retry of a keyed request.
+/// How long servers recognize a retry of a keyed request, in milliseconds.
 pub(crate) const DEDUP_WINDOW_MS: u64 = 120;
 const REQUESTS: u64 = 25;
 const CLASSES: [(&str, Idempotency); 3] = [
@@ -30,7 +30,7 @@
     ("redeem", Idempotency::NonIdempotent),
 ];
 
-/// A client that is connected, as far as its socket tells.
+/// A client that can disconnect without closing its reply future.
 struct ConnectedClient {
     connected: Cell<bool>,
 }
@@ -58,13 +58,13 @@
     .expect("settings")
 }
 
-/// A server that has moved this many times.
+/// Returns the endpoint of a server whose address has changed this many times.
 fn server(number: u64, address_changes: u16, status: EndpointStatus) -> ListedEndpoint {
     endpoint(number as u8, 9000 + address_changes, status, 0.0)
 }
 
-pub(crate) async fn run(seed: u64, world: Rc<World>) {
-    let mut schedule = Schedule::new(seed, world);
+pub(crate) async fn run(seed: u64, recorder: Rc<Recorder>) {
+    let mut schedule = Schedule::new(seed, recorder);
     let mut clients = Vec::new();
     for number in 0..REQUESTS {
         sleep(Duration::from_micros(schedule.random_below(25_000))).await;
@@ -78,10 +78,10 @@
     }
     for client in clients {
         if let Err(e) = client.await {
-            schedule.world.record_violation(format!("a client: {e}"));
+            schedule.recorder.record_violation(format!("a client task failed: {e}"));
         }
     }
-    // What is still in flight ends; nothing of it may show later.
+    // Attempts that are still in flight end in this time, and must not break a rule either.
     sleep(Duration::from_secs(3)).await;
     schedule.check_end();
 }
@@ -89,7 +89,7 @@
 struct Schedule {
     rng: Rand64,
     clock: Clock,
-    world: Rc<World>,
+    recorder: Rc<Recorder>,
     exchange: Rc<Exchange>,
     servers: u64,
     address_changes: u16,
@@ -97,20 +97,20 @@
 }
 
 impl Schedule {
-    fn new(seed: u64, world: Rc<World>) -> Self {
+    fn new(seed: u64, recorder: Rc<Recorder>) -> Self {
         let mut rng = Rand64::new(u128::from(seed) + 1);
         let clock = Clock::new();
         let options = ExchangeOptions {
             settings: Rc::new(settings()),
             seed,
             clock,
-            transport: Rc::new(FaultyTransport::new(seed, world.clone())),
+            transport: Rc::new(FaultyTransport::new(seed, recorder.clone())),
             source: Rc::new(SilentSource),
         };
         let exchange = Exchange::start(options).expect("an exchange");
         let servers = 1 + rng.rand_range(0..4);
         let schedule =
-            Self { rng, clock, world, exchange, servers, address_changes: 0, idle_periods: 0 };
+            Self { rng, clock, recorder, exchange, servers, address_changes: 0, idle_periods: 0 };
         let list = (0..servers).map(|number| server(number, 0, EndpointStatus::Live)).collect();
         schedule.report_list(ListKind::Full, list);
         schedule
@@ -120,14 +120,14 @@
         self.rng.rand_range(0..bound)
     }
 
-    /// One in `n`: a time in milliseconds below `max_ms`.
+    /// Returns a random time below `max_ms` milliseconds in one of `n` cases.
     fn random_time_one_in(&mut self, n: u64, max_ms: u64) -> Option<Duration> {
         (self.random_below(n) == 0).then(|| Duration::from_millis(self.random_below(max_ms)))
     }
 
     fn report_list(&self, kind: ListKind, entries: Vec<ListedEndpoint>) {
         for entry in &entries {
-            let mut live = self.world.live_servers.borrow_mut();
+            let mut live = self.recorder.live_servers.borrow_mut();
             match entry.status {
                 EndpointStatus::Live => live.insert(entry.id.clone(), entry.address),
                 _ => live.remove(&entry.id),
@@ -159,7 +159,8 @@
         let deadline = self.clock.now().plus(Span(DEADLINE_MS * 1000));
         let context = RequestContext { class, tenant: 0, key: None, deadline };
         let drop_reply_after = self.random_time_one_in(8, 150);
-        // Some clients disconnect behind bytes that no front reads past: the wait goes on.
+        // Some clients disconnect after sending bytes that their front end does not read. It therefore does not notice,
+        // and keeps waiting for the reply.
         if let Some(after) = self.random_time_one_in(8, 150) {
             let client = client.clone();
             spawn_local(async move {
@@ -167,60 +168,65 @@
                 client.connected.set(false);
             });
         }
-        let (exchange, world) = (self.exchange.clone(), self.world.clone());
+        let (exchange, recorder) = (self.exchange.clone(), self.recorder.clone());
         spawn_local(async move {
             let (sent, _connected) = (Instant::now(), client);
-            let wait = exchange.call(context, message).expect("a new id");
+            let wait = exchange.call(context, message).expect("the request is accepted");
             if let Some(after) = drop_reply_after {
                 let _ = timeout(after, wait).await;
                 return;
             }
             let reply = wait.await;
-            check_reply(&world, &id, idempotency, &reply, sent.elapsed());
+            check_reply(&recorder, &id, idempotency, &reply, sent.elapsed());
         })
     }
 
     fn check_end(&self) {
         if self.idle_periods > 0 {
-            *self.world.paths.borrow_mut().entry("idle").or_default() += self.idle_periods;
+            *self.recorder.paths.borrow_mut().entry("idle").or_default() += self.idle_periods;
         }
         if !self.exchange.is_idle() {
-            self.world.record_violation("the pool is not idle at the end".into());
+            self.recorder.record_violation("the pool is not idle at the end".into());
         }
         if self.exchange.open_requests() > 0 {
-            self.world
-                .record_violation(format!("{} are still open", self.exchange.open_requests()));
+            self.recorder.record_violation(format!(
+                "{} requests are still open",
+                self.exchange.open_requests()
+            ));
         }
-        for (id, times) in self.world.executions.borrow().iter().filter(|(_, times)| **times > 1) {
+        for (id, times) in self.recorder.executions.borrow().iter().filter(|(_, times)| **times > 1)
+        {
             if id.starts_with(b"redeem") {
-                self.world
-                    .record_violation(format!("{id:?} is not idempotent, executed {times} times"));
+                self.recorder.record_violation(format!(
+                    "{id:?} is not idempotent and was executed {times} times"
+                ));
             }
         }
     }
 }
 
 fn check_reply(
-    world: &World,
+    recorder: &Recorder,
     id: &Bytes,
     idempotency: Idempotency,
     reply: &Reply,
     latency: Duration,
 ) {
-    let executions = world.executions.borrow().get(id).copied().unwrap_or(0);
-    // Its deadline, and a tick of the policy's clock.
+    let executions = recorder.executions.borrow().get(id).copied().unwrap_or(0);
+    // The answer is due by the deadline, plus a margin for a tick of the policy's clock.
     if latency > Duration::from_millis(DEADLINE_MS as u64 + 20) {
-        world.record_violation(format!("{id:?} was answered after {latency:?}"));
+        recorder.record_violation(format!("{id:?} was answered after {latency:?}"));
     }
     match reply {
         Reply::Served(answer) if answer.body != *id => {
-            world.record_violation(format!("{id:?} got the answer of {:?}", answer.body));
+            recorder.record_violation(format!("{id:?} got the answer of {:?}", answer.body));
         }
         Reply::Served(_) if executions == 0 => {
-            world.record_violation(format!("{id:?} was never executed"));
+            recorder.record_violation(format!("{id:?} was answered and never executed"));
         }
         Reply::Rejected(_) if idempotency == Idempotency::NonIdempotent && executions > 0 => {
-            world.record_violation(format!("{id:?} was executed {executions} times and rejected"));
+            recorder
+                .record_violation(format!("{id:?} was executed {executions} times and rejected"));
         }
         _ => {}
     }
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! Which datagrams count, and what is done about them.
+//! Acceptance and processing of datagrams.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,26 @@
 use crate::codec::{DropReason, decode};
 use crate::message::{Body, Key, MemberState, Message, Update};
 
-/// Indirect probes for other members that are under way at most; requests beyond that are ignored.
+/// The maximum number of indirect probes for other members that are in progress. Further requests are ignored.
 const MAX_RELAYS: usize = 64;
 
 impl Membership {
-    /// A datagram has come.
+    /// Processes a datagram that was received from the address `from`. An invalid datagram is dropped and counted by
+    /// its reason (see [`Self::count_dropped`]).
     pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], output: &mut Output) {
         self.now = now;
         self.meter.add_datagram(now, bytes.len());
-        // A process that goes on after a stop may read its socket before it looks at its clock.
-        self.check_lateness(now, output);
+        // A process that resumes after a suspension may read its socket before its timer fires.
+        self.detect_late_timer(now, output);
         match self.authenticate(from, bytes) {
             Ok((position, message)) => self.receive_message(now, position, message, output),
             Err(reason) => *self.dropped.entry(reason).or_default() += 1,
         }
-        self.due = Some(self.next_wakeup().max(now));
+        self.timer_due = Some(self.next_wakeup().max(now));
     }
 
-    /// The message of a datagram that comes from a member of this fleet, and the member's position.
+    /// Decodes a datagram, and checks that its sender is the member of this fleet with the address `from`. Returns the
+    /// member's position and the message.
     fn authenticate(&self, from: SocketAddr, bytes: &[u8]) -> Result<(usize, Message), DropReason> {
         let message = decode(bytes)?;
         if message.fleet != self.fleet {
@@ -50,7 +52,7 @@
             if message.receiver_nonce != 0 {
                 *self.dropped.entry(DropReason::StaleNonce).or_default() += 1;
             }
-            return self.introduce_self(position, &message, output);
+            return self.answer_with_nonce(position, &message, output);
         }
         let Message { process_incarnation, incarnation, nonce, view_digest, .. } = message;
         let sender = message.sender;
@@ -62,7 +64,7 @@
                 state: MemberState::Alive,
                 reported_by: sender,
             };
-            self.learn(now, alive, output);
+            self.apply_update(now, alive, output);
             self.table.change(position, |peer| {
                 (peer.nonce, peer.last_message_at) = (nonce, Some(now));
                 peer.list_length = message.list_length;
@@ -70,22 +72,23 @@
             });
             self.update_reachability(output);
         } else {
-            // An earlier process of that name had a later incarnation: the sender learns of it, and takes a later one.
+            // An earlier process of that name had a later incarnation. That incarnation is sent to the new process, so
+            // that it takes a later one.
             self.table.change(position, |peer| peer.nonce = nonce);
-            self.tell_incarnation(sender, output);
+            self.send_known_incarnation(sender, output);
         }
         for update in message.updates {
-            self.learn(now, update, output);
+            self.apply_update(now, update, output);
         }
         if matches!(message.body, Body::Ack { .. }) {
-            self.compare_views(now, sender, view_digest, output);
+            self.compare_view_digests(now, sender, view_digest, output);
         }
         self.receive_body(now, sender, message.body, output);
     }
 
-    /// The sender does not know this process yet. Nothing that it says counts, but the sender of a ping is told this
-    /// process's nonce; with that it can say it again.
-    fn introduce_self(&mut self, position: usize, message: &Message, output: &mut Output) {
+    /// Handles a message without this process's nonce, which its sender does not know yet. The message has no effect,
+    /// but a ping is answered with the nonce, so that the sender can repeat its message with it.
+    fn answer_with_nonce(&mut self, position: usize, message: &Message, output: &mut Output) {
         let Body::Ping { seq } = message.body else { return };
         let nonce = message.nonce;
         let before = self.table.change(position, |peer| std::mem::replace(&mut peer.nonce, nonce));
@@ -93,8 +96,8 @@
         self.table.change(position, |peer| peer.nonce = before);
     }
 
-    /// Tells a member the incarnations that are known of it.
-    fn tell_incarnation(&mut self, key: Key, output: &mut Output) {
+    /// Sends a member the incarnations that are known of it.
+    fn send_known_incarnation(&mut self, key: Key, output: &mut Output) {
         let Some(peer) = self.peer(key) else { return };
         let update = Update {
             member: key,
@@ -124,12 +127,12 @@
                 }
             }
             Body::Leave => self.receive_leave(now, from, output),
-            Body::Pull(pull) => self.serve_page(now, from, &pull, output),
+            Body::Pull(pull) => self.answer_pull(now, from, &pull, output),
             Body::Page(page) => self.receive_page(now, from, &page, output),
         }
     }
 
-    /// Pings a member for another one.
+    /// Pings `target` for `requester`.
     fn relay_ping(
         &mut self,
         now: Time,
@@ -166,6 +169,6 @@
             state: MemberState::Left,
             reported_by: from,
         };
-        self.learn(now, left, output);
+        self.apply_update(now, left, output);
     }
 }
