--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -28,8 +28,8 @@
 
 impl Merge<'_> {
     /// Merges the servers of a new list. Each server continues the tracked server at the same address. Without such a
-    /// tracked server, it continues the tracked server with the same id, unless another server of the new list is at the
-    /// address of that tracked server. Otherwise the server is new. Each address thus has one endpoint, whatever ids
+    /// tracked server, it continues the tracked server with the same id, unless another server of the new list is at
+    /// the address of that tracked server. Otherwise the server is new. Each address thus has one endpoint, whatever ids
     /// the files state, and the requests in flight to an address are counted once.
     pub(crate) fn apply<'s>(
         &self,
