--- a/crates/distribution/src/subscriber/event.rs
+++ b/crates/distribution/src/subscriber/event.rs
@@ -35,9 +35,9 @@
         /// The number of the control machine whose connection is closed for it.
         control_machine: usize,
         /// The latest position that any control machine has reported, which the subscriber keeps.
-        seen: Position,
+        latest_position: Position,
         /// The position of the control machine whose connection is closed.
-        other: Position,
+        machine_position: Position,
     },
     /// The caller has rejected a transaction for its content.
     Rejected {
--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -236,13 +236,15 @@
         &mut self,
         now: Time,
         control_machine: usize,
-        other: Position,
+        machine_position: Position,
         out: &mut Vec<SubscriberOutput>,
     ) -> DisconnectReason {
         self.selector.avoid(control_machine, now);
         self.counters.diverged += 1;
-        let event = SubscriberEvent::Diverged { control_machine, seen: self.position, other };
+        let latest_position = self.position;
+        let event =
+            SubscriberEvent::Diverged { control_machine, latest_position, machine_position };
         out.push(SubscriberOutput::Event(event));
-        DisconnectReason::Diverged(other)
+        DisconnectReason::Diverged(machine_position)
     }
 }
--- a/crates/distribution/src/subscriber/transaction.rs
+++ b/crates/distribution/src/subscriber/transaction.rs
@@ -103,7 +103,7 @@
         let mut transfers = Vec::with_capacity(targets.len());
         for target in targets {
             let Some(incoming) = self.services.remove(&target.service) else {
-                return Err(PublisherViolation::MissingService.into());
+                return Err(PublisherViolation::CommittedServiceNotInTransaction.into());
             };
             let IncomingService { base, changes } = incoming;
             let (epoch, generation) = (position.epoch, self.generation);
--- a/crates/distribution/src/violation.rs
+++ b/crates/distribution/src/violation.rs
@@ -53,7 +53,7 @@
     CommitWithoutBegin,
     /// A commit names a service that the transaction does not have.
     #[error("a commit of a service that is not in the transaction")]
-    MissingService,
+    CommittedServiceNotInTransaction,
     /// A commit does not name each service of its transaction.
     #[error("a commit that does not name all services of the transaction")]
     UncommittedService,
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -359,8 +359,11 @@
     let other = Position { chain: 1, ..at(5) };
     balancer.receive(PublisherMessage::Welcome { position: other });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
-    let diverged_event =
-        SubscriberEvent::Diverged { control_machine: diverged, seen: at(5), other };
+    let diverged_event = SubscriberEvent::Diverged {
+        control_machine: diverged,
+        latest_position: at(5),
+        machine_position: other,
+    };
     assert!(balancer.events().contains(&diverged_event));
     // A refusal by the control machine has the same effect as a diverged position in its welcome.
     balancer.next_connect();
--- a/crates/sableloom/tests/control/subscriber.rs
+++ b/crates/sableloom/tests/control/subscriber.rs
@@ -248,8 +248,8 @@
         }
         // Every bookmark has this event; the messages are printed instead.
         SubscriberEvent::Current { .. } => return,
-        SubscriberEvent::Diverged { control_machine, seen, other } => {
-            format!("diverged {control_machine} {seen} {other}")
+        SubscriberEvent::Diverged { control_machine, latest_position, machine_position } => {
+            format!("diverged {control_machine} {latest_position} {machine_position}")
         }
         other => format!("{other:?}"),
     };
--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -24,10 +24,12 @@
             "no control machine can be reached; serving on with what is in force".to_string()
         }
         SubscriberEvent::Current { position } => format!("all is in force up to {position}"),
-        SubscriberEvent::Diverged { control_machine, seen, other } => format!(
-            "{} has read other changes: it is at {other}, and {seen} has been seen; it is not followed",
-            machine(control_machine)
-        ),
+        SubscriberEvent::Diverged { control_machine, latest_position, machine_position } => {
+            format!(
+                "{} has read other changes: it is at {machine_position}, and {latest_position} has been seen; it is not followed",
+                machine(control_machine)
+            )
+        }
         SubscriberEvent::Rejected { services, rejections } => format!(
             "rejected, nothing of it in force: {}: {}",
             list_names(services),
--- a/crates/testkit/examples/trace_digest/distribution/record.rs
+++ b/crates/testkit/examples/trace_digest/distribution/record.rs
@@ -184,11 +184,11 @@
             trace.integer(4);
             position(trace, *at);
         }
-        SubscriberEvent::Diverged { control_machine, seen, other } => {
+        SubscriberEvent::Diverged { control_machine, latest_position, machine_position } => {
             trace.integer(5);
             trace.integer(*control_machine as i64);
-            position(trace, *seen);
-            position(trace, *other);
+            position(trace, *latest_position);
+            position(trace, *machine_position);
         }
         SubscriberEvent::Rejected { services: names, rejections: all } => {
             trace.integer(6);
