--- a/crates/server-list/src/file_lists.rs
+++ b/crates/server-list/src/file_lists.rs
@@ -188,7 +188,7 @@
         let merge = Merge {
             now,
             drain_time: self.spec.drain_time,
-            in_force: self.in_force(),
+            list_in_force: self.in_force(),
             tracked: &self.tracked,
         };
         let merged = merge.apply(servers);
--- a/crates/server-list/src/incremental_list.rs
+++ b/crates/server-list/src/incremental_list.rs
@@ -41,7 +41,7 @@
 
 /// A listed server, or a removed server that drains.
 #[derive(Clone, Debug)]
-struct KnownServer {
+struct ServerEntry {
     server: ServerDescription,
     /// Start of the server for its warm-up, in Unix milliseconds; 0 stands for long ago.
     up_since_ms: f64,
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct IncrementalList {
     /// Listed and draining servers.
-    known: FxHashMap<EndpointName, KnownServer>,
+    entries: FxHashMap<EndpointName, ServerEntry>,
     by_id: FxHashMap<Box<str>, EndpointName>,
     by_address: FxHashMap<SocketAddr, EndpointName>,
     /// Ends of drain times with the draining servers, in the order of time.
@@ -79,26 +79,26 @@
 
     /// Number of servers, including those that drain.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.entries.len()
     }
 
     /// Whether there is no server, neither listed nor draining.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
     /// The id of the server that is listed at an address.
     pub fn id_at(&self, address: SocketAddr) -> Option<&str> {
-        let known = self.known.get(self.by_address.get(&address)?)?;
-        known.drain_ends_at.is_none().then_some(&*known.server.id)
+        let entry = self.entries.get(self.by_address.get(&address)?)?;
+        entry.drain_ends_at.is_none().then_some(&*entry.server.id)
     }
 
     /// The ids of the listed servers, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
-        self.known
+        self.entries
             .values()
-            .filter(|known| known.drain_ends_at.is_none())
-            .map(|known| &*known.server.id)
+            .filter(|entry| entry.drain_ends_at.is_none())
+            .map(|entry| &*entry.server.id)
     }
 
     /// Applies changes, all removals first, and returns the endpoints of the changed servers.
@@ -145,7 +145,7 @@
 
     /// The endpoints of all servers, including those that drain.
     pub fn endpoints(&self) -> Vec<ListedEndpoint> {
-        self.known.keys().filter_map(|name| self.endpoint(name)).collect()
+        self.entries.keys().filter_map(|name| self.endpoint(name)).collect()
     }
 
     fn set(&mut self, now: Time, server: ServerDescription, changed: &mut FxHashSet<EndpointName>) {
@@ -158,15 +158,15 @@
             self.start_drain(now, name_with_id);
             changed.insert(name_with_id.clone());
         }
-        let name = at_address.or(with_id).unwrap_or_else(|| self.free_name(&server.id));
-        let before = self.known.remove(&name);
+        let name = at_address.or(with_id).unwrap_or_else(|| self.free_endpoint_name(&server.id));
+        let before = self.entries.remove(&name);
         let up_since_ms = self.up_since(now, before.as_ref(), &server);
         if let Some(before) = before {
-            self.remove_lookups(&name, &before);
+            self.remove_from_indexes(&name, &before);
         }
         self.by_id.insert(server.id.clone(), name.clone());
         self.by_address.insert(server.address, name.clone());
-        self.known.insert(name.clone(), KnownServer { server, up_since_ms, drain_ends_at: None });
+        self.entries.insert(name.clone(), ServerEntry { server, up_since_ms, drain_ends_at: None });
         changed.insert(name);
     }
 
@@ -174,7 +174,7 @@
     /// Servers of the first changes count as started long ago (0), because nothing else is known about them. Later, a
     /// new server, a server with another address, and a draining server that returns with another id count as another
     /// machine that has just started.
-    fn up_since(&self, now: Time, before: Option<&KnownServer>, server: &ServerDescription) -> f64 {
+    fn up_since(&self, now: Time, before: Option<&ServerEntry>, server: &ServerDescription) -> f64 {
         let default_up_since_ms = match before {
             None if !self.initialized => 0.0,
             None => unix_ms(now),
@@ -190,35 +190,35 @@
 
     /// Starts the drain of a server, unless the server drains already.
     fn start_drain(&mut self, now: Time, name: &EndpointName) {
-        let Some(known) = self.known.get_mut(name) else { return };
-        if known.drain_ends_at.is_none() {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        if entry.drain_ends_at.is_none() {
             let drain_end = now.plus(self.drain_time);
-            known.drain_ends_at = Some(drain_end);
+            entry.drain_ends_at = Some(drain_end);
             self.drain_ends.insert((drain_end, name.clone()));
         }
     }
 
     /// Removes a server from the lookups by id, by address and by end of the drain time.
-    fn remove_lookups(&mut self, name: &EndpointName, known: &KnownServer) {
-        if self.by_id.get(&known.server.id) == Some(name) {
-            self.by_id.remove(&known.server.id);
+    fn remove_from_indexes(&mut self, name: &EndpointName, entry: &ServerEntry) {
+        if self.by_id.get(&entry.server.id) == Some(name) {
+            self.by_id.remove(&entry.server.id);
         }
-        if self.by_address.get(&known.server.address) == Some(name) {
-            self.by_address.remove(&known.server.address);
+        if self.by_address.get(&entry.server.address) == Some(name) {
+            self.by_address.remove(&entry.server.address);
         }
-        if let Some(drain_end) = known.drain_ends_at {
+        if let Some(drain_end) = entry.drain_ends_at {
             self.drain_ends.remove(&(drain_end, name.clone()));
         }
     }
 
     fn remove(&mut self, name: &EndpointName) {
-        if let Some(known) = self.known.remove(name) {
-            self.remove_lookups(name, &known);
+        if let Some(entry) = self.entries.remove(name) {
+            self.remove_from_indexes(name, &entry);
         }
     }
 
     fn endpoint(&self, name: &EndpointName) -> Option<ListedEndpoint> {
-        let KnownServer { server, up_since_ms, drain_ends_at } = self.known.get(name)?;
+        let ServerEntry { server, up_since_ms, drain_ends_at } = self.entries.get(name)?;
         let serves = drain_ends_at.is_none() && !server.draining && server.weight > 0.0;
         Some(ListedEndpoint {
             id: name.clone(),
@@ -234,10 +234,10 @@
 
     /// A free name for the endpoint of a server: the id of the server, or the id with a number if the endpoint of a
     /// renamed server still has the id as its name.
-    fn free_name(&self, id: &str) -> EndpointName {
+    fn free_endpoint_name(&self, id: &str) -> EndpointName {
         let candidates = std::iter::once(EndpointName::from(id))
             .chain((2..).map(|n| format!("{id} {n}").into()));
-        let mut free = candidates.filter(|name| !self.known.contains_key(name));
+        let mut free = candidates.filter(|name| !self.entries.contains_key(name));
         free.next().unwrap_or_default()
     }
 }
--- a/crates/server-list/src/list_change.rs
+++ b/crates/server-list/src/list_change.rs
@@ -18,9 +18,9 @@
     /// No list names the server any more, so that it drains.
     Removed(String),
     /// The state of the server changed from serving to draining.
-    Drained(String),
+    SetToDraining(String),
     /// The state of the server changed from draining to serving.
-    Resumed(String),
+    SetToServing(String),
     /// The server states a start time that differs from the known start time, so that it counts as restarted.
     Restarted(String),
     /// The weight of the server changed.
@@ -59,8 +59,8 @@
             ListChange::Returned { id, cold: true } => write!(f, "returned cold {id}"),
             ListChange::Returned { id, cold: false } => write!(f, "returned {id}"),
             ListChange::Removed(id) => write!(f, "removed {id}"),
-            ListChange::Drained(id) => write!(f, "drained {id}"),
-            ListChange::Resumed(id) => write!(f, "resumed {id}"),
+            ListChange::SetToDraining(id) => write!(f, "drained {id}"),
+            ListChange::SetToServing(id) => write!(f, "resumed {id}"),
             ListChange::Restarted(id) => write!(f, "restarted {id}"),
             ListChange::WeightChanged { id, from, to } => {
                 write!(f, "weight of {id} from {from} to {to}")
--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -8,7 +8,7 @@
 use crate::clock::unix_ms;
 use crate::list_change::ListChange;
 use crate::server_record::{RecordState, ServerRecord};
-use crate::tracked_server::{TrackedServer, free_name};
+use crate::tracked_server::{TrackedServer, free_endpoint_name};
 
 /// Result of a merge: the listed and draining servers of the pool, and the changes by the new list.
 pub(crate) struct Merged {
@@ -22,7 +22,7 @@
     /// How long a removed server drains.
     pub(crate) drain_time: Span,
     /// Whether a list was in force before.
-    pub(crate) in_force: bool,
+    pub(crate) list_in_force: bool,
     pub(crate) tracked: &'a [TrackedServer],
 }
 
@@ -54,22 +54,22 @@
                 matched[*i] = true;
             }
         }
-        let mut names: FxHashSet<Box<str>> =
-            self.tracked.iter().map(|tracked| tracked.name.clone()).collect();
+        let mut endpoint_names: FxHashSet<Box<str>> =
+            self.tracked.iter().map(|tracked| tracked.endpoint_name.clone()).collect();
         let (mut merged, mut changes) = (Vec::new(), Vec::new());
         for server in servers {
-            let known_with_id = || by_id.get(&*server.id).copied().filter(|i| !matched[*i]);
-            let known = by_address.get(&server.address).copied().or_else(known_with_id);
-            let tracked = match known {
+            let index_with_id = || by_id.get(&*server.id).copied().filter(|i| !matched[*i]);
+            let index = by_address.get(&server.address).copied().or_else(index_with_id);
+            let tracked = match index {
                 Some(i) => {
                     matched[i] = true;
                     self.updated_server(&self.tracked[i], server, &mut changes)
                 }
                 None => {
                     changes.push(ListChange::Added(server.id.clone()));
-                    let name = free_name(&names, server);
-                    names.insert(name.clone());
-                    self.new_server(name, server)
+                    let endpoint_name = free_endpoint_name(&endpoint_names, server);
+                    endpoint_names.insert(endpoint_name.clone());
+                    self.new_server(endpoint_name, server)
                 }
             };
             merged.push(tracked);
@@ -87,10 +87,10 @@
 
     /// A new server. If the server states no start time, it counts as started long ago in the first list of this
     /// process, and as just started in a later list.
-    fn new_server(&self, name: Box<str>, server: &ServerRecord) -> TrackedServer {
-        let default_up_since_ms = if self.in_force { unix_ms(self.now) } else { 0.0 };
+    fn new_server(&self, endpoint_name: Box<str>, server: &ServerRecord) -> TrackedServer {
+        let default_up_since_ms = if self.list_in_force { unix_ms(self.now) } else { 0.0 };
         let up_since_ms = server.started_ms.unwrap_or(default_up_since_ms);
-        TrackedServer { name, record: server.clone(), up_since_ms, drain_ends_at: None }
+        TrackedServer { endpoint_name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 
     /// A tracked server with the record of the new list. Adds the differences to `changes`.
@@ -142,14 +142,14 @@
         }
         match (old_record.state, server.state) {
             (RecordState::Serving, RecordState::Draining) => {
-                changes.push(ListChange::Drained(id()))
+                changes.push(ListChange::SetToDraining(id()))
             }
             (RecordState::Draining, RecordState::Serving) if !returned => {
-                changes.push(ListChange::Resumed(id()))
+                changes.push(ListChange::SetToServing(id()))
             }
             _ => {}
         }
-        let name = old.name.clone();
-        TrackedServer { name, record: server.clone(), up_since_ms, drain_ends_at: None }
+        let endpoint_name = old.endpoint_name.clone();
+        TrackedServer { endpoint_name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 }
--- a/crates/server-list/src/removal_guard.rs
+++ b/crates/server-list/src/removal_guard.rs
@@ -22,12 +22,15 @@
     new: &[Arc<ServerListing>],
     accepted: &[Option<Arc<ServerListing>>],
 ) -> Result<(), Vec<Problem>> {
-    let still_serving: FxHashSet<&str> =
-        after.iter().filter(|server| server.serves()).map(|server| &*server.name).collect();
+    let still_serving: FxHashSet<&str> = after
+        .iter()
+        .filter(|server| server.serves())
+        .map(|server| &*server.endpoint_name)
+        .collect();
     let serving = before.iter().filter(|server| server.serves()).count();
     let removed = before
         .iter()
-        .filter(|server| server.serves() && !still_serving.contains(&*server.name))
+        .filter(|server| server.serves() && !still_serving.contains(&*server.endpoint_name))
         .count();
     if removed as f64 <= spec.max_removed_share * serving as f64 {
         return Ok(());
--- a/crates/server-list/src/tracked_server.rs
+++ b/crates/server-list/src/tracked_server.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedServer {
     /// Name of the server as an endpoint of the policy, kept when the id of the server changes.
-    pub(crate) name: Box<str>,
+    pub(crate) endpoint_name: Box<str>,
     pub(crate) record: ServerRecord,
     /// Start of the server for its warm-up, in Unix milliseconds; 0 stands for long ago.
     pub(crate) up_since_ms: f64,
@@ -22,7 +22,7 @@
     pub(crate) fn endpoint(&self) -> ListedEndpoint {
         let weight = self.record.weight;
         ListedEndpoint {
-            id: self.name.clone(),
+            id: self.endpoint_name.clone(),
             address: self.record.address,
             zone: self.record.zone.as_str().into(),
             machine_type: Box::default(),
@@ -41,11 +41,14 @@
 
 /// A free name for the endpoint of a server: the id of the server, or the id with a number if the endpoint of a renamed
 /// server still has the id as its name.
-pub(crate) fn free_name(names: &FxHashSet<Box<str>>, server: &ServerRecord) -> Box<str> {
+pub(crate) fn free_endpoint_name(
+    endpoint_names: &FxHashSet<Box<str>>,
+    server: &ServerRecord,
+) -> Box<str> {
     let id: Box<str> = server.id.as_str().into();
-    if !names.contains(&id) {
+    if !endpoint_names.contains(&id) {
         return id;
     }
     let name = |n: usize| -> Box<str> { format!("{id} {n}").into() };
-    (2..).map(name).find(|name| !names.contains(name)).unwrap_or_default()
+    (2..).map(name).find(|name| !endpoint_names.contains(name)).unwrap_or_default()
 }
