--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -19,38 +19,40 @@
 use sableloom_types::Time;
 
 /// How long a fleet at rest is watched.
-const WATCHED: i64 = 10 * SECOND;
+const REST_MEASURED_US: i64 = 10 * SECOND;
 /// How long starts are watched: past the start wait.
-const STARTS: i64 = 3 * SECOND;
+const START_MEASURED_US: i64 = 3 * SECOND;
 /// The longest time in which all may come to know all; after that the program goes on.
-const SETTLES_WITHIN: i64 = 600 * SECOND;
+const MAX_SETTLING_TIME_US: i64 = 600 * SECOND;
 /// How often in a second a member's bytes are looked at.
-const QUARTERS: usize = 4;
+const SAMPLES_PER_SECOND: usize = 4;
 /// The largest fleet that is played.
-const MAX_PLAYED: usize = 3000;
+const MAX_SIMULATED_SIZE: usize = 3000;
 /// The size that figures are extrapolated to.
 const EXTRAPOLATED_SIZE: f64 = 7600.0;
 
 struct Member {
-    core: FleetMember,
-    time: Duration,
+    fleet_member: FleetMember,
+    processor_time: Duration,
     events: u64,
-    received: u64,
+    received_datagrams: u64,
 }
 
 impl Member {
     fn call(
         &mut self,
-        sent: &mut NetworkOutput<Change>,
-        what: impl FnOnce(&mut FleetMember, &mut Output),
+        network_output: &mut NetworkOutput<Change>,
+        event: impl FnOnce(&mut FleetMember, &mut Output),
     ) {
-        let mut out = Output::default();
-        let begun = processor_time();
-        what(&mut self.core, &mut out);
-        self.time += processor_time().saturating_sub(begun);
+        let mut output = Output::default();
+        let started = processor_time();
+        event(&mut self.fleet_member, &mut output);
+        self.processor_time += processor_time().saturating_sub(started);
         self.events += 1;
-        sent.datagrams.extend(out.datagrams);
-        sent.absence_queries.extend(out.absence_queries.into_iter().map(|(_, at)| at));
+        network_output.datagrams.extend(output.datagrams);
+        network_output
+            .absence_queries
+            .extend(output.absence_queries.into_iter().map(|(_, address)| address));
     }
 }
 
@@ -62,29 +64,33 @@
         now: Time,
         from: SocketAddr,
         bytes: &[u8],
-        sent: &mut NetworkOutput<Change>,
+        network_output: &mut NetworkOutput<Change>,
     ) {
-        self.received += 1;
-        self.call(sent, |core, out| core.receive(now, from, bytes, out));
+        self.received_datagrams += 1;
+        self.call(network_output, |fleet_member, output| {
+            fleet_member.receive(now, from, bytes, output)
+        });
     }
 
     fn proved_absent(
         &mut self,
         now: Time,
-        at: SocketAddr,
-        queried: Time,
-        sent: &mut NetworkOutput<Change>,
+        address: SocketAddr,
+        queried_at: Time,
+        network_output: &mut NetworkOutput<Change>,
     ) {
-        let Some(i) = host_at(at) else { return };
-        self.call(sent, |core, out| core.proved_absent(now, key_of(&name(i)), queried, out));
+        let Some(i) = host_at(address) else { return };
+        self.call(network_output, |fleet_member, output| {
+            fleet_member.proved_absent(now, key_of(&name(i)), queried_at, output)
+        });
     }
 
-    fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
-        self.call(sent, |core, out| core.tick(now, out));
+    fn tick(&mut self, now: Time, network_output: &mut NetworkOutput<Change>) {
+        self.call(network_output, |fleet_member, output| fleet_member.tick(now, output));
     }
 
     fn next_wakeup(&self) -> Time {
-        self.core.next_wakeup()
+        self.fleet_member.next_wakeup()
     }
 }
 
@@ -97,7 +103,7 @@
     format!("balancer-{i}")
 }
 
-fn start(network: &mut Network<Member>, i: usize, listed: &Arc<MemberList>) {
+fn start(network: &mut Network<Member>, i: usize, member_list: &Arc<MemberList>) {
     network.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
             fleet_name: "points".to_string(),
@@ -105,10 +111,13 @@
             membership_timing: Default::default(),
             share_timing: Default::default(),
         };
-        let core = FleetMember::new(&settings, process_incarnation, listed.clone(), seed, now);
-        Member { core, time: Duration::ZERO, events: 0, received: 0 }
+        let fleet_member =
+            FleetMember::new(&settings, process_incarnation, member_list.clone(), seed, now);
+        Member { fleet_member, processor_time: Duration::ZERO, events: 0, received_datagrams: 0 }
+    });
+    network.call(i, |member, now, network_output| {
+        member.call(network_output, |fleet_member, output| fleet_member.start(now, output))
     });
-    network.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
 }
 
 fn resident_bytes() -> f64 {
@@ -119,8 +128,8 @@
 }
 
 /// What a member of this list takes for each that is on it, when it has heard of none yet.
-fn bytes_a_member(listed: &Arc<MemberList>) -> f64 {
-    let count = (4_000_000 / listed.members().len()).clamp(1, 1000);
+fn bytes_per_listed_member(member_list: &Arc<MemberList>) -> f64 {
+    let count = (4_000_000 / member_list.members().len()).clamp(1, 1000);
     let settings = |i| MemberSettings {
         fleet_name: "points".to_string(),
         own_name: name(i),
@@ -129,114 +138,129 @@
     };
     let before = resident_bytes();
     let members: Vec<FleetMember> = (0..count)
-        .map(|i| FleetMember::new(&settings(i), 1, listed.clone(), i as u64, Time(0)))
+        .map(|i| FleetMember::new(&settings(i), 1, member_list.clone(), i as u64, Time(0)))
         .collect();
-    (resident_bytes() - before) / (members.len() * listed.members().len()) as f64
+    (resident_bytes() - before) / (members.len() * member_list.members().len()) as f64
 }
 
-fn running(network: &Network<Member>) -> impl Iterator<Item = &Member> {
-    network.hosts.iter().filter_map(|place| place.process.as_ref())
+fn running_members(network: &Network<Member>) -> impl Iterator<Item = &Member> {
+    network.hosts.iter().filter_map(|host| host.process.as_ref())
 }
 
 /// What a phase took, for each member and second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spent {
+struct Cost {
     datagrams: f64,
     bytes: f64,
     /// In microseconds.
-    processor: f64,
+    processor_us: f64,
     events: f64,
     /// The most datagrams that any member got in any one second.
-    most: u64,
+    max_datagrams_per_second: u64,
     /// The most bytes that any member sent and got in any one second, with headers of UDP and IP.
-    worst: u64,
+    max_bytes_per_second: u64,
 }
 
-fn watch(network: &mut Network<Member>, time: i64) -> Spent {
+fn measure(network: &mut Network<Member>, duration_us: i64) -> Cost {
     let total = |network: &Network<Member>| {
-        running(network).fold((0.0, 0), |(time, events), member| {
-            (time + member.time.as_secs_f64() * 1e6, events + member.events)
+        running_members(network).fold((0.0, 0), |(processor_time, events), member| {
+            (processor_time + member.processor_time.as_secs_f64() * 1e6, events + member.events)
         })
     };
-    let received =
-        |network: &Network<Member>| running(network).map(|m| m.received).collect::<Vec<_>>();
+    let received_datagrams = |network: &Network<Member>| {
+        running_members(network).map(|m| m.received_datagrams).collect::<Vec<_>>()
+    };
     let (before, sent, bytes, from) = (total(network), network.sent, network.bytes, network.now);
-    let (mut most, mut worst) = (0, 0);
-    while network.now < from + time {
-        let counts = received(network);
-        worst = worst.max(worst_second(network, 1));
-        let gained = received(network).into_iter().zip(counts).map(|(now, before)| now - before);
-        most = most.max(gained.max().unwrap_or(0));
+    let (mut max_datagrams_per_second, mut max_bytes_per_second) = (0, 0);
+    while network.now < from + duration_us {
+        let received_before = received_datagrams(network);
+        max_bytes_per_second = max_bytes_per_second.max(max_bytes_in_a_second(network, 1));
+        let gained = received_datagrams(network)
+            .into_iter()
+            .zip(received_before)
+            .map(|(now, before)| now - before);
+        max_datagrams_per_second = max_datagrams_per_second.max(gained.max().unwrap_or(0));
     }
     let after = total(network);
-    let each = running(network).count() as f64 * time as f64 / SECOND as f64;
-    Spent {
-        datagrams: (network.sent - sent) as f64 / each,
-        bytes: (network.bytes - bytes) as f64 / each,
-        processor: (after.0 - before.0) / each,
-        events: (after.1 - before.1) as f64 / each,
-        most,
-        worst,
+    let member_seconds =
+        running_members(network).count() as f64 * duration_us as f64 / SECOND as f64;
+    Cost {
+        datagrams: (network.sent - sent) as f64 / member_seconds,
+        bytes: (network.bytes - bytes) as f64 / member_seconds,
+        processor_us: (after.0 - before.0) / member_seconds,
+        events: (after.1 - before.1) as f64 / member_seconds,
+        max_datagrams_per_second,
+        max_bytes_per_second,
     }
 }
 
 /// The most bytes that any running member sends and gets in any second of the next so many, with headers; a
 /// second begins each quarter of one.
-fn worst_second(network: &mut Network<Member>, seconds: usize) -> u64 {
+fn max_bytes_in_a_second(network: &mut Network<Member>, seconds: usize) -> u64 {
     let traffic = |network: &Network<Member>| -> Vec<u64> {
-        let running = |place: &sableloom_simulated_network::Host<Member>| place.process.is_some();
-        network.hosts.iter().map(|p| if running(p) { p.traffic } else { 0 }).collect()
+        let is_running = |host: &sableloom_simulated_network::Host<Member>| host.process.is_some();
+        network.hosts.iter().map(|host| if is_running(host) { host.traffic } else { 0 }).collect()
     };
     let mut samples = vec![traffic(network)];
-    for _ in 0..seconds * QUARTERS {
-        let until = network.now + SECOND / QUARTERS as i64;
+    for _ in 0..seconds * SAMPLES_PER_SECOND {
+        let until = network.now + SECOND / SAMPLES_PER_SECOND as i64;
         network.run(until);
         samples.push(traffic(network));
     }
-    let seconds = samples.iter().zip(samples.iter().skip(QUARTERS));
+    let seconds = samples.iter().zip(samples.iter().skip(SAMPLES_PER_SECOND));
     let gained = seconds.flat_map(|(from, to)| to.iter().zip(from).map(|(to, from)| to - from));
     gained.max().unwrap_or(0)
 }
 
 /// Runs until all know all, and prints how long that took and what was sent meanwhile.
-fn settle(network: &mut Network<Member>, n: usize) {
+fn run_until_settled(network: &mut Network<Member>, n: usize) {
     let (from, bytes) = (network.now, network.bytes);
-    let count = running(network).count();
-    let mut worst = 0;
-    while running(network).any(|member| member.core.membership().count_reachable() + 1 < count) {
-        if network.now > from + SETTLES_WITHIN {
+    let count = running_members(network).count();
+    let mut max_bytes_per_second = 0;
+    while running_members(network)
+        .any(|member| member.fleet_member.membership().count_reachable() + 1 < count)
+    {
+        if network.now > from + MAX_SETTLING_TIME_US {
             return println!(
                 "{n:6} {:24} not within {} s",
                 "all know all",
-                SETTLES_WITHIN / SECOND
+                MAX_SETTLING_TIME_US / SECOND
             );
         }
-        worst = worst.max(worst_second(network, 1));
+        max_bytes_per_second = max_bytes_per_second.max(max_bytes_in_a_second(network, 1));
     }
     let seconds = (network.now - from) as f64 / SECOND as f64;
-    let each = (network.bytes - bytes) as f64 / seconds.max(1.0) / count as f64;
+    let bytes_per_second = (network.bytes - bytes) as f64 / seconds.max(1.0) / count as f64;
     println!(
-        "{n:6} {:24} {seconds:8.1} s more, {each:.0} bytes/s a member, {worst} in the worst second with headers",
+        "{n:6} {:24} {seconds:8.1} s more, {bytes_per_second:.0} bytes/s a member, {max_bytes_per_second} in the worst second with headers",
         "all know all after"
     );
 }
 
 /// Runs until no member has an update left to send.
-fn calm(network: &mut Network<Member>) {
-    let until = network.now + SETTLES_WITHIN;
+fn run_until_no_updates(network: &mut Network<Member>) {
+    let until = network.now + MAX_SETTLING_TIME_US;
     while network.now < until
-        && running(network).any(|member| member.core.membership().queued_updates() > 0)
+        && running_members(network)
+            .any(|member| member.fleet_member.membership().queued_updates() > 0)
     {
         let next = network.now + SECOND;
         network.run(next);
     }
 }
 
-fn show(phase: &str, n: usize, spent: Spent) {
-    let Spent { datagrams, bytes, processor, events, most, worst } = spent;
-    let event = processor / events.max(1e-9);
+fn print_cost(phase: &str, n: usize, cost: Cost) {
+    let Cost {
+        datagrams,
+        bytes,
+        processor_us,
+        events,
+        max_datagrams_per_second,
+        max_bytes_per_second,
+    } = cost;
+    let us_per_event = processor_us / events.max(1e-9);
     println!(
-        "{n:6} {phase:24} {datagrams:8.1} {bytes:10.0} {processor:10.1} {event:8.2} {most:6} {worst:8}"
+        "{n:6} {phase:24} {datagrams:8.1} {bytes:10.0} {processor_us:10.1} {us_per_event:8.2} {max_datagrams_per_second:6} {max_bytes_per_second:8}"
     );
 }
 
@@ -249,62 +273,66 @@
         (sxy + (p.0 - x) * (p.1 - y), sxx + (p.0 - x) * (p.0 - x))
     });
     let slope = if sxx > 0.0 { sxy / sxx } else { 0.0 };
-    let left = points.iter().map(|p| (p.1 - y - slope * (p.0 - x)).powi(2)).sum::<f64>();
-    (y - slope * x, slope, (left / n).sqrt())
+    let squared_residuals =
+        points.iter().map(|p| (p.1 - y - slope * (p.0 - x)).powi(2)).sum::<f64>();
+    (y - slope * x, slope, (squared_residuals / n).sqrt())
 }
 
-struct Figures {
-    n: f64,
-    rest: Spent,
-    one: Spent,
-    quarter: Spent,
-    memory: f64,
+struct Measurement {
+    size: f64,
+    at_rest: Cost,
+    one_starts: Cost,
+    quarter_starts: Cost,
+    memory_bytes_per_member: f64,
 }
 
 /// What a line of figures is about, and which it is.
-type Row = (&'static str, fn(&Figures) -> f64);
+type Row = (&'static str, fn(&Measurement) -> f64);
 
-fn list(n: usize) -> Arc<MemberList> {
+fn member_list(n: usize) -> Arc<MemberList> {
     MemberList::new((0..n).map(|i| ListedMember { name: name(i), address: address_of(i) }))
 }
 
-fn show_memory(n: usize) -> f64 {
-    let memory = bytes_a_member(&list(n));
-    println!("{n:6} {:24} {memory:8.0} bytes for each member of the list", "memory");
-    memory
+fn measure_memory(n: usize) -> f64 {
+    let memory_bytes_per_member = bytes_per_listed_member(&member_list(n));
+    println!(
+        "{n:6} {:24} {memory_bytes_per_member:8.0} bytes for each member of the list",
+        "memory"
+    );
+    memory_bytes_per_member
 }
 
-fn play(n: usize) -> Figures {
-    let memory = show_memory(n);
-    let listed = list(n);
+fn simulate(n: usize) -> Measurement {
+    let memory_bytes_per_member = measure_memory(n);
+    let member_list = member_list(n);
     let mut network: Network<Member> = Network::new(n, 9, 0.01);
-    (0..n).for_each(|i| start(&mut network, i, &listed));
-    show("all start", n, watch(&mut network, STARTS));
-    settle(&mut network, n);
+    (0..n).for_each(|i| start(&mut network, i, &member_list));
+    print_cost("all start", n, measure(&mut network, START_MEASURED_US));
+    run_until_settled(&mut network, n);
     let mut network: Network<Member> = Network::new(n, 7, 0.01);
-    let (quarter, begun) = (n / 4, Instant::now());
-    (quarter..n).for_each(|i| start(&mut network, i, &listed));
-    show("three quarters start", n, watch(&mut network, STARTS));
-    settle(&mut network, n);
-    show("just after a start", n, watch(&mut network, WATCHED));
-    calm(&mut network);
-    show("a quarter missing", n, watch(&mut network, WATCHED));
-    start(&mut network, 0, &listed);
-    let one = watch(&mut network, STARTS);
-    show("one starts", n, one);
-    settle(&mut network, n);
-    calm(&mut network);
-    (1..quarter).for_each(|i| start(&mut network, i, &listed));
-    let many = watch(&mut network, STARTS);
-    show("a quarter starts", n, many);
-    settle(&mut network, n);
-    calm(&mut network);
-    let rest = watch(&mut network, WATCHED);
-    show("at rest", n, rest);
+    let (quarter, started) = (n / 4, Instant::now());
+    (quarter..n).for_each(|i| start(&mut network, i, &member_list));
+    print_cost("three quarters start", n, measure(&mut network, START_MEASURED_US));
+    run_until_settled(&mut network, n);
+    print_cost("just after a start", n, measure(&mut network, REST_MEASURED_US));
+    run_until_no_updates(&mut network);
+    print_cost("a quarter missing", n, measure(&mut network, REST_MEASURED_US));
+    start(&mut network, 0, &member_list);
+    let one_starts = measure(&mut network, START_MEASURED_US);
+    print_cost("one starts", n, one_starts);
+    run_until_settled(&mut network, n);
+    run_until_no_updates(&mut network);
+    (1..quarter).for_each(|i| start(&mut network, i, &member_list));
+    let quarter_starts = measure(&mut network, START_MEASURED_US);
+    print_cost("a quarter starts", n, quarter_starts);
+    run_until_settled(&mut network, n);
+    run_until_no_updates(&mut network);
+    let at_rest = measure(&mut network, REST_MEASURED_US);
+    print_cost("at rest", n, at_rest);
     (0..quarter).for_each(|i| network.kill(i));
-    show("a quarter dies", n, watch(&mut network, WATCHED));
-    println!("{n:6} {:24} {:8.1} s of this machine", "played in", begun.elapsed().as_secs_f64());
-    Figures { n: n as f64, rest, one, quarter: many, memory }
+    print_cost("a quarter dies", n, measure(&mut network, REST_MEASURED_US));
+    println!("{n:6} {:24} {:8.1} s of this machine", "played in", started.elapsed().as_secs_f64());
+    Measurement { size: n as f64, at_rest, one_starts, quarter_starts, memory_bytes_per_member }
 }
 
 fn main() {
@@ -315,33 +343,35 @@
          processor time of an event in us; the most datagrams that any member got in one second, and the most bytes that any sent and \
          got in one second, with headers"
     );
-    let (played, large): (Vec<usize>, Vec<usize>) =
-        sizes.into_iter().partition(|n| *n <= MAX_PLAYED);
+    let (simulated_sizes, memory_only_sizes): (Vec<usize>, Vec<usize>) =
+        sizes.into_iter().partition(|n| *n <= MAX_SIMULATED_SIZE);
     // First, as memory that a play has freed is used again.
-    for n in large {
-        show_memory(n);
+    for n in memory_only_sizes {
+        measure_memory(n);
     }
-    let figures: Vec<Figures> = played.into_iter().map(play).collect();
+    let measurements: Vec<Measurement> = simulated_sizes.into_iter().map(simulate).collect();
     let rows: [Row; 8] = [
-        ("at rest, datagrams/s", |f| f.rest.datagrams),
-        ("at rest, bytes/s", |f| f.rest.bytes),
-        ("at rest, processor us/s", |f| f.rest.processor),
-        ("one starts, bytes/s", |f| f.one.bytes),
-        ("a quarter starts, bytes/s", |f| f.quarter.bytes),
-        ("a quarter starts, processor us/s", |f| f.quarter.processor),
-        ("a quarter starts, most datagrams in a second", |f| f.quarter.most as f64),
-        ("bytes a member of the list", |f| f.memory),
+        ("at rest, datagrams/s", |m| m.at_rest.datagrams),
+        ("at rest, bytes/s", |m| m.at_rest.bytes),
+        ("at rest, processor us/s", |m| m.at_rest.processor_us),
+        ("one starts, bytes/s", |m| m.one_starts.bytes),
+        ("a quarter starts, bytes/s", |m| m.quarter_starts.bytes),
+        ("a quarter starts, processor us/s", |m| m.quarter_starts.processor_us),
+        ("a quarter starts, most datagrams in a second", |m| {
+            m.quarter_starts.max_datagrams_per_second as f64
+        }),
+        ("bytes a member of the list", |m| m.memory_bytes_per_member),
     ];
-    if figures.is_empty() {
+    if measurements.is_empty() {
         return;
     }
     println!(
         "\nby least squares: what; at 0, slope for each 1,000 members, residual; at {EXTRAPOLATED_SIZE}"
     );
-    for (what, of) in rows {
-        let points: Vec<(f64, f64)> = figures.iter().map(|f| (f.n, of(f))).collect();
+    for (label, value) in rows {
+        let points: Vec<(f64, f64)> = measurements.iter().map(|m| (m.size, value(m))).collect();
         let (at_0, slope, residual) = least_squares(&points);
         let at_size = at_0 + slope * EXTRAPOLATED_SIZE;
-        println!("{what:46} {at_0:10.1} {:10.2} {residual:10.2} {at_size:10.1}", slope * 1e3);
+        println!("{label:46} {at_0:10.1} {:10.2} {residual:10.2} {at_size:10.1}", slope * 1e3);
     }
 }
--- a/crates/fleet/src/absence_query.rs
+++ b/crates/fleet/src/absence_query.rs
@@ -20,15 +20,15 @@
 
 /// The places of queries that are sent and of those that wait.
 pub(crate) struct QuerySlots {
-    sent: Semaphore,
+    in_flight: Semaphore,
     /// One for each that is sent or waits.
-    all: Semaphore,
+    total: Semaphore,
 }
 
 /// The place of a query that may be sent.
 pub(crate) struct QuerySlot<'a> {
-    _sent: SemaphorePermit<'a>,
-    _any: SemaphorePermit<'a>,
+    _in_flight: SemaphorePermit<'a>,
+    _total: SemaphorePermit<'a>,
 }
 
 /// No place is left, also to wait.
@@ -39,28 +39,28 @@
 impl QuerySlots {
     pub(crate) fn new() -> Self {
         Self {
-            sent: Semaphore::new(MAX_CONCURRENT_ABSENCE_QUERIES),
-            all: Semaphore::new(MAX_CONCURRENT_ABSENCE_QUERIES + MAX_WAITING_QUERIES),
+            in_flight: Semaphore::new(MAX_CONCURRENT_ABSENCE_QUERIES),
+            total: Semaphore::new(MAX_CONCURRENT_ABSENCE_QUERIES + MAX_WAITING_QUERIES),
         }
     }
 
     /// Waits until the query may be sent.
     pub(crate) async fn acquire(&self) -> Result<QuerySlot<'_>, TooManyQueries> {
-        let any = self.all.try_acquire().map_err(|_| TooManyQueries)?;
-        let sent = self.sent.acquire().await.map_err(|_| TooManyQueries)?;
-        Ok(QuerySlot { _sent: sent, _any: any })
+        let total = self.total.try_acquire().map_err(|_| TooManyQueries)?;
+        let in_flight = self.in_flight.acquire().await.map_err(|_| TooManyQueries)?;
+        Ok(QuerySlot { _in_flight: in_flight, _total: total })
     }
 }
 
 /// Sends a query from a port of its own, calls `sent`, and returns whether the answer is that no process holds the
 /// address. Silence, and any other error, says nothing.
-pub(crate) async fn is_proved_absent(from: IpAddr, to: SocketAddr, sent: impl FnOnce()) -> bool {
+pub(crate) async fn prove_absence(from: IpAddr, to: SocketAddr, on_sent: impl FnOnce()) -> bool {
     let query = async {
         let socket = UdpSocket::bind(SocketAddr::new(from, 0)).await?;
         // Only a connected socket receives the answer.
         socket.connect(to).await?;
         socket.send(&ABSENCE_QUERY).await?;
-        sent();
+        on_sent();
         let mut buffer = [0; 1];
         socket.recv(&mut buffer).await
     };
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -16,11 +16,11 @@
 /// When a member is proved absent, so many other members that were not heard since are queried too,
 const MAX_RELATED_QUERIES: usize = 16;
 /// of so many that are looked at. Members that this leaves out are queried in their turn.
-const MAX_RELATED_LOOKED_AT: usize = 256;
+const MAX_RELATED_CANDIDATES: usize = 256;
 /// Unconfirmed members that are looked at for queries at one event.
-const MAX_UNCONFIRMED_LOOKED_AT: usize = 64;
+const MAX_UNCONFIRMED_CANDIDATES: usize = 64;
 /// A process with a long list that has just started looks again after so long whether it may send queries.
-const JUST_STARTED_RETRY: Span = Span(500_000);
+const JUST_STARTED_RETRY_INTERVAL: Span = Span(500_000);
 
 /// The names and timing of a member.
 #[derive(Clone, Debug)]
@@ -53,9 +53,9 @@
     capacity_share: CapacityShare,
     share: Share,
     now: Time,
-    pacing: QueryPacing,
+    query_pacing: QueryPacing,
     /// No unconfirmed member can be queried before, unless the view changes.
-    queries_due: Time,
+    next_queries_at: Time,
 }
 
 impl FleetMember {
@@ -81,15 +81,15 @@
         let others = membership.peers().map(|peer| peer.key);
         let mut capacity_share = CapacityShare::new(now, others, *share_timing);
         capacity_share.start_queries_at(seed as Key);
-        let pacing = QueryPacing::new(now, seed);
+        let query_pacing = QueryPacing::new(now, seed);
         let share = capacity_share.share(now);
-        Self { membership, capacity_share, share, now, pacing, queries_due: now }
+        Self { membership, capacity_share, share, now, query_pacing, next_queries_at: now }
     }
 
     /// Starts: all members are probed and, where none answers, their systems are queried.
     pub fn start(&mut self, now: Time, output: &mut Output) {
         // Members that have not acknowledged this process are probed as long as it waits for them.
-        self.update(now, output, |_, _| {});
+        self.apply_event(now, output, |_, _| {});
     }
 
     /// A datagram has come.
@@ -98,7 +98,9 @@
         if let Some(key) = sender {
             self.capacity_share.datagram_received(now, key);
         }
-        self.update(now, output, |membership, output| membership.receive(now, from, bytes, output));
+        self.apply_event(now, output, |membership, output| {
+            membership.receive(now, from, bytes, output)
+        });
         // Only a message that had an effect counts as an acknowledgement.
         let peer = sender.and_then(|key| self.membership.peer(key));
         if let Some(peer) = peer.filter(|peer| peer.last_message_at == Some(now)) {
@@ -108,33 +110,33 @@
     }
 
     /// A member's system has answered the absence query of this time that no process holds its address.
-    pub fn proved_absent(&mut self, now: Time, key: Key, queried: Time, output: &mut Output) {
-        let is_new = self.capacity_share.proved_absent(key, queried);
-        self.update(now, output, |membership, output| {
-            membership.proved_absent(now, key, queried, output);
+    pub fn proved_absent(&mut self, now: Time, key: Key, queried_at: Time, output: &mut Output) {
+        let is_new_proof = self.capacity_share.proved_absent(key, queried_at);
+        self.apply_event(now, output, |membership, output| {
+            membership.proved_absent(now, key, queried_at, output);
         });
-        if is_new {
-            self.query_related(now, queried, output);
+        if is_new_proof {
+            self.query_related_members(now, queried_at, output);
         }
     }
 
     /// Queries members that were not heard since the query that proved another one absent: failures are seldom alone.
     /// Without this, half of a fleet that died in one moment was found dead one by one, at the pace of probes that bad
     /// local health had made slow.
-    fn query_related(&mut self, now: Time, queried: Time, output: &mut Output) {
+    fn query_related_members(&mut self, now: Time, queried_at: Time, output: &mut Output) {
         let membership = &self.membership;
         let is_silent = |key: &Key| {
             let last_heard = membership.peer(*key).and_then(|peer| peer.last_message_at);
-            last_heard.is_none_or(|heard| heard < queried)
+            last_heard.is_none_or(|heard| heard < queried_at)
         };
-        let looked_at = self.capacity_share.query_order().take(MAX_RELATED_LOOKED_AT);
-        let silent: Vec<Key> = looked_at.filter(is_silent).collect();
-        self.query_paced(now, MAX_RELATED_QUERIES, silent, output);
+        let candidates = self.capacity_share.query_order().take(MAX_RELATED_CANDIDATES);
+        let silent: Vec<Key> = candidates.filter(is_silent).collect();
+        self.query_absence_paced(now, MAX_RELATED_QUERIES, silent, output);
     }
 
     /// Does what is due by now.
     pub fn tick(&mut self, now: Time, output: &mut Output) {
-        self.update(now, output, |membership, output| membership.tick(now, output));
+        self.apply_event(now, output, |membership, output| membership.tick(now, output));
     }
 
     /// Replaces the operators' list.
@@ -142,7 +144,7 @@
         let own = self.membership.own_key();
         let others = list.members().iter().map(|(key, _)| *key).filter(|key| *key != own);
         self.capacity_share.update_members(others);
-        self.update(now, output, |membership, output| {
+        self.apply_event(now, output, |membership, output| {
             membership.update_list(now, list, output);
             membership.ping_missing_members(now, output);
         });
@@ -157,11 +159,11 @@
     /// Leaves on purpose, with no requests left.
     pub fn leave(&mut self, output: &mut Output) {
         let now = self.now;
-        self.update(now, output, |membership, output| membership.leave(output));
+        self.apply_event(now, output, |membership, output| membership.leave(output));
     }
 
     /// Passes an event to the membership, and does what follows for the share: probes and absence queries.
-    fn update(
+    fn apply_event(
         &mut self,
         now: Time,
         output: &mut Output,
@@ -178,19 +180,19 @@
         self.capacity_share.set_resumed(is_resumed);
         output.datagrams.append(&mut datagrams);
         if !changes.is_empty() {
-            self.queries_due = now;
+            self.next_queries_at = now;
         }
-        let suspected = self.suspected_by_itself(&changes);
+        let suspected = self.locally_suspected(&changes);
         output.changes.append(&mut changes);
         self.send_probes(now, output);
         if !suspected.is_empty() {
-            self.query(now, usize::MAX, suspected, output);
+            self.query_absence(now, usize::MAX, suspected, output);
         }
-        if now >= self.queries_due {
-            let next = self.capacity_share.next_query_key();
-            let unconfirmed = self.membership.unconfirmed_from(next);
-            let unconfirmed: Vec<Key> = unconfirmed.take(MAX_UNCONFIRMED_LOOKED_AT).collect();
-            self.queries_due = self.query_paced(now, usize::MAX, unconfirmed, output);
+        if now >= self.next_queries_at {
+            let first_key = self.capacity_share.next_query_key();
+            let unconfirmed = self.membership.unconfirmed_from(first_key);
+            let unconfirmed: Vec<Key> = unconfirmed.take(MAX_UNCONFIRMED_CANDIDATES).collect();
+            self.next_queries_at = self.query_absence_paced(now, usize::MAX, unconfirmed, output);
         }
         self.share = self.capacity_share.share(now);
     }
@@ -206,7 +208,7 @@
 
     /// Members that this member is the first to suspect, as its own probe failed. It queries their systems whatever the
     /// pace: other members do when they hear of the suspicion.
-    fn suspected_by_itself(&self, changes: &[Change]) -> Vec<Key> {
+    fn locally_suspected(&self, changes: &[Change]) -> Vec<Key> {
         let own = self.membership.own_key();
         let suspected = changes.iter().filter_map(|change| match change {
             Change::Suspected { member, reported_by } if *reported_by == own => Some(*member),
@@ -217,7 +219,7 @@
 
     /// Queries the systems of so many of these members, in their turn, as far as the pace of a long list allows. Before
     /// the time that it returns none of them can be queried again.
-    fn query_paced(
+    fn query_absence_paced(
         &mut self,
         now: Time,
         max: usize,
@@ -225,21 +227,27 @@
         output: &mut Output,
     ) -> Time {
         if self.membership.has_short_list() {
-            return self.query(now, max, candidates, output);
+            return self.query_absence(now, max, candidates, output);
         }
         if self.membership.has_just_started() {
-            return now.plus(JUST_STARTED_RETRY);
+            return now.plus(JUST_STARTED_RETRY_INTERVAL);
         }
         let unconfirmed = self.membership.count_unconfirmed();
-        let others = self.membership.count_reachable();
-        let max = max.min(self.pacing.remaining(now, unconfirmed, others));
-        let before = output.absence_queries.len();
-        let retry_at = self.query(now, max, candidates, output);
-        self.pacing.spend(output.absence_queries.len() - before);
+        let other_senders = self.membership.count_reachable();
+        let max = max.min(self.query_pacing.available(now, unconfirmed, other_senders));
+        let queries_before = output.absence_queries.len();
+        let retry_at = self.query_absence(now, max, candidates, output);
+        self.query_pacing.spend(output.absence_queries.len() - queries_before);
         retry_at
     }
 
-    fn query(&mut self, now: Time, max: usize, candidates: Vec<Key>, output: &mut Output) -> Time {
+    fn query_absence(
+        &mut self,
+        now: Time,
+        max: usize,
+        candidates: Vec<Key>,
+        output: &mut Output,
+    ) -> Time {
         let queries = self.capacity_share.query_absence(now, max, candidates);
         self.membership.count_absence_queries(now, queries.to.len());
         let membership = &self.membership;
--- a/crates/fleet/src/operator_query.rs
+++ b/crates/fleet/src/operator_query.rs
@@ -12,9 +12,9 @@
 use crate::status::Status;
 
 /// The first byte of query and answer, where members' datagrams have their version.
-const OPERATOR_QUERY: u8 = 255;
+const OPERATOR_QUERY_MARKER: u8 = 255;
 /// Bytes before a page: the first byte, the page's number, how many pages there are.
-const HEAD: usize = 5;
+const PAGE_HEADER_BYTES: usize = 5;
 /// How often a page is requested,
 const MAX_ATTEMPTS: usize = 5;
 /// and how long each attempt waits.
@@ -69,36 +69,36 @@
 struct Page<'a> {
     number: u16,
     /// How many pages there are.
-    count: u16,
+    page_count: u16,
     content: &'a [u8],
 }
 
 /// The page that a query asks for.
 pub(crate) fn requested_page(query: &[u8]) -> Option<u16> {
     match query {
-        [OPERATOR_QUERY, high, low] => Some(u16::from_be_bytes([*high, *low])),
+        [OPERATOR_QUERY_MARKER, high, low] => Some(u16::from_be_bytes([*high, *low])),
         _ => None,
     }
 }
 
 /// The answer with a page of this text; `None` past its end.
-pub(crate) fn answer(text: &[u8], page: u16) -> Option<Vec<u8>> {
-    let mut pages = text.chunks(MAX_DATAGRAM_BYTES - HEAD);
-    let count = u16::try_from(pages.len()).ok()?;
+pub(crate) fn encode_answer(text: &[u8], page: u16) -> Option<Vec<u8>> {
+    let mut pages = text.chunks(MAX_DATAGRAM_BYTES - PAGE_HEADER_BYTES);
+    let page_count = u16::try_from(pages.len()).ok()?;
     let content = pages.nth(usize::from(page))?;
-    let mut answer = vec![OPERATOR_QUERY];
+    let mut answer = vec![OPERATOR_QUERY_MARKER];
     answer.extend(page.to_be_bytes());
-    answer.extend(count.to_be_bytes());
+    answer.extend(page_count.to_be_bytes());
     answer.extend(content);
     Some(answer)
 }
 
 /// The page of an answer.
-fn read_answer(answer: &[u8]) -> Option<Page<'_>> {
-    let (head, content) = answer.split_at_checked(HEAD)?;
-    let [OPERATOR_QUERY, a, b, c, d] = *head else { return None };
-    let (number, count) = (u16::from_be_bytes([a, b]), u16::from_be_bytes([c, d]));
-    Some(Page { number, count, content })
+fn decode_answer(answer: &[u8]) -> Option<Page<'_>> {
+    let (header, content) = answer.split_at_checked(PAGE_HEADER_BYTES)?;
+    let [OPERATOR_QUERY_MARKER, a, b, c, d] = *header else { return None };
+    let (number, page_count) = (u16::from_be_bytes([a, b]), u16::from_be_bytes([c, d]));
+    Some(Page { number, page_count, content })
 }
 
 /// Queries the status of the member at this address from the operator's.
@@ -110,10 +110,10 @@
     let socket_error = |source| QueryError::Socket { member, operator, source };
     let socket = UdpSocket::bind(operator).await.map_err(socket_error)?;
     socket.connect(member).await.map_err(socket_error)?;
-    let (mut text, mut page, mut count) = (Vec::new(), 0u16, 1u16);
-    while page < count {
-        count = query_page(&socket, member, page, &mut text).await?;
-        page += 1;
+    let (mut text, mut next_page, mut page_count) = (Vec::new(), 0u16, 1u16);
+    while next_page < page_count {
+        page_count = query_page(&socket, member, next_page, &mut text).await?;
+        next_page += 1;
     }
     serde_json::from_slice(&text).map_err(|source| QueryError::Malformed { member, source })
 }
@@ -125,25 +125,25 @@
     number: u16,
     text: &mut Vec<u8>,
 ) -> Result<u16, QueryError> {
-    let mut query = vec![OPERATOR_QUERY];
+    let mut query = vec![OPERATOR_QUERY_MARKER];
     query.extend(number.to_be_bytes());
     for _ in 0..MAX_ATTEMPTS {
         let sent = socket.send(&query).await;
         sent.map_err(|source| QueryError::Send { member, source })?;
-        let answered = async {
+        let receive_answer = async {
             let mut buffer = [0; MAX_DATAGRAM_BYTES];
             loop {
                 let length = socket.recv(&mut buffer).await?;
                 // A late answer to an earlier attempt is one to this, or of another page.
-                let page = read_answer(&buffer[..length]).filter(|page| page.number == number);
-                if let Some(Page { count, content, .. }) = page {
+                let page = decode_answer(&buffer[..length]).filter(|page| page.number == number);
+                if let Some(Page { page_count, content, .. }) = page {
                     text.extend(content);
-                    return Ok(count);
+                    return Ok(page_count);
                 }
             }
         };
-        match timeout(ATTEMPT_TIMEOUT, answered).await {
-            Ok(Ok(count)) => return Ok(count),
+        match timeout(ATTEMPT_TIMEOUT, receive_answer).await {
+            Ok(Ok(page_count)) => return Ok(page_count),
             Ok(Err(source)) => return Err(QueryError::NoMember { member, source }),
             Err(_) => {}
         }
--- a/crates/fleet/src/operator_query/tests.rs
+++ b/crates/fleet/src/operator_query/tests.rs
@@ -1,39 +1,40 @@
 use super::*;
 
 #[test]
-fn pages_of_256_bytes_make_up_the_complete_text() {
+fn pages_fit_a_datagram_and_join_to_the_complete_text() {
     for length in [0usize, 1, 250, 251, 252, 502, 503, 70_000] {
         let text: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
-        let mut whole: Vec<u8> = Vec::new();
+        let mut joined: Vec<u8> = Vec::new();
         let mut page = 0;
-        while let Some(bytes) = answer(&text, page) {
+        while let Some(bytes) = encode_answer(&text, page) {
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-            let Page { number, count, content } = read_answer(&bytes).expect("its own");
-            assert_eq!((number, usize::from(count)), (page, length.div_ceil(251)));
-            whole.extend(content);
+            let Page { number, page_count, content } =
+                decode_answer(&bytes).expect("an encoded answer");
+            assert_eq!((number, usize::from(page_count)), (page, length.div_ceil(251)));
+            joined.extend(content);
             page += 1;
         }
-        assert_eq!(whole, text);
+        assert_eq!(joined, text);
     }
     // More pages than can be counted are not shown at all, and never truncated silently.
-    assert_eq!(answer(&vec![0; 251 * 70_000], 0), None);
+    assert_eq!(encode_answer(&vec![0; 251 * 70_000], 0), None);
 }
 
 #[test]
-fn other_datagrams_are_neither_queries_nor_answers() {
+fn datagrams_of_other_forms_are_neither_queries_nor_answers() {
     assert_eq!(requested_page(&[255, 1, 2]), Some(258));
-    for other in [&[][..], &[255], &[255, 1], &[255, 1, 2, 3], &[1, 1, 2]] {
-        assert_eq!(requested_page(other), None);
+    for datagram in [&[][..], &[255], &[255, 1], &[255, 1, 2, 3], &[1, 1, 2]] {
+        assert_eq!(requested_page(datagram), None);
     }
-    for other in [&[][..], &[255, 0, 0, 0], &[1, 0, 0, 0, 1, 7]] {
-        assert_eq!(read_answer(other), None);
+    for datagram in [&[][..], &[255, 0, 0, 0], &[1, 0, 0, 0, 1, 7]] {
+        assert_eq!(decode_answer(datagram), None);
     }
 }
 
 /// Queries and answers as commit c6abd24 has written them: an operator's tool of another version asks.
 const RECORDED: &str = include_str!("../../tests/data/operator_queries.txt");
 
-fn recorded(name: &str) -> Vec<u8> {
+fn recorded_bytes(name: &str) -> Vec<u8> {
     let digits = RECORDED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let byte = |pair: &[u8]| {
         let digits = std::str::from_utf8(pair).expect("digits");
@@ -45,16 +46,16 @@
 #[test]
 fn recorded_queries_and_answers_are_read_and_written_unchanged() {
     for page in [0, 1, 258] {
-        assert_eq!(requested_page(&recorded(&format!("query_{page}"))), Some(page));
+        assert_eq!(requested_page(&recorded_bytes(&format!("query_{page}"))), Some(page));
     }
     let text: Vec<u8> = (0..600usize).map(|i| (i % 251) as u8).collect();
-    let mut whole: Vec<u8> = Vec::new();
+    let mut joined: Vec<u8> = Vec::new();
     for page in 0..3 {
-        let bytes = recorded(&format!("answer_{page}"));
-        assert_eq!(answer(&text, page), Some(bytes.clone()));
-        let Page { number, count, content } = read_answer(&bytes).expect("an answer");
-        assert_eq!((number, count), (page, 3));
-        whole.extend(content);
+        let bytes = recorded_bytes(&format!("answer_{page}"));
+        assert_eq!(encode_answer(&text, page), Some(bytes.clone()));
+        let Page { number, page_count, content } = decode_answer(&bytes).expect("an answer");
+        assert_eq!((number, page_count), (page, 3));
+        joined.extend(content);
     }
-    assert_eq!(whole, text);
+    assert_eq!(joined, text);
 }
--- a/crates/fleet/src/running_member.rs
+++ b/crates/fleet/src/running_member.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-use crate::absence_query::{QuerySlots, is_proved_absent};
+use crate::absence_query::{QuerySlots, prove_absence};
 use crate::log_line::{ChangeLine, ShareLine};
 use crate::member::{FleetMember, MemberSettings, Output};
 use crate::operator_query;
@@ -24,7 +24,7 @@
 use crate::traffic::Traffic;
 
 /// Datagrams that are received before the requests of clients have their turn.
-const DATAGRAMS_PER_TURN: usize = 64;
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 /// What is notified as it happens.
 pub trait FleetObserver {
@@ -68,8 +68,8 @@
     query_slots: QuerySlots,
     operator_address: Option<SocketAddr>,
     /// The status that the operator queries page by page.
-    status_text: RefCell<Vec<u8>>,
-    task: RefCell<Option<Task>>,
+    status_json: RefCell<Vec<u8>>,
+    protocol_task: RefCell<Option<Task>>,
     traffic: Cell<Traffic>,
 }
 
@@ -98,13 +98,13 @@
             wakeup_changed: Notify::new(),
             query_slots: QuerySlots::new(),
             operator_address,
-            status_text: RefCell::default(),
-            task: RefCell::default(),
+            status_json: RefCell::default(),
+            protocol_task: RefCell::default(),
             traffic: Cell::default(),
         });
-        running.call(|member, now, output| member.start(now, output));
-        let own = running.clone();
-        *running.task.borrow_mut() = Some(Task::spawn(async move { own.run().await }));
+        running.call_member(|member, now, output| member.start(now, output));
+        let this = running.clone();
+        *running.protocol_task.borrow_mut() = Some(Task::spawn(async move { this.run().await }));
         Ok(running)
     }
 
@@ -121,7 +121,7 @@
     /// Replaces the operators' list. `others` are all members but itself.
     pub fn update_list(self: &Rc<Self>, others: &[ListedMember]) {
         let list = MemberList::new(others.iter().cloned());
-        self.call(|member, now, output| member.update_list(now, list, output));
+        self.call_member(|member, now, output| member.update_list(now, list, output));
     }
 
     /// Sets the digest of the endpoint lists that are in force here, which other members are shown.
@@ -131,8 +131,8 @@
 
     /// Leaves on purpose, with no requests left, and says nothing from then on. It goes on holding its address.
     pub fn leave(self: &Rc<Self>) {
-        self.call(|member, _, output| member.leave(output));
-        self.task.borrow_mut().take();
+        self.call_member(|member, _, output| member.leave(output));
+        self.protocol_task.borrow_mut().take();
     }
 
     /// What it has sent and received.
@@ -148,8 +148,8 @@
 
     /// Its status.
     pub fn status(&self) -> Status {
-        let (fleet, own) = (&self.settings.fleet_name, &self.settings.own_name);
-        Status::of(&self.member.borrow(), fleet, own, self.clock.now())
+        let (fleet_name, own_name) = (&self.settings.fleet_name, &self.settings.own_name);
+        Status::of(&self.member.borrow(), fleet_name, own_name, self.clock.now())
     }
 
     async fn run(self: Rc<Self>) {
@@ -159,32 +159,34 @@
                 biased;
                 ready = self.socket.readable() => {
                     if ready.is_ok() {
-                        self.receive_turn();
+                        self.receive_pending();
                         tokio::task::yield_now().await;
                     }
                 }
-                () = sleep_until(wakeup) => self.call(|member, now, output| member.tick(now, output)),
+                () = sleep_until(wakeup) => self.call_member(|member, now, output| member.tick(now, output)),
                 () = self.wakeup_changed.notified() => {}
             }
         }
     }
 
     /// Receives the datagrams that have come, up to a bound.
-    fn receive_turn(self: &Rc<Self>) {
+    fn receive_pending(self: &Rc<Self>) {
         // A datagram that fills one byte more than is allowed is recognized as too long.
         let mut buffer = [0; MAX_PAGE_BYTES + 1];
-        for _ in 0..DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) if Some(from) == self.operator_address => {
                     self.answer_operator(from, &buffer[..length]);
                 }
                 Ok((length, from)) => {
-                    self.count(|traffic| {
+                    self.update_traffic(|traffic| {
                         traffic.received += 1;
                         traffic.received_bytes += length as u64;
                     });
                     let bytes = &buffer[..length];
-                    self.call(|member, now, output| member.receive(now, from, bytes, output));
+                    self.call_member(|member, now, output| {
+                        member.receive(now, from, bytes, output)
+                    });
                 }
                 // For example of an earlier datagram to an address that no process held.
                 Err(error) if error.kind() != ErrorKind::WouldBlock => {}
@@ -194,7 +196,7 @@
     }
 
     /// Calls the state machine, and carries out what it returns.
-    fn call(self: &Rc<Self>, event: impl FnOnce(&mut FleetMember, Time, &mut Output)) {
+    fn call_member(self: &Rc<Self>, event: impl FnOnce(&mut FleetMember, Time, &mut Output)) {
         let mut output = Output::default();
         let share = {
             let mut member = self.member.borrow_mut();
@@ -207,7 +209,7 @@
         for (to, bytes) in &output.datagrams {
             // A full socket loses the datagram, as a network does.
             if self.socket.try_send_to(bytes, *to).is_ok() {
-                self.count(|traffic| {
+                self.update_traffic(|traffic| {
                     traffic.sent += 1;
                     traffic.sent_bytes += bytes.len() as u64;
                 });
@@ -220,11 +222,11 @@
     }
 
     fn publish_share(&self, share: Share) {
-        let before = self.last_share.replace(share);
-        if before == share {
+        let previous = self.last_share.replace(share);
+        if previous == share {
             return;
         }
-        if (before.balancers, before.reason) != (share.balancers, share.reason) {
+        if (previous.balancers, previous.reason) != (share.balancers, share.reason) {
             self.observer.log(&ShareLine(share).to_string());
         }
         self.observer.share_changed(share);
@@ -237,20 +239,20 @@
         }
     }
 
-    fn count(&self, add: impl FnOnce(&mut Traffic)) {
+    fn update_traffic(&self, update: impl FnOnce(&mut Traffic)) {
         let mut traffic = self.traffic.get();
-        add(&mut traffic);
+        update(&mut traffic);
         self.traffic.set(traffic);
     }
 
     /// Sends the operator a page of the status, as it was when the first page was requested.
     fn answer_operator(&self, to: SocketAddr, query: &[u8]) {
         let Some(page) = operator_query::requested_page(query) else { return };
-        let mut text = self.status_text.borrow_mut();
-        if page == 0 || text.is_empty() {
-            *text = serde_json::to_vec(&self.status()).unwrap_or_default();
+        let mut status_json = self.status_json.borrow_mut();
+        if page == 0 || status_json.is_empty() {
+            *status_json = serde_json::to_vec(&self.status()).unwrap_or_default();
         }
-        if let Some(answer) = operator_query::answer(&text, page) {
+        if let Some(answer) = operator_query::encode_answer(&status_json, page) {
             // A full socket loses the answer; the operator's program repeats its query.
             let _ = self.socket.try_send_to(&answer, to);
         }
@@ -259,13 +261,15 @@
     /// Queries a member's system whether any process holds its address.
     async fn query_absence(self: Rc<Self>, key: Key, address: SocketAddr) {
         let Ok(_slot) = self.query_slots.acquire().await else {
-            return self.count(|traffic| traffic.absence_queries_dropped += 1);
+            return self.update_traffic(|traffic| traffic.absence_queries_dropped += 1);
         };
         // A proof is as old as the time before its query leaves.
-        let queried = self.clock.now();
-        let sent = || self.count(|traffic| traffic.absence_queries += 1);
-        if is_proved_absent(self.address.ip(), address, sent).await {
-            self.call(|member, now, output| member.proved_absent(now, key, queried, output));
+        let queried_at = self.clock.now();
+        let count_sent = || self.update_traffic(|traffic| traffic.absence_queries += 1);
+        if prove_absence(self.address.ip(), address, count_sent).await {
+            self.call_member(|member, now, output| {
+                member.proved_absent(now, key, queried_at, output)
+            });
         }
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -174,14 +174,14 @@
             process_incarnation: peer.process_incarnation,
             last_heard_ms: peer.last_message_at.map(milliseconds_since),
             list_length: peer.list_length,
-            endpoints_digest: hexadecimal(peer.endpoints_digest),
+            endpoints_digest: format_digest(peer.endpoints_digest),
         }
     }
 }
 
 impl Status {
     /// A member's status now.
-    pub fn of(member: &FleetMember, fleet: &str, own: &str, now: Time) -> Self {
+    pub fn of(member: &FleetMember, fleet_name: &str, own_name: &str, now: Time) -> Self {
         let membership = member.membership();
         let reachability = match membership.reachability() {
             Reachability::Complete => "whole",
@@ -191,12 +191,12 @@
         };
         let members = membership.peers().map(|peer| MemberStatus::of(member, peer, now));
         Self {
-            fleet_name: fleet.to_string(),
-            own_name: own.to_string(),
+            fleet_name: fleet_name.to_string(),
+            own_name: own_name.to_string(),
             process_incarnation: membership.process_incarnation(),
             view_version: membership.view_version(),
-            view_digest: hexadecimal(membership.digest()),
-            endpoints_digest: hexadecimal(membership.endpoints_digest()),
+            view_digest: format_digest(membership.digest()),
+            endpoints_digest: format_digest(membership.endpoints_digest()),
             reachability: reachability.to_string(),
             reachable_members: membership.count_reachable() + 1,
             listed_members: membership.count_others() + 1 - membership.count_left(),
@@ -208,6 +208,6 @@
     }
 }
 
-fn hexadecimal(digest: u32) -> String {
+fn format_digest(digest: u32) -> String {
     format!("{digest:08x}")
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -17,34 +17,36 @@
 use sableloom_types::Time;
 
 /// Longer than a short list, whose members all ping one another.
-const MEMBERS: usize = 600;
+const MEMBER_COUNT: usize = 600;
 /// How often in a second a member's bytes are looked at.
-const QUARTERS: usize = 4;
+const SAMPLES_PER_SECOND: usize = 4;
 
 struct Member {
-    core: FleetMember,
+    fleet_member: FleetMember,
     /// Bytes by kind, for the report of a failure.
-    kinds: BTreeMap<&'static str, usize>,
+    traffic_by_kind: BTreeMap<&'static str, usize>,
 }
 
 impl Member {
     fn call(
         &mut self,
-        sent: &mut NetworkOutput<Change>,
-        what: impl FnOnce(&mut FleetMember, &mut Output),
+        network_output: &mut NetworkOutput<Change>,
+        event: impl FnOnce(&mut FleetMember, &mut Output),
     ) {
-        let mut out = Output::default();
-        what(&mut self.core, &mut out);
-        for (_, bytes) in &out.datagrams {
-            self.count("sent", bytes);
+        let mut output = Output::default();
+        event(&mut self.fleet_member, &mut output);
+        for (_, bytes) in &output.datagrams {
+            self.count_bytes("sent", bytes);
         }
-        *self.kinds.entry("absence queries").or_default() += out.absence_queries.len();
-        sent.datagrams.extend(out.datagrams);
-        sent.absence_queries.extend(out.absence_queries.into_iter().map(|(_, at)| at));
+        *self.traffic_by_kind.entry("absence queries").or_default() += output.absence_queries.len();
+        network_output.datagrams.extend(output.datagrams);
+        network_output
+            .absence_queries
+            .extend(output.absence_queries.into_iter().map(|(_, address)| address));
     }
 
-    fn count(&mut self, way: &'static str, bytes: &[u8]) {
-        let kind = match (way, decode(bytes).map(|message| message.body)) {
+    fn count_bytes(&mut self, direction: &'static str, bytes: &[u8]) {
+        let kind = match (direction, decode(bytes).map(|message| message.body)) {
             ("sent", Ok(Body::Pull(_))) => "pulls sent",
             ("sent", Ok(Body::Page(_))) => "pages sent",
             ("sent", _) => "others sent",
@@ -52,7 +54,7 @@
             (_, Ok(Body::Page(_))) => "pages received",
             _ => "others received",
         };
-        *self.kinds.entry(kind).or_default() += bytes.len() + HEADER_BYTES;
+        *self.traffic_by_kind.entry(kind).or_default() += bytes.len() + HEADER_BYTES;
     }
 }
 
@@ -64,29 +66,33 @@
         now: Time,
         from: SocketAddr,
         bytes: &[u8],
-        sent: &mut NetworkOutput<Change>,
+        network_output: &mut NetworkOutput<Change>,
     ) {
-        self.count("received", bytes);
-        self.call(sent, |core, out| core.receive(now, from, bytes, out));
+        self.count_bytes("received", bytes);
+        self.call(network_output, |fleet_member, output| {
+            fleet_member.receive(now, from, bytes, output)
+        });
     }
 
     fn proved_absent(
         &mut self,
         now: Time,
-        at: SocketAddr,
-        queried: Time,
-        sent: &mut NetworkOutput<Change>,
+        address: SocketAddr,
+        queried_at: Time,
+        network_output: &mut NetworkOutput<Change>,
     ) {
-        let Some(i) = host_at(at) else { return };
-        self.call(sent, |core, out| core.proved_absent(now, key_of(&name(i)), queried, out));
+        let Some(i) = host_at(address) else { return };
+        self.call(network_output, |fleet_member, output| {
+            fleet_member.proved_absent(now, key_of(&name(i)), queried_at, output)
+        });
     }
 
-    fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
-        self.call(sent, |core, out| core.tick(now, out));
+    fn tick(&mut self, now: Time, network_output: &mut NetworkOutput<Change>) {
+        self.call(network_output, |fleet_member, output| fleet_member.tick(now, output));
     }
 
     fn next_wakeup(&self) -> Time {
-        self.core.next_wakeup()
+        self.fleet_member.next_wakeup()
     }
 }
 
@@ -102,61 +108,65 @@
             membership_timing: MembershipTiming::default(),
             share_timing: Timing::default(),
         };
-        let core = FleetMember::new(&settings, process_incarnation, list.clone(), seed, now);
-        Member { core, kinds: BTreeMap::new() }
+        let fleet_member =
+            FleetMember::new(&settings, process_incarnation, list.clone(), seed, now);
+        Member { fleet_member, traffic_by_kind: BTreeMap::new() }
+    });
+    network.call(i, |member, now, network_output| {
+        member.call(network_output, |fleet_member, output| fleet_member.start(now, output))
     });
-    network.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
 }
 
 /// Runs for so many seconds, in none of which any member may have more bytes than the budget; a second begins each
 /// quarter of one.
-fn run(network: &mut Network<Member>, seconds: usize, phase: &str) {
-    let traffic = |network: &Network<Member>| -> Vec<(u64, BTreeMap<&'static str, usize>)> {
-        let kinds = |p: &sableloom_simulated_network::Host<Member>| {
-            p.process.as_ref().map(|m| m.kinds.clone()).unwrap_or_default()
+fn run_checked(network: &mut Network<Member>, seconds: usize, phase: &str) {
+    let sample = |network: &Network<Member>| -> Vec<(u64, BTreeMap<&'static str, usize>)> {
+        let traffic_by_kind = |host: &sableloom_simulated_network::Host<Member>| {
+            host.process.as_ref().map(|m| m.traffic_by_kind.clone()).unwrap_or_default()
         };
-        network.hosts.iter().map(|p| (p.traffic, kinds(p))).collect()
+        network.hosts.iter().map(|host| (host.traffic, traffic_by_kind(host))).collect()
     };
-    let mut samples = vec![traffic(network)];
-    let mut worst = 0;
-    for _ in 0..seconds * QUARTERS {
-        let until = network.now + SECOND / QUARTERS as i64;
+    let mut samples = vec![sample(network)];
+    let mut max_bytes = 0;
+    for _ in 0..seconds * SAMPLES_PER_SECOND {
+        let until = network.now + SECOND / SAMPLES_PER_SECOND as i64;
         network.run(until);
-        samples.push(traffic(network));
-        let from = &samples[samples.len().saturating_sub(1 + QUARTERS)];
-        let to = &samples[samples.len() - 1];
-        for (i, (from, to)) in from.iter().zip(to).enumerate() {
-            let bytes = to.0 - from.0;
-            worst = worst.max(bytes);
+        samples.push(sample(network));
+        let earlier = &samples[samples.len().saturating_sub(1 + SAMPLES_PER_SECOND)];
+        let later = &samples[samples.len() - 1];
+        for (i, (earlier, later)) in earlier.iter().zip(later).enumerate() {
+            let bytes = later.0 - earlier.0;
+            max_bytes = max_bytes.max(bytes);
             let running = network.hosts[i].process.is_some();
             assert!(
                 !running || bytes <= MAX_BYTES_PER_SECOND as u64,
                 "{phase}: {bytes} bytes of {i} in the second to {} us, from {:?} to {:?}",
                 network.now,
-                from.1,
-                to.1
+                earlier.1,
+                later.1
             );
         }
     }
-    println!("{phase}: {worst} bytes in the worst second");
+    println!("{phase}: {max_bytes} bytes in the worst second");
 }
 
 #[test]
 fn no_member_exceeds_its_budget_in_any_second() {
     let list = MemberList::new(
-        (0..MEMBERS).map(|i| ListedMember { name: name(i), address: address_of(i) }),
+        (0..MEMBER_COUNT).map(|i| ListedMember { name: name(i), address: address_of(i) }),
     );
-    let mut network: Network<Member> = Network::new(MEMBERS, 5, 0.01);
-    (0..MEMBERS).for_each(|i| start(&mut network, i, &list));
-    run(&mut network, 40, "all start");
-    let quarter = MEMBERS / 4;
+    let mut network: Network<Member> = Network::new(MEMBER_COUNT, 5, 0.01);
+    (0..MEMBER_COUNT).for_each(|i| start(&mut network, i, &list));
+    run_checked(&mut network, 40, "all start");
+    let quarter = MEMBER_COUNT / 4;
     (0..quarter).for_each(|i| network.kill(i));
-    run(&mut network, 30, "a quarter dies");
+    run_checked(&mut network, 30, "a quarter dies");
     start(&mut network, 0, &list);
-    run(&mut network, 10, "one starts");
+    run_checked(&mut network, 10, "one starts");
     (1..quarter).for_each(|i| start(&mut network, i, &list));
-    run(&mut network, 30, "a quarter starts");
-    let knows_all = |member: &Member| member.core.membership().count_reachable() == MEMBERS - 1;
-    let members = network.hosts.iter().filter_map(|place| place.process.as_ref());
-    assert_eq!(members.filter(|member| knows_all(member)).count(), MEMBERS, "all know all");
+    run_checked(&mut network, 30, "a quarter starts");
+    let knows_all =
+        |member: &Member| member.fleet_member.membership().count_reachable() == MEMBER_COUNT - 1;
+    let members = network.hosts.iter().filter_map(|host| host.process.as_ref());
+    assert_eq!(members.filter(|member| knows_all(member)).count(), MEMBER_COUNT, "all know all");
 }
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -9,60 +9,60 @@
 use sableloom_capacity_share::{CapacityShare, Share, Timing};
 use sableloom_types::{Span, Time};
 
-const N: usize = 3;
+const MEMBERS: usize = 3;
 /// Datagrams in flight at most.
 const MAX_IN_FLIGHT: usize = 3;
 
 /// A proof holds for two steps of time, and a process that starts waits for three.
-fn times() -> Timing {
-    let times = Timing {
+fn timing() -> Timing {
+    let timing = Timing {
         lease: Span(2),
         query_interval: Span(0),
         probe_interval: Span(0),
         max_queries_per_lease: 100,
         clock_drift: 0.2,
     };
-    assert_eq!(times.start_wait(), Span(3));
-    times
+    assert_eq!(timing.start_wait(), Span(3));
+    timing
 }
 
 #[derive(Clone, Debug)]
 struct Member {
     capacity_share: CapacityShare,
     published: Share,
-    process: u32,
+    process_number: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Datagram {
     /// To a member, whatever process that is by then.
-    Ping { from: usize, process: u32, to: usize },
+    Ping { from: usize, process_number: u32, to: usize },
     /// The answer, to this process alone.
-    Ack { from: usize, to: usize, meant: u32 },
+    Ack { from: usize, to: usize, receiver_process: u32 },
     /// Whether anybody is there.
-    AbsenceQuery { from: usize, process: u32, to: usize, queried: i64 },
+    AbsenceQuery { from: usize, process_number: u32, to: usize, queried_at: i64 },
     /// Nobody is.
-    Absent { to: usize, process: u32, of: usize, queried: i64 },
+    Absent { to: usize, process_number: u32, member: usize, queried_at: i64 },
 }
 
 #[derive(Clone, Debug)]
 struct State {
     now: i64,
-    processes: u32,
-    members: [Option<Member>; N],
+    started_processes: u32,
+    members: [Option<Member>; MEMBERS],
     in_flight: Vec<Datagram>,
 }
 
 /// A rule that is left out, to see that the search finds the violation.
 #[derive(Clone, Copy, PartialEq)]
-enum Without {
-    Nothing,
+enum OmittedRule {
+    None,
     /// A process acts as soon as it has started.
-    Waiting,
+    StartWait,
     /// A published share never expires.
-    Expiry,
+    ShareExpiry,
     /// A ping from a member does not end the proof that it is absent.
-    EndingProofs,
+    ProofInvalidation,
 }
 
 impl State {
@@ -71,94 +71,110 @@
     }
 
     fn start(&mut self, i: usize) {
-        self.processes += 1;
-        let others = (0..N as u32).filter(|k| *k != i as u32);
-        let share = CapacityShare::new(self.now(), others, times());
+        self.started_processes += 1;
+        let others = (0..MEMBERS as u32).filter(|k| *k != i as u32);
+        let share = CapacityShare::new(self.now(), others, timing());
         let published = share.share(self.now());
-        self.members[i] =
-            Some(Member { capacity_share: share, published, process: self.processes });
+        self.members[i] = Some(Member {
+            capacity_share: share,
+            published,
+            process_number: self.started_processes,
+        });
     }
 
     /// Calls this process, if it still runs, and publishes its share.
-    fn with(
+    fn call(
         &mut self,
         i: usize,
-        process: Option<u32>,
-        what: impl FnOnce(&mut CapacityShare, Time),
+        process_number: Option<u32>,
+        event: impl FnOnce(&mut CapacityShare, Time),
     ) {
         let now = self.now();
         let member = self.members[i].as_mut();
-        if let Some(member) = member.filter(|m| process.is_none_or(|process| m.process == process))
-        {
-            what(&mut member.capacity_share, now);
+        if let Some(member) = member.filter(|m| {
+            process_number.is_none_or(|process_number| m.process_number == process_number)
+        }) {
+            event(&mut member.capacity_share, now);
             member.published = member.capacity_share.share(now);
         }
     }
 
-    fn deliver(&mut self, datagram: Datagram, without: Without) {
+    fn deliver(&mut self, datagram: Datagram, omitted: OmittedRule) {
         match datagram {
-            Datagram::Ping { from, process, to } => {
+            Datagram::Ping { from, process_number, to } => {
                 if self.members[to].is_some() {
-                    self.with(to, None, |share, now| {
-                        if without != Without::EndingProofs {
+                    self.call(to, None, |share, now| {
+                        if omitted != OmittedRule::ProofInvalidation {
                             share.datagram_received(now, from as u32);
                         }
                     });
-                    self.in_flight.push(Datagram::Ack { from: to, to: from, meant: process });
+                    self.in_flight.push(Datagram::Ack {
+                        from: to,
+                        to: from,
+                        receiver_process: process_number,
+                    });
                 }
             }
-            Datagram::Ack { from, to, meant } => {
-                let n = N as u16;
-                self.with(to, Some(meant), |share, now| share.acknowledged(now, from as u32, n));
-                self.with(to, None, |share, now| share.datagram_received(now, from as u32));
+            Datagram::Ack { from, to, receiver_process } => {
+                let n = MEMBERS as u16;
+                self.call(to, Some(receiver_process), |share, now| {
+                    share.acknowledged(now, from as u32, n)
+                });
+                self.call(to, None, |share, now| share.datagram_received(now, from as u32));
             }
-            Datagram::AbsenceQuery { from, process, to, queried } => {
+            Datagram::AbsenceQuery { from, process_number, to, queried_at } => {
                 if self.members[to].is_none() {
-                    self.in_flight.push(Datagram::Absent { to: from, process, of: to, queried });
+                    self.in_flight.push(Datagram::Absent {
+                        to: from,
+                        process_number,
+                        member: to,
+                        queried_at,
+                    });
                 }
             }
-            Datagram::Absent { to, process, of, queried } => {
-                let queried = Time(queried);
-                self.with(to, Some(process), |share, _| {
-                    share.proved_absent(of as u32, queried);
+            Datagram::Absent { to, process_number, member, queried_at } => {
+                let queried_at = Time(queried_at);
+                self.call(to, Some(process_number), |share, _| {
+                    share.proved_absent(member as u32, queried_at);
                 });
             }
         }
     }
 
     /// All states that one step leads to.
-    fn next(&self, without: Without) -> Vec<State> {
-        let mut all = Vec::new();
+    fn successors(&self, omitted: OmittedRule) -> Vec<State> {
+        let mut successors = Vec::new();
         let mut step = |change: &dyn Fn(&mut State)| {
             let mut next = self.clone();
             change(&mut next);
             if next.in_flight.len() <= MAX_IN_FLIGHT {
                 next.in_flight.sort();
-                all.push(next);
+                successors.push(next);
             }
         };
         step(&|s| s.now += 1);
-        for i in 0..N {
+        for i in 0..MEMBERS {
             let Some(member) = &self.members[i] else {
                 step(&|s| s.start(i));
                 continue;
             };
             step(&|s| s.members[i] = None);
             // Its timer fires.
-            step(&|s| s.with(i, None, |_, _| {}));
-            let process = member.process;
+            step(&|s| s.call(i, None, |_, _| {}));
+            let process_number = member.process_number;
             // All at once, as a process that has just started does.
-            let others = (0..N).filter(|to| *to != i);
-            let pings: Vec<_> = others.map(|to| Datagram::Ping { from: i, process, to }).collect();
+            let others = (0..MEMBERS).filter(|to| *to != i);
+            let pings: Vec<_> =
+                others.map(|to| Datagram::Ping { from: i, process_number, to }).collect();
             step(&|s| s.in_flight.extend(pings.clone()));
-            for to in (0..N).filter(|to| *to != i) {
-                step(&|s| s.in_flight.push(Datagram::Ping { from: i, process, to }));
+            for to in (0..MEMBERS).filter(|to| *to != i) {
+                step(&|s| s.in_flight.push(Datagram::Ping { from: i, process_number, to }));
                 step(&|s| {
                     s.in_flight.push(Datagram::AbsenceQuery {
                         from: i,
-                        process,
+                        process_number,
                         to,
-                        queried: s.now,
+                        queried_at: s.now,
                     })
                 });
             }
@@ -166,16 +182,18 @@
         for (k, datagram) in self.in_flight.iter().enumerate() {
             step(&|s| {
                 s.in_flight.remove(k);
-                s.deliver(datagram.clone(), without);
+                s.deliver(datagram.clone(), omitted);
             });
         }
-        all
+        successors
     }
 
-    fn sum(&self, without: Without) -> f64 {
-        let share = |member: &Member| match without {
-            Without::Expiry => Share { until: None, ..member.published }.fraction(self.now()),
-            Without::Waiting if member.published.balancers == 0 => {
+    fn share_sum(&self, omitted: OmittedRule) -> f64 {
+        let share = |member: &Member| match omitted {
+            OmittedRule::ShareExpiry => {
+                Share { until: None, ..member.published }.fraction(self.now())
+            }
+            OmittedRule::StartWait if member.published.balancers == 0 => {
                 1.0 / f64::from(member.published.balancers_after)
             }
             _ => member.published.fraction(self.now()),
@@ -184,57 +202,63 @@
     }
 
     fn hash(&self) -> u64 {
-        struct Text(DefaultHasher);
-        impl std::fmt::Write for Text {
-            fn write_str(&mut self, text: &str) -> std::fmt::Result {
-                self.0.write(text.as_bytes());
+        struct DebugHasher(DefaultHasher);
+        impl std::fmt::Write for DebugHasher {
+            fn write_str(&mut self, debug_text: &str) -> std::fmt::Result {
+                self.0.write(debug_text.as_bytes());
                 Ok(())
             }
         }
-        let mut text = Text(DefaultHasher::new());
-        let _ = write!(text, "{self:?}");
-        text.0.finish()
+        let mut hasher = DebugHasher(DefaultHasher::new());
+        let _ = write!(hasher, "{self:?}");
+        hasher.0.finish()
     }
 }
 
 /// All three have acknowledged each other, long ago.
-fn settled() -> State {
-    let mut state =
-        State { now: 0, processes: 0, members: [const { None }; N], in_flight: Vec::new() };
-    (0..N).for_each(|i| state.start(i));
+fn all_acknowledged() -> State {
+    let mut state = State {
+        now: 0,
+        started_processes: 0,
+        members: [const { None }; MEMBERS],
+        in_flight: Vec::new(),
+    };
+    (0..MEMBERS).for_each(|i| state.start(i));
     state.now = 10;
-    for (i, k) in (0..N * N).map(|ik| (ik / N, ik % N)).filter(|(i, k)| i != k) {
-        state.with(i, None, |share, now| share.acknowledged(now, k as u32, N as u16));
+    for (i, k) in
+        (0..MEMBERS * MEMBERS).map(|ik| (ik / MEMBERS, ik % MEMBERS)).filter(|(i, k)| i != k)
+    {
+        state.call(i, None, |share, now| share.acknowledged(now, k as u32, MEMBERS as u16));
     }
-    assert!((state.sum(Without::Nothing) - 1.0).abs() < 1e-9);
+    assert!((state.share_sum(OmittedRule::None) - 1.0).abs() < 1e-9);
     state
 }
 
 /// The same, and then one has ended, which is proved to both others.
 fn one_absent() -> State {
-    let mut state = settled();
+    let mut state = all_acknowledged();
     state.members[2] = None;
     state.now += 1;
-    let queried = state.now();
+    let queried_at = state.now();
     for i in 0..2 {
-        state.with(i, None, |share, _| assert!(share.proved_absent(2, queried)));
+        state.call(i, None, |share, _| assert!(share.proved_absent(2, queried_at)));
     }
-    assert!((state.sum(Without::Nothing) - 1.0).abs() < 1e-9, "two share");
+    assert!((state.share_sum(OmittedRule::None) - 1.0).abs() < 1e-9, "two share");
     state
 }
 
 /// How many states there are to this depth, or the first in which the shares exceed one.
-fn search(from: State, depth: usize, without: Without) -> Result<usize, Box<State>> {
-    let mut seen = HashSet::from([from.hash()]);
+fn search(from: State, depth: usize, omitted: OmittedRule) -> Result<usize, Box<State>> {
+    let mut seen_hashes = HashSet::from([from.hash()]);
     let mut level = vec![from];
     for _ in 0..depth {
         let mut next_level = Vec::new();
         for state in &level {
-            for next in state.next(without) {
-                if !seen.insert(next.hash()) {
+            for next in state.successors(omitted) {
+                if !seen_hashes.insert(next.hash()) {
                     continue;
                 }
-                if next.sum(without) > 1.0 + 1e-9 {
+                if next.share_sum(omitted) > 1.0 + 1e-9 {
                     return Err(Box::new(next));
                 }
                 next_level.push(next);
@@ -242,13 +266,13 @@
         }
         level = next_level;
     }
-    Ok(seen.len())
+    Ok(seen_hashes.len())
 }
 
 #[test]
 fn shares_of_three_settled_members_never_exceed_one_within_six_steps() {
-    let states = search(settled(), 6, Without::Nothing);
-    let states = states.unwrap_or_else(|state| panic!("too much: {state:#?}"));
+    let states = search(all_acknowledged(), 6, OmittedRule::None);
+    let states = states.unwrap_or_else(|state| panic!("the shares exceed one: {state:#?}"));
     println!("{states} states");
     assert!(states > 100_000, "{states}");
 }
@@ -257,16 +281,18 @@
 #[test]
 fn shares_never_exceed_one_within_six_steps_after_a_proof_of_absence() {
     let state = one_absent();
-    let states = search(state, 6, Without::Nothing);
-    let states = states.unwrap_or_else(|state| panic!("too much: {state:#?}"));
+    let states = search(state, 6, OmittedRule::None);
+    let states = states.unwrap_or_else(|state| panic!("the shares exceed one: {state:#?}"));
     println!("{states} states");
     assert!(states > 100_000, "{states}");
 }
 
 /// The search finds what goes wrong without each of the rules.
 #[test]
-fn without_a_rule_the_search_finds_too_much() {
-    for without in [Without::Waiting, Without::Expiry, Without::EndingProofs] {
-        assert!(search(one_absent(), 6, without).is_err());
+fn search_finds_a_violation_when_a_rule_is_omitted() {
+    for omitted in
+        [OmittedRule::StartWait, OmittedRule::ShareExpiry, OmittedRule::ProofInvalidation]
+    {
+        assert!(search(one_absent(), 6, omitted).is_err());
     }
 }
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -15,23 +15,23 @@
 const RECORDED: &str = include_str!("data/status.txt");
 
 const SECOND: i64 = 1_000_000;
-const LIFE: u32 = 710_000;
+const PROCESS_INCARNATION: u32 = 710_000;
 
-fn address(number: u8) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, number], 7000))
+fn address(last_octet: u8) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, last_octet], 7000))
 }
 
 /// Member `a` of a list, and its nonce.
 struct Member {
-    core: FleetMember,
+    fleet_member: FleetMember,
     nonce: u32,
 }
 
 impl Member {
     fn start(names: &[&str]) -> Self {
-        let listed = |(number, name): (usize, &&str)| ListedMember {
+        let listed = |(index, name): (usize, &&str)| ListedMember {
             name: name.to_string(),
-            address: address(number as u8 + 1),
+            address: address(index as u8 + 1),
         };
         let list = MemberList::new(names.iter().enumerate().map(listed));
         let settings = MemberSettings {
@@ -40,25 +40,25 @@
             membership_timing: MembershipTiming::default(),
             share_timing: Timing::default(),
         };
-        let mut core = FleetMember::new(&settings, LIFE, list, 42, Time(0));
-        let mut out = Output::default();
-        core.start(Time(0), &mut out);
-        let (_, first) = out.datagrams.first().expect("all others are probed");
+        let mut fleet_member = FleetMember::new(&settings, PROCESS_INCARNATION, list, 42, Time(0));
+        let mut output = Output::default();
+        fleet_member.start(Time(0), &mut output);
+        let (_, first) = output.datagrams.first().expect("all others are probed");
         let nonce = decode(first).expect("a message").nonce;
-        core.set_endpoints_digest(0x1234_abcd);
-        Self { core, nonce }
+        fleet_member.set_endpoints_digest(0x1234_abcd);
+        Self { fleet_member, nonce }
     }
 
-    fn receives(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        self.core.receive(now, from, bytes, &mut Output::default());
+    fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+        self.fleet_member.receive(now, from, bytes, &mut Output::default());
     }
 
     /// The member at this place of the list says something to this process.
-    fn hears(&mut self, now: Time, number: u8, name: &str, updates: Vec<Update>) {
+    fn receive_message(&mut self, now: Time, last_octet: u8, name: &str, updates: Vec<Update>) {
         let message = Message {
             fleet: key_of("points"),
             sender: key_of(name),
-            process_incarnation: LIFE + u32::from(number),
+            process_incarnation: PROCESS_INCARNATION + u32::from(last_octet),
             incarnation: 0,
             nonce: 99,
             receiver_nonce: self.nonce,
@@ -68,19 +68,19 @@
             body: Body::Nack { seq: 0 },
             updates,
         };
-        self.receives(now, address(number), &encode(&message).0);
+        self.receive(now, address(last_octet), &encode(&message).0);
     }
 
     fn json(&self, now: Time) -> String {
-        let status = Status::of(&self.core, "points", "a", now);
+        let status = Status::of(&self.fleet_member, "points", "a", now);
         serde_json::to_string(&status).expect("a status")
     }
 }
 
-fn update(of: &str, state: MemberState, life: u32) -> Update {
+fn update(member: &str, state: MemberState, process_incarnation: u32) -> Update {
     Update {
-        member: key_of(of),
-        process_incarnation: life,
+        member: key_of(member),
+        process_incarnation,
         incarnation: 0,
         state,
         reported_by: key_of("b"),
@@ -88,16 +88,16 @@
 }
 
 /// Datagrams that are dropped: one of each reason, but that so many more are malformed.
-fn drops(member: &mut Member, now: Time) {
-    let message = |fleet: &str, from: &str, echo: u32| {
-        let (fleet, from, body) = (key_of(fleet), key_of(from), Body::Leave);
+fn receive_invalid_datagrams(member: &mut Member, now: Time) {
+    let message = |fleet: &str, sender: &str, receiver_nonce: u32| {
+        let (fleet, sender, body) = (key_of(fleet), key_of(sender), Body::Leave);
         let message = Message {
             fleet,
-            sender: from,
+            sender,
             process_incarnation: 1,
             incarnation: 0,
             nonce: 1,
-            receiver_nonce: echo,
+            receiver_nonce,
             view_digest: 0,
             list_length: 1,
             endpoints_digest: 0,
@@ -106,53 +106,64 @@
         };
         encode(&message).0
     };
-    member.receives(now, address(2), &[2; MAX_PAGE_BYTES + 1]);
-    member.receives(now, address(2), &[9, 9]);
-    member.receives(now, address(2), &[2, 9]);
-    member.receives(now, address(2), &[2]);
-    member.receives(now, address(2), &message("other", "b", 1));
-    member.receives(now, address(99), &message("points", "b", 1));
-    member.receives(now, address(2), &message("points", "c", 1));
-    member.receives(now, address(2), &message("points", "b", member.nonce ^ 1));
+    member.receive(now, address(2), &[2; MAX_PAGE_BYTES + 1]);
+    member.receive(now, address(2), &[9, 9]);
+    member.receive(now, address(2), &[2, 9]);
+    member.receive(now, address(2), &[2]);
+    member.receive(now, address(2), &message("other", "b", 1));
+    member.receive(now, address(99), &message("points", "b", 1));
+    member.receive(now, address(2), &message("points", "c", 1));
+    member.receive(now, address(2), &message("points", "b", member.nonce ^ 1));
 }
 
 /// A status of each state of members, of the member itself and of its share, by name.
-fn statuses() -> Vec<(&'static str, String)> {
-    let mut found = Vec::new();
+fn build_statuses() -> Vec<(&'static str, String)> {
+    let mut statuses = Vec::new();
     let mut member = Member::start(&["a", "b", "c", "d", "e", "f"]);
-    found.push(("alone", member.json(Time(SECOND / 10))));
+    statuses.push(("alone", member.json(Time(SECOND / 10))));
     let now = Time(SECOND / 5);
     let updates = vec![
         update("c", MemberState::Suspect, 5),
         update("d", MemberState::Dead, 6),
         update("e", MemberState::Left, 7),
     ];
-    member.hears(now, 2, "b", updates);
-    drops(&mut member, now);
-    found.push(("part_waits", member.json(Time(SECOND / 2))));
-    member.core.tick(Time(5 * SECOND), &mut Output::default());
-    found.push(("just_woken", member.json(Time(5 * SECOND + 1000))));
-
-    let mut pair = Member::start(&["a", "b", "c"]);
-    pair.hears(now, 2, "b", Vec::new());
-    pair.hears(now, 3, "c", Vec::new());
-    found.push(("whole_shares", pair.json(Time(SECOND / 2))));
-    let asked = Time(now.0 + 1000);
-    pair.core.proved_absent(Time(now.0 + 2000), key_of("c"), asked, &mut Output::default());
-    found.push(("absent", pair.json(Time(SECOND / 2))));
-    let twins = [LIFE + 1, LIFE + 9, LIFE + 90];
-    for life in twins {
-        pair.hears(Time(SECOND / 2), 2, "b", vec![update("a", MemberState::Alive, life)]);
+    member.receive_message(now, 2, "b", updates);
+    receive_invalid_datagrams(&mut member, now);
+    statuses.push(("part_waits", member.json(Time(SECOND / 2))));
+    member.fleet_member.tick(Time(5 * SECOND), &mut Output::default());
+    statuses.push(("just_woken", member.json(Time(5 * SECOND + 1000))));
+
+    let mut member_of_three = Member::start(&["a", "b", "c"]);
+    member_of_three.receive_message(now, 2, "b", Vec::new());
+    member_of_three.receive_message(now, 3, "c", Vec::new());
+    statuses.push(("whole_shares", member_of_three.json(Time(SECOND / 2))));
+    let queried_at = Time(now.0 + 1000);
+    member_of_three.fleet_member.proved_absent(
+        Time(now.0 + 2000),
+        key_of("c"),
+        queried_at,
+        &mut Output::default(),
+    );
+    statuses.push(("absent", member_of_three.json(Time(SECOND / 2))));
+    let duplicate_incarnations =
+        [PROCESS_INCARNATION + 1, PROCESS_INCARNATION + 9, PROCESS_INCARNATION + 90];
+    for process_incarnation in duplicate_incarnations {
+        member_of_three.receive_message(
+            Time(SECOND / 2),
+            2,
+            "b",
+            vec![update("a", MemberState::Alive, process_incarnation)],
+        );
     }
-    found.push(("twin", pair.json(Time(SECOND))));
-    found
+    statuses.push(("twin", member_of_three.json(Time(SECOND))));
+    statuses
 }
 
 #[test]
-fn status_keeps_its_keys_and_values() {
-    let written: String =
-        statuses().iter().map(|(name, json)| format!("{name} {json}\n")).collect();
-    assert_eq!(written, RECORDED);
+fn status_json_equals_the_recorded_json() {
+    let json_lines: String =
+        build_statuses().iter().map(|(name, json)| format!("{name} {json}\n")).collect();
+    assert_eq!(json_lines, RECORDED);
 }
 
 #[test]
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -17,22 +17,24 @@
 
 /// A member and its share, as the policy has it between two events.
 struct Member {
-    core: FleetMember,
+    fleet_member: FleetMember,
     share: Share,
 }
 
 impl Member {
     fn call(
         &mut self,
-        sent: &mut NetworkOutput<Change>,
-        what: impl FnOnce(&mut FleetMember, &mut Output),
+        network_output: &mut NetworkOutput<Change>,
+        event: impl FnOnce(&mut FleetMember, &mut Output),
     ) {
-        let mut out = Output::default();
-        what(&mut self.core, &mut out);
-        self.share = self.core.share();
-        sent.datagrams.extend(out.datagrams);
-        sent.absence_queries.extend(out.absence_queries.into_iter().map(|(_, at)| at));
-        sent.changes.extend(out.changes);
+        let mut output = Output::default();
+        event(&mut self.fleet_member, &mut output);
+        self.share = self.fleet_member.share();
+        network_output.datagrams.extend(output.datagrams);
+        network_output
+            .absence_queries
+            .extend(output.absence_queries.into_iter().map(|(_, address)| address));
+        network_output.changes.extend(output.changes);
     }
 }
 
@@ -44,28 +46,32 @@
         now: Time,
         from: SocketAddr,
         bytes: &[u8],
-        sent: &mut NetworkOutput<Change>,
+        network_output: &mut NetworkOutput<Change>,
     ) {
-        self.call(sent, |core, out| core.receive(now, from, bytes, out));
+        self.call(network_output, |fleet_member, output| {
+            fleet_member.receive(now, from, bytes, output)
+        });
     }
 
     fn proved_absent(
         &mut self,
         now: Time,
-        at: SocketAddr,
-        queried: Time,
-        sent: &mut NetworkOutput<Change>,
+        address: SocketAddr,
+        queried_at: Time,
+        network_output: &mut NetworkOutput<Change>,
     ) {
-        let Some(i) = host_at(at) else { return };
-        self.call(sent, |core, out| core.proved_absent(now, key(i), queried, out));
+        let Some(i) = host_at(address) else { return };
+        self.call(network_output, |fleet_member, output| {
+            fleet_member.proved_absent(now, key(i), queried_at, output)
+        });
     }
 
-    fn tick(&mut self, now: Time, sent: &mut NetworkOutput<Change>) {
-        self.call(sent, |core, out| core.tick(now, out));
+    fn tick(&mut self, now: Time, network_output: &mut NetworkOutput<Change>) {
+        self.call(network_output, |fleet_member, output| fleet_member.tick(now, output));
     }
 
     fn next_wakeup(&self) -> Time {
-        self.core.next_wakeup()
+        self.fleet_member.next_wakeup()
     }
 }
 
@@ -73,11 +79,11 @@
     key_of(&format!("b{}", i + 1))
 }
 
-fn listed(n: usize) -> Vec<ListedMember> {
+fn listed_members(n: usize) -> Vec<ListedMember> {
     (0..n).map(|i| ListedMember { name: format!("b{}", i + 1), address: address_of(i) }).collect()
 }
 
-fn start(network: &mut Network<Member>, i: usize, of: usize) {
+fn start(network: &mut Network<Member>, i: usize, list_size: usize) {
     network.start(i, |process_incarnation, seed, now| {
         let settings = MemberSettings {
             fleet_name: "points".to_string(),
@@ -85,37 +91,44 @@
             membership_timing: MembershipTiming::default(),
             share_timing: Timing::default(),
         };
-        let core = FleetMember::new(
+        let fleet_member = FleetMember::new(
             &settings,
             process_incarnation,
-            MemberList::new(listed(of)),
+            MemberList::new(listed_members(list_size)),
             seed,
             now,
         );
-        Member { share: core.share(), core }
+        Member { share: fleet_member.share(), fleet_member }
+    });
+    network.call(i, |member, now, network_output| {
+        member.call(network_output, |fleet_member, output| fleet_member.start(now, output))
     });
-    network.call(i, |member, now, sent| member.call(sent, |core, out| core.start(now, out)));
 }
 
 /// The sum of the shares of all that run, each by its own clock.
-fn sum(network: &Network<Member>) -> f64 {
+fn share_sum(network: &Network<Member>) -> f64 {
     let running = network.hosts.iter().enumerate();
     let shares = running
-        .filter_map(|(i, p)| Some(p.process.as_ref()?.share.fraction(network.local_time(i))));
+        .filter_map(|(i, host)| Some(host.process.as_ref()?.share.fraction(network.local_time(i))));
     shares.sum()
 }
 
 fn balancers_and_reasons(network: &Network<Member>) -> Vec<Option<(u32, ShareReason)>> {
-    let share = |p: &sableloom_simulated_network::Host<Member>| p.process.as_ref().map(|m| m.share);
-    network.hosts.iter().map(|p| share(p).map(|share| (share.balancers, share.reason))).collect()
+    let share =
+        |host: &sableloom_simulated_network::Host<Member>| host.process.as_ref().map(|m| m.share);
+    network
+        .hosts
+        .iter()
+        .map(|host| share(host).map(|share| (share.balancers, share.reason)))
+        .collect()
 }
 
-fn run(network: &mut Network<Member>, until: i64, seed: u64) {
+fn run_checked(network: &mut Network<Member>, until: i64, seed: u64) {
     network.run_observed(until, |network| {
-        let sum = sum(network);
+        let share_sum = share_sum(network);
         assert!(
-            sum <= 1.0 + 1e-9,
-            "seed {seed}, at {} ms: the shares add up to {sum}: {:?}",
+            share_sum <= 1.0 + 1e-9,
+            "seed {seed}, at {} ms: the shares add up to {share_sum}: {:?}",
             network.now / MILLISECOND,
             balancers_and_reasons(network)
         );
@@ -123,16 +136,16 @@
 }
 
 /// Runs until all that run share among themselves alone; `None` if that takes longer.
-fn until_shared(network: &mut Network<Member>, most: i64, seed: u64) -> Option<i64> {
+fn time_until_shared(network: &mut Network<Member>, max_time: i64, seed: u64) -> Option<i64> {
     let from = network.now;
-    let running = network.hosts.iter().filter(|p| p.process.is_some()).count() as u32;
-    while network.now < from + most {
+    let running = network.hosts.iter().filter(|host| host.process.is_some()).count() as u32;
+    while network.now < from + max_time {
         let next = network.now + 50 * MILLISECOND;
-        run(network, next, seed);
+        run_checked(network, next, seed);
         if balancers_and_reasons(network)
             .iter()
             .flatten()
-            .all(|n| *n == (running, ShareReason::Sharing))
+            .all(|share| *share == (running, ShareReason::Sharing))
         {
             return Some(network.now - from);
         }
@@ -142,9 +155,9 @@
 
 /// The longest time in which all share among those that run once the network is healed: the longest proof, pings of
 /// the missing, one in a probe interval of up to nine times its length, and the longest suspicion.
-const SHARED_WITHIN: i64 = 90 * SECOND;
+const MAX_CONVERGENCE_TIME_US: i64 = 90 * SECOND;
 
-fn schedule(seed: u64) {
+fn run_random_schedule(seed: u64) {
     let n = 2 + (seed % 6) as usize;
     let mut network: Network<Member> = Network::new(n, seed, 0.09);
     // Some networks hold datagrams back for longer than a proof holds.
@@ -153,10 +166,10 @@
     (0..n).for_each(|i| start(&mut network, i, n));
     let end = 14 * SECOND;
     while network.now < end {
-        let lot = network.rng.rand_range(0..11);
+        let action = network.rng.rand_range(0..11);
         let a = network.rng.rand_range(0..n as u64) as usize;
         let b = network.rng.rand_range(0..n as u64) as usize;
-        match lot {
+        match action {
             0 | 1 => network.kill(a),
             2 => {
                 let time = (network.rng.rand_float() * 7.0 * SECOND as f64) as i64;
@@ -177,7 +190,9 @@
             8 => network.heal(),
             9 => {
                 // It says that it leaves, and ends.
-                network.call(a, |member, _, sent| member.call(sent, |core, out| core.leave(out)));
+                network.call(a, |member, _, network_output| {
+                    member.call(network_output, |fleet_member, output| fleet_member.leave(output))
+                });
                 network.kill(a);
             }
             _ => {
@@ -188,15 +203,15 @@
                 }
             }
         }
-        let gap = (network.rng.rand_float().powi(2) * 2.0 * SECOND as f64) as i64;
-        let until = network.now + gap;
-        run(&mut network, until, seed);
+        let time_to_next_action = (network.rng.rand_float().powi(2) * 2.0 * SECOND as f64) as i64;
+        let until = network.now + time_to_next_action;
+        run_checked(&mut network, until, seed);
     }
     network.heal();
     network.max_delay = 30 * MILLISECOND;
-    let took = until_shared(&mut network, SHARED_WITHIN, seed);
+    let time_to_share = time_until_shared(&mut network, MAX_CONVERGENCE_TIME_US, seed);
     assert!(
-        took.is_some(),
+        time_to_share.is_some(),
         "seed {seed}: they do not share among themselves: {:?}",
         balancers_and_reasons(&network)
     );
@@ -204,7 +219,7 @@
 
 #[test]
 fn shares_add_up_to_one_at_most_in_every_schedule() {
-    for_each_seed(0..10_000, schedule);
+    for_each_seed(0..10_000, run_random_schedule);
 }
 
 /// All start at once: none waits for longer than it takes to probe all.
@@ -214,8 +229,8 @@
         let n = 24;
         let mut network: Network<Member> = Network::new(n, seed, 0.02);
         (0..n).for_each(|i| start(&mut network, i, n));
-        let took = until_shared(&mut network, SECOND, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
+        let time_to_share = time_until_shared(&mut network, SECOND, seed);
+        assert!(time_to_share.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
     });
 }
 
@@ -226,13 +241,13 @@
         let n = 12;
         let mut network: Network<Member> = Network::new(n, seed, 0.02);
         (0..n).for_each(|i| start(&mut network, i, n));
-        assert!(until_shared(&mut network, SECOND, seed).is_some(), "seed {seed}");
+        assert!(time_until_shared(&mut network, SECOND, seed).is_some(), "seed {seed}");
         (0..6).for_each(|i| network.kill(i));
-        let took = until_shared(&mut network, 6 * SECOND, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
+        let time_to_share = time_until_shared(&mut network, 6 * SECOND, seed);
+        assert!(time_to_share.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
         (0..6).for_each(|i| start(&mut network, i, n));
-        let took = until_shared(&mut network, 6 * SECOND, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
+        let time_to_share = time_until_shared(&mut network, 6 * SECOND, seed);
+        assert!(time_to_share.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
     });
 }
 
@@ -243,22 +258,22 @@
         let n = 10;
         let mut network: Network<Member> = Network::new(n, seed, 0.02);
         (0..n).for_each(|i| start(&mut network, i, n));
-        assert!(until_shared(&mut network, SECOND, seed).is_some(), "seed {seed}");
+        assert!(time_until_shared(&mut network, SECOND, seed).is_some(), "seed {seed}");
         for (i, j) in (0..n * n).map(|ij| (ij / n, ij % n)) {
             network.links[i][j] = (i < 4) == (j < 4);
         }
         for _ in 0..40 {
             let until = network.now + 500 * MILLISECOND;
-            run(&mut network, until, seed);
-            let all = balancers_and_reasons(&network);
+            run_checked(&mut network, until, seed);
+            let shares = balancers_and_reasons(&network);
             assert!(
-                all.iter().flatten().all(|n| *n == (10, ShareReason::Sharing)),
-                "seed {seed}: {all:?}"
+                shares.iter().flatten().all(|share| *share == (10, ShareReason::Sharing)),
+                "seed {seed}: {shares:?}"
             );
         }
-        let dead = |c: &(i64, Change)| matches!(c.1, Change::Died { .. });
+        let is_death = |change: &(i64, Change)| matches!(change.1, Change::Died { .. });
         assert!(
-            network.hosts.iter().all(|p| p.changes.iter().any(dead)),
+            network.hosts.iter().all(|host| host.changes.iter().any(is_death)),
             "they never missed anybody"
         );
     });
@@ -266,29 +281,29 @@
 
 /// A member that was stopped while others came back has nothing of their shares when it resumes, at no time.
 #[test]
-fn a_resumed_member_has_no_more_than_its_own_share() {
+fn a_member_resumed_after_others_restart_takes_no_more_than_its_share() {
     for_each_seed(0..200, |seed| {
         let n = 6;
         let mut network: Network<Member> = Network::new(n, seed, 0.05);
         (0..n).for_each(|i| start(&mut network, i, n));
-        assert!(until_shared(&mut network, SECOND, seed).is_some(), "seed {seed}");
+        assert!(time_until_shared(&mut network, SECOND, seed).is_some(), "seed {seed}");
         (0..4).for_each(|i| network.kill(i));
         assert!(
-            until_shared(&mut network, 6 * SECOND, seed).is_some(),
+            time_until_shared(&mut network, 6 * SECOND, seed).is_some(),
             "seed {seed}: {:?}",
             balancers_and_reasons(&network)
         );
         // It has half of all, and is stopped; then the others come back.
         network.suspend(5, 10 * SECOND);
         let until = network.now + 100 * MILLISECOND;
-        run(&mut network, until, seed);
+        run_checked(&mut network, until, seed);
         (0..4).for_each(|i| start(&mut network, i, n));
         let until = network.now + 9 * SECOND;
-        run(&mut network, until, seed);
-        let all = balancers_and_reasons(&network);
-        assert!(all[..5].iter().flatten().all(|n| n.0 == 6), "seed {seed}: {all:?}");
-        let took = until_shared(&mut network, 40 * SECOND, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
+        run_checked(&mut network, until, seed);
+        let shares = balancers_and_reasons(&network);
+        assert!(shares[..5].iter().flatten().all(|share| share.0 == 6), "seed {seed}: {shares:?}");
+        let time_to_share = time_until_shared(&mut network, 40 * SECOND, seed);
+        assert!(time_to_share.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
     });
 }
 
@@ -296,27 +311,27 @@
 #[test]
 fn shares_of_a_growing_fleet_never_exceed_one() {
     for_each_seed(0..4, |seed| {
-        let (few, many) = (24, 60);
-        let mut network: Network<Member> = Network::new(many, seed, 0.02);
-        (0..few).for_each(|i| start(&mut network, i, many));
+        let (initial_size, final_size) = (24, 60);
+        let mut network: Network<Member> = Network::new(final_size, seed, 0.02);
+        (0..initial_size).for_each(|i| start(&mut network, i, final_size));
         assert!(
-            until_shared(&mut network, 6 * SECOND, seed).is_some(),
+            time_until_shared(&mut network, 6 * SECOND, seed).is_some(),
             "seed {seed}: {:?}",
             balancers_and_reasons(&network)
         );
-        for i in few..many {
-            start(&mut network, i, many);
+        for i in initial_size..final_size {
+            start(&mut network, i, final_size);
             let until = network.now + 50 * MILLISECOND;
-            run(&mut network, until, seed);
+            run_checked(&mut network, until, seed);
         }
-        let took = until_shared(&mut network, 20 * SECOND, seed);
-        assert!(took.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
+        let time_to_share = time_until_shared(&mut network, 20 * SECOND, seed);
+        assert!(time_to_share.is_some(), "seed {seed}: {:?}", balancers_and_reasons(&network));
     });
 }
 
 /// The bound that docs/design/members.md states: what is kept of a member, its name apart.
 #[test]
-fn bytes_kept_of_a_member_are_bounded() {
+fn state_per_member_is_under_200_bytes() {
     let bytes =
         size_of::<sableloom_membership::Peer>() + sableloom_capacity_share::BYTES_PER_MEMBER;
     assert!(bytes < 200, "{bytes}");
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -13,9 +13,9 @@
 use tokio::time::sleep;
 
 /// More than may wait at once, and queried faster than queries time out.
-const SILENT: usize = 200;
+const SILENT_MEMBERS: usize = 200;
 /// Far longer than anything takes.
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct IgnoringObserver;
 
@@ -24,7 +24,7 @@
     fn log(&self, _: &str) {}
 }
 
-fn loopback() -> UdpSocket {
+fn bind_loopback() -> UdpSocket {
     UdpSocket::bind("127.0.0.1:0").expect("a port")
 }
 
@@ -49,19 +49,19 @@
 #[test]
 fn absence_queries_beyond_the_bound_are_dropped() {
     // They hold their addresses and never answer.
-    let silent: Vec<UdpSocket> = (0..SILENT).map(|_| loopback()).collect();
-    let others = silent.iter().enumerate().map(|(number, socket)| ListedMember {
+    let silent_sockets: Vec<UdpSocket> = (0..SILENT_MEMBERS).map(|_| bind_loopback()).collect();
+    let others = silent_sockets.iter().enumerate().map(|(number, socket)| ListedMember {
         name: format!("silent-{number}"),
         address: socket.local_addr().expect("an address"),
     });
     let list = MemberList::new(others);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let address = loopback().local_addr().expect("an address");
+        let address = bind_loopback().local_addr().expect("an address");
         let running = RunningMember::start(options(address, list)).await.expect("an address");
-        let begun = Instant::now();
+        let started = Instant::now();
         while running.traffic().absence_queries_dropped == 0 {
-            assert!(begun.elapsed() < LONG, "all wait: {:?}", running.traffic());
+            assert!(started.elapsed() < TEST_TIMEOUT, "all wait: {:?}", running.traffic());
             sleep(Duration::from_millis(20)).await;
         }
     });
