--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -1,10 +1,12 @@
-//! What membership costs a member by the size of its fleet: datagrams and bytes a second, processor time, memory;
-//! at rest, while one starts, and while a quarter starts at once. The state machines of a balancer on a
-//! simulated network; the slopes by least squares.
+//! Measures what membership costs each member by the size of the fleet: datagrams and bytes a second, processor time
+//! and memory. The costs are measured at rest, while one member starts, and while a quarter of the members start at
+//! once. The state machines of all members run in this process on a simulated network. The slopes are fitted by least
+//! squares.
 //!
-//! `cargo run --release -p sableloom-fleet --example scale -- [SIZES]`, by default `100 300 1000`. All members
-//! know all others, so that memory grows with the square of the size. Of sizes above 3,000 only the memory is
-//! measured: that a play takes grows with the square as well.
+//! Run it with `cargo run --release -p sableloom-fleet --example scale -- [SIZES]`. The default sizes are
+//! `100 300 1000`. Each member keeps the state of all others, so that the memory of a simulation grows with the square
+//! of the size. For sizes above 3,000, no fleet is simulated, and only the memory for each member of the list is
+//! measured.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,22 +20,24 @@
 };
 use sableloom_types::Time;
 
-/// How long a fleet at rest is watched.
+/// How long a fleet is measured while no member starts, in microseconds.
 const REST_MEASURED_US: i64 = 10 * SECOND;
-/// How long starts are watched: past the start wait.
+/// How long a fleet is measured while members start, in microseconds. It is longer than the start wait.
 const START_MEASURED_US: i64 = 3 * SECOND;
-/// The longest time in which all may come to know all; after that the program goes on.
+/// The maximum time until all running members reach each other, in microseconds. After that the program continues.
 const MAX_SETTLING_TIME_US: i64 = 600 * SECOND;
-/// How often in a second a member's bytes are looked at.
+/// How many times a second the bytes of each member are read.
 const SAMPLES_PER_SECOND: usize = 4;
-/// The largest fleet that is played.
+/// The size of the largest fleet that is simulated. The memory of a simulation grows with the square of the size.
 const MAX_SIMULATED_SIZE: usize = 3000;
-/// The size that figures are extrapolated to.
+/// The size to which the measurements are extrapolated.
 const EXTRAPOLATED_SIZE: f64 = 7600.0;
 
+/// A member and what it has used since it started.
 struct Member {
     fleet_member: FleetMember,
     processor_time: Duration,
+    /// The number of events that were passed to the member.
     events: u64,
     received_datagrams: u64,
 }
@@ -94,7 +98,7 @@
     }
 }
 
-/// Of this thread; reading it takes some 0.2 us itself, which counts as the member's.
+/// Returns the processor time of this thread. Reading it takes about 0.2 us, which is counted as the member's.
 fn processor_time() -> Duration {
     Duration::try_from(clock_gettime(ClockId::ThreadCPUTime)).unwrap_or_default()
 }
@@ -127,7 +131,7 @@
     kb.unwrap_or(0.0) * 1024.0
 }
 
-/// What a member of this list takes for each that is on it, when it has heard of none yet.
+/// Returns the bytes of memory that a new member, which has received no message yet, takes for each member of its list.
 fn bytes_per_listed_member(member_list: &Arc<MemberList>) -> f64 {
     let count = (4_000_000 / member_list.members().len()).clamp(1, 1000);
     let settings = |i| MemberSettings {
@@ -147,20 +151,21 @@
     network.hosts.iter().filter_map(|host| host.process.as_ref())
 }
 
-/// What a phase took, for each member and second.
+/// The cost of a phase. Averages are for each running member and second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     datagrams: f64,
     bytes: f64,
-    /// In microseconds.
+    /// The processor time in microseconds.
     processor_us: f64,
     events: f64,
-    /// The most datagrams that any member got in any one second.
+    /// The maximum number of datagrams that any member received in any second.
     max_datagrams_per_second: u64,
-    /// The most bytes that any member sent and got in any one second, with headers of UDP and IP.
+    /// The maximum number of bytes that any member sent and received in any second, with the headers of UDP and IP.
     max_bytes_per_second: u64,
 }
 
+/// Runs for a time in microseconds and returns the cost.
 fn measure(network: &mut Network<Member>, duration_us: i64) -> Cost {
     let total = |network: &Network<Member>| {
         running_members(network).fold((0.0, 0), |(processor_time, events), member| {
@@ -194,8 +199,8 @@
     }
 }
 
-/// The most bytes that any running member sends and gets in any second of the next so many, with headers; a
-/// second begins each quarter of one.
+/// Runs for a number of seconds, and returns the maximum number of bytes that any running member sent and received in
+/// any second of that time, with headers. A second begins with each sample, four times a second.
 fn max_bytes_in_a_second(network: &mut Network<Member>, seconds: usize) -> u64 {
     let traffic = |network: &Network<Member>| -> Vec<u64> {
         let is_running = |host: &sableloom_simulated_network::Host<Member>| host.process.is_some();
@@ -212,7 +217,8 @@
     gained.max().unwrap_or(0)
 }
 
-/// Runs until all know all, and prints how long that took and what was sent meanwhile.
+/// Runs until all running members reach each other, and prints how long that took and how many bytes were sent
+/// meanwhile.
 fn run_until_settled(network: &mut Network<Member>, n: usize) {
     let (from, bytes) = (network.now, network.bytes);
     let count = running_members(network).count();
@@ -223,7 +229,7 @@
         if network.now > from + MAX_SETTLING_TIME_US {
             return println!(
                 "{n:6} {:24} not within {} s",
-                "all know all",
+                "converged",
                 MAX_SETTLING_TIME_US / SECOND
             );
         }
@@ -232,8 +238,9 @@
     let seconds = (network.now - from) as f64 / SECOND as f64;
     let bytes_per_second = (network.bytes - bytes) as f64 / seconds.max(1.0) / count as f64;
     println!(
-        "{n:6} {:24} {seconds:8.1} s more, {bytes_per_second:.0} bytes/s a member, {max_bytes_per_second} in the worst second with headers",
-        "all know all after"
+        "{n:6} {:24} {seconds:8.1} s more, {bytes_per_second:.0} bytes/s a member, {max_bytes_per_second} \
+         bytes at most in a second with headers",
+        "converged after"
     );
 }
 
@@ -260,11 +267,12 @@
     } = cost;
     let us_per_event = processor_us / events.max(1e-9);
     println!(
-        "{n:6} {phase:24} {datagrams:8.1} {bytes:10.0} {processor_us:10.1} {us_per_event:8.2} {max_datagrams_per_second:6} {max_bytes_per_second:8}"
+        "{n:6} {phase:24} {datagrams:8.1} {bytes:10.0} {processor_us:10.1} {us_per_event:8.2} \
+         {max_datagrams_per_second:6} {max_bytes_per_second:8}"
     );
 }
 
-/// The line through these points, and the root of the mean square of what it leaves.
+/// Fits a line through the points. Returns its value at 0, its slope and the root mean square of the residuals.
 fn least_squares(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
@@ -278,6 +286,7 @@
     (y - slope * x, slope, (squared_residuals / n).sqrt())
 }
 
+/// The measurements of a fleet of one size.
 struct Measurement {
     size: f64,
     at_rest: Cost,
@@ -286,7 +295,7 @@
     memory_bytes_per_member: f64,
 }
 
-/// What a line of figures is about, and which it is.
+/// A row of the table: its label, and the value that it shows.
 type Row = (&'static str, fn(&Measurement) -> f64);
 
 fn member_list(n: usize) -> Arc<MemberList> {
@@ -331,7 +340,7 @@
     print_cost("at rest", n, at_rest);
     (0..quarter).for_each(|i| network.kill(i));
     print_cost("a quarter dies", n, measure(&mut network, REST_MEASURED_US));
-    println!("{n:6} {:24} {:8.1} s of this machine", "played in", started.elapsed().as_secs_f64());
+    println!("{n:6} {:24} {:8.1} s of real time", "simulated in", started.elapsed().as_secs_f64());
     Measurement { size: n as f64, at_rest, one_starts, quarter_starts, memory_bytes_per_member }
 }
 
@@ -339,13 +348,14 @@
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![100, 300, 1000] } else { sizes };
     println!(
-        "members, phase; then for each running member and second datagrams, bytes and processor time in us; \
-         processor time of an event in us; the most datagrams that any member got in one second, and the most bytes that any sent and \
-         got in one second, with headers"
+        "size, phase; for each running member and second: datagrams, bytes and processor time in us; \
+         processor time of an event in us; the maximum of datagrams that any member received in a second; \
+         the maximum of bytes that any member sent and received in a second, with headers"
     );
     let (simulated_sizes, memory_only_sizes): (Vec<usize>, Vec<usize>) =
         sizes.into_iter().partition(|n| *n <= MAX_SIMULATED_SIZE);
-    // First, as memory that a play has freed is used again.
+    // The sizes of which only the memory is measured come first, because memory that a simulation has freed is reused
+    // and would not be measured.
     for n in memory_only_sizes {
         measure_memory(n);
     }
@@ -357,16 +367,16 @@
         ("one starts, bytes/s", |m| m.one_starts.bytes),
         ("a quarter starts, bytes/s", |m| m.quarter_starts.bytes),
         ("a quarter starts, processor us/s", |m| m.quarter_starts.processor_us),
-        ("a quarter starts, most datagrams in a second", |m| {
+        ("a quarter starts, max datagrams in a second", |m| {
             m.quarter_starts.max_datagrams_per_second as f64
         }),
-        ("bytes a member of the list", |m| m.memory_bytes_per_member),
+        ("bytes for each member of the list", |m| m.memory_bytes_per_member),
     ];
     if measurements.is_empty() {
         return;
     }
     println!(
-        "\nby least squares: what; at 0, slope for each 1,000 members, residual; at {EXTRAPOLATED_SIZE}"
+        "\nleast squares: value; at size 0, slope for each 1,000 members, residual; at size {EXTRAPOLATED_SIZE}"
     );
     for (label, value) in rows {
         let points: Vec<(f64, f64)> = measurements.iter().map(|m| (m.size, value(m))).collect();
--- a/crates/fleet/src/absence_query.rs
+++ b/crates/fleet/src/absence_query.rs
@@ -1,5 +1,5 @@
-//! Absence queries: whether any process holds a member's address, as the member's operating system says (ICMP, port
-//! unreachable).
+//! Absence queries. An absence query is a datagram to a member's address, which the member's operating system answers
+//! (ICMP, port unreachable) if no process holds the address.
 
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr};
@@ -10,28 +10,31 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::timeout;
 
-/// How long the answer may take. It comes from the member's operating system, if at all.
+/// How long an absence query waits for the answer of the member's operating system.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Absence queries that wait for their answers at once, each with a descriptor of its own.
+/// The maximum number of absence queries that wait for their answers at the same time. Each of them uses one file
+/// descriptor.
 pub const MAX_CONCURRENT_ABSENCE_QUERIES: usize = 32;
-/// Queries that wait for one of those to end. One beyond that is lost, as by the network: it is repeated in its turn.
-/// Without a bound they pile up where hundreds of members that live are queried, as none of those answers.
+/// The maximum number of absence queries that wait to be sent. A query beyond this number is dropped, as the network
+/// may drop it, and the member is queried again in its turn. Without this limit, waiting queries pile up when hundreds
+/// of live members are queried, because live members do not answer and each query waits until it times out.
 const MAX_WAITING_QUERIES: usize = 4 * MAX_CONCURRENT_ABSENCE_QUERIES;
 
-/// The places of queries that are sent and of those that wait.
+/// Limits the absence queries that wait for their answers and those that wait to be sent.
 pub(crate) struct QuerySlots {
+    /// This semaphore has one permit for each query that may wait for its answer.
     in_flight: Semaphore,
-    /// One for each that is sent or waits.
+    /// This semaphore has one permit for each query that may wait for its answer or wait to be sent.
     total: Semaphore,
 }
 
-/// The place of a query that may be sent.
+/// The permits of a query that may be sent. They are returned when the slot is dropped.
 pub(crate) struct QuerySlot<'a> {
     _in_flight: SemaphorePermit<'a>,
     _total: SemaphorePermit<'a>,
 }
 
-/// No place is left, also to wait.
+/// The error of a query that is not sent because the maximum number of queries are waiting.
 #[derive(Debug, thiserror::Error)]
 #[error("too many absence queries are waiting")]
 pub(crate) struct TooManyQueries;
@@ -44,7 +47,11 @@
         }
     }
 
-    /// Waits until the query may be sent.
+    /// Waits until a query may be sent.
+    ///
+    /// # Errors
+    ///
+    /// [`TooManyQueries`] at once if [`MAX_WAITING_QUERIES`] queries already wait to be sent.
     pub(crate) async fn acquire(&self) -> Result<QuerySlot<'_>, TooManyQueries> {
         let total = self.total.try_acquire().map_err(|_| TooManyQueries)?;
         let in_flight = self.in_flight.acquire().await.map_err(|_| TooManyQueries)?;
@@ -52,12 +59,12 @@
     }
 }
 
-/// Sends a query from a port of its own, calls `sent`, and returns whether the answer is that no process holds the
-/// address. Silence, and any other error, says nothing.
+/// Sends an absence query from a new port of the address `from`, calls `on_sent`, and returns whether the answer proves
+/// that no process holds the address `to`. A timeout or any other error proves nothing.
 pub(crate) async fn prove_absence(from: IpAddr, to: SocketAddr, on_sent: impl FnOnce()) -> bool {
     let query = async {
         let socket = UdpSocket::bind(SocketAddr::new(from, 0)).await?;
-        // Only a connected socket receives the answer.
+        // The operating system reports the ICMP answer to a connected socket only.
         socket.connect(to).await?;
         socket.send(&ABSENCE_QUERY).await?;
         on_sent();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,17 +1,19 @@
-//! One balancer as a member of its fleet.
+//! The membership and the capacity share of one balancer in its fleet.
 //!
-//! A balancer's capacity share follows from what its membership protocol hears and from the answers of other members'
-//! operating systems. [`FleetMember`] joins the two state machines (`sableloom-membership`, `sableloom-capacity-share`)
-//! with no I/O and no clock: datagrams, answers to absence queries and time go in, and [`Output`] says what to send.
-//! [`RunningMember`] owns the socket at the member's address, from before the process acts until it ends, sends and
-//! receives for the state machine, and answers operators' queries ([`query_status`]) with a [`Status`].
+//! A balancer's capacity share depends on the messages that its membership protocol receives, and on the answers of
+//! other members' operating systems to absence queries. [`FleetMember`] combines the two state machines
+//! (`sableloom-membership`, `sableloom-capacity-share`). It does no I/O and reads no clock: the caller passes
+//! datagrams, answers to absence queries and the time, and [`Output`] lists what the caller has to send.
+//! [`RunningMember`] does the I/O: its socket is bound to the member's address from before the process acts until the
+//! process terminates. It also answers operators' queries ([`query_status`]) with a [`Status`].
 //!
 //! Invariants:
 //!
-//! - The process holds its address for as long as it acts: that no process holds it is what proves a member absent.
-//! - A share is passed to the [`FleetObserver`] before any datagram that follows from the same event is sent: a member
-//!   that is acknowledged may act on that at once.
-//! - It never decides anything about a request. The policy takes the share as a number of balancers.
+//! - The process holds its address as long as it acts. A member is proved absent by the fact that no process holds the
+//!   member's address.
+//! - A share is passed to the [`FleetObserver`] before any datagram that results from the same event is sent, because a
+//!   member that receives an acknowledgement may act on it at once.
+//! - The crate makes no decision about requests. The balancing policy receives the share as a number of balancers.
 //!
 //! ```
 //! use sableloom_fleet::{FleetMember, MemberSettings, Output};
@@ -28,7 +30,7 @@
 //! let mut member = FleetMember::new(&settings, 1, MemberList::new([b]), 7, Time(0));
 //! let mut output = Output::default();
 //! member.start(Time(0), &mut output);
-//! // It probes b, has b's system queried, and has no share before one of the two has answered.
+//! // The member probes b and queries b's operating system. It has no share until one of the two has answered.
 //! assert_eq!((output.datagrams.len(), output.absence_queries.len()), (1, 1));
 //! assert_eq!(member.share().balancers, 0);
 //! # Ok::<(), std::net::AddrParseError>(())
--- a/crates/fleet/src/log_line.rs
+++ b/crates/fleet/src/log_line.rs
@@ -1,4 +1,4 @@
-//! The lines of the log: changes of the view and of the share. Rehearsals and operators' scripts match some of them.
+//! Log lines for changes of the view and of the share. Rehearsals and operators' scripts match some of them.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::member::FleetMember;
 
-/// A change of the view, as it is logged.
+/// Formats a change of the view as a log line.
 pub(crate) struct ChangeLine<'a> {
     pub(crate) member: &'a FleetMember,
     pub(crate) change: &'a Change,
@@ -29,25 +29,28 @@
             }
             Change::Left(member) => write!(f, "{} has left", name(member)),
             Change::Reachability(reachability) => write_reachability(f, *reachability),
-            Change::DuplicateIdentity => {
-                f.write_str("ANOTHER PROCESS ACTS UNDER THIS NAME; each has half of a share")
-            }
+            Change::DuplicateIdentity => f.write_str(
+                "DUPLICATE IDENTITY: another process acts under this name; each has half a share",
+            ),
         }
     }
 }
 
 fn write_reachability(f: &mut fmt::Formatter<'_>, reachability: Reachability) -> fmt::Result {
     match reachability {
-        Reachability::Complete => f.write_str("hears all"),
-        Reachability::Partial { reachable, listed } => write!(f, "hears {reachable} of {listed}"),
-        Reachability::Isolated => f.write_str("hears nobody"),
-        Reachability::Resumed => {
-            f.write_str("did not run for a while; it trusts no view until it has heard the others")
+        Reachability::Complete => f.write_str("reaches all members"),
+        Reachability::Partial { reachable, listed } => {
+            write!(f, "reaches {reachable} of {listed} members")
         }
+        Reachability::Isolated => f.write_str("reaches no other member"),
+        Reachability::Resumed => f.write_str(
+            "did not run for a while; its view is not trusted until enough members have sent \
+                 messages",
+        ),
     }
 }
 
-/// A share, as it is logged.
+/// Formats a share as a log line.
 pub(crate) struct ShareLine(pub(crate) Share);
 
 impl fmt::Display for ShareLine {
@@ -56,7 +59,8 @@
         match self.0.reason {
             ShareReason::Waiting(members) if balancers == 0 => write!(
                 f,
-                "part: none until {members} others have acknowledged or their proofs have expired"
+                "part: none until {members} other members have acknowledged this process or their \
+                 proofs against it have expired"
             ),
             ShareReason::Resumed => write!(f, "part: 1 of {balancers}, after a suspension"),
             ShareReason::DuplicateIdentity => {
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,5 +1,6 @@
-//! Membership and capacity share, joined: datagrams, answers to absence queries and time in; datagrams, absence queries,
-//! changes of the view and the share out.
+//! The state machine of a member, which combines the membership protocol with the capacity share. Its inputs are
+//! datagrams, answers to absence queries and the time. Its outputs are datagrams, absence queries, changes of the view
+//! and the share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +14,21 @@
 
 use crate::query_pacing::QueryPacing;
 
-/// When a member is proved absent, so many other members that were not heard since are queried too,
+/// The maximum number of other silent members that are queried when one member is proved absent.
 const MAX_RELATED_QUERIES: usize = 16;
-/// of so many that are looked at. Members that this leaves out are queried in their turn.
+/// The maximum number of members that are examined to find silent ones when one member is proved absent. Members that
+/// are not examined are queried in their regular turn.
 const MAX_RELATED_CANDIDATES: usize = 256;
-/// Unconfirmed members that are looked at for queries at one event.
+/// The maximum number of unconfirmed members that are considered for absence queries at one event.
 const MAX_UNCONFIRMED_CANDIDATES: usize = 64;
-/// A process with a long list that has just started looks again after so long whether it may send queries.
+/// How long a process that has just started with a long list waits before it checks again whether it may send absence
+/// queries (0.5 s).
 const JUST_STARTED_RETRY_INTERVAL: Span = Span(500_000);
 
-/// The names and timing of a member.
+/// The names and the timing of a member.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// The fleet's name.
+    /// The fleet's name. Members drop messages of other fleets.
     pub fleet_name: String,
     /// The member's own name.
     pub own_name: String,
@@ -35,32 +38,35 @@
     pub share_timing: ShareTiming,
 }
 
-/// What the caller is to do.
+/// The actions that the caller has to perform.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// Datagrams to send, and where.
+    /// The datagrams to send, with their destinations.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Absence queries to send: whether any process holds these members' addresses.
+    /// The members whose operating systems have to be queried whether any process holds the member's address.
     pub absence_queries: Vec<(Key, SocketAddr)>,
-    /// Changes of the view, in their order.
+    /// The changes of the view, in the order in which they occurred.
     pub changes: Vec<Change>,
 }
 
-/// One member of a fleet.
+/// One member of a fleet, without I/O.
 #[derive(Debug)]
 pub struct FleetMember {
     membership: Membership,
     capacity_share: CapacityShare,
+    /// The share as of the last event.
     share: Share,
+    /// The time that was passed with the last event.
     now: Time,
     query_pacing: QueryPacing,
-    /// No unconfirmed member can be queried before, unless the view changes.
+    /// No unconfirmed member can be queried before this time, unless the view changes.
     next_queries_at: Time,
 }
 
 impl FleetMember {
-    /// A member whose process has just taken its address. `process_incarnation` is greater than that of the process
-    /// before. Whether the list names the member itself makes no difference; members of one process may share it.
+    /// Creates a member whose process has just bound its address. `process_incarnation` has to be greater than that of
+    /// the member's previous process. The list may or may not name the member itself, so that several members in one
+    /// process can share a list. All random choices depend on `seed`.
     pub fn new(
         settings: &MemberSettings,
         process_incarnation: u32,
@@ -86,13 +92,15 @@
         Self { membership, capacity_share, share, now, query_pacing, next_queries_at: now }
     }
 
-    /// Starts: all members are probed and, where none answers, their systems are queried.
+    /// Starts the protocol. Other members are probed, and the operating systems of members that do not answer are
+    /// queried.
     pub fn start(&mut self, now: Time, output: &mut Output) {
-        // Members that have not acknowledged this process are probed as long as it waits for them.
+        // `apply_event` probes the members that have not acknowledged this process, as long as the process waits for
+        // them.
         self.apply_event(now, output, |_, _| {});
     }
 
-    /// A datagram has come.
+    /// Handles a datagram that was received from the address `from`.
     pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], output: &mut Output) {
         let sender = self.membership.member_at(from);
         if let Some(key) = sender {
@@ -101,7 +109,7 @@
         self.apply_event(now, output, |membership, output| {
             membership.receive(now, from, bytes, output)
         });
-        // Only a message that had an effect counts as an acknowledgement.
+        // A datagram counts as an acknowledgement only if the membership protocol accepted its message.
         let peer = sender.and_then(|key| self.membership.peer(key));
         if let Some(peer) = peer.filter(|peer| peer.last_message_at == Some(now)) {
             self.capacity_share.acknowledged(now, peer.key, peer.list_length);
@@ -109,7 +117,8 @@
         }
     }
 
-    /// A member's system has answered the absence query of this time that no process holds its address.
+    /// Handles the answer of a member's operating system that no process holds the member's address. `queried_at` is
+    /// when the absence query was sent.
     pub fn proved_absent(&mut self, now: Time, key: Key, queried_at: Time, output: &mut Output) {
         let is_new_proof = self.capacity_share.proved_absent(key, queried_at);
         self.apply_event(now, output, |membership, output| {
@@ -120,9 +129,9 @@
         }
     }
 
-    /// Queries members that were not heard since the query that proved another one absent: failures are seldom alone.
-    /// Without this, half of a fleet that died in one moment was found dead one by one, at the pace of probes that bad
-    /// local health had made slow.
+    /// Queries members from which no message was received since `queried_at`, the time of the query that proved another
+    /// member absent. Several members often fail together. Without these queries, when half of a fleet died at
+    /// one moment, the dead members were detected one by one, by probes that bad local health had slowed down.
     fn query_related_members(&mut self, now: Time, queried_at: Time, output: &mut Output) {
         let membership = &self.membership;
         let is_silent = |key: &Key| {
@@ -134,12 +143,12 @@
         self.query_absence_paced(now, MAX_RELATED_QUERIES, silent, output);
     }
 
-    /// Does what is due by now.
+    /// Performs the actions that are due at `now`. To be called at the time that [`Self::next_wakeup`] returns.
     pub fn tick(&mut self, now: Time, output: &mut Output) {
         self.apply_event(now, output, |membership, output| membership.tick(now, output));
     }
 
-    /// Replaces the operators' list.
+    /// Replaces the operators' list of members. The state of members that are on both lists is kept.
     pub fn update_list(&mut self, now: Time, list: Arc<MemberList>, output: &mut Output) {
         let own = self.membership.own_key();
         let others = list.members().iter().map(|(key, _)| *key).filter(|key| *key != own);
@@ -151,18 +160,19 @@
         self.share = self.capacity_share.share(now);
     }
 
-    /// Sets the digest of the endpoint lists that are in force here, which other members are shown.
+    /// Sets the digest of the endpoint lists that this balancer has in force. It is sent to the other members.
     pub fn set_endpoints_digest(&mut self, digest: u32) {
         self.membership.set_endpoints_digest(digest);
     }
 
-    /// Leaves on purpose, with no requests left.
+    /// Announces to other members that this member leaves on purpose. To be called when no request is left.
     pub fn leave(&mut self, output: &mut Output) {
         let now = self.now;
         self.apply_event(now, output, |membership, output| membership.leave(output));
     }
 
-    /// Passes an event to the membership, and does what follows for the share: probes and absence queries.
+    /// Passes an event to the membership protocol, updates the share, and sends the probes and absence queries that are
+    /// due.
     fn apply_event(
         &mut self,
         now: Time,
@@ -197,7 +207,7 @@
         self.share = self.capacity_share.share(now);
     }
 
-    /// Probes the members that the share waits for.
+    /// Probes the members that have to acknowledge this process before it has a share.
     fn send_probes(&mut self, now: Time, output: &mut Output) {
         let mut probes = MembershipOutput::default();
         for key in self.capacity_share.due_probes(now) {
@@ -206,8 +216,8 @@
         output.datagrams.append(&mut probes.datagrams);
     }
 
-    /// Members that this member is the first to suspect, as its own probe failed. It queries their systems whatever the
-    /// pace: other members do when they hear of the suspicion.
+    /// Returns the members that this member is the first to suspect because its own probe failed. Their operating
+    /// systems are queried without pacing. Other members query when they receive the suspicion.
     fn locally_suspected(&self, changes: &[Change]) -> Vec<Key> {
         let own = self.membership.own_key();
         let suspected = changes.iter().filter_map(|change| match change {
@@ -217,8 +227,8 @@
         suspected.collect()
     }
 
-    /// Queries the systems of so many of these members, in their turn, as far as the pace of a long list allows. Before
-    /// the time that it returns none of them can be queried again.
+    /// Queries the operating systems of up to `max` of the candidates, in their order. If the list is long, the rate of
+    /// queries is limited, too. Returns the time before which no candidate can be queried again.
     fn query_absence_paced(
         &mut self,
         now: Time,
@@ -241,6 +251,8 @@
         retry_at
     }
 
+    /// Queries the operating systems of up to `max` of the candidates, in their order and without pacing. Returns the
+    /// time before which no candidate can be queried again.
     fn query_absence(
         &mut self,
         now: Time,
@@ -256,27 +268,28 @@
         queries.retry_at
     }
 
-    /// When [`Self::tick`] has to be called next.
+    /// Returns when [`Self::tick`] has to be called next. Each event may change this time.
     pub fn next_wakeup(&self) -> Time {
         self.membership.next_wakeup().min(self.capacity_share.next_wakeup(self.now))
     }
 
-    /// The share, as it was at the last event. [`Share::fraction`] says what is left of it at a time.
+    /// Returns the share as of the last event. It may expire before the next event: [`Share::fraction`] returns the
+    /// fraction that applies at a given time.
     pub fn share(&self) -> Share {
         self.share
     }
 
-    /// The membership protocol.
+    /// Returns the state of the membership protocol.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// What the share is made of.
+    /// Returns the state from which the share is computed.
     pub fn capacity_share(&self) -> &CapacityShare {
         &self.capacity_share
     }
 
-    /// A member's name; `itself` for this member.
+    /// Returns the name of another member. For this member, and for a key that is not on the list, it returns `itself`.
     pub fn name(&self, key: Key) -> &str {
         let other = self.membership.listed(key).filter(|_| key != self.membership.own_key());
         other.map_or("itself", |listed| &listed.name)
--- a/crates/fleet/src/operator_query.rs
+++ b/crates/fleet/src/operator_query.rs
@@ -1,5 +1,6 @@
-//! An operator's query over the members' own wire: a page number, from the address that the site's file names for it;
-//! and the answer, a page of the status in JSON. 256 bytes at most both ways.
+//! Operators' queries for the status of a member. A query is a datagram to the member's address, sent from the operator
+//! address that the site's file names. It contains a page number, and the answer contains that page of the status in
+//! JSON. Neither datagram is longer than 256 bytes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,22 +12,24 @@
 
 use crate::status::Status;
 
-/// The first byte of query and answer, where members' datagrams have their version.
+/// The first byte of a query and of its answer. Datagrams between members have the version of their format in its
+/// place.
 const OPERATOR_QUERY_MARKER: u8 = 255;
-/// Bytes before a page: the first byte, the page's number, how many pages there are.
+/// The length of the header of an answer in bytes: the marker, the page's number (two bytes) and the number of pages
+/// (two bytes). The numbers are big-endian.
 const PAGE_HEADER_BYTES: usize = 5;
-/// How often a page is requested,
+/// How many times a page is requested before the query fails.
 const MAX_ATTEMPTS: usize = 5;
-/// and how long each attempt waits.
+/// How long each request for a page waits for the answer.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why a member's status could not be read.
+/// An error of [`query_status`].
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The operator's address can't be used.
-    #[error("asking {member} from {operator}: {source}")]
+    /// The socket can't be bound to the operator's address, or not connected to the member's.
+    #[error("querying {member} from the operator's address {operator}: {source}")]
     Socket {
-        /// The member.
+        /// The member's address.
         member: SocketAddr,
         /// The operator's address.
         operator: SocketAddr,
@@ -34,46 +37,49 @@
         source: io::Error,
     },
     /// A query could not be sent.
-    #[error("{member}: {source}")]
+    #[error("sending a query to {member}: {source}")]
     Send {
-        /// The member.
+        /// The member's address.
         member: SocketAddr,
         /// The error of the socket.
         source: io::Error,
     },
-    /// The member's system says that no process holds the address.
+    /// The answer could not be received, usually because the member's operating system reported that no process holds
+    /// the address.
     #[error("{member}: no balancer of a fleet is there: {source}")]
     NoMember {
-        /// The member.
+        /// The member's address.
         member: SocketAddr,
         /// The error of the socket.
         source: io::Error,
     },
-    /// Nothing answers.
+    /// The member at this address answered none of the queries in time.
     #[error(
-        "{0}: no answer: it may be stopped or cut off, or its site names no such `fleet.operator`"
+        "{0}: no answer: the balancer may be suspended or unreachable, or `fleet.operator` of its site is another \
+         address"
     )]
     NoAnswer(SocketAddr),
-    /// The answer is no status.
-    #[error("{member}: its answer: {source}")]
+    /// The answer is not a valid status.
+    #[error("{member}: the answer is not a valid status: {source}")]
     Malformed {
-        /// The member.
+        /// The member's address.
         member: SocketAddr,
         /// What is wrong with the JSON.
         source: serde_json::Error,
     },
 }
 
-/// One page of an answer.
+/// One page of the status, as an answer contains it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Page<'a> {
     number: u16,
-    /// How many pages there are.
+    /// The total number of pages.
     page_count: u16,
+    /// The bytes of the page, without the header.
     content: &'a [u8],
 }
 
-/// The page that a query asks for.
+/// Returns the number of the page that a query requests; `None` if the datagram is not a query.
 pub(crate) fn requested_page(query: &[u8]) -> Option<u16> {
     match query {
         [OPERATOR_QUERY_MARKER, high, low] => Some(u16::from_be_bytes([*high, *low])),
@@ -81,7 +87,8 @@
     }
 }
 
-/// The answer with a page of this text; `None` past its end.
+/// Returns the answer with a page of the text. Returns `None` if the text has no such page, or has more than 65,535
+/// pages.
 pub(crate) fn encode_answer(text: &[u8], page: u16) -> Option<Vec<u8>> {
     let mut pages = text.chunks(MAX_DATAGRAM_BYTES - PAGE_HEADER_BYTES);
     let page_count = u16::try_from(pages.len()).ok()?;
@@ -93,7 +100,7 @@
     Some(answer)
 }
 
-/// The page of an answer.
+/// Returns the page in an answer; `None` if the datagram is not an answer.
 fn decode_answer(answer: &[u8]) -> Option<Page<'_>> {
     let (header, content) = answer.split_at_checked(PAGE_HEADER_BYTES)?;
     let [OPERATOR_QUERY_MARKER, a, b, c, d] = *header else { return None };
@@ -101,11 +108,14 @@
     Some(Page { number, page_count, content })
 }
 
-/// Queries the status of the member at this address from the operator's.
+/// Queries the status of the member at the address `member`. The queries are sent from the address `operator`, which
+/// has to be the operator address of the member's site. Each page is requested up to 5 times, and each request waits
+/// 400 ms.
 ///
 /// # Errors
 ///
-/// The cause if the operator's address can't be used, the member does not answer, or its answer is no status.
+/// [`QueryError`] if the operator's address can't be bound, the member does not answer, or the answer is not a valid
+/// status.
 pub async fn query_status(operator: SocketAddr, member: SocketAddr) -> Result<Status, QueryError> {
     let socket_error = |source| QueryError::Socket { member, operator, source };
     let socket = UdpSocket::bind(operator).await.map_err(socket_error)?;
@@ -118,7 +128,7 @@
     serde_json::from_slice(&text).map_err(|source| QueryError::Malformed { member, source })
 }
 
-/// Appends a page to the text. Returns how many pages there are.
+/// Queries a page and appends its content to `text`. Returns the total number of pages.
 async fn query_page(
     socket: &UdpSocket,
     member: SocketAddr,
@@ -134,7 +144,7 @@
             let mut buffer = [0; MAX_DATAGRAM_BYTES];
             loop {
                 let length = socket.recv(&mut buffer).await?;
-                // A late answer to an earlier attempt is one to this, or of another page.
+                // A late answer to an earlier request for the same page is accepted; one for another page is ignored.
                 let page = decode_answer(&buffer[..length]).filter(|page| page.number == number);
                 if let Some(Page { page_count, content, .. }) = page {
                     text.extend(content);
--- a/crates/fleet/src/operator_query/tests.rs
+++ b/crates/fleet/src/operator_query/tests.rs
@@ -16,7 +16,7 @@
         }
         assert_eq!(joined, text);
     }
-    // More pages than can be counted are not shown at all, and never truncated silently.
+    // A text with more pages than the header can count gets no answer, rather than a truncated one.
     assert_eq!(encode_answer(&vec![0; 251 * 70_000], 0), None);
 }
 
@@ -31,7 +31,8 @@
     }
 }
 
-/// Queries and answers as commit c6abd24 has written them: an operator's tool of another version asks.
+/// Queries and answers that commit c6abd24 encoded. The operator's program and the balancer may have different
+/// versions, so that the format must not change. Each line has a name and the bytes in hexadecimal.
 const RECORDED: &str = include_str!("../../tests/data/operator_queries.txt");
 
 fn recorded_bytes(name: &str) -> Vec<u8> {
--- a/crates/fleet/src/query_pacing.rs
+++ b/crates/fleet/src/query_pacing.rs
@@ -1,15 +1,16 @@
-//! The pace of absence queries where the list is long.
+//! The rate limit of absence queries for long lists.
 
 use sableloom_types::Time;
 
-/// Absence queries a second to one missing member's system by all others together, each of 29 bytes with its headers:
-/// they still come when the member starts. Where each of 7,600 queried at the pace of a short list, a member that came
-/// back was sent 15,200 a second.
+/// How many absence queries a second all other members together send to the operating system of one missing member. A
+/// query has 29 bytes with its headers. Queries are still sent while the missing member starts again: when each of
+/// 7,600 members queried at the rate of a short list, a member that started again was sent 15,200 queries a second.
 const QUERIES_PER_SECOND_PER_MEMBER: f64 = 24.0;
-/// The queries that may be sent at once, in seconds of the pace: members are looked at that often at least.
+/// The capacity of the token bucket, in seconds at the current rate. Missing members are considered for queries at
+/// least this often.
 const BURST_SECONDS: f64 = 0.5;
 
-/// A token bucket of absence queries.
+/// A token bucket that limits the absence queries of one member. A query takes one token.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueryPacing {
     tokens: f64,
@@ -17,13 +18,14 @@
 }
 
 impl QueryPacing {
-    /// Each member begins with another fraction of a token, so that the first queries of all do not come at once.
+    /// Creates a bucket with a fraction of a token that depends on the seed, so that the members of a fleet do not send
+    /// their first queries at the same time.
     pub(crate) fn new(now: Time, seed: u64) -> Self {
         Self { tokens: f64::from((seed >> 32) as u32) / f64::from(u32::MAX), updated_at: now }
     }
 
-    /// How many queries this member may send now, about so many unconfirmed members, with so many others that send
-    /// queries too.
+    /// Returns how many queries this member may send at `now`. `unconfirmed` is the number of members that are not
+    /// confirmed to be alive, and `other_senders` the number of other members that query them, too.
     pub(crate) fn available(
         &mut self,
         now: Time,
@@ -39,7 +41,7 @@
         self.tokens as usize
     }
 
-    /// Counts queries that were sent.
+    /// Takes the tokens for queries that were sent.
     pub(crate) fn spend(&mut self, queries: usize) {
         self.tokens -= queries as f64;
     }
--- a/crates/fleet/src/running_member.rs
+++ b/crates/fleet/src/running_member.rs
@@ -1,5 +1,5 @@
-//! The I/O of a member: one socket at its own address, held from before the process acts until it ends, which is what
-//! lets others prove that it is absent once it has ended.
+//! The I/O of a member. Its UDP socket is bound to the member's address from before the process acts until the process
+//! terminates, so that other members can prove the member absent after that.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -23,38 +23,40 @@
 use crate::status::Status;
 use crate::traffic::Traffic;
 
-/// Datagrams that are received before the requests of clients have their turn.
+/// The maximum number of datagrams that are received before the task yields, so that client requests are not delayed.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// What is notified as it happens.
+/// Receives the changes of a running member as they occur.
 pub trait FleetObserver {
-    /// The share has changed.
+    /// Called with the first share when the member starts, and with each share that differs from the previous one.
+    /// Datagrams that result from the same event are sent after this call.
     fn share_changed(&self, share: Share);
-    /// A line for the log.
+    /// Called with a line for the log, without a line break.
     fn log(&self, line: &str);
 }
 
-/// How to run a member.
+/// The options of [`RunningMember::start`].
 pub struct RunOptions {
-    /// Its names and timing.
+    /// The names and the timing of the member.
     pub settings: MemberSettings,
-    /// Its own address, where it listens.
+    /// The member's own address, to which its socket is bound.
     pub address: SocketAddr,
-    /// Queries of its status are answered if they come from this address.
+    /// The only address from which queries for the status are answered; with `None`, no query is answered.
     pub operator_address: Option<SocketAddr>,
-    /// The operators' list. Members of one process share it; it may name the member itself.
+    /// The operators' list of members. It may name the member itself, so that several members in one process can share
+    /// a list.
     pub list: Arc<MemberList>,
-    /// Greater than that of its process before.
+    /// The incarnation of the process. It has to be greater than that of the member's previous process.
     pub process_incarnation: u32,
-    /// The seed of its random numbers.
+    /// The seed of the member's random numbers.
     pub seed: u64,
-    /// The clock that all parts of the process share.
+    /// The clock that all components of the process share.
     pub clock: Clock,
     /// The observer that is notified.
     pub observer: Rc<dyn FleetObserver>,
 }
 
-/// A member that runs.
+/// A member with its socket and the task that runs the protocol.
 pub struct RunningMember {
     member: RefCell<FleetMember>,
     socket: UdpSocket,
@@ -63,22 +65,23 @@
     clock: Clock,
     observer: Rc<dyn FleetObserver>,
     last_share: Cell<Share>,
-    /// The time of the next wakeup may have changed.
+    /// Notified when the time of the next wakeup may have changed.
     wakeup_changed: Notify,
     query_slots: QuerySlots,
     operator_address: Option<SocketAddr>,
-    /// The status that the operator queries page by page.
+    /// The status as of the operator's query for page 0. All pages are cut from it, so that they fit together.
     status_json: RefCell<Vec<u8>>,
     protocol_task: RefCell<Option<Task>>,
     traffic: Cell<Traffic>,
 }
 
 impl RunningMember {
-    /// Takes its address and starts the protocol. To be called on a `LocalSet`, before the process acts.
+    /// Binds the member's address and starts the protocol. To be called on a `LocalSet`, before the process acts.
     ///
     /// # Errors
     ///
-    /// The socket's error if the address can't be taken: another process holds it, or it is not this machine's.
+    /// The socket's error if the address can't be bound, for instance because another process holds it or it is not an
+    /// address of this machine.
     pub async fn start(options: RunOptions) -> io::Result<Rc<Self>> {
         let RunOptions { settings, address, operator_address, list, process_incarnation, .. } =
             options;
@@ -108,45 +111,46 @@
         Ok(running)
     }
 
-    /// Where it listens.
+    /// Returns the address to which the member's socket is bound.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its share now.
+    /// Returns the share as of the last event.
     pub fn share(&self) -> Share {
         self.last_share.get()
     }
 
-    /// Replaces the operators' list. `others` are all members but itself.
+    /// Replaces the operators' list of members. `others` are all members except this one.
     pub fn update_list(self: &Rc<Self>, others: &[ListedMember]) {
         let list = MemberList::new(others.iter().cloned());
         self.call_member(|member, now, output| member.update_list(now, list, output));
     }
 
-    /// Sets the digest of the endpoint lists that are in force here, which other members are shown.
+    /// Sets the digest of the endpoint lists that this balancer has in force. It is sent to the other members.
     pub fn set_endpoints_digest(&self, digest: u32) {
         self.member.borrow_mut().set_endpoints_digest(digest);
     }
 
-    /// Leaves on purpose, with no requests left, and says nothing from then on. It goes on holding its address.
+    /// Announces to other members that this member leaves on purpose, and stops the protocol. To be called when no
+    /// request is left. The address stays bound.
     pub fn leave(self: &Rc<Self>) {
         self.call_member(|member, _, output| member.leave(output));
         self.protocol_task.borrow_mut().take();
     }
 
-    /// What it has sent and received.
+    /// Returns the counters of the datagrams that the member has sent and received since its start.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// The digest of its view: the same at two members that agree on which members are reachable, and in which process
-    /// incarnations.
+    /// Returns the digest of the member's view. It is equal at two members that agree on which members are reachable,
+    /// and in which process incarnations.
     pub fn view_digest(&self) -> u32 {
         self.member.borrow().membership().digest()
     }
 
-    /// Its status.
+    /// Returns the status as of now, as it is shown to operators.
     pub fn status(&self) -> Status {
         let (fleet_name, own_name) = (&self.settings.fleet_name, &self.settings.own_name);
         Status::of(&self.member.borrow(), fleet_name, own_name, self.clock.now())
@@ -169,9 +173,9 @@
         }
     }
 
-    /// Receives the datagrams that have come, up to a bound.
+    /// Receives the datagrams that are in the socket's buffer, up to [`MAX_DATAGRAMS_PER_TURN`].
     fn receive_pending(self: &Rc<Self>) {
-        // A datagram that fills one byte more than is allowed is recognized as too long.
+        // One byte more than the longest valid datagram, so that a longer one is detected although it is truncated.
         let mut buffer = [0; MAX_PAGE_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut buffer) {
@@ -188,14 +192,15 @@
                         member.receive(now, from, bytes, output)
                     });
                 }
-                // For example of an earlier datagram to an address that no process held.
+                // The error may concern an earlier datagram, for instance one to an address that no process held. It
+                // does not prevent further datagrams from being received.
                 Err(error) if error.kind() != ErrorKind::WouldBlock => {}
                 Err(_) => break,
             }
         }
     }
 
-    /// Calls the state machine, and carries out what it returns.
+    /// Passes an event to the state machine, and performs the actions that it returns.
     fn call_member(self: &Rc<Self>, event: impl FnOnce(&mut FleetMember, Time, &mut Output)) {
         let mut output = Output::default();
         let share = {
@@ -205,9 +210,10 @@
         };
         self.log_changes(&output.changes);
         self.publish_share(share);
-        // Only after that: a member that is acknowledged may act on that at once.
+        // Datagrams are sent after the share was published, because a member that receives an acknowledgement may act
+        // on it at once.
         for (to, bytes) in &output.datagrams {
-            // A full socket loses the datagram, as a network does.
+            // If the socket's buffer is full, the datagram is dropped, as the network may drop any datagram.
             if self.socket.try_send_to(bytes, *to).is_ok() {
                 self.update_traffic(|traffic| {
                     traffic.sent += 1;
@@ -245,7 +251,8 @@
         self.traffic.set(traffic);
     }
 
-    /// Sends the operator a page of the status, as it was when the first page was requested.
+    /// Answers an operator's query for a page of the status. A new status is taken for page 0, and kept for the later
+    /// pages.
     fn answer_operator(&self, to: SocketAddr, query: &[u8]) {
         let Some(page) = operator_query::requested_page(query) else { return };
         let mut status_json = self.status_json.borrow_mut();
@@ -253,17 +260,18 @@
             *status_json = serde_json::to_vec(&self.status()).unwrap_or_default();
         }
         if let Some(answer) = operator_query::encode_answer(&status_json, page) {
-            // A full socket loses the answer; the operator's program repeats its query.
+            // If the socket's buffer is full, the answer is dropped. The operator's program repeats its query.
             let _ = self.socket.try_send_to(&answer, to);
         }
     }
 
-    /// Queries a member's system whether any process holds its address.
+    /// Queries a member's operating system whether any process holds the member's address, and passes a proof of
+    /// absence to the state machine.
     async fn query_absence(self: Rc<Self>, key: Key, address: SocketAddr) {
         let Ok(_slot) = self.query_slots.acquire().await else {
             return self.update_traffic(|traffic| traffic.absence_queries_dropped += 1);
         };
-        // A proof is as old as the time before its query leaves.
+        // The age of a proof counts from a time before the query is sent.
         let queried_at = self.clock.now();
         let count_sent = || self.update_traffic(|traffic| traffic.absence_queries += 1);
         if prove_absence(self.address.ip(), address, count_sent).await {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,5 +1,6 @@
-//! What a member says of itself and of the fleet, for operators and for tests. The keys of the JSON are operators': a
-//! field with another name states its key.
+//! The status of a member and its view of the fleet, for operators and for tests. The JSON keys must not change,
+//! because operators' scripts read them. A field whose Rust name differs from its key has a serde attribute with the
+//! key.
 
 use sableloom_capacity_share::ShareReason;
 use sableloom_membership::{DropReason, Health, Membership, Peer, Reachability};
@@ -17,106 +18,111 @@
     /// The member's own name.
     #[serde(rename = "own")]
     pub own_name: String,
-    /// The incarnation of its process.
+    /// The incarnation of the member's process.
     #[serde(rename = "life")]
     pub process_incarnation: u32,
-    /// One more with each change of its view.
+    /// The version of the member's view, which increases by one with each change.
     #[serde(rename = "number")]
     pub view_version: u64,
-    /// The same at two members that agree on which members are reachable, and in which process incarnations.
+    /// The digest of the member's view in hexadecimal. It is equal at two members that agree on which members are
+    /// reachable, and in which process incarnations.
     #[serde(rename = "digest")]
     pub view_digest: String,
-    /// A digest of its endpoint lists in force; the same at two that have the same.
+    /// The digest in hexadecimal of the endpoint lists that the balancer has in force. It is equal at two balancers
+    /// that have the same lists in force.
     #[serde(rename = "servers")]
     pub endpoints_digest: String,
-    /// `whole`, `part`, `alone` or `just-woken`.
+    /// How much of the fleet the member reaches: `whole` if it reaches all members, `part` if it reaches some, `alone`
+    /// if it reaches no other member, or `just-woken` if it was suspended and does not trust its view yet.
     #[serde(rename = "standing")]
     pub reachability: String,
-    /// How many members it reaches, itself included.
+    /// The number of members that the member reaches, itself included.
     #[serde(rename = "hears")]
     pub reachable_members: usize,
-    /// How many are on its list, itself included, without those that left.
+    /// The number of members on the list, the member itself included and those that have left excluded.
     #[serde(rename = "of")]
     pub listed_members: usize,
-    /// Its local health: 0 is healthy, 8 the worst.
+    /// The local health score, from 0 (healthy) to 8 (worst).
     #[serde(rename = "doubt")]
     pub local_health: u32,
-    /// Its share of the servers' capacity.
+    /// The member's share of the servers' capacity.
     #[serde(rename = "part")]
     pub share: ShareStatus,
     /// The other members.
     pub members: Vec<MemberStatus>,
-    /// Datagrams that were dropped.
+    /// The numbers of received datagrams that were dropped.
     pub dropped: DropCounts,
 }
 
-/// A share of the servers' capacity.
+/// The share of the servers' capacity that a member has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareStatus {
-    /// The number of balancers that divide the capacity, itself included; 0 for no share yet.
+    /// The number of balancers that divide the capacity, this one included; 0 if the member has no share yet.
     pub balancers: u32,
-    /// The length of the longest list that it knows of.
+    /// The length of the longest list that the member knows of, its own included.
     #[serde(rename = "listed")]
     pub longest_list_length: u32,
-    /// How many members are proved absent.
+    /// The number of members that are proved absent.
     #[serde(rename = "absent")]
     pub absent_members: usize,
-    /// `shares`, `waits`, `woken` or `twin`.
+    /// The reason for the size of the share: `shares` if the member shares with all members that are not proved absent,
+    /// `waits` if it waits for other members before it has a share, `woken` after a suspension, or `twin` if another
+    /// process acts under its name.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// Another member.
+/// The state of another member, as the member that reports the status knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its address.
+    /// The member's address (IP address and port).
     pub address: String,
     /// `unknown`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// For how long, in milliseconds.
+    /// How long the member has had this state, in milliseconds.
     pub since_ms: i64,
-    /// The member that found that first.
+    /// The name of the member that reported this state first; `itself` if the member that reports the status did.
     #[serde(rename = "by")]
     pub reported_by: String,
-    /// How many members suspect it, the first included; 0 if none does.
+    /// The number of members that suspect this member to be dead, the first one included; 0 if none does.
     #[serde(rename = "accusers")]
     pub suspecting_members: usize,
-    /// The incarnation of its process.
+    /// The incarnation of the member's process; 0 if it is not known.
     #[serde(rename = "life")]
     pub process_incarnation: u32,
-    /// How long ago a message from itself came, in milliseconds.
+    /// How long ago the last message from this member was received, in milliseconds; `None` if none was.
     #[serde(rename = "heard_ms")]
     pub last_heard_ms: Option<i64>,
-    /// The length of its list.
+    /// The length of this member's list as it last stated; 0 if it has stated none.
     #[serde(rename = "listed")]
     pub list_length: u16,
-    /// A digest of the endpoint lists that it has in force.
+    /// The digest in hexadecimal of the endpoint lists that this member has in force.
     #[serde(rename = "servers")]
     pub endpoints_digest: String,
 }
 
-/// Datagrams that were dropped, by reason.
+/// The numbers of dropped datagrams by reason.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DropCounts {
-    /// Longer than a datagram may be.
+    /// Datagrams that were longer than allowed.
     pub too_long: u64,
-    /// Of another version.
+    /// Datagrams with another version of the format.
     #[serde(rename = "version")]
     pub other_version: u64,
-    /// No message.
+    /// Datagrams that were not a valid message.
     pub malformed: u64,
-    /// Of another fleet.
+    /// Messages from members of another fleet.
     #[serde(rename = "fleet")]
     pub other_fleet: u64,
-    /// From an address that no member has.
+    /// Messages from an address that no member has.
     #[serde(rename = "address")]
     pub unknown_address: u64,
-    /// From a member's address under another's name.
+    /// Messages from a member's address under another member's name.
     #[serde(rename = "name")]
     pub wrong_sender: u64,
-    /// Meant for an earlier process at the same address.
+    /// Messages that were meant for an earlier process at the same address.
     #[serde(rename = "echo")]
     pub stale_nonce: u64,
 }
@@ -180,7 +186,7 @@
 }
 
 impl Status {
-    /// A member's status now.
+    /// Returns the status of a member at `now`. The names are those of the member's settings.
     pub fn of(member: &FleetMember, fleet_name: &str, own_name: &str, now: Time) -> Self {
         let membership = member.membership();
         let reachability = match membership.reachability() {
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -1,18 +1,20 @@
-//! Counters of the datagrams of a member.
+//! Counters of a member's datagrams.
 
-/// Datagrams that a member has sent and received since its start, and their bytes without headers of the network.
+/// The datagrams that a member has sent and received since its start. Bytes are counted without the headers of UDP and
+/// IP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams that the socket took.
+    /// The number of datagrams that the socket accepted for sending.
     pub sent: u64,
-    /// Their bytes.
+    /// The bytes of the datagrams that are counted in [`Self::sent`].
     pub sent_bytes: u64,
-    /// Datagrams that came, whatever became of them.
+    /// The number of datagrams that were received, including those that were then dropped. Datagrams from the
+    /// operator's address and the answers to them are counted neither here nor in [`Self::sent`].
     pub received: u64,
-    /// Their bytes.
+    /// The bytes of the datagrams that are counted in [`Self::received`].
     pub received_bytes: u64,
-    /// Absence queries, of one byte each; not counted as sent.
+    /// The number of absence queries that were sent. They have one byte each and are not counted in [`Self::sent`].
     pub absence_queries: u64,
-    /// Absence queries that were not sent, as too many others were waiting.
+    /// The number of absence queries that were not sent because too many others were waiting.
     pub absence_queries_dropped: u64,
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -1,5 +1,5 @@
-//! Bytes that a member sends and receives in its worst second, with the headers of UDP, IP and ICMP, in a fleet with a
-//! long list.
+//! Checks the budget for the bytes that a member sends and receives in any second, with the headers of UDP, IP and
+//! ICMP, in a fleet with a long list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 };
 use sableloom_types::Time;
 
-/// Longer than a short list, whose members all ping one another.
+/// The number of members. Their list is longer than a short list, whose members all ping each other.
 const MEMBER_COUNT: usize = 600;
-/// How often in a second a member's bytes are looked at.
+/// How many times a second the bytes of each member are read. The seconds that are checked overlap.
 const SAMPLES_PER_SECOND: usize = 4;
 
 struct Member {
     fleet_member: FleetMember,
-    /// Bytes by kind, for the report of a failure.
+    /// The bytes of datagrams by kind and the number of absence queries, for the message of a failure.
     traffic_by_kind: BTreeMap<&'static str, usize>,
 }
 
@@ -117,8 +117,8 @@
     });
 }
 
-/// Runs for so many seconds, in none of which any member may have more bytes than the budget; a second begins each
-/// quarter of one.
+/// Runs for a number of seconds, and checks that no running member exceeds the budget in any second. A second begins
+/// with each sample, four times a second.
 fn run_checked(network: &mut Network<Member>, seconds: usize, phase: &str) {
     let sample = |network: &Network<Member>| -> Vec<(u64, BTreeMap<&'static str, usize>)> {
         let traffic_by_kind = |host: &sableloom_simulated_network::Host<Member>| {
@@ -140,7 +140,8 @@
             let running = network.hosts[i].process.is_some();
             assert!(
                 !running || bytes <= MAX_BYTES_PER_SECOND as u64,
-                "{phase}: {bytes} bytes of {i} in the second to {} us, from {:?} to {:?}",
+                "{phase}: member {i} had {bytes} bytes in the second before {} us; its traffic was {:?} at the \
+                 start and {:?} at the end",
                 network.now,
                 earlier.1,
                 later.1
@@ -165,8 +166,12 @@
     run_checked(&mut network, 10, "one starts");
     (1..quarter).for_each(|i| start(&mut network, i, &list));
     run_checked(&mut network, 30, "a quarter starts");
-    let knows_all =
+    let reaches_all =
         |member: &Member| member.fleet_member.membership().count_reachable() == MEMBER_COUNT - 1;
     let members = network.hosts.iter().filter_map(|host| host.process.as_ref());
-    assert_eq!(members.filter(|member| knows_all(member)).count(), MEMBER_COUNT, "all know all");
+    assert_eq!(
+        members.filter(|member| reaches_all(member)).count(),
+        MEMBER_COUNT,
+        "every member reaches all others"
+    );
 }
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -1,6 +1,7 @@
-//! Every interleaving of three members to a depth: starts, ends, absence queries, their answers, pings, acks and time,
-//! each datagram delivered at any later time or never. The shares add up to one at most in every state, those that were
-//! published last and not looked at again included, as a stopped process has them.
+//! Searches all interleavings of the events of three members up to a number of steps. Events are starts, terminations,
+//! timers, pings, acks, absence queries with their answers, and the passing of time. Each datagram arrives at any
+//! later time or never. In every state, the published shares must add up to one at most, including those of suspended
+//! processes, which keep the share that they published last.
 
 use std::collections::HashSet;
 use std::fmt::Write as _;
@@ -9,11 +10,12 @@
 use sableloom_capacity_share::{CapacityShare, Share, Timing};
 use sableloom_types::{Span, Time};
 
+/// The number of members.
 const MEMBERS: usize = 3;
-/// Datagrams in flight at most.
+/// The maximum number of datagrams in flight. States with more are not searched.
 const MAX_IN_FLIGHT: usize = 3;
 
-/// A proof holds for two steps of time, and a process that starts waits for three.
+/// Returns the timing of the members: a proof of absence is valid for two steps of time, and the start wait is three.
 fn timing() -> Timing {
     let timing = Timing {
         lease: Span(2),
@@ -26,38 +28,44 @@
     timing
 }
 
+/// A running process of a member.
 #[derive(Clone, Debug)]
 struct Member {
     capacity_share: CapacityShare,
+    /// The share as of the last event. It stays in use until the next event.
     published: Share,
     process_number: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Datagram {
-    /// To a member, whatever process that is by then.
+    /// A ping to a member, whichever process of the member runs when the ping arrives.
     Ping { from: usize, process_number: u32, to: usize },
-    /// The answer, to this process alone.
+    /// The answer to a ping. It acknowledges only the process that sent the ping.
     Ack { from: usize, to: usize, receiver_process: u32 },
-    /// Whether anybody is there.
+    /// An absence query, which was sent at `queried_at`.
     AbsenceQuery { from: usize, process_number: u32, to: usize, queried_at: i64 },
-    /// Nobody is.
+    /// The answer to the absence query of `queried_at`: no process holds the address of `member`.
     Absent { to: usize, process_number: u32, member: usize, queried_at: i64 },
 }
 
+/// A state of all members and of the network.
 #[derive(Clone, Debug)]
 struct State {
+    /// The time in steps.
     now: i64,
+    /// The number of processes that were started. It is also the number of the process that was started last.
     started_processes: u32,
     members: [Option<Member>; MEMBERS],
     in_flight: Vec<Datagram>,
 }
 
-/// A rule that is left out, to see that the search finds the violation.
+/// A rule that the members do not follow, to check that the search finds the violation.
 #[derive(Clone, Copy, PartialEq)]
 enum OmittedRule {
+    /// The members follow all rules.
     None,
-    /// A process acts as soon as it has started.
+    /// A process has a share as soon as it has started.
     StartWait,
     /// A published share never expires.
     ShareExpiry,
@@ -82,7 +90,8 @@
         });
     }
 
-    /// Calls this process, if it still runs, and publishes its share.
+    /// Passes an event to the process of member `i` and publishes its share. Does nothing if the member does not run,
+    /// or runs as another process than `process_number`.
     fn call(
         &mut self,
         i: usize,
@@ -141,7 +150,7 @@
         }
     }
 
-    /// All states that one step leads to.
+    /// Returns all states that one event leads to.
     fn successors(&self, omitted: OmittedRule) -> Vec<State> {
         let mut successors = Vec::new();
         let mut step = |change: &dyn Fn(&mut State)| {
@@ -159,10 +168,10 @@
                 continue;
             };
             step(&|s| s.members[i] = None);
-            // Its timer fires.
+            // The timer of the member fires.
             step(&|s| s.call(i, None, |_, _| {}));
             let process_number = member.process_number;
-            // All at once, as a process that has just started does.
+            // The member pings all others at once, as a process that has just started does.
             let others = (0..MEMBERS).filter(|to| *to != i);
             let pings: Vec<_> =
                 others.map(|to| Datagram::Ping { from: i, process_number, to }).collect();
@@ -188,6 +197,7 @@
         successors
     }
 
+    /// Returns the sum of the published shares at the current time.
     fn share_sum(&self, omitted: OmittedRule) -> f64 {
         let share = |member: &Member| match omitted {
             OmittedRule::ShareExpiry => {
@@ -201,6 +211,7 @@
         self.members.iter().flatten().map(share).sum()
     }
 
+    /// Returns a hash of the `Debug` output, which contains all fields.
     fn hash(&self) -> u64 {
         struct DebugHasher(DefaultHasher);
         impl std::fmt::Write for DebugHasher {
@@ -215,7 +226,7 @@
     }
 }
 
-/// All three have acknowledged each other, long ago.
+/// Returns a state in which all members have acknowledged each other, after the start wait.
 fn all_acknowledged() -> State {
     let mut state = State {
         now: 0,
@@ -234,7 +245,8 @@
     state
 }
 
-/// The same, and then one has ended, which is proved to both others.
+/// Returns a state in which all members had acknowledged each other. Then one of them terminated, and both others have
+/// a proof of its absence.
 fn one_absent() -> State {
     let mut state = all_acknowledged();
     state.members[2] = None;
@@ -243,11 +255,15 @@
     for i in 0..2 {
         state.call(i, None, |share, _| assert!(share.proved_absent(2, queried_at)));
     }
-    assert!((state.share_sum(OmittedRule::None) - 1.0).abs() < 1e-9, "two share");
+    assert!(
+        (state.share_sum(OmittedRule::None) - 1.0).abs() < 1e-9,
+        "both remaining members have half of the capacity"
+    );
     state
 }
 
-/// How many states there are to this depth, or the first in which the shares exceed one.
+/// Searches all states that at most `depth` events lead to. Returns how many there are, or the first state in which the
+/// shares exceed one.
 fn search(from: State, depth: usize, omitted: OmittedRule) -> Result<usize, Box<State>> {
     let mut seen_hashes = HashSet::from([from.hash()]);
     let mut level = vec![from];
@@ -277,7 +293,8 @@
     assert!(states > 100_000, "{states}");
 }
 
-/// The same from a state with a proof of absence, which is deeper into what matters.
+/// Starts from a state with valid proofs of absence. From the other start, few of the six steps would be left after a
+/// member is proved absent.
 #[test]
 fn shares_never_exceed_one_within_six_steps_after_a_proof_of_absence() {
     let state = one_absent();
@@ -287,7 +304,7 @@
     assert!(states > 100_000, "{states}");
 }
 
-/// The search finds what goes wrong without each of the rules.
+/// Checks that the search detects a violation if the members do not follow one of the rules.
 #[test]
 fn search_finds_a_violation_when_a_rule_is_omitted() {
     for omitted in
--- a/crates/fleet/tests/recorded_status.rs
+++ b/crates/fleet/tests/recorded_status.rs
@@ -1,5 +1,5 @@
-//! The status in JSON, key by key and value by value, as an earlier build has written it: operators' scripts and
-//! `sableloom fleet` of another version read it.
+//! Compares the status in JSON with recorded statuses. Operators' scripts and other versions of `sableloom fleet` read
+//! the JSON, so that its keys and values must not change.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,19 @@
 };
 use sableloom_types::Time;
 
-/// Lines of a name and the JSON, written by commit c6abd24.
+/// The statuses that commit c6abd24 wrote. Each line has the name of a case and the JSON.
 const RECORDED: &str = include_str!("data/status.txt");
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
+/// The process incarnation with which member `a` starts.
 const PROCESS_INCARNATION: u32 = 710_000;
 
 fn address(last_octet: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, last_octet], 7000))
 }
 
-/// Member `a` of a list, and its nonce.
+/// Member `a` of a list, and the nonce of its process.
 struct Member {
     fleet_member: FleetMember,
     nonce: u32,
@@ -53,7 +55,7 @@
         self.fleet_member.receive(now, from, bytes, &mut Output::default());
     }
 
-    /// The member at this place of the list says something to this process.
+    /// Passes the member a message from another member, whose address ends with this octet.
     fn receive_message(&mut self, now: Time, last_octet: u8, name: &str, updates: Vec<Update>) {
         let message = Message {
             fleet: key_of("points"),
@@ -87,7 +89,7 @@
     }
 }
 
-/// Datagrams that are dropped: one of each reason, but that so many more are malformed.
+/// Passes the member datagrams that are dropped: two malformed ones, and one for each other reason.
 fn receive_invalid_datagrams(member: &mut Member, now: Time) {
     let message = |fleet: &str, sender: &str, receiver_nonce: u32| {
         let (fleet, sender, body) = (key_of(fleet), key_of(sender), Body::Leave);
@@ -116,7 +118,8 @@
     member.receive(now, address(2), &message("points", "b", member.nonce ^ 1));
 }
 
-/// A status of each state of members, of the member itself and of its share, by name.
+/// Returns named statuses that together contain each state of another member, each reachability and each reason for the
+/// size of a share.
 fn build_statuses() -> Vec<(&'static str, String)> {
     let mut statuses = Vec::new();
     let mut member = Member::start(&["a", "b", "c", "d", "e", "f"]);
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -1,6 +1,7 @@
-//! Thousands of schedules of loss, partitions, stops, crashes, late and duplicated datagrams and drift: after every
-//! event the shares of all members add up to one at most, those of stopped processes included, whatever their views
-//! are. A seed makes each schedule, and a failure names it.
+//! Runs members on a simulated network and checks after every event that the shares of all processes add up to one at
+//! most, including those of suspended processes, even while their views differ. Faults are loss, partitions,
+//! suspensions, crashes, late and duplicated datagrams and clock drift. A seed determines each run, and a failure
+//! message states it.
 
 use std::net::SocketAddr;
 
@@ -15,7 +16,7 @@
 };
 use sableloom_types::Time;
 
-/// A member and its share, as the policy has it between two events.
+/// A member and its share as of the last event, which the policy uses until the next one.
 struct Member {
     fleet_member: FleetMember,
     share: Share,
@@ -105,7 +106,7 @@
     });
 }
 
-/// The sum of the shares of all that run, each by its own clock.
+/// Returns the sum of the shares of all running processes, each at the time of its own clock.
 fn share_sum(network: &Network<Member>) -> f64 {
     let running = network.hosts.iter().enumerate();
     let shares = running
@@ -113,6 +114,7 @@
     shares.sum()
 }
 
+/// Returns the number of balancers and the reason in the share of each host; `None` for a host without a process.
 fn balancers_and_reasons(network: &Network<Member>) -> Vec<Option<(u32, ShareReason)>> {
     let share =
         |host: &sableloom_simulated_network::Host<Member>| host.process.as_ref().map(|m| m.share);
@@ -123,6 +125,7 @@
         .collect()
 }
 
+/// Runs until the time `until` in microseconds, and checks after each event that the shares add up to one at most.
 fn run_checked(network: &mut Network<Member>, until: i64, seed: u64) {
     network.run_observed(until, |network| {
         let share_sum = share_sum(network);
@@ -135,7 +138,8 @@
     });
 }
 
-/// Runs until all that run share among themselves alone; `None` if that takes longer.
+/// Runs until all running processes divide the capacity among themselves alone. Returns how long that took in
+/// microseconds, or `None` if it took longer than `max_time`.
 fn time_until_shared(network: &mut Network<Member>, max_time: i64, seed: u64) -> Option<i64> {
     let from = network.now;
     let running = network.hosts.iter().filter(|host| host.process.is_some()).count() as u32;
@@ -153,14 +157,17 @@
     None
 }
 
-/// The longest time in which all share among those that run once the network is healed: the longest proof, pings of
-/// the missing, one in a probe interval of up to nine times its length, and the longest suspicion.
+/// The maximum time until all running processes divide the capacity among themselves after the network has healed. It
+/// covers the longest validity of a proof, the pings to missing members (one in each probe interval, which may be nine
+/// times its normal length) and the longest suspicion.
 const MAX_CONVERGENCE_TIME_US: i64 = 90 * SECOND;
 
+/// Applies random faults for 14 seconds and then heals the network. The shares must never exceed one, and must converge
+/// after the network has healed.
 fn run_random_schedule(seed: u64) {
     let n = 2 + (seed % 6) as usize;
     let mut network: Network<Member> = Network::new(n, seed, 0.09);
-    // Some networks hold datagrams back for longer than a proof holds.
+    // In some networks, a datagram may be delayed for longer than a proof of absence is valid.
     network.max_delay = [30 * MILLISECOND, 400 * MILLISECOND, 4 * SECOND][(seed / 6 % 3) as usize];
     network.duplication = 0.2;
     (0..n).for_each(|i| start(&mut network, i, n));
@@ -189,7 +196,7 @@
             }
             8 => network.heal(),
             9 => {
-                // It says that it leaves, and ends.
+                // The member announces that it leaves, and its process terminates.
                 network.call(a, |member, _, network_output| {
                     member.call(network_output, |fleet_member, output| fleet_member.leave(output))
                 });
@@ -212,7 +219,7 @@
     let time_to_share = time_until_shared(&mut network, MAX_CONVERGENCE_TIME_US, seed);
     assert!(
         time_to_share.is_some(),
-        "seed {seed}: they do not share among themselves: {:?}",
+        "seed {seed}: the shares did not converge: {:?}",
         balancers_and_reasons(&network)
     );
 }
@@ -222,7 +229,7 @@
     for_each_seed(0..10_000, run_random_schedule);
 }
 
-/// All start at once: none waits for longer than it takes to probe all.
+/// All members start at once. None of them waits for longer than it takes to probe all others.
 #[test]
 fn members_that_start_together_share_within_a_second() {
     for_each_seed(0..50, |seed| {
@@ -234,7 +241,8 @@
     });
 }
 
-/// Half are killed and their systems go on: the rest take over their shares, and give them back as they return.
+/// Half of the members are killed while their operating systems still run, and start again later. The others take over
+/// the shares, and give them back.
 #[test]
 fn shares_of_killed_members_are_taken_over_and_given_back() {
     for_each_seed(0..50, |seed| {
@@ -251,7 +259,7 @@
     });
 }
 
-/// A partition proves nothing: neither side takes over a share, and both keep theirs.
+/// A partition proves no member absent. No member takes over a share, and all keep their own.
 #[test]
 fn a_partition_enlarges_no_share() {
     for_each_seed(0..50, |seed| {
@@ -274,12 +282,12 @@
         let is_death = |change: &(i64, Change)| matches!(change.1, Change::Died { .. });
         assert!(
             network.hosts.iter().all(|host| host.changes.iter().any(is_death)),
-            "they never missed anybody"
+            "a member declared no other member dead"
         );
     });
 }
 
-/// A member that was stopped while others came back has nothing of their shares when it resumes, at no time.
+/// A member that was suspended while other members started again must not use their shares when it resumes.
 #[test]
 fn a_member_resumed_after_others_restart_takes_no_more_than_its_share() {
     for_each_seed(0..200, |seed| {
@@ -293,7 +301,7 @@
             "seed {seed}: {:?}",
             balancers_and_reasons(&network)
         );
-        // It has half of all, and is stopped; then the others come back.
+        // The member has half of the capacity when it is suspended. Then the other members start again.
         network.suspend(5, 10 * SECOND);
         let until = network.now + 100 * MILLISECOND;
         run_checked(&mut network, until, seed);
@@ -307,7 +315,8 @@
     });
 }
 
-/// A fleet of 24 grows to 60, each on all lists before it starts; the shares of the first shrink before that.
+/// A fleet of 24 members grows to 60. All lists name the new members before they start, so that the shares of the first
+/// members shrink before that.
 #[test]
 fn shares_of_a_growing_fleet_never_exceed_one() {
     for_each_seed(0..4, |seed| {
@@ -329,7 +338,7 @@
     });
 }
 
-/// The bound that docs/design/members.md states: what is kept of a member, its name apart.
+/// Checks the limit of memory for each other member, without its name, that docs/design/members.md states.
 #[test]
 fn state_per_member_is_under_200_bytes() {
     let bytes =
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -1,4 +1,4 @@
-//! Members whose systems never answer, as in a partition: absence queries to them must not pile up.
+//! Absence queries to members whose operating systems never answer, as in a partition, must not pile up.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -12,9 +12,10 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// More than may wait at once, and queried faster than queries time out.
+/// The number of other members. It exceeds the limit of waiting queries, and the members are queried faster than
+/// queries time out.
 const SILENT_MEMBERS: usize = 200;
-/// Far longer than anything takes.
+/// The test fails after this time, which is far longer than it takes to reach the limit.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct IgnoringObserver;
@@ -25,7 +26,7 @@
 }
 
 fn bind_loopback() -> UdpSocket {
-    UdpSocket::bind("127.0.0.1:0").expect("a port")
+    UdpSocket::bind("127.0.0.1:0").expect("binding a loopback port")
 }
 
 fn options(address: SocketAddr, list: Arc<MemberList>) -> RunOptions {
@@ -48,7 +49,7 @@
 
 #[test]
 fn absence_queries_beyond_the_bound_are_dropped() {
-    // They hold their addresses and never answer.
+    // These sockets hold the addresses of the members and never answer.
     let silent_sockets: Vec<UdpSocket> = (0..SILENT_MEMBERS).map(|_| bind_loopback()).collect();
     let others = silent_sockets.iter().enumerate().map(|(number, socket)| ListedMember {
         name: format!("silent-{number}"),
@@ -61,7 +62,11 @@
         let running = RunningMember::start(options(address, list)).await.expect("an address");
         let started = Instant::now();
         while running.traffic().absence_queries_dropped == 0 {
-            assert!(started.elapsed() < TEST_TIMEOUT, "all wait: {:?}", running.traffic());
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "no absence query was dropped: {:?}",
+                running.traffic()
+            );
             sleep(Duration::from_millis(20)).await;
         }
     });
