--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -8,71 +8,72 @@
 
 use crate::attempt_context::DispatchAddress;
 
-/// A server that a list named.
-struct KnownServer {
+/// A server that an endpoint list has named.
+struct ServerRecord {
     name: Box<str>,
     address: SocketAddr,
-    /// Its address while it accepts new attempts.
+    /// The address of the server while it accepts new attempts, shared with the attempts.
     dispatch_address: DispatchAddress,
-    /// Whether the list in force has it, live or draining.
+    /// Whether the current list contains the server, as live or draining.
     listed: bool,
 }
 
-/// Maps the servers' names to ids, which stay the same for as long as a server is known, and holds their
-/// addresses.
+/// Maps the servers' names to ids and addresses. A server keeps its id until it is removed.
 #[derive(Default)]
 pub(crate) struct AddressBook {
-    servers: FxHashMap<ServerId, KnownServer>,
+    servers: FxHashMap<ServerId, ServerRecord>,
     ids_by_name: FxHashMap<Box<str>, ServerId>,
     next_id: u32,
 }
 
-/// What an entry of a list changed.
+/// The result of recording an entry of a list.
 pub(crate) struct RecordedEndpoint {
-    /// The server as the policy sees it.
+    /// The entry in the form that the policy uses.
     pub(crate) endpoint: Endpoint,
     pub(crate) address_changed: bool,
 }
 
 impl AddressBook {
     pub(crate) fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.get(&server).map(|known| known.address)
+        self.servers.get(&server).map(|server| server.address)
     }
 
     pub(crate) fn dispatch_address(&self, server: ServerId) -> Option<&DispatchAddress> {
-        self.servers.get(&server).map(|known| &known.dispatch_address)
+        self.servers.get(&server).map(|server| &server.dispatch_address)
     }
 
-    /// A full list follows: only what it names is listed.
+    /// Marks all servers as not listed, before the entries of a full list are recorded.
     pub(crate) fn begin_full_list(&mut self) {
-        self.servers.values_mut().for_each(|known| known.listed = false);
+        self.servers.values_mut().for_each(|server| server.listed = false);
     }
 
-    /// Takes in one entry of a list.
+    /// Records one entry of a list.
     pub(crate) fn record(
         &mut self,
         settings: &DeploymentSettings,
         entry: &ListedEndpoint,
     ) -> RecordedEndpoint {
-        let fresh = ServerId(self.next_id);
-        let id = *self.ids_by_name.entry(entry.id.clone()).or_insert(fresh);
-        if id == fresh {
+        let new_id = ServerId(self.next_id);
+        let id = *self.ids_by_name.entry(entry.id.clone()).or_insert(new_id);
+        if id == new_id {
             self.next_id += 1;
         }
-        let known = self.servers.entry(id).or_insert_with(|| KnownServer {
+        let server = self.servers.entry(id).or_insert_with(|| ServerRecord {
             name: entry.id.clone(),
             address: entry.address,
             dispatch_address: DispatchAddress::default(),
             listed: true,
         });
-        known.listed = entry.status != EndpointStatus::Gone;
-        known.dispatch_address.set((entry.status == EndpointStatus::Live).then_some(entry.address));
-        let address_changed = known.address != entry.address;
-        known.address = entry.address;
+        server.listed = entry.status != EndpointStatus::Gone;
+        server
+            .dispatch_address
+            .set((entry.status == EndpointStatus::Live).then_some(entry.address));
+        let address_changed = server.address != entry.address;
+        server.address = entry.address;
         let endpoint = Endpoint {
             id,
-            // Not of the address, which differs from one balancer to the next.
-            name_hash: stable_hash(&known.name),
+            // The hash is of the name and not of the address, which differs from one balancer to the next.
+            name_hash: stable_hash(&server.name),
             zone: index_of(&settings.zones, &entry.zone),
             machine_type: index_of(&settings.machine_types, &entry.machine_type),
             cell: entry.cell,
@@ -83,30 +84,31 @@
         RecordedEndpoint { endpoint, address_changed }
     }
 
-    /// Withdraws the dispatch addresses of the servers that no list in force has, and returns their ids.
+    /// Clears the dispatch addresses of the servers that the current list does not contain, so that no attempt at them
+    /// starts, and returns their ids.
     pub(crate) fn withdraw_unlisted(&self) -> Vec<ServerId> {
-        let unlisted = self.servers.iter().filter(|(_, known)| !known.listed);
+        let unlisted = self.servers.iter().filter(|(_, server)| !server.listed);
         unlisted
-            .map(|(id, known)| {
-                known.dispatch_address.set(None);
+            .map(|(id, server)| {
+                server.dispatch_address.set(None);
                 *id
             })
             .collect()
     }
 
-    /// Forgets the servers that are neither listed nor `in_use`, and returns their ids. Guards against growth:
-    /// over a long run there are ever new servers.
-    pub(crate) fn forget_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
-        let mut forgotten = Vec::new();
-        self.servers.retain(|id, known| {
-            let keep = known.listed || in_use(*id);
+    /// Removes the servers that are neither listed nor `in_use`, and returns their ids. Otherwise the address book
+    /// would grow without bound in a process that runs for long, as servers come and go.
+    pub(crate) fn remove_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
+        let mut removed = Vec::new();
+        self.servers.retain(|id, server| {
+            let keep = server.listed || in_use(*id);
             if !keep {
-                self.ids_by_name.remove(&known.name);
-                forgotten.push(*id);
+                self.ids_by_name.remove(&server.name);
+                removed.push(*id);
             }
             keep
         });
-        forgotten
+        removed
     }
 }
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -86,7 +86,7 @@
         );
         let others = membership.peers().map(|peer| peer.key);
         let mut capacity_share = CapacityShare::new(now, others, *share_timing);
-        capacity_share.start_queries_at(seed as Key);
+        capacity_share.set_next_query_key(seed as Key);
         let query_pacing = QueryPacing::new(now, seed);
         let share = capacity_share.share(now);
         Self { membership, capacity_share, share, now, query_pacing, next_queries_at: now }
@@ -261,7 +261,7 @@
         output: &mut Output,
     ) -> Time {
         let queries = self.capacity_share.query_absence(now, max, candidates);
-        self.membership.count_absence_queries(now, queries.to.len());
+        self.membership.record_absence_queries(now, queries.to.len());
         let membership = &self.membership;
         let address = |key| Some((key, membership.listed(key)?.address));
         output.absence_queries.extend(queries.to.into_iter().filter_map(address));
