--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -18,6 +18,12 @@
 const ROUTES_PER_SERVICE: usize = 84;
 /// Number of services in one file of the initial log. Such a file has about a megabyte.
 const SERVICES_PER_FILE: usize = 50;
+/// Number of services whose servers have the same second octet in their addresses. The third octet differs between these
+/// services and stays below this number.
+const SERVICES_PER_OCTET: usize = 250;
+/// Step from the service of one change to that of the next one. It is prime, so that the changes reach every service
+/// unless the number of services is a multiple of it.
+const SERVICE_STEP: usize = 7919;
 /// Number of changes whose time until they are in force is measured one by one.
 const SINGLE_CHANGES: u64 = 200;
 /// Number of changes whose processor time is measured together.
@@ -46,7 +52,7 @@
     fs::create_dir_all(&log).expect("the folder can be created");
     let settings = "listen = \"127.0.0.1:0\"\nchanges = \"changes\"\n";
     fs::write(folder.join("control.toml"), settings).expect("a file");
-    let (mut number, bytes) = write_base(&log, services);
+    let (mut number, bytes) = write_initial_log(&log, services);
 
     let started = Instant::now();
     let mut process = ControlProcess::start(program, &folder.join("control.toml"));
@@ -84,7 +90,7 @@
 
 /// Writes the initial log, with [`SERVICES_PER_FILE`] services in each file. Returns the last number and the total size
 /// in bytes.
-fn write_base(log: &Path, services: usize) -> (u64, usize) {
+fn write_initial_log(log: &Path, services: usize) -> (u64, usize) {
     let (mut number, mut bytes) = (0, 0);
     for first in (0..services).step_by(SERVICES_PER_FILE) {
         number += 1;
@@ -114,7 +120,7 @@
 }
 
 fn write_server(text: &mut String, service: usize, server: usize, weight: u64) {
-    let (high, low) = (service / 250, service % 250);
+    let (high, low) = (service / SERVICES_PER_OCTET, service % SERVICES_PER_OCTET);
     _ = writeln!(
         text,
         "[[server]]\nservice = \"service-{service}\"\nid = \"server-{server}\"\n\
@@ -126,7 +132,7 @@
 /// Writes a change file that changes the weight of one server.
 fn write_weight_change(log: &Path, number: u64, services: usize) {
     let mut text = format!("number = {number}\nepoch = 1\n");
-    let service = number as usize * 7919 % services;
+    let service = number as usize * SERVICE_STEP % services;
     write_server(&mut text, service, number as usize % SERVERS_PER_SERVICE, 1 + number % 100);
     text.push_str("[end]\nchanges = 1\n");
     let temporary = log.join(".new");
@@ -165,7 +171,7 @@
 
     /// Waits until the change with this number is in force.
     fn await_position(&self, number: u64) {
-        while self.runtime.block_on(log_number(self.address)) < number {
+        while self.runtime.block_on(last_change_number(self.address)) < number {
             std::thread::sleep(Duration::from_micros(200));
         }
     }
@@ -195,6 +201,6 @@
 }
 
 /// The number of the last change that the control machine at `address` serves.
-async fn log_number(address: SocketAddr) -> u64 {
+async fn last_change_number(address: SocketAddr) -> u64 {
     fetch_status_totals(address).await.expect("a status").position.number
 }
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -36,7 +36,8 @@
 /// Returns all problems that were found in the file.
 pub fn check_file(path: &Path) -> Result<(), Vec<Problem>> {
     let path_text = path.display().to_string();
-    let bytes = read_change_file(path).map_err(|error| vec![read_problem(&path_text, &error)])?;
+    let bytes =
+        read_change_file(path).map_err(|error| vec![problem_of_read_error(&path_text, &error)])?;
     let change = read_change(&path_text, &bytes)?;
     let name = path.file_name().map(|name| name.to_string_lossy().into_owned());
     match name.as_deref().map(classify_file_name) {
@@ -109,8 +110,8 @@
                 continue;
             }
             if *number > expected {
-                let (missing, latest) = (change_file_name(expected), change_file_name(*number));
-                self.add_notice(&Notice::Gap { missing, latest });
+                let (missing, later) = (change_file_name(expected), change_file_name(*number));
+                self.add_notice(&Notice::Gap { missing, later });
             }
             expected = number + 1;
         }
@@ -126,7 +127,7 @@
         let name = change_file_name(number);
         let file_problem = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
         let bytes = read_change_file(&self.folder.join(&name))
-            .map_err(|error| vec![read_problem(&name, &error)])?;
+            .map_err(|error| vec![problem_of_read_error(&name, &error)])?;
         // Other problems of an unfinished file are reported instead of the missing `[end]` table.
         let entry = if is_complete(&bytes) {
             read_entry(&name, number, &bytes, &self.store)?
@@ -164,7 +165,7 @@
     }
 }
 
-fn read_problem(file: &str, error: &ReadError) -> Problem {
+fn problem_of_read_error(file: &str, error: &ReadError) -> Problem {
     let cause = match error {
         ReadError::Missing => error.to_string(),
         _ => format!("it can't be read: {error}"),
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -134,8 +134,8 @@
             Ok(bytes) => {
                 // The hashes of the oldest files are no longer held. Without the hash, a modification can't be told
                 // from an event that left the contents as they were, so nothing is reported.
-                let known = self.hashes.get(number, self.next)?;
-                (known != hash_bytes(&bytes)).then_some(Notice::Modified { file })
+                let applied_hash = self.hashes.get(number, self.next)?;
+                (applied_hash != hash_bytes(&bytes)).then_some(Notice::Modified { file })
             }
         }
     }
@@ -151,7 +151,7 @@
                 Err(problems) => Some(Notice::Invalid(problems)),
             },
             Err(ReadError::Missing) if self.latest > next => {
-                Some(Notice::Gap { missing: name, latest: change_file_name(self.latest) })
+                Some(Notice::Gap { missing: name, later: change_file_name(self.latest) })
             }
             Err(ReadError::Missing) => None,
             Err(error) => Some(Notice::Unreadable { file: name, cause: error.to_string() }),
--- a/crates/control/src/notice.rs
+++ b/crates/control/src/notice.rs
@@ -29,7 +29,7 @@
         missing: String,
         /// The name of a later file that exists. A [`crate::ChangeFolder`] names the latest one, and
         /// [`crate::check_folder`] the first one after the gap.
-        latest: String,
+        later: String,
     },
     /// The next file has these problems. Neither this file nor a later one is applied until it is corrected.
     Invalid(Vec<Problem>),
@@ -67,10 +67,10 @@
                     "{file}: incomplete: the [end] table is missing; the file is read again when it changes"
                 )
             }
-            Notice::Gap { missing, latest } => {
+            Notice::Gap { missing, later } => {
                 write!(
                     f,
-                    "{missing}: missing, and {latest} is there; no later file is applied before it"
+                    "{missing}: missing, and {later} is there; no later file is applied before it"
                 )
             }
             Notice::Invalid(problems) => {
--- a/crates/control/tests/folder.rs
+++ b/crates/control/tests/folder.rs
@@ -75,7 +75,7 @@
         log.write_change(number);
     }
     assert_eq!(log.folder.list(), []);
-    let gap = Notice::Gap { missing: change_file_name(3), latest: change_file_name(5) };
+    let gap = Notice::Gap { missing: change_file_name(3), later: change_file_name(5) };
     assert_eq!(log.read_all(), Some(gap));
     assert_eq!((log.read_all(), log.position()), (None, 2));
     log.write_change(3);
