--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -16,29 +16,30 @@
 
 const SERVERS_PER_SERVICE: usize = 48;
 const ROUTES_PER_SERVICE: usize = 84;
-/// Number of services in one file of the initial log. Such a file has about a megabyte.
+/// Number of services in one file of the initial log. The size of such a file is about a megabyte.
 const SERVICES_PER_FILE: usize = 50;
-/// Number of services whose servers have the same second octet in their addresses. The third octet differs between these
-/// services and stays below this number.
+/// Number of services whose servers have the same second octet in their addresses. The third octet differs between
+/// these services and stays below this number.
 const SERVICES_PER_OCTET: usize = 250;
 /// Step from the service of one change to that of the next one. It is prime, so that the changes reach every service
 /// unless the number of services is a multiple of it.
 const SERVICE_STEP: usize = 7919;
-/// Number of changes whose time until they are in force is measured one by one.
+/// Number of changes that are written one by one, to measure for each the time until the control machine serves it.
 const SINGLE_CHANGES: u64 = 200;
-/// Number of changes whose processor time is measured together.
+/// Number of changes that are written without a wait between them, to measure the processor time of them all.
 const BATCHED_CHANGES: u64 = 1_000;
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
     let program =
         PathBuf::from(arguments.next().expect("the first argument is the path of the program"));
-    let mut sizes: Vec<usize> = arguments.map(|size| size.parse().expect("a number")).collect();
+    let mut sizes: Vec<usize> =
+        arguments.map(|size| size.parse().expect("SERVICES are numbers")).collect();
     if sizes.is_empty() {
         sizes = vec![25, 250, 2_500];
     }
     println!(
-        "services  base MB  start s  resident MB  peak MB  one change ms: p50 p99  processor us a change"
+        "services   log MB  start s  resident MB  peak MB  one change ms: p50 p99  processor us a change"
     );
     for services in sizes {
         measure_log(&program, services);
@@ -51,7 +52,7 @@
     let log = folder.join("changes");
     fs::create_dir_all(&log).expect("the folder can be created");
     let settings = "listen = \"127.0.0.1:0\"\nchanges = \"changes\"\n";
-    fs::write(folder.join("control.toml"), settings).expect("a file");
+    fs::write(folder.join("control.toml"), settings).expect("the file can be written");
     let (mut number, bytes) = write_initial_log(&log, services);
 
     let started = Instant::now();
@@ -100,7 +101,7 @@
         let changes = (last - first) * (1 + SERVERS_PER_SERVICE + ROUTES_PER_SERVICE);
         _ = writeln!(text, "[end]\nchanges = {changes}");
         bytes += text.len();
-        fs::write(log.join(change_file_name(number)), text).expect("a file");
+        fs::write(log.join(change_file_name(number)), text).expect("the file can be written");
     }
     (number, bytes)
 }
@@ -136,7 +137,7 @@
     write_server(&mut text, service, number as usize % SERVERS_PER_SERVICE, 1 + number % 100);
     text.push_str("[end]\nchanges = 1\n");
     let temporary = log.join(".new");
-    fs::write(&temporary, text).expect("a file");
+    fs::write(&temporary, text).expect("the file can be written");
     fs::rename(&temporary, log.join(change_file_name(number))).expect("the file can be renamed");
 }
 
@@ -165,11 +166,11 @@
         Self {
             child,
             address: address.expect("the program prints its address"),
-            runtime: runtime.expect("a runtime"),
+            runtime: runtime.expect("the runtime can be built"),
         }
     }
 
-    /// Waits until the change with this number is in force.
+    /// Waits until the control machine serves the change with this number.
     fn await_position(&self, number: u64) {
         while self.runtime.block_on(last_change_number(self.address)) < number {
             std::thread::sleep(Duration::from_micros(200));
@@ -179,28 +180,38 @@
     /// A value of `/proc/PID/status` in kB.
     fn status_kb(&self, name: &str) -> usize {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-        let status = status.expect("a process");
-        let line = status.lines().find_map(|line| line.strip_prefix(name)).expect("a figure");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = status.expect("the process is running");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix(name))
+            .expect("the status has this value");
+        line.trim().trim_end_matches(" kB").parse().expect("the value is a number")
     }
 
     /// The processor time that the process has used, in steps of 10 ms.
     fn processor_time(&self) -> Duration {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
-        let stat = stat.expect("a process");
+        let stat = stat.expect("the process is running");
         // By proc(5), utime and stime are the 14th and the 15th field. The 2nd field may contain spaces.
-        let fields = stat.rsplit(") ").next().expect("fields").split(' ').skip(11).take(2);
-        let ticks: u64 = fields.map(|field| field.parse::<u64>().expect("ticks")).sum();
+        let fields = stat
+            .rsplit(") ")
+            .next()
+            .expect("the line has fields after the name")
+            .split(' ')
+            .skip(11)
+            .take(2);
+        let ticks: u64 =
+            fields.map(|field| field.parse::<u64>().expect("utime and stime are numbers")).sum();
         Duration::from_millis(10 * ticks)
     }
 
     fn kill(&mut self) {
-        self.child.kill().expect("it ends");
-        self.child.wait().expect("it ends");
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process ends");
     }
 }
 
 /// The number of the last change that the control machine at `address` serves.
 async fn last_change_number(address: SocketAddr) -> u64 {
-    fetch_status_totals(address).await.expect("a status").position.number
+    fetch_status_totals(address).await.expect("the status can be fetched").position.number
 }
--- a/crates/control/src/change_file.rs
+++ b/crates/control/src/change_file.rs
@@ -16,7 +16,7 @@
     format!("{number:08}.toml")
 }
 
-/// The kind of a file, as far as its name tells.
+/// The kind of a file, which is determined from its name alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileNameKind {
     /// A change file with this number.
@@ -27,7 +27,7 @@
     Other,
 }
 
-/// Tells from the name of a file whether it is a change file. The name is without a path.
+/// The kind of the file with this name. `name` is the name in its folder, without a path.
 pub fn classify_file_name(name: &str) -> FileNameKind {
     let Some(stem) = name.strip_suffix(".toml").filter(|stem| !stem.starts_with('.')) else {
         return FileNameKind::Other;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A file of a listed folder.
+/// An entry of a listed folder. A subfolder is listed like a file.
 pub(crate) struct ListedFile {
     pub(crate) name: String,
     pub(crate) kind: FileNameKind,
@@ -83,7 +83,8 @@
 
 /// Reads the bytes of a change file, at most [`MAX_FILE_BYTES`].
 pub(crate) fn read_change_file(path: &Path) -> Result<Vec<u8>, ReadError> {
-    // A named pipe is never opened: opening one would block the only thread until another process writes to the pipe.
+    // A named pipe is never opened: until another process writes to the pipe, opening it would block the only thread of
+    // the control machine.
     if !std::fs::metadata(path)?.is_file() {
         return Err(ReadError::NotRegular);
     }
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -97,6 +97,7 @@
 
 impl FolderCheck<'_> {
     fn add_notice(&mut self, notice: &Notice) {
+        // The text of a notice begins with the name of its file, so the problem has no file name of its own.
         self.problems.push(Problem::of_file("", notice.to_string()));
     }
 
@@ -128,7 +129,7 @@
         let file_problem = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
         let bytes = read_change_file(&self.folder.join(&name))
             .map_err(|error| vec![problem_of_read_error(&name, &error)])?;
-        // Other problems of an unfinished file are reported instead of the missing `[end]` table.
+        // An incomplete file is parsed as well. Only if this finds no problem is the file reported as incomplete.
         let entry = if is_complete(&bytes) {
             read_entry(&name, number, &bytes, &self.store)?
         } else {
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -71,8 +71,8 @@
         &self.path
     }
 
-    /// The progress of reading. The reason is the first line of the last notice about the next file, and empty if there
-    /// is none.
+    /// The progress of reading. `blocked_reason` is the first line of the last notice about the next file; it is empty
+    /// if there is no notice.
     pub fn status(&self) -> LogStatus {
         let notice = self.last_notice.as_ref().map(Notice::to_string).unwrap_or_default();
         let blocked_reason = notice.lines().next().unwrap_or_default().into();
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Reads the next file if it exists and is complete, and resolves its change against the resources in force.
+    /// Reads the next file if it exists and is complete, and resolves its change against `inventory`, which must hold
+    /// the resources after the changes before it.
     pub fn read_next(&mut self, inventory: &dyn Inventory) -> NextChange {
         let next = self.next;
         let name = change_file_name(next);
--- a/crates/control/src/log_reader.rs
+++ b/crates/control/src/log_reader.rs
@@ -12,7 +12,7 @@
 use crate::watch::FolderWatch;
 
 /// The longest wait for a watch event, after which the reader looks for the next file without one. It is also the
-/// interval at which setting a watch is retried. It is a third of the time within which a change must be in force.
+/// interval at which setting a watch is retried. This is a third of the 6 s within which a change must be in force.
 const RESCAN_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reads the change files of a folder, and appends their changes to the log of the publisher.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -75,9 +75,9 @@
         self.sessions.store().position()
     }
 
-    /// Serves until `shutdown` completes. It must be called within a `LocalSet`, and does not close open connections.
-    /// They end with the process, and subscribers continue with another control machine from the versions that they
-    /// have.
+    /// Serves until `shutdown` completes. The future must run within a `LocalSet`, because each session is a local
+    /// task. Open connections are not closed; they end with the process, and subscribers continue with another control
+    /// machine from the versions that they have.
     pub async fn run(self, shutdown: impl Future<Output = ()>) {
         let Self { sessions, listener, log_reader, max_connections } = self;
         tokio::select! {
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Timeout for connecting, and for the response to each request of a page.
+/// Timeout for connecting, and for the response to the request for one page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Size of the buffer that responses are read into.
 const READ_BUFFER_BYTES: usize = 16 << 10;
@@ -22,7 +22,7 @@
 pub struct StatusReport {
     /// The totals at the time of the last page.
     pub status: PublisherStatus,
-    /// The progress of the control machine's log, and how many sessions it has closed for which reason.
+    /// The progress of reading the change log, and the numbers of sessions that were refused or closed, by reason.
     pub machine: MachineStatus,
     /// The sessions, in the order of their ids.
     pub sessions: Vec<SessionStatus>,
@@ -107,6 +107,7 @@
                 return Err(StatusError::Unexpected);
             };
             sessions.extend(rows);
+            // Each page must begin after the one before it; otherwise a faulty response could repeat the loop forever.
             match next {
                 Some(next) if next > from => from = next,
                 _ => return Ok(sessions),
@@ -126,6 +127,7 @@
                 return Err(StatusError::Unexpected);
             };
             services.extend(rows);
+            // Each page must begin after the one before it; otherwise a faulty response could repeat the loop forever.
             if next.is_none() || next <= after {
                 return Ok((page.status, services));
             }
