--- a/crates/sableloom/src/serve/control.rs
+++ b/crates/sableloom/src/serve/control.rs
@@ -36,7 +36,7 @@
         let folder = context.path.parent().unwrap_or(Path::new(""));
         let options = SubscriptionOptions {
             name: control.subscriber.clone(),
-            machines: control.machines.clone(),
+            control_machines: control.machines.clone(),
             scope: control.services.clone(),
             state_file: control.state_file.as_ref().map(|file| folder.join(file)),
             seed: stable_hash(control.subscriber.as_str())
@@ -49,9 +49,9 @@
 
     /// Waits for a first state, and returns where it came from.
     pub(super) async fn wait_for_state(&self) -> &'static str {
-        match self.subscription.state().await {
+        match self.subscription.wait_for_state().await {
             StateOrigin::File => "the last good state in its file",
-            StateOrigin::Control => "a control machine",
+            StateOrigin::ControlMachine => "a control machine",
         }
     }
 
@@ -78,7 +78,7 @@
             .collect();
         let counters = &subscriber.counters;
         json!({
-            "machine": status.machine.map(|machine| machine.to_string()),
+            "machine": status.control_machine.map(|machine| machine.to_string()),
             "connection": connection_word(&subscriber.connection),
             "seen": subscriber.position.to_string(),
             "in_force": subscriber.bookmark.to_string(),
@@ -86,7 +86,7 @@
             "age_ms": subscriber.last_contact_age.map(|age| age.0 / 1000),
             "from": status.origin.map(|origin| match origin {
                 StateOrigin::File => "file",
-                StateOrigin::Control => "control",
+                StateOrigin::ControlMachine => "control",
             }),
             "services": subscriber.services,
             "services_held": subscriber.services_applied,
@@ -100,7 +100,7 @@
             "mismatches": counters.mismatches,
             "drifts": counters.drifts,
             "save_error": status.save_error,
-            "longest_save_us": status.longest_save.as_micros() as u64,
+            "longest_save_us": status.longest_state_copy.as_micros() as u64,
         })
     }
 }
--- a/crates/scale-test/src/subscribers.rs
+++ b/crates/scale-test/src/subscribers.rs
@@ -150,7 +150,7 @@
             scope.map(|service| ServiceName::try_from(source::service(service).as_str())).collect();
         let options = SubscriptionOptions {
             name: SubscriberName::try_from(format!("balancer-{number}").as_str()).ok()?,
-            machines: set.machines.clone(),
+            control_machines: set.machines.clone(),
             scope: scope.ok()?,
             state_file: set.state.clone(),
             seed: number as u64,
--- a/crates/subscription/src/options.rs
+++ b/crates/subscription/src/options.rs
@@ -11,7 +11,7 @@
     /// The name of the subscriber.
     pub name: SubscriberName,
     /// The control machines; any of them will do.
-    pub machines: Vec<SocketAddr>,
+    pub control_machines: Vec<SocketAddr>,
     /// The services to subscribe to.
     pub scope: Vec<ServiceName>,
     /// The file of the last good state, if it is to be kept.
--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -31,7 +31,7 @@
     /// That no control machine can be reached has been logged since the last contact.
     unreachable_logged: Cell<bool>,
     pub(crate) save_error: RefCell<Option<String>>,
-    pub(crate) longest_save: Cell<Duration>,
+    pub(crate) longest_state_copy: Cell<Duration>,
     pub(crate) traffic: Rc<Cell<Traffic>>,
 }
 
@@ -54,7 +54,7 @@
             outputs_queued: Notify::new(),
             unreachable_logged: Cell::new(false),
             save_error: RefCell::default(),
-            longest_save: Cell::default(),
+            longest_state_copy: Cell::default(),
             traffic: Rc::default(),
         });
         shared.call_outside_task(Time(0), |subscriber, now, out| subscriber.start(now, out));
@@ -107,7 +107,7 @@
             // Attempts go on for hours; that no control machine can be reached has been logged.
             SubscriberEvent::Disconnected { .. } if self.unreachable_logged.get() => return,
             SubscriberEvent::Current { .. } if self.origin.get().is_none() => {
-                self.origin.set(Some(StateOrigin::Control));
+                self.origin.set(Some(StateOrigin::ControlMachine));
                 self.origin_known.notify_waiters();
             }
             _ => {}
@@ -135,11 +135,11 @@
             | ConnectionState::Current { control_machine } => Some(control_machine),
         };
         SubscriptionStatus {
-            machine: control.and_then(|control| self.machines.get(control).copied()),
+            control_machine: control.and_then(|control| self.machines.get(control).copied()),
             subscriber,
             origin: self.origin.get(),
             save_error: self.save_error.borrow().clone(),
-            longest_save: self.longest_save.get(),
+            longest_state_copy: self.longest_state_copy.get(),
         }
     }
 }
--- a/crates/subscription/src/state_file.rs
+++ b/crates/subscription/src/state_file.rs
@@ -38,13 +38,13 @@
     TooLong,
     /// It does not begin as a state file does.
     #[error("it is no state file of a subscription")]
-    Foreign,
+    NotAStateFile,
     /// It has a version of the format that this program does not know.
     #[error("its format is version {0}; this program knows {OLDEST_VERSION} to {FORMAT_VERSION}")]
-    Version(u32),
+    UnsupportedVersion(u32),
     /// It has fewer or more bytes than its header says.
     #[error("it is torn: {actual} bytes where {expected} are said")]
-    Torn {
+    LengthMismatch {
         /// The length by its header; 0 if the header itself is not complete.
         expected: u64,
         /// The length of the file.
@@ -52,13 +52,13 @@
     },
     /// Its checksum is not that of its bytes.
     #[error("it is altered: its checksum does not fit")]
-    Altered,
+    ChecksumMismatch,
     /// Another subscriber wrote it.
     #[error("it is the state of subscriber {0:?}")]
     OtherSubscriber(String),
     /// Its checksum matches, but its state can't be decoded.
     #[error("its state can't be decoded")]
-    Malformed,
+    UndecodableState,
 }
 
 /// Encodes a state file.
@@ -90,24 +90,24 @@
     let actual = bytes.len() as u64;
     let known = bytes.len().min(MAGIC.len());
     if bytes[..known] != MAGIC[..known] {
-        return Err(StateFileError::Foreign);
+        return Err(StateFileError::NotAStateFile);
     }
-    let torn = |expected| StateFileError::Torn { expected, actual };
-    let (header, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or_else(|| torn(0))?;
+    let length_mismatch = |expected| StateFileError::LengthMismatch { expected, actual };
+    let (header, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or_else(|| length_mismatch(0))?;
     let version = u32::from_be_bytes(array(&header[8..12]));
     if !(OLDEST_VERSION..=FORMAT_VERSION).contains(&version) {
-        return Err(StateFileError::Version(version));
+        return Err(StateFileError::UnsupportedVersion(version));
     }
     let name_length = usize::from(u16::from_be_bytes(array(&header[12..14])));
     let body_length = u64::from_be_bytes(array(&header[14..22]));
     let expected =
         ((HEADER_BYTES + name_length + CHECKSUM_BYTES) as u64).saturating_add(body_length);
     if expected != actual {
-        return Err(torn(expected));
+        return Err(length_mismatch(expected));
     }
     let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
     if Sha256::digest(content).as_slice() != checksum {
-        return Err(StateFileError::Altered);
+        return Err(StateFileError::ChecksumMismatch);
     }
     let (name, _) = rest.split_at(name_length);
     if name != subscriber.as_str().as_bytes() {
@@ -116,7 +116,7 @@
     }
     match postcard::take_from_bytes(&content[HEADER_BYTES + name_length..]) {
         Ok((state, [])) => Ok(state),
-        _ => Err(StateFileError::Malformed),
+        _ => Err(StateFileError::UndecodableState),
     }
 }
 
--- a/crates/subscription/src/status.rs
+++ b/crates/subscription/src/status.rs
@@ -11,7 +11,7 @@
     /// From the state file of an earlier process.
     File,
     /// From a control machine.
-    Control,
+    ControlMachine,
 }
 
 /// The status of a subscription.
@@ -20,12 +20,12 @@
     /// The status of its state machine.
     pub subscriber: SubscriberStatus,
     /// The control machine that it is connected or connecting to.
-    pub machine: Option<SocketAddr>,
+    pub control_machine: Option<SocketAddr>,
     /// Where the first state came from; `None` until there is one.
     pub origin: Option<StateOrigin>,
     /// Why the last write of the state file failed, if it did.
     pub save_error: Option<String>,
     /// The longest time that the serving thread has spent on handing over a state to be written. It grows with the
     /// number of resources in force, whose names and bodies are shared and not copied.
-    pub longest_save: Duration,
+    pub longest_state_copy: Duration,
 }
--- a/crates/subscription/src/subscription.rs
+++ b/crates/subscription/src/subscription.rs
@@ -29,19 +29,19 @@
             timing: options.timing,
             ..SubscriberOptions::new(
                 options.name.clone(),
-                options.machines.len(),
+                options.control_machines.len(),
                 options.scope,
                 options.seed,
             )
         });
-        let shared = Shared::start(subscriber, applier, options.machines, origin);
+        let shared = Shared::start(subscriber, applier, options.control_machines, origin);
         let writer = options.state_file.map(|path| StateWriter::new(path, options.name));
         spawn_local(SubscriptionTask::new(shared.clone(), writer).run());
         Rc::new(Self { shared })
     }
 
     /// Waits until there is a state: from the file at once, otherwise as soon as a control machine has sent all of it.
-    pub async fn state(&self) -> StateOrigin {
+    pub async fn wait_for_state(&self) -> StateOrigin {
         self.shared.origin().await
     }
 
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -141,8 +141,8 @@
     fn save(&mut self) {
         let start = Instant::now();
         let state = self.shared.subscriber.borrow().saved_state();
-        let longest = self.shared.longest_save.get().max(start.elapsed());
-        self.shared.longest_save.set(longest);
+        let longest = self.shared.longest_state_copy.get().max(start.elapsed());
+        self.shared.longest_state_copy.set(longest);
         if let Some(writer) = &mut self.writer {
             writer.write(Instant::now(), state);
         }
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -40,10 +40,10 @@
     assert_eq!(decode_state(&own, &bytes).expect("complete"), state(7));
     for cut in 0..bytes.len() {
         let error = decode_state(&own, &bytes[..cut]).expect_err("it is cut");
-        assert!(matches!(error, StateFileError::Torn { .. }), "cut at {cut}: {error}");
+        assert!(matches!(error, StateFileError::LengthMismatch { .. }), "cut at {cut}: {error}");
     }
     let more = [&bytes[..], b"x"].concat();
-    assert!(matches!(decode_state(&own, &more), Err(StateFileError::Torn { .. })));
+    assert!(matches!(decode_state(&own, &more), Err(StateFileError::LengthMismatch { .. })));
 }
 
 #[test]
@@ -65,10 +65,10 @@
     let other = encode_state(&subscriber("balancer-18"), &state(7));
     let error = decode_state(&own, &other).expect_err("another's");
     assert_eq!(error.to_string(), "it is the state of subscriber \"balancer-18\"");
-    assert!(matches!(decode_state(&own, b"[control]\n"), Err(StateFileError::Foreign)));
+    assert!(matches!(decode_state(&own, b"[control]\n"), Err(StateFileError::NotAStateFile)));
     let mut later = encode_state(&own, &state(7));
     later[11] = 3;
-    assert!(matches!(decode_state(&own, &later), Err(StateFileError::Version(3))));
+    assert!(matches!(decode_state(&own, &later), Err(StateFileError::UnsupportedVersion(3))));
 }
 
 #[test]
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -91,7 +91,7 @@
     let recorder = Rc::new(Recorder { rejected: RefCell::new(rejected), applied, lines });
     let options = SubscriptionOptions {
         name: name(),
-        machines,
+        control_machines: machines,
         scope: vec![service()],
         state_file: Some(folder.path("state.bin")),
         seed: 1,
@@ -201,7 +201,7 @@
         assert!(matches!(answer, SubscriberMessage::Ack { transaction: 1 }), "{answer:?}");
         assert!(first.applied.recv().await.expect("a transaction").services[0].snapshot);
         session.current(POSITION, &held).await;
-        assert_eq!(first.subscription.state().await, StateOrigin::Control);
+        assert_eq!(first.subscription.wait_for_state().await, StateOrigin::ControlMachine);
         let saved = loop {
             match read_state(&folder.path("state.bin"), &name()).expect("a good file") {
                 Some(saved) => break saved,
@@ -211,7 +211,7 @@
         assert_eq!((saved.position, saved.services.len()), (POSITION, 1));
         // The next process has it in force before it connects, and says so in its scope.
         let mut second = subscribe(vec![address], &folder, Vec::new());
-        assert_eq!(second.subscription.state().await, StateOrigin::File);
+        assert_eq!(second.subscription.wait_for_state().await, StateOrigin::File);
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
         second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
@@ -283,7 +283,7 @@
         session.current(POSITION, &held).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         let status = subscribed.subscription.status();
-        assert_eq!(status.machine, Some(second));
+        assert_eq!(status.control_machine, Some(second));
         // The connection ends: the silent one is tried and left, and the good one receives the version that is in force.
         drop(session);
         let mut again = Session::accept(&good).await;
