--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -5,20 +5,20 @@
 use sableloom_distribution::{ServiceName, SubscriberEvent};
 
 /// Most services or problems that one line lists.
-const MAX_LISTED: usize = 8;
+const MAX_ITEMS_LISTED: usize = 8;
 
 /// The line of an event; `machines` are the control machines by their number.
-pub(crate) fn describe(event: &SubscriberEvent, machines: &[SocketAddr]) -> String {
-    let machine = |control_machine: &usize| match machines.get(*control_machine) {
+pub(crate) fn describe(event: &SubscriberEvent, control_machines: &[SocketAddr]) -> String {
+    let address_of = |control_machine: &usize| match control_machines.get(*control_machine) {
         Some(address) => address.to_string(),
         None => format!("number {control_machine}"),
     };
     match event {
         SubscriberEvent::Connected { control_machine, position } => {
-            format!("connected to {}, which is at {position}", machine(control_machine))
+            format!("connected to {}, which is at {position}", address_of(control_machine))
         }
         SubscriberEvent::Disconnected { control_machine, reason } => {
-            format!("no connection to {}: {reason}", machine(control_machine))
+            format!("no connection to {}: {reason}", address_of(control_machine))
         }
         SubscriberEvent::Unreachable => {
             "no control machine can be reached; serving on with what is in force".to_string()
@@ -26,17 +26,17 @@
         SubscriberEvent::Current { position } => format!("all is in force up to {position}"),
         SubscriberEvent::Diverged { control_machine, seen, other } => format!(
             "{} has read other changes: it is at {other}, and {seen} has been seen; it is not followed",
-            machine(control_machine)
+            address_of(control_machine)
         ),
         SubscriberEvent::Rejected { services, rejections } => format!(
             "rejected, nothing of it in force: {}: {}",
-            list_names(services),
-            list(rejections.iter().map(ToString::to_string))
+            list_services(services),
+            join_limited(rejections.iter().map(ToString::to_string))
         ),
         SubscriberEvent::Mismatch { services } => {
             format!(
                 "changes that do not match the state in force, requested again: {}",
-                list_names(services)
+                list_services(services)
             )
         }
         SubscriberEvent::Drift { service } => {
@@ -48,15 +48,15 @@
     }
 }
 
-fn list_names(services: &[ServiceName]) -> String {
-    list(services.iter().map(ToString::to_string))
+fn list_services(services: &[ServiceName]) -> String {
+    join_limited(services.iter().map(ToString::to_string))
 }
 
-fn list(texts: impl ExactSizeIterator<Item = String>) -> String {
-    let more = texts.len().saturating_sub(MAX_LISTED);
-    let mut text = texts.take(MAX_LISTED).collect::<Vec<_>>().join("; ");
-    if more > 0 {
-        text += &format!("; and {more} more");
+fn join_limited(texts: impl ExactSizeIterator<Item = String>) -> String {
+    let omitted = texts.len().saturating_sub(MAX_ITEMS_LISTED);
+    let mut text = texts.take(MAX_ITEMS_LISTED).collect::<Vec<_>>().join("; ");
+    if omitted > 0 {
+        text += &format!("; and {omitted} more");
     }
     text
 }
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -13,10 +13,10 @@
 use tokio::net::TcpStream;
 
 /// Bytes read in one turn; between turns requests are served.
-const READ_BYTES: usize = 64 * 1024;
+const MAX_READ_BYTES: usize = 64 * 1024;
 /// Most bytes that wait to be written: enough for a scope of some ten thousand services. Guards against a control machine
 /// that sends without reading, whose responses would pile up here.
-const MAX_OUTGOING_BYTES: usize = 4 << 20;
+const MAX_QUEUED_BYTES: usize = 4 << 20;
 
 type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
@@ -65,7 +65,7 @@
     }
 
     /// Waits for the next event; never ends without a connection. It may be dropped at any time.
-    pub(crate) async fn next(&mut self, traffic: &Rc<Cell<Traffic>>) -> LinkEvent {
+    pub(crate) async fn next_event(&mut self, traffic: &Rc<Cell<Traffic>>) -> LinkEvent {
         match self {
             Link::None => pending().await,
             Link::Connecting(connecting) => match connecting.as_mut().await {
@@ -79,7 +79,7 @@
                 }
                 Err(error) => LinkEvent::Failed(error),
             },
-            Link::Open(open) => open.next().await,
+            Link::Open(open) => open.next_event().await,
         }
     }
 
@@ -87,11 +87,11 @@
     pub(crate) fn send(&mut self, message: &SubscriberMessage) -> bool {
         let Link::Open(open) = self else { return true };
         open.outgoing.extend_from_slice(&encode(message));
-        open.outgoing.len() <= MAX_OUTGOING_BYTES
+        open.outgoing.len() <= MAX_QUEUED_BYTES
     }
 
     /// The next complete message that was received.
-    pub(crate) fn message(&mut self) -> Result<Option<PublisherMessage>, CodecError> {
+    pub(crate) fn next_message(&mut self) -> Result<Option<PublisherMessage>, CodecError> {
         match self {
             Link::Open(open) => open.reader.next_message(),
             _ => Ok(None),
@@ -100,15 +100,15 @@
 }
 
 impl OpenLink {
-    async fn next(&mut self) -> LinkEvent {
+    async fn next_event(&mut self) -> LinkEvent {
         loop {
-            let step = tokio::select! {
+            let result = tokio::select! {
                 ready = self.stream.readable() => ready.and_then(|()| self.read()),
                 ready = self.stream.writable(), if !self.outgoing.is_empty() => {
                     ready.and_then(|()| self.write())
                 }
             };
-            match step {
+            match result {
                 Ok(Some(event)) => return event,
                 Ok(None) => {}
                 Err(error) => return LinkEvent::Ended(Some(error)),
@@ -117,7 +117,7 @@
     }
 
     fn read(&mut self) -> io::Result<Option<LinkEvent>> {
-        let mut bytes = [0; READ_BYTES];
+        let mut bytes = [0; MAX_READ_BYTES];
         match self.stream.try_read(&mut bytes) {
             Ok(0) => Ok(Some(LinkEvent::Ended(None))),
             Ok(read) => {
--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -19,7 +19,7 @@
 pub(crate) struct Shared {
     pub(crate) subscriber: RefCell<Subscriber>,
     pub(crate) applier: Rc<dyn Applier>,
-    pub(crate) machines: Vec<SocketAddr>,
+    pub(crate) control_machines: Vec<SocketAddr>,
     /// The zero of the state machine's time.
     epoch: Instant,
     /// Where the first state came from; `None` until there is one.
@@ -40,13 +40,13 @@
     pub(crate) fn start(
         subscriber: Subscriber,
         applier: Rc<dyn Applier>,
-        machines: Vec<SocketAddr>,
+        control_machines: Vec<SocketAddr>,
         origin: Option<StateOrigin>,
     ) -> Rc<Self> {
         let shared = Rc::new(Self {
             subscriber: RefCell::new(subscriber),
             applier,
-            machines,
+            control_machines,
             epoch: Instant::now(),
             origin: Cell::new(origin),
             origin_known: Notify::new(),
@@ -65,7 +65,7 @@
         Time(self.epoch.elapsed().as_micros() as i64)
     }
 
-    pub(crate) fn instant(&self, time: Time) -> Instant {
+    pub(crate) fn instant_at(&self, time: Time) -> Instant {
         self.epoch + Duration::from_micros(time.0.max(0) as u64)
     }
 
@@ -90,12 +90,12 @@
     }
 
     /// Waits until outputs are queued.
-    pub(crate) async fn outputs_queued(&self) {
+    pub(crate) async fn wait_for_queued_outputs(&self) {
         self.outputs_queued.notified().await;
     }
 
     /// Takes the queued outputs out.
-    pub(crate) fn take_outputs(&self) -> Vec<SubscriberOutput> {
+    pub(crate) fn take_queued_outputs(&self) -> Vec<SubscriberOutput> {
         self.queued_outputs.take()
     }
 
@@ -112,11 +112,11 @@
             }
             _ => {}
         }
-        self.applier.log(&describe(event, &self.machines));
+        self.applier.log(&describe(event, &self.control_machines));
     }
 
     /// Waits until there is a state.
-    pub(crate) async fn origin(&self) -> StateOrigin {
+    pub(crate) async fn wait_for_origin(&self) -> StateOrigin {
         loop {
             if let Some(origin) = self.origin.get() {
                 return origin;
@@ -127,7 +127,7 @@
 
     pub(crate) fn status(&self) -> SubscriptionStatus {
         let subscriber = self.subscriber.borrow().status(self.now());
-        let control = match subscriber.connection {
+        let number = match subscriber.connection {
             ConnectionState::Idle | ConnectionState::Waiting { .. } => None,
             ConnectionState::Connecting { control_machine }
             | ConnectionState::Greeting { control_machine }
@@ -135,7 +135,7 @@
             | ConnectionState::Current { control_machine } => Some(control_machine),
         };
         SubscriptionStatus {
-            control_machine: control.and_then(|control| self.machines.get(control).copied()),
+            control_machine: number.and_then(|number| self.control_machines.get(number).copied()),
             subscriber,
             origin: self.origin.get(),
             save_error: self.save_error.borrow().clone(),
--- a/crates/subscription/src/state_file.rs
+++ b/crates/subscription/src/state_file.rs
@@ -18,7 +18,7 @@
 const FORMAT_VERSION: u32 = 2;
 /// The oldest version that is read. What it can hold means the same in the present one, so a balancer starts from its
 /// state also right after an upgrade.
-const OLDEST_VERSION: u32 = 1;
+const OLDEST_FORMAT_VERSION: u32 = 1;
 /// Bytes of the checksum at the end, over all bytes before it.
 const CHECKSUM_BYTES: usize = 32;
 /// Bytes before the subscriber's name: magic, version, length of the name, length of the state.
@@ -40,7 +40,9 @@
     #[error("it is no state file of a subscription")]
     NotAStateFile,
     /// It has a version of the format that this program does not know.
-    #[error("its format is version {0}; this program knows {OLDEST_VERSION} to {FORMAT_VERSION}")]
+    #[error(
+        "its format is version {0}; this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}"
+    )]
     UnsupportedVersion(u32),
     /// It has fewer or more bytes than its header says.
     #[error("it is torn: {actual} bytes where {expected} are said")]
@@ -88,18 +90,18 @@
     bytes: &[u8],
 ) -> Result<SavedState, StateFileError> {
     let actual = bytes.len() as u64;
-    let known = bytes.len().min(MAGIC.len());
-    if bytes[..known] != MAGIC[..known] {
+    let prefix_length = bytes.len().min(MAGIC.len());
+    if bytes[..prefix_length] != MAGIC[..prefix_length] {
         return Err(StateFileError::NotAStateFile);
     }
     let length_mismatch = |expected| StateFileError::LengthMismatch { expected, actual };
     let (header, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or_else(|| length_mismatch(0))?;
-    let version = u32::from_be_bytes(array(&header[8..12]));
-    if !(OLDEST_VERSION..=FORMAT_VERSION).contains(&version) {
+    let version = u32::from_be_bytes(to_array(&header[8..12]));
+    if !(OLDEST_FORMAT_VERSION..=FORMAT_VERSION).contains(&version) {
         return Err(StateFileError::UnsupportedVersion(version));
     }
-    let name_length = usize::from(u16::from_be_bytes(array(&header[12..14])));
-    let body_length = u64::from_be_bytes(array(&header[14..22]));
+    let name_length = usize::from(u16::from_be_bytes(to_array(&header[12..14])));
+    let body_length = u64::from_be_bytes(to_array(&header[14..22]));
     let expected =
         ((HEADER_BYTES + name_length + CHECKSUM_BYTES) as u64).saturating_add(body_length);
     if expected != actual {
@@ -120,7 +122,7 @@
     }
 }
 
-fn array<const N: usize>(bytes: &[u8]) -> [u8; N] {
+fn to_array<const N: usize>(bytes: &[u8]) -> [u8; N] {
     let mut array = [0; N];
     array.copy_from_slice(bytes);
     array
@@ -141,9 +143,9 @@
         Err(e) => return Err(StateFileError::Unreadable(e)),
     };
     let mut bytes = Vec::new();
-    let limit = MAX_STATE_FILE_BYTES + 1;
-    file.take(limit).read_to_end(&mut bytes).map_err(StateFileError::Unreadable)?;
-    if bytes.len() as u64 == limit {
+    let read_limit_bytes = MAX_STATE_FILE_BYTES + 1;
+    file.take(read_limit_bytes).read_to_end(&mut bytes).map_err(StateFileError::Unreadable)?;
+    if bytes.len() as u64 == read_limit_bytes {
         return Err(StateFileError::TooLong);
     }
     decode_state(subscriber, &bytes).map(Some)
--- a/crates/subscription/src/state_writer.rs
+++ b/crates/subscription/src/state_writer.rs
@@ -21,43 +21,45 @@
     path: PathBuf,
     subscriber: SubscriberName,
     /// When the newest state is to be written; `None` if it is on the disk or on its way there.
-    due: Option<Instant>,
-    last_write: Option<Instant>,
-    writing: Option<JoinHandle<io::Result<()>>>,
+    next_write: Option<Instant>,
+    last_write_start: Option<Instant>,
+    running_write: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl StateWriter {
     pub(crate) fn new(path: PathBuf, subscriber: SubscriberName) -> Self {
-        Self { path, subscriber, due: None, last_write: None, writing: None }
+        Self { path, subscriber, next_write: None, last_write_start: None, running_write: None }
     }
 
     /// Schedules a write, because the state is newer than the file.
     pub(crate) fn schedule(&mut self, now: Instant) {
-        let at = match self.last_write {
-            Some(last) => (last + MIN_SAVE_INTERVAL).max(now),
+        let at = match self.last_write_start {
+            Some(start) => (start + MIN_SAVE_INTERVAL).max(now),
             None => now + FIRST_SAVE_DELAY,
         };
-        self.due.get_or_insert(at);
+        self.next_write.get_or_insert(at);
     }
 
     /// When a state is to be written; `None` while a write runs.
-    pub(crate) fn due(&self) -> Option<Instant> {
-        self.due.filter(|_| self.writing.is_none())
+    pub(crate) fn next_write(&self) -> Option<Instant> {
+        self.next_write.filter(|_| self.running_write.is_none())
     }
 
     /// Starts to write a state.
     pub(crate) fn write(&mut self, now: Instant, state: SavedState) {
-        self.due = None;
-        self.last_write = Some(now);
+        self.next_write = None;
+        self.last_write_start = Some(now);
         let (path, subscriber) = (self.path.clone(), self.subscriber.clone());
-        self.writing = Some(spawn_blocking(move || write_state(&path, &subscriber, &state)));
+        self.running_write = Some(spawn_blocking(move || write_state(&path, &subscriber, &state)));
     }
 
     /// Waits until the running write has finished; never ends if none runs. It may be dropped at any time.
-    pub(crate) async fn write_finished(&mut self) -> io::Result<()> {
-        let Some(writing) = &mut self.writing else { return std::future::pending().await };
-        let result = writing.await.unwrap_or_else(|error| Err(io::Error::other(error)));
-        self.writing = None;
+    pub(crate) async fn wait_for_write(&mut self) -> io::Result<()> {
+        let Some(running_write) = &mut self.running_write else {
+            return std::future::pending().await;
+        };
+        let result = running_write.await.unwrap_or_else(|error| Err(io::Error::other(error)));
+        self.running_write = None;
         result
     }
 
--- a/crates/subscription/src/subscription.rs
+++ b/crates/subscription/src/subscription.rs
@@ -42,7 +42,7 @@
 
     /// Waits until there is a state: from the file at once, otherwise as soon as a control machine has sent all of it.
     pub async fn wait_for_state(&self) -> StateOrigin {
-        self.shared.origin().await
+        self.shared.wait_for_origin().await
     }
 
     /// Subscribes to these services from now on. Services that left the scope are forgotten here; the caller takes them
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -35,7 +35,7 @@
 
     pub(crate) async fn run(mut self) {
         loop {
-            match self.wait().await {
+            match self.wait_for_wake().await {
                 Wake::Link(event) => self.handle_link_event(event),
                 Wake::WriteFinished(result) => self.handle_write_result(result),
                 Wake::TickDue => {
@@ -43,9 +43,9 @@
                         self.shared.call(|subscriber, now, out| subscriber.tick(now, out));
                     self.apply(outputs);
                 }
-                Wake::SaveDue => self.save(),
+                Wake::SaveDue => self.start_save(),
                 Wake::OutputsQueued => {
-                    let outputs = self.shared.take_outputs();
+                    let outputs = self.shared.take_queued_outputs();
                     self.apply(outputs);
                 }
             }
@@ -54,16 +54,16 @@
         }
     }
 
-    async fn wait(&mut self) -> Wake {
+    async fn wait_for_wake(&mut self) -> Wake {
         let shared = self.shared.clone();
-        let tick = shared.subscriber.borrow().due().map(|due| shared.instant(due));
-        let save = self.writer.as_ref().and_then(StateWriter::due);
+        let tick_at = shared.subscriber.borrow().due().map(|due| shared.instant_at(due));
+        let save_at = self.writer.as_ref().and_then(StateWriter::next_write);
         tokio::select! {
-            event = self.link.next(&shared.traffic) => Wake::Link(event),
-            result = write_finished(&mut self.writer) => Wake::WriteFinished(result),
-            () = sleep_until_or_forever(tick) => Wake::TickDue,
-            () = sleep_until_or_forever(save) => Wake::SaveDue,
-            () = shared.outputs_queued() => Wake::OutputsQueued,
+            event = self.link.next_event(&shared.traffic) => Wake::Link(event),
+            result = wait_for_write(&mut self.writer) => Wake::WriteFinished(result),
+            () = sleep_until_or_forever(tick_at) => Wake::TickDue,
+            () = sleep_until_or_forever(save_at) => Wake::SaveDue,
+            () = shared.wait_for_queued_outputs() => Wake::OutputsQueued,
         }
     }
 
@@ -91,7 +91,7 @@
 
     fn handle_received(&mut self) {
         loop {
-            let received = self.link.message();
+            let received = self.link.next_message();
             let outputs = match received {
                 Ok(None) => return,
                 Ok(Some(message)) => {
@@ -111,8 +111,8 @@
         while let Some(output) = queue.pop_front() {
             match output {
                 SubscriberOutput::Connect { control_machine } => {
-                    if let Some(machine) = self.shared.machines.get(control_machine) {
-                        self.link = Link::connect(*machine);
+                    if let Some(address) = self.shared.control_machines.get(control_machine) {
+                        self.link = Link::connect(*address);
                     }
                 }
                 SubscriberOutput::Send(message) => {
@@ -138,7 +138,7 @@
     }
 
     /// Hands the state over to be written.
-    fn save(&mut self) {
+    fn start_save(&mut self) {
         let start = Instant::now();
         let state = self.shared.subscriber.borrow().saved_state();
         let longest = self.shared.longest_state_copy.get().max(start.elapsed());
@@ -153,22 +153,22 @@
         let Some(writer) = &mut self.writer else { return };
         let path = writer.path().display().to_string();
         let applier = &self.shared.applier;
-        let mut logged = self.shared.save_error.borrow_mut();
+        let mut save_error = self.shared.save_error.borrow_mut();
         match result {
             Ok(()) => {
-                if logged.take().is_some() {
+                if save_error.take().is_some() {
                     applier.log(&format!("state file {path}: written again"));
                 }
             }
             Err(error) => {
                 let error = error.to_string();
-                if logged.as_ref() != Some(&error) {
+                if save_error.as_ref() != Some(&error) {
                     applier.log(&format!(
                         "state file {path}: not written, a restart without control would begin from an older \
                          state: {error}"
                     ));
                 }
-                *logged = Some(error);
+                *save_error = Some(error);
                 writer.schedule(Instant::now());
             }
         }
@@ -182,9 +182,9 @@
     }
 }
 
-async fn write_finished(writer: &mut Option<StateWriter>) -> io::Result<()> {
+async fn wait_for_write(writer: &mut Option<StateWriter>) -> io::Result<()> {
     match writer {
-        Some(writer) => writer.write_finished().await,
+        Some(writer) => writer.wait_for_write().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/subscription/tests/recorded_state.rs
+++ b/crates/subscription/tests/recorded_state.rs
@@ -9,25 +9,25 @@
 use sableloom_resources::{Body, Edit, read_change};
 use sableloom_subscription::{encode_state, read_state};
 
-fn path(file: &str) -> PathBuf {
+fn crate_path(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(file)
 }
 
 fn state_file() -> PathBuf {
-    path("tests/data/balancer-17.state")
+    crate_path("tests/data/balancer-17.state")
 }
 
 fn subscriber() -> SubscriberName {
     SubscriberName::try_from("balancer-17").expect("a name")
 }
 
-fn recorded() -> SavedState {
+fn recorded_state() -> SavedState {
     read_state(&state_file(), &subscriber()).expect("it is readable").expect("it is there")
 }
 
 #[test]
-fn a_recorded_state_file_gives_the_services_and_resources_that_were_in_force() {
-    let state = recorded();
+fn the_recorded_state_file_decodes_to_the_services_and_resources_that_were_in_force() {
+    let state = recorded_state();
     assert_eq!(state.position.to_string(), "2/5 (c3f01452fff86bd5)");
     let services: Vec<String> = state
         .services
@@ -69,14 +69,15 @@
 }
 
 #[test]
-fn a_recorded_state_file_has_the_digests_and_bodies_of_its_change_file() {
-    let state = recorded();
+fn the_recorded_resources_match_the_service_digests_and_the_bodies_of_the_change_file() {
+    let state = recorded_state();
     for service in &state.services {
         let digest = service.resources.iter().map(resource_digest).fold(0, u64::wrapping_add);
         assert_eq!(digest, service.digest, "{}", service.service);
     }
     let file = "00000005.toml";
-    let text = std::fs::read(path("../control/tests/data/change-log").join(file)).expect("a file");
+    let text =
+        std::fs::read(crate_path("../control/tests/data/change-log").join(file)).expect("a file");
     let change = read_change(file, &text).expect("it is good");
     let orders = ServiceName::try_from("orders").expect("a name");
     let service = state.services.iter().find(|saved| saved.service == orders).expect("saved");
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_recorded_state_file_is_written_again_with_the_same_bytes() {
+fn encoding_the_recorded_state_yields_the_bytes_of_the_recorded_file() {
     let bytes = std::fs::read(state_file()).expect("a file");
-    assert_eq!(encode_state(&subscriber(), &recorded()), bytes);
+    assert_eq!(encode_state(&subscriber(), &recorded_state()), bytes);
 }
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -11,7 +11,7 @@
     SubscriberName::try_from(name).expect("a name")
 }
 
-fn state(number: u64) -> SavedState {
+fn state_at(number: u64) -> SavedState {
     let service = ServiceName::try_from("points").expect("a name");
     let resource = |id: &str| Resource {
         name: ResourceName::server(service.clone(), id),
@@ -34,22 +34,22 @@
 }
 
 #[test]
-fn a_truncated_state_file_is_reported_as_torn_and_not_used() {
+fn a_state_file_that_is_too_short_or_too_long_is_rejected_as_a_length_mismatch() {
     let own = subscriber("balancer-17");
-    let bytes = encode_state(&own, &state(7));
-    assert_eq!(decode_state(&own, &bytes).expect("complete"), state(7));
+    let bytes = encode_state(&own, &state_at(7));
+    assert_eq!(decode_state(&own, &bytes).expect("complete"), state_at(7));
     for cut in 0..bytes.len() {
         let error = decode_state(&own, &bytes[..cut]).expect_err("it is cut");
         assert!(matches!(error, StateFileError::LengthMismatch { .. }), "cut at {cut}: {error}");
     }
-    let more = [&bytes[..], b"x"].concat();
-    assert!(matches!(decode_state(&own, &more), Err(StateFileError::LengthMismatch { .. })));
+    let extended = [&bytes[..], b"x"].concat();
+    assert!(matches!(decode_state(&own, &extended), Err(StateFileError::LengthMismatch { .. })));
 }
 
 #[test]
-fn a_state_file_with_any_bit_altered_is_not_used() {
+fn a_state_file_with_one_bit_flipped_is_rejected() {
     let own = subscriber("balancer-17");
-    let bytes = encode_state(&own, &state(7));
+    let bytes = encode_state(&own, &state_at(7));
     for at in 0..bytes.len() {
         for bit in 0..8 {
             let mut altered = bytes.clone();
@@ -60,21 +60,21 @@
 }
 
 #[test]
-fn a_file_of_another_subscriber_format_or_version_is_not_used() {
+fn a_file_of_another_subscriber_or_format_or_an_unknown_version_is_rejected() {
     let own = subscriber("balancer-17");
-    let other = encode_state(&subscriber("balancer-18"), &state(7));
+    let other = encode_state(&subscriber("balancer-18"), &state_at(7));
     let error = decode_state(&own, &other).expect_err("another's");
     assert_eq!(error.to_string(), "it is the state of subscriber \"balancer-18\"");
     assert!(matches!(decode_state(&own, b"[control]\n"), Err(StateFileError::NotAStateFile)));
-    let mut later = encode_state(&own, &state(7));
+    let mut later = encode_state(&own, &state_at(7));
     later[11] = 3;
     assert!(matches!(decode_state(&own, &later), Err(StateFileError::UnsupportedVersion(3))));
 }
 
 #[test]
-fn a_state_file_of_the_previous_version_is_read() {
+fn a_state_file_of_format_version_1_is_decoded() {
     // Written by a program without tenants: subscriber, service and server of one letter each.
-    const BEFORE: [u8; 86] = [
+    const VERSION_1_FILE: [u8; 86] = [
         b'S', b'L', b'S', b'T', b'A', b'T', b'E', b'\n', 0, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 31,
         b'b', // What follows is the state: position, then services.
         1, 7, 99, 1, 1, b's', 1, 7, 5, 1, 1, b's', 1, 1, b'p', 7, 12, b'0', b'0', b'0', b'0', b'0',
@@ -83,30 +83,30 @@
         0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0,
         0,
     ];
-    let mut bytes = BEFORE.to_vec();
-    let content = bytes.len() - 32;
-    let checksum = Sha256::digest(&bytes[..content]);
-    bytes[content..].copy_from_slice(&checksum);
+    let mut bytes = VERSION_1_FILE.to_vec();
+    let content_length = bytes.len() - 32;
+    let checksum = Sha256::digest(&bytes[..content_length]);
+    bytes[content_length..].copy_from_slice(&checksum);
     let state = decode_state(&subscriber("b"), &bytes).expect("a state");
     assert_eq!(state.position, Position { epoch: 1, number: 7, chain: 99 });
     assert_eq!(state.services[0].resources[0].name.to_string(), "server p of s");
 }
 
 #[test]
-fn an_interrupted_write_leaves_the_previous_state() {
+fn a_partly_written_temporary_file_does_not_replace_the_previous_state() {
     let folder = Site::new("");
     let (own, path) = (subscriber("balancer-17"), folder.path("state.bin"));
     assert!(read_state(&path, &own).expect("no file").is_none());
-    write_state(&path, &own, &state(7)).expect("written");
+    write_state(&path, &own, &state_at(7)).expect("written");
     // A newer state that was written in part to the temporary file, before the rename.
-    let newer = encode_state(&own, &state(8));
+    let newer = encode_state(&own, &state_at(8));
     std::fs::write(folder.path("state.bin.new"), &newer[..newer.len() / 2]).expect("a file");
-    assert_eq!(read_state(&path, &own).expect("a state"), Some(state(7)));
-    write_state(&path, &own, &state(9)).expect("written");
-    assert_eq!(read_state(&path, &own).expect("a state"), Some(state(9)));
+    assert_eq!(read_state(&path, &own).expect("a state"), Some(state_at(7)));
+    write_state(&path, &own, &state_at(9)).expect("written");
+    assert_eq!(read_state(&path, &own).expect("a state"), Some(state_at(9)));
     assert!(!folder.path("state.bin.new").exists());
     // In the place of a file there is something else.
     std::fs::create_dir(folder.path("folder")).expect("a folder");
-    assert!(write_state(&folder.path("folder"), &own, &state(9)).is_err());
+    assert!(write_state(&folder.path("folder"), &own, &state_at(9)).is_err());
     assert!(matches!(read_state(&folder.path("folder"), &own), Err(StateFileError::Unreadable(_))));
 }
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -18,13 +18,13 @@
 use tokio::task::LocalSet;
 
 /// Accepts everything but the services in `rejected`, and sends each transaction and log line to the test.
-struct Recorder {
+struct RecordingApplier {
     rejected: RefCell<Vec<ServiceName>>,
     applied: UnboundedSender<Transaction>,
     lines: UnboundedSender<String>,
 }
 
-impl Applier for Recorder {
+impl Applier for RecordingApplier {
     fn apply(&self, transaction: &Transaction) -> Result<(), Vec<Rejection>> {
         let rejected = self.rejected.borrow();
         for update in &transaction.services {
@@ -48,14 +48,14 @@
     }
 }
 
-struct Subscribed {
+struct TestSubscription {
     subscription: Rc<Subscription>,
-    recorder: Rc<Recorder>,
+    applier: Rc<RecordingApplier>,
     applied: UnboundedReceiver<Transaction>,
     lines: UnboundedReceiver<String>,
 }
 
-impl Subscribed {
+impl TestSubscription {
     async fn wait_for_line(&mut self, part: &str) -> String {
         loop {
             let line = self.lines.recv().await.expect("a line");
@@ -66,11 +66,11 @@
     }
 }
 
-fn service() -> ServiceName {
+fn service_name() -> ServiceName {
     ServiceName::try_from("points").expect("a name")
 }
 
-fn name() -> SubscriberName {
+fn subscriber_name() -> SubscriberName {
     SubscriberName::try_from("balancer-17").expect("a name")
 }
 
@@ -85,23 +85,27 @@
     }
 }
 
-fn subscribe(machines: Vec<SocketAddr>, folder: &Site, rejected: Vec<ServiceName>) -> Subscribed {
-    let (applied, transactions) = unbounded_channel();
-    let (lines, logged) = unbounded_channel();
-    let recorder = Rc::new(Recorder { rejected: RefCell::new(rejected), applied, lines });
+fn subscribe(
+    control_machines: Vec<SocketAddr>,
+    folder: &Site,
+    rejected: Vec<ServiceName>,
+) -> TestSubscription {
+    let (applied, applied_receiver) = unbounded_channel();
+    let (lines, lines_receiver) = unbounded_channel();
+    let applier = Rc::new(RecordingApplier { rejected: RefCell::new(rejected), applied, lines });
     let options = SubscriptionOptions {
-        name: name(),
-        control_machines: machines,
-        scope: vec![service()],
+        name: subscriber_name(),
+        control_machines,
+        scope: vec![service_name()],
         state_file: Some(folder.path("state.bin")),
         seed: 1,
         timing: timing(),
     };
-    let subscription = Subscription::start(options, recorder.clone());
-    Subscribed { subscription, recorder, applied: transactions, lines: logged }
+    let subscription = Subscription::start(options, applier.clone());
+    TestSubscription { subscription, applier, applied: applied_receiver, lines: lines_receiver }
 }
 
-async fn listener() -> (TcpListener, SocketAddr) {
+async fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
@@ -120,7 +124,7 @@
     }
 
     /// The next message that is no ping; `None` at the end.
-    async fn next(&mut self) -> Option<SubscriberMessage> {
+    async fn next_message(&mut self) -> Option<SubscriberMessage> {
         loop {
             match self.reader.next_message().expect("a message") {
                 Some(SubscriberMessage::Ping { sequence }) => {
@@ -144,9 +148,9 @@
     }
 
     /// Answers a hello, and returns the version that the subscriber has.
-    async fn greet(&mut self, position: Position) -> ServiceVersion {
-        assert!(matches!(self.next().await, Some(SubscriberMessage::Hello { .. })));
-        let Some(SubscriberMessage::Scope { mut add, .. }) = self.next().await else {
+    async fn accept_hello(&mut self, position: Position) -> ServiceVersion {
+        assert!(matches!(self.next_message().await, Some(SubscriberMessage::Hello { .. })));
+        let Some(SubscriberMessage::Scope { mut add, .. }) = self.next_message().await else {
             panic!("no scope")
         };
         self.send(PublisherMessage::Welcome { position }).await;
@@ -154,16 +158,16 @@
     }
 
     /// Sends a snapshot of one resource, and returns the answer and the service's version.
-    async fn snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
+    async fn send_snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
         let resource = Resource {
-            name: ResourceName::server(service(), "points-1"),
+            name: ResourceName::server(service_name(), "points-1"),
             version: position.number,
             origin: Origin { file: "00000007.toml".into(), line: 3 },
             body: vec![7].into(),
         };
         let digest = resource_digest(&resource);
-        let held = ServiceVersion { service: service(), version: position.number, digest };
-        let base = ServiceBase { service: service(), base: Base::Snapshot };
+        let held = ServiceVersion { service: service_name(), version: position.number, digest };
+        let base = ServiceBase { service: service_name(), base: Base::Snapshot };
         self.send(PublisherMessage::Begin { transaction: 1, generation: 1, services: vec![base] })
             .await;
         self.send(PublisherMessage::Changes {
@@ -173,10 +177,10 @@
         .await;
         let services = vec![held.clone()];
         self.send(PublisherMessage::Commit { transaction: 1, position, services }).await;
-        (self.next().await.expect("an answer"), held)
+        (self.next_message().await.expect("an answer"), held)
     }
 
-    async fn current(&mut self, position: Position, held: &ServiceVersion) {
+    async fn send_current(&mut self, position: Position, held: &ServiceVersion) {
         let digest = scope_digest_term(&held.service, held.version, held.digest);
         self.send(PublisherMessage::Current { position, generation: 1, digest }).await;
     }
@@ -184,26 +188,26 @@
 
 const POSITION: Position = Position { epoch: 1, number: 7, chain: 42 };
 
-fn on_local_set(test: impl Future<Output = ()>) {
+fn run_on_local_set(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
 #[test]
-fn the_state_in_force_is_saved_and_a_restart_begins_from_it() {
-    on_local_set(async {
+fn a_restart_applies_the_saved_state_and_requests_a_rejected_saved_service_again() {
+    run_on_local_set(async {
         let folder = Site::new("");
-        let (listener, address) = listener().await;
+        let (listener, address) = bind_listener().await;
         let mut first = subscribe(vec![address], &folder, Vec::new());
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.greet(POSITION).await.version, 0);
-        let (answer, held) = session.snapshot(POSITION).await;
+        assert_eq!(session.accept_hello(POSITION).await.version, 0);
+        let (answer, held) = session.send_snapshot(POSITION).await;
         assert!(matches!(answer, SubscriberMessage::Ack { transaction: 1 }), "{answer:?}");
         assert!(first.applied.recv().await.expect("a transaction").services[0].snapshot);
-        session.current(POSITION, &held).await;
+        session.send_current(POSITION, &held).await;
         assert_eq!(first.subscription.wait_for_state().await, StateOrigin::ControlMachine);
         let saved = loop {
-            match read_state(&folder.path("state.bin"), &name()).expect("a good file") {
+            match read_state(&folder.path("state.bin"), &subscriber_name()).expect("a good file") {
                 Some(saved) => break saved,
                 None => tokio::task::yield_now().await,
             }
@@ -215,39 +219,41 @@
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
         second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.greet(POSITION).await, held);
+        assert_eq!(session.accept_hello(POSITION).await, held);
         // A process that rejects it logs why, and requests it again.
-        let mut third = subscribe(vec![address], &folder, vec![service()]);
-        let said = third.wait_for_line("points not used").await;
+        let mut third = subscribe(vec![address], &folder, vec![service_name()]);
+        let line = third.wait_for_line("points not used").await;
         assert!(
-            said.contains("00000007.toml:3: server points-1 of points, zone: no such zone"),
-            "{said}"
+            line.contains("00000007.toml:3: server points-1 of points, zone: no such zone"),
+            "{line}"
         );
         assert_eq!(third.subscription.status().origin, None);
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.greet(POSITION).await.version, 0);
-        let (answer, _) = session.snapshot(POSITION).await;
+        assert_eq!(session.accept_hello(POSITION).await.version, 0);
+        let (answer, _) = session.send_snapshot(POSITION).await;
         assert!(matches!(answer, SubscriberMessage::Nack { transaction: 1, .. }), "{answer:?}");
-        assert_eq!(third.subscription.status().subscriber.rejected, [service()]);
-        drop(third.recorder);
+        assert_eq!(third.subscription.status().subscriber.rejected, [service_name()]);
+        drop(third.applier);
     });
 }
 
 #[test]
-fn malformed_bytes_end_the_connection_and_have_no_other_effect() {
-    on_local_set(async {
+fn malformed_bytes_close_the_connection_and_the_next_session_synchronizes() {
+    run_on_local_set(async {
         let folder = Site::new("");
-        let (listener, address) = listener().await;
+        let (listener, address) = bind_listener().await;
         let mut subscribed = subscribe(vec![address], &folder, Vec::new());
         let frame = encode(&PublisherMessage::Welcome { position: POSITION });
-        let too_long = [&[0xff; 4][..], &frame[4..]].concat();
-        let mut malformed = frame.clone();
-        malformed[5] = 0xee;
-        for bytes in [&b"HTTP/1.1 400 Bad Request\\r\\n\\r\\n"[..], &too_long, &malformed] {
+        let oversized_frame = [&[0xff; 4][..], &frame[4..]].concat();
+        let mut malformed_frame = frame.clone();
+        malformed_frame[5] = 0xee;
+        for bytes in
+            [&b"HTTP/1.1 400 Bad Request\\r\\n\\r\\n"[..], &oversized_frame, &malformed_frame]
+        {
             let mut session = Session::accept(&listener).await;
             session.stream.write_all(bytes).await.expect("written");
             // Hello and scope, then the end.
-            while session.next().await.is_some() {}
+            while session.next_message().await.is_some() {}
         }
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
         // Half a message, and the connection ends.
@@ -256,38 +262,39 @@
         drop(session);
         // A correct control machine is followed.
         let mut session = Session::accept(&listener).await;
-        session.greet(POSITION).await;
-        let (_, held) = session.snapshot(POSITION).await;
-        session.current(POSITION, &held).await;
+        session.accept_hello(POSITION).await;
+        let (_, held) = session.send_snapshot(POSITION).await;
+        session.send_current(POSITION, &held).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
     });
 }
 
 #[test]
-fn a_silent_control_machine_is_replaced_by_another() {
-    on_local_set(async {
+fn a_subscription_leaves_a_silent_control_machine_and_synchronizes_with_another() {
+    run_on_local_set(async {
         let folder = Site::new("");
-        let ((silent, first), (good, second)) = (listener().await, listener().await);
-        let mut subscribed = subscribe(vec![first, second], &folder, Vec::new());
+        let ((silent, silent_address), (good, good_address)) =
+            (bind_listener().await, bind_listener().await);
+        let mut subscribed = subscribe(vec![silent_address, good_address], &folder, Vec::new());
         // Whichever is chosen first, the silent one accepts connections and sends nothing.
-        let sessions = tokio::task::spawn_local(async move {
-            let mut kept = Vec::new();
+        let silent_machine = tokio::task::spawn_local(async move {
+            let mut open_sessions = Vec::new();
             loop {
-                kept.push(Session::accept(&silent).await);
+                open_sessions.push(Session::accept(&silent).await);
             }
         });
         let mut session = Session::accept(&good).await;
-        session.greet(POSITION).await;
-        let (_, held) = session.snapshot(POSITION).await;
-        session.current(POSITION, &held).await;
+        session.accept_hello(POSITION).await;
+        let (_, held) = session.send_snapshot(POSITION).await;
+        session.send_current(POSITION, &held).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         let status = subscribed.subscription.status();
-        assert_eq!(status.control_machine, Some(second));
+        assert_eq!(status.control_machine, Some(good_address));
         // The connection ends: the silent one is tried and left, and the good one receives the version that is in force.
         drop(session);
-        let mut again = Session::accept(&good).await;
-        assert_eq!(again.greet(POSITION).await, held);
-        sessions.abort();
+        let mut next_session = Session::accept(&good).await;
+        assert_eq!(next_session.accept_hello(POSITION).await, held);
+        silent_machine.abort();
     });
 }
