--- a/crates/subscription/src/applier.rs
+++ b/crates/subscription/src/applier.rs
@@ -1,17 +1,18 @@
-//! The process that subscribes, as the subscription sees it.
+//! The interface through which a subscription applies configuration and logs.
 
 use sableloom_distribution::{Rejection, Transaction};
 
-/// What configuration means to the process that subscribes to it.
+/// Validates and applies configuration for the process that holds the subscription. Its methods run on the serving
+/// thread, which serves no request until they return.
 pub trait Applier {
-    /// Checks a transaction, then puts all of it in force. A service's update that is a snapshot replaces everything
-    /// that is there of that service.
+    /// Validates a transaction, then puts all of its changes in force. An update that is a snapshot replaces every
+    /// resource of its service.
     ///
     /// # Errors
     ///
-    /// Every problem of the transaction; nothing of it is in force then.
+    /// Returns the problems of the transaction, and puts none of its changes in force.
     fn apply(&self, transaction: &Transaction) -> Result<(), Vec<Rejection>>;
 
-    /// Logs a line.
+    /// Writes one line, without a line break at its end, to the log of the process.
     fn log(&self, line: &str);
 }
--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -1,13 +1,14 @@
-//! The events of a subscription as lines of the log.
+//! The log lines for the events of a subscription.
 
 use std::net::SocketAddr;
 
 use sableloom_distribution::{ServiceName, SubscriberEvent};
 
-/// Most services or problems that one line lists.
+/// The maximum number of services, and of problems, that one log line lists.
 const MAX_ITEMS_LISTED: usize = 8;
 
-/// The line of an event; `machines` are the control machines by their number.
+/// Returns the log line for an event. `control_machines` holds the address of each control machine at the index that
+/// the event gives for that machine.
 pub(crate) fn describe(event: &SubscriberEvent, control_machines: &[SocketAddr]) -> String {
     let address_of = |control_machine: &usize| match control_machines.get(*control_machine) {
         Some(address) => address.to_string(),
@@ -25,7 +26,8 @@
         }
         SubscriberEvent::Current { position } => format!("all is in force up to {position}"),
         SubscriberEvent::Diverged { control_machine, seen, other } => format!(
-            "{} has read other changes: it is at {other}, and {seen} has been seen; it is not followed",
+            "{} has read different changes: it is at {other}, but position {seen} was reported before; the connection \
+             is closed",
             address_of(control_machine)
         ),
         SubscriberEvent::Rejected { services, rejections } => format!(
@@ -52,6 +54,7 @@
     join_limited(services.iter().map(ToString::to_string))
 }
 
+/// Joins the first [`MAX_ITEMS_LISTED`] texts, and appends the number of omitted ones.
 fn join_limited(texts: impl ExactSizeIterator<Item = String>) -> String {
     let omitted = texts.len().saturating_sub(MAX_ITEMS_LISTED);
     let mut text = texts.take(MAX_ITEMS_LISTED).collect::<Vec<_>>().join("; ");
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -1,20 +1,23 @@
 //! A balancer's subscription to configuration: connections to control machines, timers, and the last good state in a
 //! file.
 //!
-//! A balancer must serve whatever happens to its control machines: it may start while none can be reached, lose one in
-//! the middle of a snapshot, or find two that disagree. [`sableloom_distribution::Subscriber`] decides what to do and
-//! an [`Applier`] decides what configuration means; this crate owns the sockets, the timers and the file in between.
+//! A balancer must serve whatever happens to its control machines: the balancer may start while no control machine can
+//! be reached, lose its connection in the middle of a snapshot, or connect to two control machines whose changes
+//! differ. [`sableloom_distribution::Subscriber`] implements the protocol as a state machine, and an [`Applier`]
+//! validates and applies the configuration. This crate provides the connection, the timers and the state file.
 //!
-//! It never applies part of a transaction, never blocks the serving thread on the disk, and never removes anything from
-//! force by itself: without a control machine the last good state stays.
+//! A subscription never applies part of a transaction, never blocks the serving thread on the writing of the state
+//! file, and never removes configuration from force by itself: without a control machine the last good state stays in
+//! force.
 //!
 //! Invariants:
 //!
-//! - one connection at a time, and one state on its way to the disk at a time;
-//! - the state file is complete or not used, and a service of it that the applier rejects is requested again;
-//! - every queue is bounded: a peer that sends without reading loses its connection.
+//! - There is at most one connection and at most one running write of the state file.
+//! - A state file is used only if it is complete, and a saved service that the applier rejects is requested again.
+//! - The queues of received and of outgoing bytes are bounded: the connection to a control machine that sends messages
+//!   but reads none is closed.
 //!
-//! A state file written by one process is read by the next:
+//! A process decodes the state file that an earlier process encoded:
 //!
 //! ```
 //! use sableloom_distribution::{SavedState, SubscriberName};
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a control machine: messages in, messages out, both bounded.
+//! The connection to a control machine, with bounded queues of received and outgoing bytes.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -12,36 +12,37 @@
 };
 use tokio::net::TcpStream;
 
-/// Bytes read in one turn; between turns requests are served.
+/// The maximum number of bytes that one read takes, so that the thread can serve requests between two reads.
 const MAX_READ_BYTES: usize = 64 * 1024;
-/// Most bytes that wait to be written: enough for a scope of some ten thousand services. Guards against a control machine
-/// that sends without reading, whose responses would pile up here.
+/// The maximum number of bytes that wait to be sent: enough for a scope of some ten thousand services. The limit bounds
+/// the memory that responses take if a control machine sends messages but reads none.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 
 type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
-/// The bytes that a subscription has exchanged with control machines since its start, without network headers.
+/// The number of bytes that a subscription has exchanged with control machines since the subscription started, without
+/// network headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// From control machines.
+    /// The number of bytes received from control machines.
     pub received_bytes: u64,
-    /// To control machines.
+    /// The number of bytes sent to control machines.
     pub sent_bytes: u64,
 }
 
 /// An event of a connection.
 pub(crate) enum LinkEvent {
-    /// It is established.
+    /// The connection is established.
     Connected,
-    /// Bytes were received, so messages may be complete.
+    /// Bytes were received, so that further messages may be complete.
     Received,
-    /// It could not be established.
+    /// The connection could not be established.
     Failed(io::Error),
-    /// It has ended, in order or with an error.
+    /// The connection has ended: with `None` if the control machine closed it, otherwise with an error.
     Ended(Option<io::Error>),
 }
 
-/// The connection, if there is one.
+/// The state of the connection to a control machine.
 #[derive(Default)]
 pub(crate) enum Link {
     #[default]
@@ -59,18 +60,19 @@
 }
 
 impl Link {
-    /// Starts to connect.
+    /// Starts to connect to a control machine.
     pub(crate) fn connect(address: SocketAddr) -> Self {
         Link::Connecting(Box::pin(TcpStream::connect(address)))
     }
 
-    /// Waits for the next event; never ends without a connection. It may be dropped at any time.
+    /// Waits for the next event, and forever if there is no connection. The future is cancel safe: no event or byte is
+    /// lost if the future is dropped.
     pub(crate) async fn next_event(&mut self, traffic: &Rc<Cell<Traffic>>) -> LinkEvent {
         match self {
             Link::None => pending().await,
             Link::Connecting(connecting) => match connecting.as_mut().await {
                 Ok(stream) => {
-                    // Acknowledgements are small, and the control machine waits for them.
+                    // The control machine waits for acknowledgements, whose small segments must not be delayed.
                     let _ = stream.set_nodelay(true);
                     let (reader, outgoing) = (FrameReader::new(), Vec::new());
                     let traffic = traffic.clone();
@@ -83,14 +85,19 @@
         }
     }
 
-    /// Queues a message. Whether the queue is still within its bound.
+    /// Queues a message; without an established connection, drops it. Returns whether at most [`MAX_QUEUED_BYTES`]
+    /// bytes are queued.
     pub(crate) fn send(&mut self, message: &SubscriberMessage) -> bool {
         let Link::Open(open) = self else { return true };
         open.outgoing.extend_from_slice(&encode(message));
         open.outgoing.len() <= MAX_QUEUED_BYTES
     }
 
-    /// The next complete message that was received.
+    /// Returns the next complete message that was received, or `None` if there is none yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the received bytes are not a valid frame; no further message can be read then.
     pub(crate) fn next_message(&mut self) -> Result<Option<PublisherMessage>, CodecError> {
         match self {
             Link::Open(open) => open.reader.next_message(),
--- a/crates/subscription/src/restore.rs
+++ b/crates/subscription/src/restore.rs
@@ -1,4 +1,4 @@
-//! Puts the last good state of an earlier process in force.
+//! The restoration of the last good state that an earlier process saved.
 
 use std::path::Path;
 
@@ -10,8 +10,9 @@
 use crate::options::SubscriptionOptions;
 use crate::state_file::read_state;
 
-/// Reads the state file and puts its services in force one by one. A service that the applier rejects, or that is no
-/// longer in the scope, is left out: it is requested from a control machine.
+/// Reads the state file and puts its services in force one by one. A service that the applier rejects is left out of
+/// the returned state, so that it is requested from a control machine. A service outside the scope is left out as well.
+/// Returns `None` if no service was restored.
 pub(crate) fn restore(options: &SubscriptionOptions, applier: &dyn Applier) -> Option<SavedState> {
     let path = options.state_file.as_ref()?;
     let saved = match read_state(path, &options.name) {
@@ -37,7 +38,7 @@
     Some(restored)
 }
 
-/// Puts one service in force. Whether the applier accepted it.
+/// Puts one saved service in force. Returns whether the applier accepted the service, and logs the problems if not.
 fn apply_saved(
     applier: &dyn Applier,
     path: &Path,
@@ -51,6 +52,7 @@
     false
 }
 
+/// Returns a transaction that replaces all resources of a service by the saved ones.
 fn snapshot_of(saved: &SavedService, position: Position) -> Transaction {
     let update = ServiceUpdate {
         service: saved.service.clone(),
--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -1,4 +1,4 @@
-//! The state that a subscription's handle and its task share.
+//! The state that the handle and the task of a subscription share.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,28 +15,30 @@
 use crate::link::Traffic;
 use crate::status::{StateOrigin, SubscriptionStatus};
 
-/// The state machine with its clock, and what is known of the subscription.
+/// The state machine with its clock, and the values from which the status is built.
 pub(crate) struct Shared {
     pub(crate) subscriber: RefCell<Subscriber>,
     pub(crate) applier: Rc<dyn Applier>,
     pub(crate) control_machines: Vec<SocketAddr>,
-    /// The zero of the state machine's time.
+    /// The instant that is zero in the time of the state machine.
     epoch: Instant,
-    /// Where the first state came from; `None` until there is one.
+    /// The source of the first state in force; `None` until a state is in force.
     origin: Cell<Option<StateOrigin>>,
     origin_known: Notify,
-    /// Outputs of calls that were made outside the task, for the task to apply.
+    /// The outputs of calls that were made outside the task. The task applies them.
     queued_outputs: RefCell<Vec<SubscriberOutput>>,
     outputs_queued: Notify,
-    /// That no control machine can be reached has been logged since the last contact.
+    /// Whether it has been logged, since the last established session, that no control machine can be reached.
     unreachable_logged: Cell<bool>,
+    /// The error of the last write of the state file; `None` if that write succeeded.
     pub(crate) save_error: RefCell<Option<String>>,
+    /// The longest time that one copy of the state for a write has taken on the serving thread.
     pub(crate) longest_state_copy: Cell<Duration>,
     pub(crate) traffic: Rc<Cell<Traffic>>,
 }
 
 impl Shared {
-    /// Starts the state machine.
+    /// Starts the state machine, and queues its first outputs for the task.
     pub(crate) fn start(
         subscriber: Subscriber,
         applier: Rc<dyn Applier>,
@@ -61,15 +63,17 @@
         shared
     }
 
+    /// Returns the present time of the state machine, in microseconds since [`Self::start`].
     pub(crate) fn now(&self) -> Time {
         Time(self.epoch.elapsed().as_micros() as i64)
     }
 
+    /// Converts a time of the state machine to an instant of the runtime's clock.
     pub(crate) fn instant_at(&self, time: Time) -> Instant {
         self.epoch + Duration::from_micros(time.0.max(0) as u64)
     }
 
-    /// Calls the state machine, and returns its outputs.
+    /// Calls the state machine and returns the outputs, which the task must apply.
     pub(crate) fn call(
         &self,
         call: impl FnOnce(&mut Subscriber, Time, &mut Vec<SubscriberOutput>),
@@ -79,7 +83,7 @@
         outputs
     }
 
-    /// Calls the state machine, and leaves its outputs to the task.
+    /// Calls the state machine and queues the outputs for the task.
     pub(crate) fn call_outside_task(
         &self,
         now: Time,
@@ -89,22 +93,22 @@
         self.outputs_queued.notify_one();
     }
 
-    /// Waits until outputs are queued.
+    /// Waits until outputs have been queued for the task.
     pub(crate) async fn wait_for_queued_outputs(&self) {
         self.outputs_queued.notified().await;
     }
 
-    /// Takes the queued outputs out.
+    /// Removes and returns the queued outputs.
     pub(crate) fn take_queued_outputs(&self) -> Vec<SubscriberOutput> {
         self.queued_outputs.take()
     }
 
-    /// Logs an event of the state machine, and remembers where the first state came from.
+    /// Logs an event of the state machine, and records the source of the first state in force.
     pub(crate) fn handle_event(&self, event: &SubscriberEvent) {
         match event {
             SubscriberEvent::Connected { .. } => self.unreachable_logged.set(false),
             SubscriberEvent::Unreachable => self.unreachable_logged.set(true),
-            // Attempts go on for hours; that no control machine can be reached has been logged.
+            // Attempts may fail for hours, and the log already says that no control machine can be reached.
             SubscriberEvent::Disconnected { .. } if self.unreachable_logged.get() => return,
             SubscriberEvent::Current { .. } if self.origin.get().is_none() => {
                 self.origin.set(Some(StateOrigin::ControlMachine));
@@ -115,7 +119,7 @@
         self.applier.log(&describe(event, &self.control_machines));
     }
 
-    /// Waits until there is a state.
+    /// Waits until a state is in force, and returns the source of the first one.
     pub(crate) async fn wait_for_origin(&self) -> StateOrigin {
         loop {
             if let Some(origin) = self.origin.get() {
--- a/crates/subscription/src/state_file.rs
+++ b/crates/subscription/src/state_file.rs
@@ -1,8 +1,12 @@
-//! The last good state in a file.
+//! The state file, which holds the last good state.
 //!
-//! A balancer that starts while no control machine can be reached begins from it. It is written to a temporary file,
-//! synced and renamed into place, so that a crash leaves the old file or the new one. It is used only if it is complete:
-//! its length and checksum are checked, and it names its format and the subscriber that wrote it.
+//! A balancer that starts while no control machine can be reached restores its configuration from the state file. A new
+//! state is written to a temporary file, synced and renamed into place, so that a crash leaves either the old state
+//! file or the new one. A state file is used only if its magic bytes, format version, length, checksum and subscriber
+//! name are as expected.
+//!
+//! The layout, with integers in big endian: magic bytes (8 bytes), format version (4), length of the name (2), length
+//! of the state (8), name of the subscriber, state in postcard, SHA-256 of all bytes before (32).
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -11,61 +15,64 @@
 use sableloom_distribution::{SavedState, SubscriberName};
 use sha2::{Digest, Sha256};
 
-/// The first bytes of each state file.
+/// The first bytes of every state file.
 const MAGIC: [u8; 8] = *b"SLSTATE\n";
-/// The version of the format, after [`MAGIC`]. Version 1 had pools, servers and routes; version 2 has tenants as well,
-/// which a program of version 1 could not decode.
+/// The format version that is written. Version 1 has pools, servers and routes; version 2 also has tenants, which a
+/// program that knows only version 1 cannot decode.
 const FORMAT_VERSION: u32 = 2;
-/// The oldest version that is read. What it can hold means the same in the present one, so a balancer starts from its
-/// state also right after an upgrade.
+/// The oldest format version that is read. Every state of version 1 means the same in version 2, so that a balancer can
+/// restore its state right after an upgrade.
 const OLDEST_FORMAT_VERSION: u32 = 1;
-/// Bytes of the checksum at the end, over all bytes before it.
+/// The length in bytes of the checksum at the end, which covers all bytes before it.
 const CHECKSUM_BYTES: usize = 32;
-/// Bytes before the subscriber's name: magic, version, length of the name, length of the state.
+/// The number of bytes before the subscriber's name: magic bytes, format version, length of the name and length of the
+/// state.
 const HEADER_BYTES: usize = 8 + 4 + 2 + 8;
-/// Longest file that is read or written: twice the memory that configuration may take at a balancer (32 MB). Guards
-/// against a wrong file in its place.
+/// The maximum length in bytes of a state file that is read or written: twice the memory that configuration may take at
+/// a balancer (32 MB). The limit bounds the memory that is used if another file is at the path.
 pub const MAX_STATE_FILE_BYTES: u64 = 64 << 20;
 
-/// Why a state file is not used.
+/// The reason for which a state file is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
-    /// It can't be read.
-    #[error("it can't be read: {0}")]
+    /// The file cannot be opened or read.
+    #[error("the file cannot be read: {0}")]
     Unreadable(io::Error),
-    /// It is longer than [`MAX_STATE_FILE_BYTES`].
-    #[error("it is longer than {MAX_STATE_FILE_BYTES} bytes")]
+    /// The file is longer than [`MAX_STATE_FILE_BYTES`].
+    #[error("the file is longer than the maximum of {MAX_STATE_FILE_BYTES} bytes")]
     TooLong,
-    /// It does not begin as a state file does.
-    #[error("it is no state file of a subscription")]
+    /// The file does not begin with the magic bytes of a state file.
+    #[error("the file is not a state file of a subscription")]
     NotAStateFile,
-    /// It has a version of the format that this program does not know.
+    /// The file has a format version that this program cannot read.
     #[error(
-        "its format is version {0}; this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}"
+        "the format version is {0}; this program reads versions {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}"
     )]
     UnsupportedVersion(u32),
-    /// It has fewer or more bytes than its header says.
-    #[error("it is torn: {actual} bytes where {expected} are said")]
+    /// The length of the file is not the length that its header gives, or the header is incomplete.
+    #[error(
+        "the file has {actual} bytes; its header gives a length of {expected} (0 if the header is incomplete)"
+    )]
     LengthMismatch {
-        /// The length by its header; 0 if the header itself is not complete.
+        /// The length in bytes that the header gives; 0 if the header is incomplete.
         expected: u64,
-        /// The length of the file.
+        /// The length of the file in bytes.
         actual: u64,
     },
-    /// Its checksum is not that of its bytes.
-    #[error("it is altered: its checksum does not fit")]
+    /// The checksum at the end does not match the bytes before it.
+    #[error("the checksum does not match the contents of the file")]
     ChecksumMismatch,
-    /// Another subscriber wrote it.
-    #[error("it is the state of subscriber {0:?}")]
+    /// The file was written by the subscriber of this name, not by the one that reads it.
+    #[error("the file holds the state of subscriber {0:?}")]
     OtherSubscriber(String),
-    /// Its checksum matches, but its state can't be decoded.
-    #[error("its state can't be decoded")]
+    /// The checksum matches, but the state cannot be decoded.
+    #[error("the state in the file cannot be decoded")]
     UndecodableState,
 }
 
-/// Encodes a state file.
+/// Encodes a state as the contents of a state file of this subscriber.
 pub fn encode_state(subscriber: &SubscriberName, state: &SavedState) -> Vec<u8> {
-    // A state is made of values that postcard encodes without fail, into a vector that grows.
+    // Encoding cannot fail: postcard encodes every type of a state, and the output vector grows as needed.
     let body = postcard::to_allocvec(state).unwrap_or_default();
     let name = subscriber.as_str().as_bytes();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + name.len() + body.len() + CHECKSUM_BYTES);
@@ -80,11 +87,11 @@
     bytes
 }
 
-/// Decodes a state file that the subscriber of this name wrote.
+/// Decodes the contents of a state file that this subscriber wrote.
 ///
 /// # Errors
 ///
-/// Why the bytes are not used: see [`StateFileError`].
+/// Returns the first failed check of the contents: see [`StateFileError`].
 pub fn decode_state(
     subscriber: &SubscriberName,
     bytes: &[u8],
@@ -128,11 +135,11 @@
     array
 }
 
-/// Reads a state file; `None` if there is no file.
+/// Reads a state file that this subscriber wrote; returns `None` if there is no file at the path.
 ///
 /// # Errors
 ///
-/// Why the file is not used: see [`StateFileError`].
+/// Returns the reason for which the file is not used: see [`StateFileError`].
 pub fn read_state(
     path: &Path,
     subscriber: &SubscriberName,
@@ -151,16 +158,19 @@
     decode_state(subscriber, &bytes).map(Some)
 }
 
-/// Writes a state file in place of the one that is there. It blocks until the file is on the disk.
+/// Writes a state file, and replaces an earlier one at the path. Blocks until the file and its folder are synced.
 ///
 /// # Errors
 ///
-/// The system's error, or [`io::ErrorKind::FileTooLarge`] if the state takes more than [`MAX_STATE_FILE_BYTES`]. The
-/// earlier file is still there then, unless only the sync of its folder failed.
+/// Returns the error of the operating system, or [`io::ErrorKind::FileTooLarge`] if the file would be longer than
+/// [`MAX_STATE_FILE_BYTES`]. The earlier file stays in place, unless the sync of the folder is what failed.
 pub fn write_state(path: &Path, subscriber: &SubscriberName, state: &SavedState) -> io::Result<()> {
     let bytes = encode_state(subscriber, state);
     if bytes.len() as u64 > MAX_STATE_FILE_BYTES {
-        let message = format!("the state has {} bytes, over {MAX_STATE_FILE_BYTES}", bytes.len());
+        let message = format!(
+            "the state file has {} bytes, at most {MAX_STATE_FILE_BYTES} are allowed",
+            bytes.len()
+        );
         return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
     }
     let temporary = temporary_path(path);
@@ -168,12 +178,12 @@
     file.write_all(&bytes)?;
     file.sync_all()?;
     fs::rename(&temporary, path)?;
-    // The rename survives a power loss only once the folder is synced.
+    // A rename survives a power loss only after the folder is synced.
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// Where a file is written before it is renamed into place.
+/// Returns the path of the temporary file, which is in the folder of the state file.
 fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(".new");
--- a/crates/subscription/src/state_writer.rs
+++ b/crates/subscription/src/state_writer.rs
@@ -1,4 +1,4 @@
-//! When the last good state is written, and on which thread.
+//! The schedule of writes of the state file, and the thread on which they run.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,17 +10,18 @@
 
 use crate::state_file::write_state;
 
-/// The state is written no more often than this, however many changes come: a restart gets the changes of the last
-/// interval from a control machine, as it does with those that came while it was down.
+/// The minimum time between the starts of two writes of the state file. A process that restarts receives the changes
+/// that were not saved from a control machine, together with the changes that were made while it was down.
 pub const MIN_SAVE_INTERVAL: Duration = Duration::from_secs(5);
-/// The first state is written without that wait, because there is no earlier one to restart from.
+/// The delay before the first write, shorter than [`MIN_SAVE_INTERVAL`]: this process has not yet written a state from
+/// which it could restart.
 const FIRST_SAVE_DELAY: Duration = Duration::from_millis(100);
 
-/// Writes states to a file, one at a time, off the serving thread.
+/// Writes states to the state file, one at a time, on a thread other than the serving thread.
 pub(crate) struct StateWriter {
     path: PathBuf,
     subscriber: SubscriberName,
-    /// When the newest state is to be written; `None` if it is on the disk or on its way there.
+    /// The time of the next write; `None` if the newest state has been written or is being written.
     next_write: Option<Instant>,
     last_write_start: Option<Instant>,
     running_write: Option<JoinHandle<io::Result<()>>>,
@@ -31,7 +32,7 @@
         Self { path, subscriber, next_write: None, last_write_start: None, running_write: None }
     }
 
-    /// Schedules a write, because the state is newer than the file.
+    /// Schedules a write of the state, unless one is already scheduled.
     pub(crate) fn schedule(&mut self, now: Instant) {
         let at = match self.last_write_start {
             Some(start) => (start + MIN_SAVE_INTERVAL).max(now),
@@ -40,12 +41,12 @@
         self.next_write.get_or_insert(at);
     }
 
-    /// When a state is to be written; `None` while a write runs.
+    /// Returns the time of the next write; `None` if no write is scheduled or while one runs.
     pub(crate) fn next_write(&self) -> Option<Instant> {
         self.next_write.filter(|_| self.running_write.is_none())
     }
 
-    /// Starts to write a state.
+    /// Starts to write a state on a blocking thread. The caller must not call this while a write runs.
     pub(crate) fn write(&mut self, now: Instant, state: SavedState) {
         self.next_write = None;
         self.last_write_start = Some(now);
@@ -53,7 +54,8 @@
         self.running_write = Some(spawn_blocking(move || write_state(&path, &subscriber, &state)));
     }
 
-    /// Waits until the running write has finished; never ends if none runs. It may be dropped at any time.
+    /// Waits until the running write finishes, and forever if none runs. The future is cancel safe: the result is not
+    /// lost if the future is dropped.
     pub(crate) async fn wait_for_write(&mut self) -> io::Result<()> {
         let Some(running_write) = &mut self.running_write else {
             return std::future::pending().await;
--- a/crates/subscription/src/status.rs
+++ b/crates/subscription/src/status.rs
@@ -1,31 +1,32 @@
-//! The status of a subscription.
+//! The status that a subscription reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use sableloom_distribution::SubscriberStatus;
 
-/// Where the first state in force came from.
+/// The source of the first state in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateOrigin {
-    /// From the state file of an earlier process.
+    /// The state file of an earlier process.
     File,
-    /// From a control machine.
+    /// A control machine.
     ControlMachine,
 }
 
-/// The status of a subscription.
+/// The status that a subscription reports.
 #[derive(Clone, Debug)]
 pub struct SubscriptionStatus {
-    /// The status of its state machine.
+    /// The status of the protocol's state machine.
     pub subscriber: SubscriberStatus,
-    /// The control machine that it is connected or connecting to.
+    /// The address of the control machine that the subscription is connected or connecting to; `None` if there is no
+    /// such connection.
     pub control_machine: Option<SocketAddr>,
-    /// Where the first state came from; `None` until there is one.
+    /// The source of the first state in force; `None` until a state is in force.
     pub origin: Option<StateOrigin>,
-    /// Why the last write of the state file failed, if it did.
+    /// The error of the last write of the state file; `None` if that write succeeded or none has finished.
     pub save_error: Option<String>,
-    /// The longest time that the serving thread has spent on handing over a state to be written. It grows with the
-    /// number of resources in force, whose names and bodies are shared and not copied.
+    /// The longest time for which one copy of the state, made for a write, has occupied the serving thread. The time
+    /// grows with the number of resources in force, whose names and bodies are shared and not copied.
     pub longest_state_copy: Duration,
 }
--- a/crates/subscription/src/subscription.rs
+++ b/crates/subscription/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The handle of a subscription that runs.
+//! The handle of a running subscription.
 
 use std::rc::Rc;
 
@@ -14,13 +14,18 @@
 use crate::status::{StateOrigin, SubscriptionStatus};
 use crate::task::SubscriptionTask;
 
-/// A subscription that runs. Its task goes on for as long as the `LocalSet` that it was started on.
+/// The handle of a running subscription. The task of the subscription runs for as long as the `LocalSet` on which
+/// [`Self::start`] was called, even if the handle is dropped.
 pub struct Subscription {
     shared: Rc<Shared>,
 }
 
 impl Subscription {
-    /// Puts the last good state in force, if there is one, and starts to subscribe; it must be called on a `LocalSet`.
+    /// Puts the saved state in force, if there is a usable state file, and starts the task that subscribes.
+    ///
+    /// # Panics
+    ///
+    /// Panics if it is called outside a `LocalSet`.
     pub fn start(options: SubscriptionOptions, applier: Rc<dyn Applier>) -> Rc<Self> {
         let saved_state = restore(&options, &*applier);
         let origin = saved_state.as_ref().map(|_| StateOrigin::File);
@@ -40,24 +45,25 @@
         Rc::new(Self { shared })
     }
 
-    /// Waits until there is a state: from the file at once, otherwise as soon as a control machine has sent all of it.
+    /// Waits until a state is in force, and returns the source of the first one. A state restored from the state file
+    /// is in force at once; otherwise the call waits until a control machine has sent the whole state of the scope.
     pub async fn wait_for_state(&self) -> StateOrigin {
         self.shared.wait_for_origin().await
     }
 
-    /// Subscribes to these services from now on. Services that left the scope are forgotten here; the caller takes them
-    /// out of force.
+    /// Replaces the set of services whose configuration is subscribed to. The subscription drops its state of services
+    /// that are no longer in the scope; the caller takes these services out of force.
     pub fn set_scope(&self, scope: Vec<ServiceName>) {
         let now = self.shared.now();
         self.shared.call_outside_task(now, |subscriber, _, out| subscriber.set_scope(scope, out));
     }
 
-    /// Its status. The work grows with the number of services.
+    /// Returns the status. The time that this takes grows with the number of services.
     pub fn status(&self) -> SubscriptionStatus {
         self.shared.status()
     }
 
-    /// The bytes exchanged with control machines.
+    /// Returns the number of bytes exchanged with control machines since the start.
     pub fn traffic(&self) -> Traffic {
         self.shared.traffic.get()
     }
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -1,4 +1,4 @@
-//! The task of a subscription: it feeds the state machine with events, and applies its outputs.
+//! The task of a subscription, which passes events to the state machine and applies the outputs of the state machine.
 
 use std::collections::VecDeque;
 use std::io;
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use crate::state_writer::StateWriter;
 
-/// What woke the task.
+/// An event for which the task wakes up.
 enum Wake {
     Link(LinkEvent),
     WriteFinished(io::Result<()>),
@@ -21,7 +21,7 @@
     OutputsQueued,
 }
 
-/// The connection and the state file, which only the task uses.
+/// The task of a subscription, which owns the connection and the writer of the state file.
 pub(crate) struct SubscriptionTask {
     shared: Rc<Shared>,
     link: Link,
@@ -33,6 +33,7 @@
         Self { shared, link: Link::None, writer }
     }
 
+    /// Handles events forever.
     pub(crate) async fn run(mut self) {
         loop {
             match self.wait_for_wake().await {
@@ -49,7 +50,7 @@
                     self.apply(outputs);
                 }
             }
-            // Requests are served between any two steps, however much a control machine sends.
+            // Yielding after each event lets the thread serve requests, however much a control machine sends.
             yield_now().await;
         }
     }
@@ -76,7 +77,9 @@
             }
             LinkEvent::Received => return self.handle_received(),
             LinkEvent::Failed(error) => DisconnectReason::ConnectFailed(error.to_string().into()),
-            LinkEvent::Ended(None) => DisconnectReason::Lost("it has ended".into()),
+            LinkEvent::Ended(None) => {
+                DisconnectReason::Lost("closed by the control machine".into())
+            }
             LinkEvent::Ended(Some(error)) => DisconnectReason::Lost(error.to_string().into()),
         };
         self.disconnect(reason);
@@ -101,7 +104,7 @@
                     self.shared.call(|subscriber, now, out| subscriber.malformed(now, error, out))
                 }
             };
-            // The outputs may close the connection, after which there is no further message.
+            // The outputs may close the connection; the next call then returns no message.
             self.apply(outputs);
         }
     }
@@ -117,7 +120,9 @@
                 }
                 SubscriberOutput::Send(message) => {
                     if !self.link.send(&message) {
-                        self.disconnect(DisconnectReason::Lost("it takes nothing in".into()));
+                        self.disconnect(DisconnectReason::Lost(
+                            "too many unsent bytes are queued".into(),
+                        ));
                     }
                 }
                 SubscriberOutput::Close { .. } => self.link = Link::None,
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Hands the state over to be written.
+    /// Copies the state, and starts to write the copy to the state file.
     fn start_save(&mut self) {
         let start = Instant::now();
         let state = self.shared.subscriber.borrow().saved_state();
@@ -148,7 +153,8 @@
         }
     }
 
-    /// A write has finished. A failed one is logged once for each cause, and repeated.
+    /// Handles the result of a write. A failed write is scheduled again, and logged unless the write before it failed
+    /// with the same error.
     fn handle_write_result(&mut self, result: io::Result<()>) {
         let Some(writer) = &mut self.writer else { return };
         let path = writer.path().display().to_string();
@@ -164,8 +170,8 @@
                 let error = error.to_string();
                 if save_error.as_ref() != Some(&error) {
                     applier.log(&format!(
-                        "state file {path}: not written, a restart without control would begin from an older \
-                         state: {error}"
+                        "state file {path}: not written; a restart without a control machine would restore an \
+                         older state: {error}"
                     ));
                 }
                 *save_error = Some(error);
--- a/crates/subscription/tests/recorded_state.rs
+++ b/crates/subscription/tests/recorded_state.rs
@@ -1,7 +1,7 @@
-//! A state file that an earlier program wrote stays readable.
+//! Tests that a state file in the recorded format stays readable, and is still written with the same bytes.
 //!
-//! `data/balancer-17.state` is the last good state of a balancer that had subscribed to the services of the first
-//! five changes of the change log that is recorded beside the control crate's tests.
+//! `data/balancer-17.state` is the state file of a balancer that had subscribed to the services of the first five
+//! changes of the change log in `crates/control/tests/data/change-log`.
 
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,9 @@
 }
 
 fn recorded_state() -> SavedState {
-    read_state(&state_file(), &subscriber()).expect("it is readable").expect("it is there")
+    read_state(&state_file(), &subscriber())
+        .expect("the state file is valid")
+        .expect("the state file exists")
 }
 
 #[test]
@@ -78,12 +80,14 @@
     let file = "00000005.toml";
     let text =
         std::fs::read(crate_path("../control/tests/data/change-log").join(file)).expect("a file");
-    let change = read_change(file, &text).expect("it is good");
+    let change = read_change(file, &text).expect("the change file is valid");
     let orders = ServiceName::try_from("orders").expect("a name");
     let service = state.services.iter().find(|saved| saved.service == orders).expect("saved");
     assert_eq!(service.resources.len(), change.entries.len());
     for (entry, resource) in change.entries.iter().zip(&service.resources) {
-        let Edit::Set { name, body } = &entry.edit else { panic!("it sets all") };
+        let Edit::Set { name, body } = &entry.edit else {
+            panic!("every entry of the change file sets a resource")
+        };
         let decoded = Body::decode(resource.name.kind, resource.body.as_slice());
         assert_eq!((name, Ok(&**body)), (&resource.name, decoded.as_ref()));
     }
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file is used only if it is complete and unaltered.
+//! Tests that a state file is used only if it is complete, unaltered, and of this subscriber and a known version.
 
 use sableloom_distribution::{
     Origin, Position, Resource, ResourceName, SavedService, SavedState, ServiceName, SubscriberName,
@@ -39,7 +39,7 @@
     let bytes = encode_state(&own, &state_at(7));
     assert_eq!(decode_state(&own, &bytes).expect("complete"), state_at(7));
     for cut in 0..bytes.len() {
-        let error = decode_state(&own, &bytes[..cut]).expect_err("it is cut");
+        let error = decode_state(&own, &bytes[..cut]).expect_err("the file is incomplete");
         assert!(matches!(error, StateFileError::LengthMismatch { .. }), "cut at {cut}: {error}");
     }
     let extended = [&bytes[..], b"x"].concat();
@@ -63,23 +63,25 @@
 fn a_file_of_another_subscriber_or_format_or_an_unknown_version_is_rejected() {
     let own = subscriber("balancer-17");
     let other = encode_state(&subscriber("balancer-18"), &state_at(7));
-    let error = decode_state(&own, &other).expect_err("another's");
-    assert_eq!(error.to_string(), "it is the state of subscriber \"balancer-18\"");
+    let error = decode_state(&own, &other).expect_err("the file is of another subscriber");
+    assert_eq!(error.to_string(), "the file holds the state of subscriber \"balancer-18\"");
     assert!(matches!(decode_state(&own, b"[control]\n"), Err(StateFileError::NotAStateFile)));
     let mut later = encode_state(&own, &state_at(7));
+    // Byte 11 is the last byte of the format version, and 3 is one more than the newest version that is read.
     later[11] = 3;
     assert!(matches!(decode_state(&own, &later), Err(StateFileError::UnsupportedVersion(3))));
 }
 
 #[test]
 fn a_state_file_of_format_version_1_is_decoded() {
-    // Written by a program without tenants: subscriber, service and server of one letter each.
+    // A state file of a program without tenants. The names of the subscriber, the service and the server have one
+    // letter each.
     const VERSION_1_FILE: [u8; 86] = [
         b'S', b'L', b'S', b'T', b'A', b'T', b'E', b'\n', 0, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 31,
-        b'b', // What follows is the state: position, then services.
+        b'b', // The following bytes are the state: the position, then the services.
         1, 7, 99, 1, 1, b's', 1, 7, 5, 1, 1, b's', 1, 1, b'p', 7, 12, b'0', b'0', b'0', b'0', b'0',
         b'0', b'0', b'7', b'.', b'c', b'h', b'g', 12, 0,
-        // Its checksum is made below: SHA-256 over all before it.
+        // The 32 bytes of the checksum, which the test computes below as the SHA-256 of all bytes before them.
         0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0,
         0,
     ];
@@ -98,14 +100,14 @@
     let (own, path) = (subscriber("balancer-17"), folder.path("state.bin"));
     assert!(read_state(&path, &own).expect("no file").is_none());
     write_state(&path, &own, &state_at(7)).expect("written");
-    // A newer state that was written in part to the temporary file, before the rename.
+    // A process that crashes during a write leaves part of the newer state in the temporary file.
     let newer = encode_state(&own, &state_at(8));
     std::fs::write(folder.path("state.bin.new"), &newer[..newer.len() / 2]).expect("a file");
     assert_eq!(read_state(&path, &own).expect("a state"), Some(state_at(7)));
     write_state(&path, &own, &state_at(9)).expect("written");
     assert_eq!(read_state(&path, &own).expect("a state"), Some(state_at(9)));
     assert!(!folder.path("state.bin.new").exists());
-    // In the place of a file there is something else.
+    // A folder at the path of the state file can be neither replaced nor read.
     std::fs::create_dir(folder.path("folder")).expect("a folder");
     assert!(write_state(&folder.path("folder"), &own, &state_at(9)).is_err());
     assert!(matches!(read_state(&folder.path("folder"), &own), Err(StateFileError::Unreadable(_))));
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription over real connections to scripted control machines.
+//! Tests of a subscription over TCP connections to control machines that the tests play.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,7 +17,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// Accepts everything but the services in `rejected`, and sends each transaction and log line to the test.
+/// An applier that rejects transactions that set resources of the services in `rejected`, and sends each accepted
+/// transaction and each log line to the test.
 struct RecordingApplier {
     rejected: RefCell<Vec<ServiceName>>,
     applied: UnboundedSender<Transaction>,
@@ -48,6 +49,7 @@
     }
 }
 
+/// A subscription with its applier, and the receivers of accepted transactions and log lines.
 struct TestSubscription {
     subscription: Rc<Subscription>,
     applier: Rc<RecordingApplier>,
@@ -56,6 +58,7 @@
 }
 
 impl TestSubscription {
+    /// Returns the next log line that contains `part`, and discards the lines before it.
     async fn wait_for_line(&mut self, part: &str) -> String {
         loop {
             let line = self.lines.recv().await.expect("a line");
@@ -74,7 +77,7 @@
     SubscriberName::try_from("balancer-17").expect("a name")
 }
 
-/// Reconnects at once, and closes a silent connection after 2 s.
+/// Delays of at most 1 ms before a connection, and a silence timeout of 2 s, which keep the tests short.
 fn timing() -> SubscriberTiming {
     SubscriberTiming {
         first_delay_max: Span(0),
@@ -111,7 +114,7 @@
     (listener, address)
 }
 
-/// A control machine's end of a connection.
+/// The control machine's end of a connection.
 struct Session {
     stream: TcpStream,
     reader: FrameReader,
@@ -123,7 +126,7 @@
         Self { stream, reader: FrameReader::new() }
     }
 
-    /// The next message that is no ping; `None` at the end.
+    /// Answers pings, and returns the next other message; `None` if the subscriber closed the connection.
     async fn next_message(&mut self) -> Option<SubscriberMessage> {
         loop {
             match self.reader.next_message().expect("a message") {
@@ -147,7 +150,8 @@
         let _ = self.stream.write_all(&encode(&message)).await;
     }
 
-    /// Answers a hello, and returns the version that the subscriber has.
+    /// Receives a hello and a scope, answers with a welcome, and returns the version of the service that the subscriber
+    /// has in force; version 0 if none.
     async fn accept_hello(&mut self, position: Position) -> ServiceVersion {
         assert!(matches!(self.next_message().await, Some(SubscriberMessage::Hello { .. })));
         let Some(SubscriberMessage::Scope { mut add, .. }) = self.next_message().await else {
@@ -157,7 +161,7 @@
         add.pop().expect("a service")
     }
 
-    /// Sends a snapshot of one resource, and returns the answer and the service's version.
+    /// Sends a snapshot of one resource, and returns the subscriber's answer and the version that was sent.
     async fn send_snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
         let resource = Resource {
             name: ResourceName::server(service_name(), "points-1"),
@@ -180,6 +184,7 @@
         (self.next_message().await.expect("an answer"), held)
     }
 
+    /// Reports that all changes up to `position` have been sent.
     async fn send_current(&mut self, position: Position, held: &ServiceVersion) {
         let digest = scope_digest_term(&held.service, held.version, held.digest);
         self.send(PublisherMessage::Current { position, generation: 1, digest }).await;
@@ -213,14 +218,14 @@
             }
         };
         assert_eq!((saved.position, saved.services.len()), (POSITION, 1));
-        // The next process has it in force before it connects, and says so in its scope.
+        // The second process restores the saved state before it connects, and sends the restored version in its scope.
         let mut second = subscribe(vec![address], &folder, Vec::new());
         assert_eq!(second.subscription.wait_for_state().await, StateOrigin::File);
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
         second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.accept_hello(POSITION).await, held);
-        // A process that rejects it logs why, and requests it again.
+        // The third process rejects the saved service, logs the problem, and requests the service with version 0.
         let mut third = subscribe(vec![address], &folder, vec![service_name()]);
         let line = third.wait_for_line("points not used").await;
         assert!(
@@ -244,23 +249,26 @@
         let (listener, address) = bind_listener().await;
         let mut subscribed = subscribe(vec![address], &folder, Vec::new());
         let frame = encode(&PublisherMessage::Welcome { position: POSITION });
+        // The length in the header is 2^32 - 1, over the maximum length of a frame.
         let oversized_frame = [&[0xff; 4][..], &frame[4..]].concat();
         let mut malformed_frame = frame.clone();
+        // Byte 5, after the length and the protocol version, begins the number of the message variant. No variant has a
+        // number that begins with 0xee.
         malformed_frame[5] = 0xee;
         for bytes in
             [&b"HTTP/1.1 400 Bad Request\\r\\n\\r\\n"[..], &oversized_frame, &malformed_frame]
         {
             let mut session = Session::accept(&listener).await;
             session.stream.write_all(bytes).await.expect("written");
-            // Hello and scope, then the end.
+            // The subscriber sends a hello and a scope, then closes the connection.
             while session.next_message().await.is_some() {}
         }
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
-        // Half a message, and the connection ends.
+        // A connection that ends within a frame is not a protocol violation.
         let mut session = Session::accept(&listener).await;
         session.stream.write_all(&frame[..frame.len() / 2]).await.expect("written");
         drop(session);
-        // A correct control machine is followed.
+        // A session with valid messages is synchronized.
         let mut session = Session::accept(&listener).await;
         session.accept_hello(POSITION).await;
         let (_, held) = session.send_snapshot(POSITION).await;
@@ -277,7 +285,8 @@
         let ((silent, silent_address), (good, good_address)) =
             (bind_listener().await, bind_listener().await);
         let mut subscribed = subscribe(vec![silent_address, good_address], &folder, Vec::new());
-        // Whichever is chosen first, the silent one accepts connections and sends nothing.
+        // The silent control machine accepts connections and sends nothing, whether the subscription chooses it first
+        // or not.
         let silent_machine = tokio::task::spawn_local(async move {
             let mut open_sessions = Vec::new();
             loop {
@@ -291,7 +300,8 @@
         subscribed.wait_for_line("all is in force up to 1/7").await;
         let status = subscribed.subscription.status();
         assert_eq!(status.control_machine, Some(good_address));
-        // The connection ends: the silent one is tried and left, and the good one receives the version that is in force.
+        // After this connection ends, the subscription may try the silent control machine again; the good one then
+        // receives the version in force.
         drop(session);
         let mut next_session = Session::accept(&good).await;
         assert_eq!(next_session.accept_hello(POSITION).await, held);
