--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -36,7 +36,7 @@
     /// Handles events forever.
     pub(crate) async fn run(mut self) {
         loop {
-            match self.wait_for_wake().await {
+            match self.next_wake().await {
                 Wake::Link(event) => self.handle_link_event(event),
                 Wake::WriteFinished(result) => self.handle_write_result(result),
                 Wake::TickDue => {
@@ -55,7 +55,7 @@
         }
     }
 
-    async fn wait_for_wake(&mut self) -> Wake {
+    async fn next_wake(&mut self) -> Wake {
         let shared = self.shared.clone();
         let tick_at = shared.subscriber.borrow().due().map(|due| shared.instant_at(due));
         let save_at = self.writer.as_ref().and_then(StateWriter::next_write);
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -35,41 +35,44 @@
 
 #[test]
 fn a_state_file_that_is_too_short_or_too_long_is_rejected_as_a_length_mismatch() {
-    let own = subscriber("balancer-17");
-    let bytes = encode_state(&own, &state_at(7));
-    assert_eq!(decode_state(&own, &bytes).expect("complete"), state_at(7));
+    let own_name = subscriber("balancer-17");
+    let bytes = encode_state(&own_name, &state_at(7));
+    assert_eq!(decode_state(&own_name, &bytes).expect("complete"), state_at(7));
     for cut in 0..bytes.len() {
-        let error = decode_state(&own, &bytes[..cut]).expect_err("the file is incomplete");
+        let error = decode_state(&own_name, &bytes[..cut]).expect_err("the file is incomplete");
         assert!(matches!(error, StateFileError::LengthMismatch { .. }), "cut at {cut}: {error}");
     }
     let extended = [&bytes[..], b"x"].concat();
-    assert!(matches!(decode_state(&own, &extended), Err(StateFileError::LengthMismatch { .. })));
+    assert!(matches!(
+        decode_state(&own_name, &extended),
+        Err(StateFileError::LengthMismatch { .. })
+    ));
 }
 
 #[test]
 fn a_state_file_with_one_bit_flipped_is_rejected() {
-    let own = subscriber("balancer-17");
-    let bytes = encode_state(&own, &state_at(7));
+    let own_name = subscriber("balancer-17");
+    let bytes = encode_state(&own_name, &state_at(7));
     for at in 0..bytes.len() {
         for bit in 0..8 {
             let mut altered = bytes.clone();
             altered[at] ^= 1 << bit;
-            assert!(decode_state(&own, &altered).is_err(), "bit {bit} of byte {at}");
+            assert!(decode_state(&own_name, &altered).is_err(), "bit {bit} of byte {at}");
         }
     }
 }
 
 #[test]
 fn a_file_of_another_subscriber_or_format_or_an_unknown_version_is_rejected() {
-    let own = subscriber("balancer-17");
+    let own_name = subscriber("balancer-17");
     let other = encode_state(&subscriber("balancer-18"), &state_at(7));
-    let error = decode_state(&own, &other).expect_err("the file is of another subscriber");
+    let error = decode_state(&own_name, &other).expect_err("the file is of another subscriber");
     assert_eq!(error.to_string(), "the file holds the state of subscriber \"balancer-18\"");
-    assert!(matches!(decode_state(&own, b"[control]\n"), Err(StateFileError::NotAStateFile)));
-    let mut later = encode_state(&own, &state_at(7));
+    assert!(matches!(decode_state(&own_name, b"[control]\n"), Err(StateFileError::NotAStateFile)));
+    let mut later = encode_state(&own_name, &state_at(7));
     // Byte 11 is the last byte of the format version, and 3 is one more than the newest version that is read.
     later[11] = 3;
-    assert!(matches!(decode_state(&own, &later), Err(StateFileError::UnsupportedVersion(3))));
+    assert!(matches!(decode_state(&own_name, &later), Err(StateFileError::UnsupportedVersion(3))));
 }
 
 #[test]
@@ -97,18 +100,21 @@
 #[test]
 fn a_partly_written_temporary_file_does_not_replace_the_previous_state() {
     let folder = Site::new("");
-    let (own, path) = (subscriber("balancer-17"), folder.path("state.bin"));
-    assert!(read_state(&path, &own).expect("no file").is_none());
-    write_state(&path, &own, &state_at(7)).expect("written");
+    let (own_name, path) = (subscriber("balancer-17"), folder.path("state.bin"));
+    assert!(read_state(&path, &own_name).expect("no file").is_none());
+    write_state(&path, &own_name, &state_at(7)).expect("written");
     // A process that crashes during a write leaves part of the newer state in the temporary file.
-    let newer = encode_state(&own, &state_at(8));
+    let newer = encode_state(&own_name, &state_at(8));
     std::fs::write(folder.path("state.bin.new"), &newer[..newer.len() / 2]).expect("a file");
-    assert_eq!(read_state(&path, &own).expect("a state"), Some(state_at(7)));
-    write_state(&path, &own, &state_at(9)).expect("written");
-    assert_eq!(read_state(&path, &own).expect("a state"), Some(state_at(9)));
+    assert_eq!(read_state(&path, &own_name).expect("a state"), Some(state_at(7)));
+    write_state(&path, &own_name, &state_at(9)).expect("written");
+    assert_eq!(read_state(&path, &own_name).expect("a state"), Some(state_at(9)));
     assert!(!folder.path("state.bin.new").exists());
     // A folder at the path of the state file can be neither replaced nor read.
     std::fs::create_dir(folder.path("folder")).expect("a folder");
-    assert!(write_state(&folder.path("folder"), &own, &state_at(9)).is_err());
-    assert!(matches!(read_state(&folder.path("folder"), &own), Err(StateFileError::Unreadable(_))));
+    assert!(write_state(&folder.path("folder"), &own_name, &state_at(9)).is_err());
+    assert!(matches!(
+        read_state(&folder.path("folder"), &own_name),
+        Err(StateFileError::Unreadable(_))
+    ));
 }
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -22,7 +22,7 @@
 struct RecordingApplier {
     rejected: RefCell<Vec<ServiceName>>,
     applied: UnboundedSender<Transaction>,
-    lines: UnboundedSender<String>,
+    log_lines: UnboundedSender<String>,
 }
 
 impl Applier for RecordingApplier {
@@ -45,7 +45,7 @@
     }
 
     fn log(&self, line: &str) {
-        let _ = self.lines.send(line.to_string());
+        let _ = self.log_lines.send(line.to_string());
     }
 }
 
@@ -54,14 +54,14 @@
     subscription: Rc<Subscription>,
     applier: Rc<RecordingApplier>,
     applied: UnboundedReceiver<Transaction>,
-    lines: UnboundedReceiver<String>,
+    log_lines: UnboundedReceiver<String>,
 }
 
 impl TestSubscription {
     /// Returns the next log line that contains `part`, and discards the lines before it.
     async fn wait_for_line(&mut self, part: &str) -> String {
         loop {
-            let line = self.lines.recv().await.expect("a line");
+            let line = self.log_lines.recv().await.expect("a line");
             if line.contains(part) {
                 return line;
             }
@@ -94,8 +94,9 @@
     rejected: Vec<ServiceName>,
 ) -> TestSubscription {
     let (applied, applied_receiver) = unbounded_channel();
-    let (lines, lines_receiver) = unbounded_channel();
-    let applier = Rc::new(RecordingApplier { rejected: RefCell::new(rejected), applied, lines });
+    let (log_lines, log_lines_receiver) = unbounded_channel();
+    let applier =
+        Rc::new(RecordingApplier { rejected: RefCell::new(rejected), applied, log_lines });
     let options = SubscriptionOptions {
         name: subscriber_name(),
         control_machines,
@@ -105,7 +106,12 @@
         timing: timing(),
     };
     let subscription = Subscription::start(options, applier.clone());
-    TestSubscription { subscription, applier, applied: applied_receiver, lines: lines_receiver }
+    TestSubscription {
+        subscription,
+        applier,
+        applied: applied_receiver,
+        log_lines: log_lines_receiver,
+    }
 }
 
 async fn bind_listener() -> (TcpListener, SocketAddr) {
@@ -170,7 +176,8 @@
             body: vec![7].into(),
         };
         let digest = resource_digest(&resource);
-        let held = ServiceVersion { service: service_name(), version: position.number, digest };
+        let sent_version =
+            ServiceVersion { service: service_name(), version: position.number, digest };
         let base = ServiceBase { service: service_name(), base: Base::Snapshot };
         self.send(PublisherMessage::Begin { transaction: 1, generation: 1, services: vec![base] })
             .await;
@@ -179,14 +186,15 @@
             changes: vec![Change::Set(resource)],
         })
         .await;
-        let services = vec![held.clone()];
+        let services = vec![sent_version.clone()];
         self.send(PublisherMessage::Commit { transaction: 1, position, services }).await;
-        (self.next_message().await.expect("an answer"), held)
+        (self.next_message().await.expect("an answer"), sent_version)
     }
 
     /// Reports that all changes up to `position` have been sent.
-    async fn send_current(&mut self, position: Position, held: &ServiceVersion) {
-        let digest = scope_digest_term(&held.service, held.version, held.digest);
+    async fn send_current(&mut self, position: Position, sent_version: &ServiceVersion) {
+        let digest =
+            scope_digest_term(&sent_version.service, sent_version.version, sent_version.digest);
         self.send(PublisherMessage::Current { position, generation: 1, digest }).await;
     }
 }
@@ -206,10 +214,10 @@
         let mut first = subscribe(vec![address], &folder, Vec::new());
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.accept_hello(POSITION).await.version, 0);
-        let (answer, held) = session.send_snapshot(POSITION).await;
+        let (answer, sent_version) = session.send_snapshot(POSITION).await;
         assert!(matches!(answer, SubscriberMessage::Ack { transaction: 1 }), "{answer:?}");
         assert!(first.applied.recv().await.expect("a transaction").services[0].snapshot);
-        session.send_current(POSITION, &held).await;
+        session.send_current(POSITION, &sent_version).await;
         assert_eq!(first.subscription.wait_for_state().await, StateOrigin::ControlMachine);
         let saved = loop {
             match read_state(&folder.path("state.bin"), &subscriber_name()).expect("a good file") {
@@ -224,7 +232,7 @@
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
         second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.accept_hello(POSITION).await, held);
+        assert_eq!(session.accept_hello(POSITION).await, sent_version);
         // The third process rejects the saved service, logs the problem, and requests the service with version 0.
         let mut third = subscribe(vec![address], &folder, vec![service_name()]);
         let line = third.wait_for_line("points not used").await;
@@ -271,8 +279,8 @@
         // A session with valid messages is synchronized.
         let mut session = Session::accept(&listener).await;
         session.accept_hello(POSITION).await;
-        let (_, held) = session.send_snapshot(POSITION).await;
-        session.send_current(POSITION, &held).await;
+        let (_, sent_version) = session.send_snapshot(POSITION).await;
+        session.send_current(POSITION, &sent_version).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
     });
@@ -295,8 +303,8 @@
         });
         let mut session = Session::accept(&good).await;
         session.accept_hello(POSITION).await;
-        let (_, held) = session.send_snapshot(POSITION).await;
-        session.send_current(POSITION, &held).await;
+        let (_, sent_version) = session.send_snapshot(POSITION).await;
+        session.send_current(POSITION, &sent_version).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         let status = subscribed.subscription.status();
         assert_eq!(status.control_machine, Some(good_address));
@@ -304,7 +312,7 @@
         // receives the version in force.
         drop(session);
         let mut next_session = Session::accept(&good).await;
-        assert_eq!(next_session.accept_hello(POSITION).await, held);
+        assert_eq!(next_session.accept_hello(POSITION).await, sent_version);
         silent_machine.abort();
     });
 }
