--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of one publisher: its clock, its timer, and the connection that each of its outputs goes to.
+//! Connects one publisher to its clock, its timer and the connections of its sessions.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::rc::Rc;
@@ -15,15 +15,15 @@
 use crate::connection::ConnectionHandler;
 use crate::outbox::Outbox;
 
-/// The publisher with its connections.
+/// The publisher, and the outbox of each open session.
 pub(crate) struct Sessions {
     publisher: RefCell<Publisher>,
     outboxes: RefCell<FxHashMap<SessionId, Rc<Outbox>>>,
     next_session: Cell<u64>,
-    /// The zero of the publisher's time.
-    started: Instant,
-    /// The time at which the publisher is due has changed.
-    rescheduled: Notify,
+    /// The instant at which the publisher's clock is 0.
+    start: Instant,
+    /// Notified when the time at which the publisher is due changes.
+    due_changed: Notify,
 }
 
 impl Sessions {
@@ -32,8 +32,8 @@
             publisher: RefCell::new(publisher),
             outboxes: RefCell::default(),
             next_session: Cell::new(1),
-            started: Instant::now(),
-            rescheduled: Notify::new(),
+            start: Instant::now(),
+            due_changed: Notify::new(),
         })
     }
 
@@ -42,12 +42,13 @@
         Ref::map(self.publisher.borrow(), Publisher::store)
     }
 
-    /// How many sessions are open.
-    pub(crate) fn count(&self) -> usize {
+    /// The number of open sessions. Each accepted connection counts as one from [`Sessions::open`] on.
+    pub(crate) fn open_count(&self) -> usize {
         self.outboxes.borrow().len()
     }
 
-    /// Calls the publisher, and applies its outputs.
+    /// Calls the publisher with the current time, and applies its outputs. `call` must not use the same
+    /// `Sessions`, because the publisher is borrowed until `call` returns.
     pub(crate) fn with_publisher<R>(
         &self,
         call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>) -> R,
@@ -57,7 +58,7 @@
         let mut outputs = Vec::new();
         let result = call(&mut publisher, self.now(), &mut outputs);
         if publisher.due() != due {
-            self.rescheduled.notify_one();
+            self.due_changed.notify_one();
         }
         drop(publisher);
         outputs.into_iter().for_each(|output| self.apply(output));
@@ -89,7 +90,7 @@
         SessionHandle { sessions: self.clone(), id, outbox }
     }
 
-    /// Calls the publisher whenever it is due.
+    /// Calls the publisher whenever it is due. The function never returns.
     pub(crate) async fn run_timer(&self) {
         loop {
             let due = self.publisher.borrow().due();
@@ -100,7 +101,7 @@
                 }
             };
             tokio::select! {
-                () = self.rescheduled.notified() => {}
+                () = self.due_changed.notified() => {}
                 () = wait => self.tick(),
             }
         }
@@ -111,15 +112,15 @@
     }
 
     fn now(&self) -> Time {
-        Time(self.started.elapsed().as_micros() as i64)
+        Time(self.start.elapsed().as_micros() as i64)
     }
 
     fn instant(&self, time: Time) -> Instant {
-        self.started + Duration::from_micros(time.0.max(0) as u64)
+        self.start + Duration::from_micros(time.0.max(0) as u64)
     }
 }
 
-/// A session as its connection sees it.
+/// The handle by which a connection uses its session.
 pub(crate) struct SessionHandle {
     sessions: Rc<Sessions>,
     id: SessionId,
@@ -135,9 +136,9 @@
         &self.outbox
     }
 
-    /// The connection has ended. Gives the reason if the publisher had closed the session.
-    pub(crate) fn disconnected(&self) -> Option<CloseReason> {
-        // The publisher has no state left of a session that it has closed itself.
+    /// Ends the session after its connection has ended. Returns the reason if the publisher closed it first.
+    pub(crate) fn end(&self) -> Option<CloseReason> {
+        // The publisher holds no state of a session that it has closed itself.
         if self.sessions.outboxes.borrow_mut().remove(&self.id).is_some() {
             self.sessions.with_publisher(|publisher, now, outputs| {
                 publisher.disconnected(now, self.id, outputs);
@@ -146,7 +147,11 @@
         self.outbox.close_reason()
     }
 
-    fn with_publisher(&self, call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>)) {
+    /// Calls the publisher, unless it has closed the session.
+    fn with_publisher_if_open(
+        &self,
+        call: impl FnOnce(&mut Publisher, Time, &mut Vec<PublisherOutput>),
+    ) {
         if self.outbox.close_reason().is_none() {
             self.sessions.with_publisher(call);
         }
@@ -154,20 +159,20 @@
 }
 
 impl ConnectionHandler for SessionHandle {
-    fn message(&self, message: SubscriberMessage) {
-        self.with_publisher(|publisher, now, outputs| {
+    fn on_message(&self, message: SubscriberMessage) {
+        self.with_publisher_if_open(|publisher, now, outputs| {
             publisher.message(now, self.id, message, outputs);
         });
     }
 
-    fn malformed(&self, error: CodecError) {
-        self.with_publisher(|publisher, now, outputs| {
+    fn on_malformed(&self, error: CodecError) {
+        self.with_publisher_if_open(|publisher, now, outputs| {
             publisher.malformed(now, self.id, error, outputs);
         });
     }
 
-    fn written(&self, bytes: usize) {
-        self.with_publisher(|publisher, now, outputs| {
+    fn on_written(&self, bytes: usize) {
+        self.with_publisher_if_open(|publisher, now, outputs| {
             publisher.written(now, self.id, bytes, outputs);
         });
     }
--- a/crates/server-list/src/merge.rs
+++ b/crates/server-list/src/merge.rs
@@ -1,135 +1,157 @@
-//! Merges a list into the servers that a pool knows.
+//! Merges a new list into the listed and draining servers of a pool.
 
 use std::net::SocketAddr;
 
 use rustc_hash::{FxHashMap, FxHashSet};
 use sableloom_types::{Span, Time};
 
-use crate::change::Change;
 use crate::clock::unix_ms;
+use crate::list_change::ListChange;
 use crate::server_record::{RecordState, ServerRecord};
-use crate::tracked_server::{TrackedServer, free_name};
+use crate::tracked_server::{TrackedServer, free_endpoint_name};
 
-/// The servers that a pool would know, and what would change.
+/// Result of a merge: the listed and draining servers of the pool, and the changes by the new list.
 pub(crate) struct Merged {
     pub(crate) tracked: Vec<TrackedServer>,
-    pub(crate) changes: Vec<Change>,
+    pub(crate) changes: Vec<ListChange>,
 }
 
-/// The state that a list is merged into.
+/// A merge of a new list into the servers of a pool, with everything that it needs besides the new list.
 pub(crate) struct Merge<'a> {
+    /// Time of the merge, in Unix microseconds.
     pub(crate) now: Time,
     /// How long a removed server drains.
-    pub(crate) drain: Span,
-    /// Whether a list is in force.
-    pub(crate) in_force: bool,
+    pub(crate) drain_time: Span,
+    /// Whether a list was in force before.
+    pub(crate) list_in_force: bool,
+    /// The listed and draining servers before the merge.
     pub(crate) tracked: &'a [TrackedServer],
 }
 
 impl Merge<'_> {
-    /// The servers once these are the list. Each is the one at its address already; else the one that had its id; else
-    /// new. So whatever the files say, an address is one endpoint, and its requests in flight count once.
-    pub(crate) fn with<'s>(
+    /// Merges the servers of a new list. Each server continues the tracked server at the same address. Without such a
+    /// tracked server, it continues the tracked server with the same id, unless another server of the new list is at
+    /// the address of that tracked server. Otherwise the server is new. Each address thus has one endpoint, whatever ids
+    /// the files state, and the requests in flight to an address are counted once.
+    pub(crate) fn apply<'s>(
         &self,
         servers: impl Iterator<Item = &'s ServerRecord> + Clone,
     ) -> Merged {
-        let at: FxHashMap<SocketAddr, usize> =
-            self.tracked.iter().enumerate().map(|(i, h)| (h.record.address, i)).collect();
-        // Of two that had the same id, the one that is listed.
-        let leaving = self.tracked.iter().enumerate().filter(|(_, h)| h.forget_at.is_some());
-        let record = self.tracked.iter().enumerate().filter(|(_, h)| h.forget_at.is_none());
-        let of: FxHashMap<&str, usize> =
-            leaving.chain(record).map(|(i, h)| (&*h.record.id, i)).collect();
-        let mut used = vec![false; self.tracked.len()];
+        let by_address: FxHashMap<SocketAddr, usize> = self
+            .tracked
+            .iter()
+            .enumerate()
+            .map(|(i, tracked)| (tracked.record.address, i))
+            .collect();
+        // Of two tracked servers with the same id, the listed server is inserted last and takes precedence.
+        let draining =
+            self.tracked.iter().enumerate().filter(|(_, tracked)| tracked.drain_ends_at.is_some());
+        let listed =
+            self.tracked.iter().enumerate().filter(|(_, tracked)| tracked.drain_ends_at.is_none());
+        let by_id: FxHashMap<&str, usize> =
+            draining.chain(listed).map(|(i, tracked)| (&*tracked.record.id, i)).collect();
+        let mut matched = vec![false; self.tracked.len()];
         for server in servers.clone() {
-            if let Some(i) = at.get(&server.address) {
-                used[*i] = true;
+            if let Some(i) = by_address.get(&server.address) {
+                matched[*i] = true;
             }
         }
-        let mut names: FxHashSet<Box<str>> = self.tracked.iter().map(|h| h.name.clone()).collect();
-        let (mut next, mut changes) = (Vec::new(), Vec::new());
+        let mut endpoint_names: FxHashSet<Box<str>> =
+            self.tracked.iter().map(|tracked| tracked.endpoint_name.clone()).collect();
+        let (mut merged, mut changes) = (Vec::new(), Vec::new());
         for server in servers {
-            let moved = || of.get(&*server.id).copied().filter(|i| !used[*i]);
-            let old = at.get(&server.address).copied().or_else(moved);
-            let tracked = match old {
+            let index_with_id = || by_id.get(&*server.id).copied().filter(|i| !matched[*i]);
+            let index = by_address.get(&server.address).copied().or_else(index_with_id);
+            let tracked = match index {
                 Some(i) => {
-                    used[i] = true;
-                    self.updated(&self.tracked[i], server, &mut changes)
+                    matched[i] = true;
+                    self.updated_server(&self.tracked[i], server, &mut changes)
                 }
                 None => {
-                    changes.push(Change::Added(server.id.clone()));
-                    let name = free_name(&names, server);
-                    names.insert(name.clone());
-                    self.added(name, server)
+                    changes.push(ListChange::Added(server.id.clone()));
+                    let endpoint_name = free_endpoint_name(&endpoint_names, server);
+                    endpoint_names.insert(endpoint_name.clone());
+                    self.new_server(endpoint_name, server)
                 }
             };
-            next.push(tracked);
+            merged.push(tracked);
         }
-        for (tracked, _) in self.tracked.iter().zip(used).filter(|(_, used)| !used) {
+        for (tracked, _) in self.tracked.iter().zip(matched).filter(|(_, matched)| !matched) {
             let mut tracked = tracked.clone();
-            if tracked.forget_at.is_none() {
-                changes.push(Change::Removed(tracked.record.id.clone()));
-                tracked.forget_at = Some(self.now.plus(self.drain));
+            if tracked.drain_ends_at.is_none() {
+                changes.push(ListChange::Removed(tracked.record.id.clone()));
+                tracked.drain_ends_at = Some(self.now.plus(self.drain_time));
             }
-            next.push(tracked);
+            merged.push(tracked);
         }
-        Merged { tracked: next, changes }
+        Merged { tracked: merged, changes }
     }
 
-    /// A server that is new. What is there when this process starts counts as long up; what comes later as just started.
-    fn added(&self, name: Box<str>, server: &ServerRecord) -> TrackedServer {
-        let unstated = if self.in_force { unix_ms(self.now) } else { 0.0 };
-        let up_since_ms = server.started_ms.unwrap_or(unstated);
-        TrackedServer { name, record: server.clone(), up_since_ms, forget_at: None }
+    /// A server that the new list adds. If the server states no start time, it counts as started long ago in the first
+    /// list of this process, because nothing is known about its start, and as just started in a later list.
+    fn new_server(&self, endpoint_name: Box<str>, server: &ServerRecord) -> TrackedServer {
+        let default_up_since_ms = if self.list_in_force { unix_ms(self.now) } else { 0.0 };
+        let up_since_ms = server.started_ms.unwrap_or(default_up_since_ms);
+        TrackedServer { endpoint_name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 
-    /// A known server as the new list has it.
-    fn updated(
+    /// A tracked server with the record of the new list. Adds the differences to `changes`.
+    fn updated_server(
         &self,
         old: &TrackedServer,
         server: &ServerRecord,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<ListChange>,
     ) -> TrackedServer {
         let id = || server.id.clone();
-        let was = &old.record;
-        let renamed = was.id != server.id;
-        let moved = was.address != server.address;
-        let back = old.forget_at.is_some();
-        // A start that was stated before and is left out now changes nothing.
-        let restarted = server.started_ms.is_some_and(|s| s != old.up_since_ms);
-        // Another machine for all that is known: whatever came back under another id, and whatever
-        // is at another address.
-        let other = (back && renamed) || moved;
+        let old_record = &old.record;
+        let renamed = old_record.id != server.id;
+        let moved = old_record.address != server.address;
+        let returned = old.drain_ends_at.is_some();
+        // A start time that was stated before and is no longer stated is not a restart.
+        let restarted = server.started_ms.is_some_and(|started| started != old.up_since_ms);
+        // A server that returns with another id, and a server with another address, are taken for another machine,
+        // because nothing shows that they are the same one.
+        let other_machine = (returned && renamed) || moved;
         let up_since_ms = match server.started_ms {
             Some(stated) => stated,
-            None if other => unix_ms(self.now),
+            None if other_machine => unix_ms(self.now),
             None => old.up_since_ms,
         };
-        if back {
-            changes.push(Change::Returned { id: id(), cold: other || restarted });
+        if returned {
+            changes.push(ListChange::Returned { id: id(), cold: other_machine || restarted });
         } else if restarted {
-            changes.push(Change::Restarted(id()));
+            changes.push(ListChange::Restarted(id()));
         }
         if renamed {
-            changes.push(Change::Renamed { from: was.id.clone(), to: id() });
+            changes.push(ListChange::Renamed { from: old_record.id.clone(), to: id() });
         }
         if moved {
-            changes.push(Change::Moved { id: id(), from: was.address, to: server.address });
+            changes.push(ListChange::Moved {
+                id: id(),
+                from: old_record.address,
+                to: server.address,
+            });
         }
-        if was.weight != server.weight {
-            changes.push(Change::Weight { id: id(), from: was.weight, to: server.weight });
+        if old_record.weight != server.weight {
+            changes.push(ListChange::WeightChanged {
+                id: id(),
+                from: old_record.weight,
+                to: server.weight,
+            });
         }
-        if was.zone != server.zone {
-            changes.push(Change::Zone(id()));
+        if old_record.zone != server.zone {
+            changes.push(ListChange::ZoneChanged(id()));
         }
-        match (was.state, server.state) {
-            (RecordState::Serving, RecordState::Draining) => changes.push(Change::Drained(id())),
-            (RecordState::Draining, RecordState::Serving) if !back => {
-                changes.push(Change::Resumed(id()))
+        match (old_record.state, server.state) {
+            (RecordState::Serving, RecordState::Draining) => {
+                changes.push(ListChange::SetToDraining(id()))
+            }
+            (RecordState::Draining, RecordState::Serving) if !returned => {
+                changes.push(ListChange::SetToServing(id()))
             }
             _ => {}
         }
-        let name = old.name.clone();
-        TrackedServer { name, record: server.clone(), up_since_ms, forget_at: None }
+        let endpoint_name = old.endpoint_name.clone();
+        TrackedServer { endpoint_name, record: server.clone(), up_since_ms, drain_ends_at: None }
     }
 }
--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -25,11 +25,13 @@
             "no control machine can be reached; serving on with what is in force".to_string()
         }
         SubscriberEvent::Current { position } => format!("all is in force up to {position}"),
-        SubscriberEvent::Diverged { control_machine, seen, other } => format!(
-            "{} has read different changes: it is at {other}, but position {seen} was reported before; the connection \
-             is closed",
-            address_of(control_machine)
-        ),
+        SubscriberEvent::Diverged { control_machine, latest_position, machine_position } => {
+            format!(
+                "{} has read different changes: it is at {machine_position}, but position {latest_position} was \
+                 reported before; the connection is closed",
+                address_of(control_machine)
+            )
+        }
         SubscriberEvent::Rejected { services, rejections } => format!(
             "rejected, nothing of it in force: {}: {}",
             list_services(services),
