--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription over real connections to scripted control machines.
+//! Tests of a subscription over TCP connections to control machines that the tests play.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,14 +17,15 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// Accepts everything but the services in `rejected`, and sends each transaction and log line to the test.
-struct Recorder {
+/// An applier that rejects transactions that set resources of the services in `rejected`, and sends each accepted
+/// transaction and each log line to the test.
+struct RecordingApplier {
     rejected: RefCell<Vec<ServiceName>>,
     applied: UnboundedSender<Transaction>,
-    lines: UnboundedSender<String>,
+    log_lines: UnboundedSender<String>,
 }
 
-impl Applier for Recorder {
+impl Applier for RecordingApplier {
     fn apply(&self, transaction: &Transaction) -> Result<(), Vec<Rejection>> {
         let rejected = self.rejected.borrow();
         for update in &transaction.services {
@@ -44,21 +45,23 @@
     }
 
     fn log(&self, line: &str) {
-        let _ = self.lines.send(line.to_string());
+        let _ = self.log_lines.send(line.to_string());
     }
 }
 
-struct Subscribed {
+/// A subscription with its applier, and the receivers of accepted transactions and log lines.
+struct TestSubscription {
     subscription: Rc<Subscription>,
-    recorder: Rc<Recorder>,
+    applier: Rc<RecordingApplier>,
     applied: UnboundedReceiver<Transaction>,
-    lines: UnboundedReceiver<String>,
+    log_lines: UnboundedReceiver<String>,
 }
 
-impl Subscribed {
+impl TestSubscription {
+    /// Returns the next log line that contains `part`, and discards the lines before it.
     async fn wait_for_line(&mut self, part: &str) -> String {
         loop {
-            let line = self.lines.recv().await.expect("a line");
+            let line = self.log_lines.recv().await.expect("a line");
             if line.contains(part) {
                 return line;
             }
@@ -66,15 +69,15 @@
     }
 }
 
-fn service() -> ServiceName {
+fn service_name() -> ServiceName {
     ServiceName::try_from("points").expect("a name")
 }
 
-fn name() -> SubscriberName {
+fn subscriber_name() -> SubscriberName {
     SubscriberName::try_from("balancer-17").expect("a name")
 }
 
-/// Reconnects at once, and closes a silent connection after 2 s.
+/// Delays of at most 1 ms before a connection, and a silence timeout of 2 s, which keep the tests short.
 fn timing() -> SubscriberTiming {
     SubscriberTiming {
         first_delay_max: Span(0),
@@ -85,29 +88,39 @@
     }
 }
 
-fn subscribe(machines: Vec<SocketAddr>, folder: &Site, rejected: Vec<ServiceName>) -> Subscribed {
-    let (applied, transactions) = unbounded_channel();
-    let (lines, logged) = unbounded_channel();
-    let recorder = Rc::new(Recorder { rejected: RefCell::new(rejected), applied, lines });
+fn subscribe(
+    control_machines: Vec<SocketAddr>,
+    folder: &Site,
+    rejected: Vec<ServiceName>,
+) -> TestSubscription {
+    let (applied, applied_receiver) = unbounded_channel();
+    let (log_lines, log_lines_receiver) = unbounded_channel();
+    let applier =
+        Rc::new(RecordingApplier { rejected: RefCell::new(rejected), applied, log_lines });
     let options = SubscriptionOptions {
-        name: name(),
-        machines,
-        scope: vec![service()],
+        name: subscriber_name(),
+        control_machines,
+        scope: vec![service_name()],
         state_file: Some(folder.path("state.bin")),
         seed: 1,
         timing: timing(),
     };
-    let subscription = Subscription::start(options, recorder.clone());
-    Subscribed { subscription, recorder, applied: transactions, lines: logged }
+    let subscription = Subscription::start(options, applier.clone());
+    TestSubscription {
+        subscription,
+        applier,
+        applied: applied_receiver,
+        log_lines: log_lines_receiver,
+    }
 }
 
-async fn listener() -> (TcpListener, SocketAddr) {
+async fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// A control machine's end of a connection.
+/// The control machine's end of a connection.
 struct Session {
     stream: TcpStream,
     reader: FrameReader,
@@ -119,8 +132,8 @@
         Self { stream, reader: FrameReader::new() }
     }
 
-    /// The next message that is no ping; `None` at the end.
-    async fn next(&mut self) -> Option<SubscriberMessage> {
+    /// Answers pings, and returns the next other message; `None` if the subscriber closed the connection.
+    async fn next_message(&mut self) -> Option<SubscriberMessage> {
         loop {
             match self.reader.next_message().expect("a message") {
                 Some(SubscriberMessage::Ping { sequence }) => {
@@ -143,27 +156,29 @@
         let _ = self.stream.write_all(&encode(&message)).await;
     }
 
-    /// Answers a hello, and returns the version that the subscriber has.
-    async fn greet(&mut self, position: Position) -> ServiceVersion {
-        assert!(matches!(self.next().await, Some(SubscriberMessage::Hello { .. })));
-        let Some(SubscriberMessage::Scope { mut add, .. }) = self.next().await else {
+    /// Receives a hello and a scope, answers with a welcome, and returns the version of the service that the subscriber
+    /// has in force; version 0 if none.
+    async fn accept_hello(&mut self, position: Position) -> ServiceVersion {
+        assert!(matches!(self.next_message().await, Some(SubscriberMessage::Hello { .. })));
+        let Some(SubscriberMessage::Scope { mut add, .. }) = self.next_message().await else {
             panic!("no scope")
         };
         self.send(PublisherMessage::Welcome { position }).await;
         add.pop().expect("a service")
     }
 
-    /// Sends a snapshot of one resource, and returns the answer and the service's version.
-    async fn snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
+    /// Sends a snapshot of one resource, and returns the subscriber's answer and the version that was sent.
+    async fn send_snapshot(&mut self, position: Position) -> (SubscriberMessage, ServiceVersion) {
         let resource = Resource {
-            name: ResourceName::server(service(), "points-1"),
+            name: ResourceName::server(service_name(), "points-1"),
             version: position.number,
             origin: Origin { file: "00000007.toml".into(), line: 3 },
             body: vec![7].into(),
         };
         let digest = resource_digest(&resource);
-        let held = ServiceVersion { service: service(), version: position.number, digest };
-        let base = ServiceBase { service: service(), base: Base::Snapshot };
+        let sent_version =
+            ServiceVersion { service: service_name(), version: position.number, digest };
+        let base = ServiceBase { service: service_name(), base: Base::Snapshot };
         self.send(PublisherMessage::Begin { transaction: 1, generation: 1, services: vec![base] })
             .await;
         self.send(PublisherMessage::Changes {
@@ -171,123 +186,133 @@
             changes: vec![Change::Set(resource)],
         })
         .await;
-        let services = vec![held.clone()];
+        let services = vec![sent_version.clone()];
         self.send(PublisherMessage::Commit { transaction: 1, position, services }).await;
-        (self.next().await.expect("an answer"), held)
+        (self.next_message().await.expect("an answer"), sent_version)
     }
 
-    async fn current(&mut self, position: Position, held: &ServiceVersion) {
-        let digest = scope_digest_term(&held.service, held.version, held.digest);
+    /// Reports that all changes up to `position` have been sent.
+    async fn send_current(&mut self, position: Position, sent_version: &ServiceVersion) {
+        let digest =
+            scope_digest_term(&sent_version.service, sent_version.version, sent_version.digest);
         self.send(PublisherMessage::Current { position, generation: 1, digest }).await;
     }
 }
 
 const POSITION: Position = Position { epoch: 1, number: 7, chain: 42 };
 
-fn on_local_set(test: impl Future<Output = ()>) {
+fn run_on_local_set(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
 #[test]
-fn the_state_in_force_is_saved_and_a_restart_begins_from_it() {
-    on_local_set(async {
+fn a_restart_applies_the_saved_state_and_requests_a_rejected_saved_service_again() {
+    run_on_local_set(async {
         let folder = Site::new("");
-        let (listener, address) = listener().await;
+        let (listener, address) = bind_listener().await;
         let mut first = subscribe(vec![address], &folder, Vec::new());
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.greet(POSITION).await.version, 0);
-        let (answer, held) = session.snapshot(POSITION).await;
+        assert_eq!(session.accept_hello(POSITION).await.version, 0);
+        let (answer, sent_version) = session.send_snapshot(POSITION).await;
         assert!(matches!(answer, SubscriberMessage::Ack { transaction: 1 }), "{answer:?}");
         assert!(first.applied.recv().await.expect("a transaction").services[0].snapshot);
-        session.current(POSITION, &held).await;
-        assert_eq!(first.subscription.state().await, StateOrigin::Control);
+        session.send_current(POSITION, &sent_version).await;
+        assert_eq!(first.subscription.wait_for_state().await, StateOrigin::ControlMachine);
         let saved = loop {
-            match read_state(&folder.path("state.bin"), &name()).expect("a good file") {
+            match read_state(&folder.path("state.bin"), &subscriber_name()).expect("a good file") {
                 Some(saved) => break saved,
                 None => tokio::task::yield_now().await,
             }
         };
         assert_eq!((saved.position, saved.services.len()), (POSITION, 1));
-        // The next process has it in force before it connects, and says so in its scope.
+        // The second process restores the saved state before it connects, and sends the restored version in its scope.
         let mut second = subscribe(vec![address], &folder, Vec::new());
-        assert_eq!(second.subscription.state().await, StateOrigin::File);
+        assert_eq!(second.subscription.wait_for_state().await, StateOrigin::File);
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
         second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.greet(POSITION).await, held);
-        // A process that rejects it logs why, and requests it again.
-        let mut third = subscribe(vec![address], &folder, vec![service()]);
-        let said = third.wait_for_line("points not used").await;
+        assert_eq!(session.accept_hello(POSITION).await, sent_version);
+        // The third process rejects the saved service, logs the problem, and requests the service with version 0.
+        let mut third = subscribe(vec![address], &folder, vec![service_name()]);
+        let line = third.wait_for_line("points not used").await;
         assert!(
-            said.contains("00000007.toml:3: server points-1 of points, zone: no such zone"),
-            "{said}"
+            line.contains("00000007.toml:3: server points-1 of points, zone: no such zone"),
+            "{line}"
         );
         assert_eq!(third.subscription.status().origin, None);
         let mut session = Session::accept(&listener).await;
-        assert_eq!(session.greet(POSITION).await.version, 0);
-        let (answer, _) = session.snapshot(POSITION).await;
+        assert_eq!(session.accept_hello(POSITION).await.version, 0);
+        let (answer, _) = session.send_snapshot(POSITION).await;
         assert!(matches!(answer, SubscriberMessage::Nack { transaction: 1, .. }), "{answer:?}");
-        assert_eq!(third.subscription.status().subscriber.rejected, [service()]);
-        drop(third.recorder);
+        assert_eq!(third.subscription.status().subscriber.rejected, [service_name()]);
+        drop(third.applier);
     });
 }
 
 #[test]
-fn malformed_bytes_end_the_connection_and_have_no_other_effect() {
-    on_local_set(async {
+fn malformed_bytes_close_the_connection_and_the_next_session_synchronizes() {
+    run_on_local_set(async {
         let folder = Site::new("");
-        let (listener, address) = listener().await;
+        let (listener, address) = bind_listener().await;
         let mut subscribed = subscribe(vec![address], &folder, Vec::new());
         let frame = encode(&PublisherMessage::Welcome { position: POSITION });
-        let too_long = [&[0xff; 4][..], &frame[4..]].concat();
-        let mut malformed = frame.clone();
-        malformed[5] = 0xee;
-        for bytes in [&b"HTTP/1.1 400 Bad Request\\r\\n\\r\\n"[..], &too_long, &malformed] {
+        // The length in the header is 2^32 - 1, over the maximum length of a frame.
+        let oversized_frame = [&[0xff; 4][..], &frame[4..]].concat();
+        let mut malformed_frame = frame.clone();
+        // Byte 5, after the length and the protocol version, begins the number of the message variant. No variant has a
+        // number that begins with 0xee.
+        malformed_frame[5] = 0xee;
+        for bytes in
+            [&b"HTTP/1.1 400 Bad Request\\r\\n\\r\\n"[..], &oversized_frame, &malformed_frame]
+        {
             let mut session = Session::accept(&listener).await;
             session.stream.write_all(bytes).await.expect("written");
-            // Hello and scope, then the end.
-            while session.next().await.is_some() {}
+            // The subscriber sends a hello and a scope, then closes the connection.
+            while session.next_message().await.is_some() {}
         }
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
-        // Half a message, and the connection ends.
+        // A connection that ends within a frame is not a protocol violation.
         let mut session = Session::accept(&listener).await;
         session.stream.write_all(&frame[..frame.len() / 2]).await.expect("written");
         drop(session);
-        // A correct control machine is followed.
+        // A session with valid messages is synchronized.
         let mut session = Session::accept(&listener).await;
-        session.greet(POSITION).await;
-        let (_, held) = session.snapshot(POSITION).await;
-        session.current(POSITION, &held).await;
+        session.accept_hello(POSITION).await;
+        let (_, sent_version) = session.send_snapshot(POSITION).await;
+        session.send_current(POSITION, &sent_version).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
     });
 }
 
 #[test]
-fn a_silent_control_machine_is_replaced_by_another() {
-    on_local_set(async {
+fn a_subscription_leaves_a_silent_control_machine_and_synchronizes_with_another() {
+    run_on_local_set(async {
         let folder = Site::new("");
-        let ((silent, first), (good, second)) = (listener().await, listener().await);
-        let mut subscribed = subscribe(vec![first, second], &folder, Vec::new());
-        // Whichever is chosen first, the silent one accepts connections and sends nothing.
-        let sessions = tokio::task::spawn_local(async move {
-            let mut kept = Vec::new();
+        let ((silent, silent_address), (good, good_address)) =
+            (bind_listener().await, bind_listener().await);
+        let mut subscribed = subscribe(vec![silent_address, good_address], &folder, Vec::new());
+        // The silent control machine accepts connections and sends nothing, whether the subscription chooses it first
+        // or not.
+        let silent_machine = tokio::task::spawn_local(async move {
+            let mut open_sessions = Vec::new();
             loop {
-                kept.push(Session::accept(&silent).await);
+                open_sessions.push(Session::accept(&silent).await);
             }
         });
         let mut session = Session::accept(&good).await;
-        session.greet(POSITION).await;
-        let (_, held) = session.snapshot(POSITION).await;
-        session.current(POSITION, &held).await;
+        session.accept_hello(POSITION).await;
+        let (_, sent_version) = session.send_snapshot(POSITION).await;
+        session.send_current(POSITION, &sent_version).await;
         subscribed.wait_for_line("all is in force up to 1/7").await;
         let status = subscribed.subscription.status();
-        assert_eq!(status.machine, Some(second));
-        // The connection ends: the silent one is tried and left, and the good one receives the version that is in force.
+        assert_eq!(status.control_machine, Some(good_address));
+        // After this connection ends, the subscription may try the silent control machine again; the good one then
+        // receives the version in force.
         drop(session);
-        let mut again = Session::accept(&good).await;
-        assert_eq!(again.greet(POSITION).await, held);
-        sessions.abort();
+        let mut next_session = Session::accept(&good).await;
+        assert_eq!(next_session.accept_hello(POSITION).await, sent_version);
+        silent_machine.abort();
     });
 }
