--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -94,7 +94,7 @@
     pub process_incarnation: u32,
     /// How long ago the last message from this member was received, in milliseconds; `None` if none was.
     #[serde(rename = "heard_ms")]
-    pub last_heard_ms: Option<i64>,
+    pub since_last_message_ms: Option<i64>,
     /// The length of this member's list as it last stated; 0 if it has stated none.
     #[serde(rename = "listed")]
     pub list_length: u16,
@@ -178,7 +178,7 @@
             reported_by: member.name(peer.reported_by).to_string(),
             suspecting_members,
             process_incarnation: peer.process_incarnation,
-            last_heard_ms: peer.last_message_at.map(milliseconds_since),
+            since_last_message_ms: peer.last_message_at.map(milliseconds_since),
             list_length: peer.list_length,
             endpoints_digest: format_digest(peer.endpoints_digest),
         }
--- a/crates/sableloom/src/fleet/members_table.rs
+++ b/crates/sableloom/src/fleet/members_table.rs
@@ -44,7 +44,7 @@
 
 fn row(member: &MemberStatus) -> [String; 10] {
     let seconds = |milliseconds: i64| format!("{:.1} s", milliseconds as f64 / 1e3);
-    let heard = member.last_heard_ms.map(|ago| format!("{} ago", seconds(ago)));
+    let heard = member.since_last_message_ms.map(|ago| format!("{} ago", seconds(ago)));
     [
         member.name.clone(),
         member.address.clone(),
