--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -25,7 +25,7 @@
 /// How long a fleet is measured while members start, in microseconds. It is longer than the start wait.
 const START_MEASURED_US: i64 = 3 * SECOND;
 /// The maximum time until all running members reach each other, in microseconds. After that the program continues.
-const MAX_SETTLING_TIME_US: i64 = 600 * SECOND;
+const MAX_CONVERGENCE_TIME_US: i64 = 600 * SECOND;
 /// How many times a second the bytes of each member are read.
 const SAMPLES_PER_SECOND: usize = 4;
 /// The size of the largest fleet that is simulated. The memory of a simulation grows with the square of the size.
@@ -219,18 +219,18 @@
 
 /// Runs until all running members reach each other, and prints how long that took and how many bytes were sent
 /// meanwhile.
-fn run_until_settled(network: &mut Network<Member>, n: usize) {
+fn run_until_converged(network: &mut Network<Member>, n: usize) {
     let (from, bytes) = (network.now, network.bytes);
     let count = running_members(network).count();
     let mut max_bytes_per_second = 0;
     while running_members(network)
         .any(|member| member.fleet_member.membership().count_reachable() + 1 < count)
     {
-        if network.now > from + MAX_SETTLING_TIME_US {
+        if network.now > from + MAX_CONVERGENCE_TIME_US {
             return println!(
                 "{n:6} {:24} not within {} s",
                 "converged",
-                MAX_SETTLING_TIME_US / SECOND
+                MAX_CONVERGENCE_TIME_US / SECOND
             );
         }
         max_bytes_per_second = max_bytes_per_second.max(max_bytes_in_a_second(network, 1));
@@ -246,7 +246,7 @@
 
 /// Runs until no member has an update left to send.
 fn run_until_no_updates(network: &mut Network<Member>) {
-    let until = network.now + MAX_SETTLING_TIME_US;
+    let until = network.now + MAX_CONVERGENCE_TIME_US;
     while network.now < until
         && running_members(network)
             .any(|member| member.fleet_member.membership().queued_updates() > 0)
@@ -317,24 +317,24 @@
     let mut network: Network<Member> = Network::new(n, 9, 0.01);
     (0..n).for_each(|i| start(&mut network, i, &member_list));
     print_cost("all start", n, measure(&mut network, START_MEASURED_US));
-    run_until_settled(&mut network, n);
+    run_until_converged(&mut network, n);
     let mut network: Network<Member> = Network::new(n, 7, 0.01);
     let (quarter, started) = (n / 4, Instant::now());
     (quarter..n).for_each(|i| start(&mut network, i, &member_list));
     print_cost("three quarters start", n, measure(&mut network, START_MEASURED_US));
-    run_until_settled(&mut network, n);
+    run_until_converged(&mut network, n);
     print_cost("just after a start", n, measure(&mut network, REST_MEASURED_US));
     run_until_no_updates(&mut network);
     print_cost("a quarter missing", n, measure(&mut network, REST_MEASURED_US));
     start(&mut network, 0, &member_list);
     let one_starts = measure(&mut network, START_MEASURED_US);
     print_cost("one starts", n, one_starts);
-    run_until_settled(&mut network, n);
+    run_until_converged(&mut network, n);
     run_until_no_updates(&mut network);
     (1..quarter).for_each(|i| start(&mut network, i, &member_list));
     let quarter_starts = measure(&mut network, START_MEASURED_US);
     print_cost("a quarter starts", n, quarter_starts);
-    run_until_settled(&mut network, n);
+    run_until_converged(&mut network, n);
     run_until_no_updates(&mut network);
     let at_rest = measure(&mut network, REST_MEASURED_US);
     print_cost("at rest", n, at_rest);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -135,8 +135,8 @@
     fn query_related_members(&mut self, now: Time, queried_at: Time, output: &mut Output) {
         let membership = &self.membership;
         let is_silent = |key: &Key| {
-            let last_heard = membership.peer(*key).and_then(|peer| peer.last_message_at);
-            last_heard.is_none_or(|heard| heard < queried_at)
+            let last_message_at = membership.peer(*key).and_then(|peer| peer.last_message_at);
+            last_message_at.is_none_or(|at| at < queried_at)
         };
         let candidates = self.capacity_share.query_order().take(MAX_RELATED_CANDIDATES);
         let silent: Vec<Key> = candidates.filter(is_silent).collect();
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -153,7 +153,7 @@
     /// Returns all states that one event leads to.
     fn successors(&self, omitted: OmittedRule) -> Vec<State> {
         let mut successors = Vec::new();
-        let mut step = |change: &dyn Fn(&mut State)| {
+        let mut add_successor = |change: &dyn Fn(&mut State)| {
             let mut next = self.clone();
             change(&mut next);
             if next.in_flight.len() <= MAX_IN_FLIGHT {
@@ -161,24 +161,26 @@
                 successors.push(next);
             }
         };
-        step(&|s| s.now += 1);
+        add_successor(&|s| s.now += 1);
         for i in 0..MEMBERS {
             let Some(member) = &self.members[i] else {
-                step(&|s| s.start(i));
+                add_successor(&|s| s.start(i));
                 continue;
             };
-            step(&|s| s.members[i] = None);
+            add_successor(&|s| s.members[i] = None);
             // The timer of the member fires.
-            step(&|s| s.call(i, None, |_, _| {}));
+            add_successor(&|s| s.call(i, None, |_, _| {}));
             let process_number = member.process_number;
             // The member pings all others at once, as a process that has just started does.
             let others = (0..MEMBERS).filter(|to| *to != i);
             let pings: Vec<_> =
                 others.map(|to| Datagram::Ping { from: i, process_number, to }).collect();
-            step(&|s| s.in_flight.extend(pings.clone()));
+            add_successor(&|s| s.in_flight.extend(pings.clone()));
             for to in (0..MEMBERS).filter(|to| *to != i) {
-                step(&|s| s.in_flight.push(Datagram::Ping { from: i, process_number, to }));
-                step(&|s| {
+                add_successor(&|s| {
+                    s.in_flight.push(Datagram::Ping { from: i, process_number, to })
+                });
+                add_successor(&|s| {
                     s.in_flight.push(Datagram::AbsenceQuery {
                         from: i,
                         process_number,
@@ -189,7 +191,7 @@
             }
         }
         for (k, datagram) in self.in_flight.iter().enumerate() {
-            step(&|s| {
+            add_successor(&|s| {
                 s.in_flight.remove(k);
                 s.deliver(datagram.clone(), omitted);
             });
@@ -286,7 +288,7 @@
 }
 
 #[test]
-fn shares_of_three_settled_members_never_exceed_one_within_six_steps() {
+fn shares_never_exceed_one_within_six_events_after_all_are_acknowledged() {
     let states = search(all_acknowledged(), 6, OmittedRule::None);
     let states = states.unwrap_or_else(|state| panic!("the shares exceed one: {state:#?}"));
     println!("{states} states");
@@ -296,7 +298,7 @@
 /// Starts from a state with valid proofs of absence. From the other start, few of the six steps would be left after a
 /// member is proved absent.
 #[test]
-fn shares_never_exceed_one_within_six_steps_after_a_proof_of_absence() {
+fn shares_never_exceed_one_within_six_events_after_a_proof_of_absence() {
     let state = one_absent();
     let states = search(state, 6, OmittedRule::None);
     let states = states.unwrap_or_else(|state| panic!("the shares exceed one: {state:#?}"));
--- a/crates/fleet/tests/silent_members.rs
+++ b/crates/fleet/tests/silent_members.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn absence_queries_beyond_the_bound_are_dropped() {
+fn absence_queries_beyond_the_limit_are_dropped() {
     // These sockets hold the addresses of the members and never answer.
     let silent_sockets: Vec<UdpSocket> = (0..SILENT_MEMBERS).map(|_| bind_loopback()).collect();
     let others = silent_sockets.iter().enumerate().map(|(number, socket)| ListedMember {
