--- a/crates/fleet/examples/scale.rs
+++ b/crates/fleet/examples/scale.rs
@@ -26,7 +26,7 @@
 const START_MEASURED_US: i64 = 3 * SECOND;
 /// The maximum time until all running members reach each other, in microseconds. After that the program continues.
 const MAX_CONVERGENCE_TIME_US: i64 = 600 * SECOND;
-/// How many times a second the bytes of each member are read.
+/// How many times a second the bytes of each member are read. A measured second begins with each sample.
 const SAMPLES_PER_SECOND: usize = 4;
 /// The size of the largest fleet that is simulated. The memory of a simulation grows with the square of the size.
 const MAX_SIMULATED_SIZE: usize = 3000;
@@ -133,6 +133,7 @@
 
 /// Returns the bytes of memory that a new member, which has received no message yet, takes for each member of its list.
 fn bytes_per_listed_member(member_list: &Arc<MemberList>) -> f64 {
+    // About four million entries in all lists together, and 1,000 members at most.
     let count = (4_000_000 / member_list.members().len()).clamp(1, 1000);
     let settings = |i| MemberSettings {
         fleet_name: "points".to_string(),
@@ -200,7 +201,7 @@
 }
 
 /// Runs for a number of seconds, and returns the maximum number of bytes that any running member sent and received in
-/// any second of that time, with headers. A second begins with each sample, four times a second.
+/// any second of that time, with headers. A measured second begins with each sample.
 fn max_bytes_in_a_second(network: &mut Network<Member>, seconds: usize) -> u64 {
     let traffic = |network: &Network<Member>| -> Vec<u64> {
         let is_running = |host: &sableloom_simulated_network::Host<Member>| host.process.is_some();
@@ -311,6 +312,8 @@
     memory_bytes_per_member
 }
 
+/// Measures two simulated fleets of `n` members: one in which all members start at once, and one in which a quarter of
+/// them starts later. Their seeds are 9 and 7, and clocks drift by up to 1%.
 fn simulate(n: usize) -> Measurement {
     let memory_bytes_per_member = measure_memory(n);
     let member_list = member_list(n);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,15 +4,15 @@
 //! other members' operating systems to absence queries. [`FleetMember`] combines the two state machines
 //! (`sableloom-membership`, `sableloom-capacity-share`). It does no I/O and reads no clock: the caller passes
 //! datagrams, answers to absence queries and the time, and [`Output`] lists what the caller has to send.
-//! [`RunningMember`] does the I/O: its socket is bound to the member's address from before the process acts until the
-//! process terminates. It also answers operators' queries ([`query_status`]) with a [`Status`].
+//! [`RunningMember`] does the I/O: its socket is bound to the member's address before the process uses a share, and
+//! until the process terminates. It also answers operators' queries ([`query_status`]) with a [`Status`].
 //!
 //! Invariants:
 //!
-//! - The process holds its address as long as it acts. A member is proved absent by the fact that no process holds the
-//!   member's address.
+//! - The process holds its address as long as it uses a share. A member is proved absent by the fact that no process
+//!   holds the member's address.
 //! - A share is passed to the [`FleetObserver`] before any datagram that results from the same event is sent, because a
-//!   member that receives an acknowledgement may act on it at once.
+//!   member that receives an acknowledgement may use its own share at once.
 //! - The crate makes no decision about requests. The balancing policy receives the share as a number of balancers.
 //!
 //! ```
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -43,7 +43,7 @@
 pub struct Output {
     /// The datagrams to send, with their destinations.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// The members whose operating systems have to be queried whether any process holds the member's address.
+    /// The members to which absence queries have to be sent, with their addresses.
     pub absence_queries: Vec<(Key, SocketAddr)>,
     /// The changes of the view, in the order in which they occurred.
     pub changes: Vec<Change>,
@@ -130,8 +130,8 @@
     }
 
     /// Queries members from which no message was received since `queried_at`, the time of the query that proved another
-    /// member absent. Several members often fail together. Without these queries, when half of a fleet died at
-    /// one moment, the dead members were detected one by one, by probes that bad local health had slowed down.
+    /// member absent. Several members often fail together. Without these queries, when half of a fleet terminated at
+    /// the same time, the dead members were detected one by one, by probes that bad local health had slowed down.
     fn query_related_members(&mut self, now: Time, queried_at: Time, output: &mut Output) {
         let membership = &self.membership;
         let is_silent = |key: &Key| {
--- a/crates/fleet/src/running_member.rs
+++ b/crates/fleet/src/running_member.rs
@@ -1,5 +1,5 @@
-//! The I/O of a member. Its UDP socket is bound to the member's address from before the process acts until the process
-//! terminates, so that other members can prove the member absent after that.
+//! The I/O of a member. Its UDP socket is bound to the member's address before the process uses a share of the
+//! capacity, and until the process terminates, so that other members can prove the member absent after that.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -52,7 +52,7 @@
     pub seed: u64,
     /// The clock that all components of the process share.
     pub clock: Clock,
-    /// The observer that is notified.
+    /// The observer of the member's shares and log lines.
     pub observer: Rc<dyn FleetObserver>,
 }
 
@@ -69,14 +69,16 @@
     wakeup_changed: Notify,
     query_slots: QuerySlots,
     operator_address: Option<SocketAddr>,
-    /// The status as of the operator's query for page 0. All pages are cut from it, so that they fit together.
+    /// The status as of the operator's query for page 0. All pages are parts of this text, so that an operator's
+    /// program can join them.
     status_json: RefCell<Vec<u8>>,
     protocol_task: RefCell<Option<Task>>,
     traffic: Cell<Traffic>,
 }
 
 impl RunningMember {
-    /// Binds the member's address and starts the protocol. To be called on a `LocalSet`, before the process acts.
+    /// Binds the member's address and starts the protocol. To be called on a `LocalSet`, before the process sends
+    /// requests to servers.
     ///
     /// # Errors
     ///
@@ -210,8 +212,8 @@
         };
         self.log_changes(&output.changes);
         self.publish_share(share);
-        // Datagrams are sent after the share was published, because a member that receives an acknowledgement may act
-        // on it at once.
+        // Datagrams are sent after the share was published, because a member that receives an acknowledgement may use
+        // its own share at once.
         for (to, bytes) in &output.datagrams {
             // If the socket's buffer is full, the datagram is dropped, as the network may drop any datagram.
             if self.socket.try_send_to(bytes, *to).is_ok() {
@@ -265,8 +267,8 @@
         }
     }
 
-    /// Queries a member's operating system whether any process holds the member's address, and passes a proof of
-    /// absence to the state machine.
+    /// Sends an absence query to a member's address, and passes the proof of absence, if there is one, to the state
+    /// machine.
     async fn query_absence(self: Rc<Self>, key: Key, address: SocketAddr) {
         let Ok(_slot) = self.query_slots.acquire().await else {
             return self.update_traffic(|traffic| traffic.absence_queries_dropped += 1);
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -33,7 +33,8 @@
     #[serde(rename = "servers")]
     pub endpoints_digest: String,
     /// How much of the fleet the member reaches: `whole` if it reaches all members, `part` if it reaches some, `alone`
-    /// if it reaches no other member, or `just-woken` if it was suspended and does not trust its view yet.
+    /// if it reaches no other member, or `just-woken` if it was suspended and has received messages from too few
+    /// members since.
     #[serde(rename = "standing")]
     pub reachability: String,
     /// The number of members that the member reaches, itself included.
@@ -59,7 +60,8 @@
 pub struct ShareStatus {
     /// The number of balancers that divide the capacity, this one included; 0 if the member has no share yet.
     pub balancers: u32,
-    /// The length of the longest list that the member knows of, its own included.
+    /// The length of the longest list of members among the member's own list and those of other members that are not
+    /// proved absent.
     #[serde(rename = "listed")]
     pub longest_list_length: u32,
     /// The number of members that are proved absent.
@@ -72,7 +74,7 @@
     pub reason: String,
 }
 
-/// The state of another member, as the member that reports the status knows it.
+/// The state of another member in the view of the member that reports the status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The member's name.
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -18,7 +18,8 @@
 
 /// The number of members. Their list is longer than a short list, whose members all ping each other.
 const MEMBER_COUNT: usize = 600;
-/// How many times a second the bytes of each member are read. The seconds that are checked overlap.
+/// How many times a second the bytes of each member are read. A checked second begins with each sample, so that the
+/// checked seconds overlap.
 const SAMPLES_PER_SECOND: usize = 4;
 
 struct Member {
@@ -117,8 +118,8 @@
     });
 }
 
-/// Runs for a number of seconds, and checks that no running member exceeds the budget in any second. A second begins
-/// with each sample, four times a second.
+/// Runs for a number of seconds, and checks that no running member exceeds the budget in any second that begins with a
+/// sample.
 fn run_checked(network: &mut Network<Member>, seconds: usize, phase: &str) {
     let sample = |network: &Network<Member>| -> Vec<(u64, BTreeMap<&'static str, usize>)> {
         let traffic_by_kind = |host: &sableloom_simulated_network::Host<Member>| {
@@ -156,12 +157,13 @@
     let list = MemberList::new(
         (0..MEMBER_COUNT).map(|i| ListedMember { name: name(i), address: address_of(i) }),
     );
+    // The seed is 5. Clocks drift by up to 1%.
     let mut network: Network<Member> = Network::new(MEMBER_COUNT, 5, 0.01);
     (0..MEMBER_COUNT).for_each(|i| start(&mut network, i, &list));
     run_checked(&mut network, 40, "all start");
     let quarter = MEMBER_COUNT / 4;
     (0..quarter).for_each(|i| network.kill(i));
-    run_checked(&mut network, 30, "a quarter dies");
+    run_checked(&mut network, 30, "a quarter is killed");
     start(&mut network, 0, &list);
     run_checked(&mut network, 10, "one starts");
     (1..quarter).for_each(|i| start(&mut network, i, &list));
--- a/crates/fleet/tests/interleavings.rs
+++ b/crates/fleet/tests/interleavings.rs
@@ -1,7 +1,7 @@
-//! Searches all interleavings of the events of three members up to a number of steps. Events are starts, terminations,
-//! timers, pings, acks, absence queries with their answers, and the passing of time. Each datagram arrives at any
-//! later time or never. In every state, the published shares must add up to one at most, including those of suspended
-//! processes, which keep the share that they published last.
+//! Searches all interleavings of the events of three members up to a number of events. Events are starts, terminations,
+//! timers, pings, acks, absence queries with their answers, and the passing of one tick, the unit of time in this test.
+//! Each datagram arrives at any later time or never. In every state, the published shares must add up to one at most,
+//! including those of suspended processes, which keep the share that they published last.
 
 use std::collections::HashSet;
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 /// The maximum number of datagrams in flight. States with more are not searched.
 const MAX_IN_FLIGHT: usize = 3;
 
-/// Returns the timing of the members: a proof of absence is valid for two steps of time, and the start wait is three.
+/// Returns the timing of the members: a proof of absence is valid for two ticks, and the start wait lasts three ticks.
 fn timing() -> Timing {
     let timing = Timing {
         lease: Span(2),
@@ -52,7 +52,7 @@
 /// A state of all members and of the network.
 #[derive(Clone, Debug)]
 struct State {
-    /// The time in steps.
+    /// The time in ticks.
     now: i64,
     /// The number of processes that were started. It is also the number of the process that was started last.
     started_processes: u32,
@@ -205,6 +205,7 @@
             OmittedRule::ShareExpiry => {
                 Share { until: None, ..member.published }.fraction(self.now())
             }
+            // A process that waits has no share. Without the start wait, it has the share that it gets after the wait.
             OmittedRule::StartWait if member.published.balancers == 0 => {
                 1.0 / f64::from(member.published.balancers_after)
             }
@@ -295,8 +296,8 @@
     assert!(states > 100_000, "{states}");
 }
 
-/// Starts from a state with valid proofs of absence. From the other start, few of the six steps would be left after a
-/// member is proved absent.
+/// Starts from a state with valid proofs of absence. A search from [`all_acknowledged`] uses up most of its six events
+/// before a member is proved absent.
 #[test]
 fn shares_never_exceed_one_within_six_events_after_a_proof_of_absence() {
     let state = one_absent();
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -166,6 +166,7 @@
 /// after the network has healed.
 fn run_random_schedule(seed: u64) {
     let n = 2 + (seed % 6) as usize;
+    // Clocks drift by up to 9%.
     let mut network: Network<Member> = Network::new(n, seed, 0.09);
     // In some networks, a datagram may be delayed for longer than a proof of absence is valid.
     network.max_delay = [30 * MILLISECOND, 400 * MILLISECOND, 4 * SECOND][(seed / 6 % 3) as usize];
