--- a/crates/fleet/src/log_line.rs
+++ b/crates/fleet/src/log_line.rs
@@ -38,11 +38,11 @@
 
 fn write_reachability(f: &mut fmt::Formatter<'_>, reachability: Reachability) -> fmt::Result {
     match reachability {
-        Reachability::Complete => f.write_str("reaches all members"),
+        Reachability::Complete => f.write_str("hears all"),
         Reachability::Partial { reachable, listed } => {
-            write!(f, "reaches {reachable} of {listed} members")
+            write!(f, "hears {reachable} of {listed}")
         }
-        Reachability::Isolated => f.write_str("reaches no other member"),
+        Reachability::Isolated => f.write_str("hears nobody"),
         Reachability::Resumed => f.write_str(
             "did not run for a while; its view is not trusted until enough members have sent \
                  messages",
