--- a/crates/distribution/examples/slopes.rs
+++ b/crates/distribution/examples/slopes.rs
@@ -43,8 +43,8 @@
     Resource { name, version, origin, body: vec![version as u8; bytes].into() }
 }
 
-fn server(of: usize, index: usize, version: u64) -> Change {
-    let name = ResourceName::server(service(of), &format!("server-{index}"));
+fn server(service_index: usize, index: usize, version: u64) -> Change {
+    let name = ResourceName::server(service(service_index), &format!("server-{index}"));
     Change::Set(resource(name, version, SERVER_BODY_BYTES))
 }
 
@@ -53,11 +53,14 @@
 }
 
 /// Returns the changes that create a service.
-fn whole_service(of: usize, version: u64, servers: usize, routes: usize) -> Vec<Change> {
-    let mut changes =
-        vec![Change::Set(resource(ResourceName::pool(service(of)), version, POOL_BODY_BYTES))];
-    changes.extend((0..servers).map(|index| server(of, index, version)));
-    let route = |index| ResourceName::route(service(of), &format!("route-{index}"));
+fn whole_service(service_index: usize, version: u64, servers: usize, routes: usize) -> Vec<Change> {
+    let mut changes = vec![Change::Set(resource(
+        ResourceName::pool(service(service_index)),
+        version,
+        POOL_BODY_BYTES,
+    ))];
+    changes.extend((0..servers).map(|index| server(service_index, index, version)));
+    let route = |index| ResourceName::route(service(service_index), &format!("route-{index}"));
     changes.extend(
         (0..routes).map(|index| Change::Set(resource(route(index), version, ROUTE_BODY_BYTES))),
     );
@@ -242,7 +245,7 @@
         (self.publisher_us, self.subscriber_us, self.bytes_down, self.bytes_up) = (0.0, 0.0, 0, 0);
     }
 
-    fn lose_all(&mut self, first_session: u64) {
+    fn disconnect_all(&mut self, first_session: u64) {
         for index in 0..self.subscribers.len() {
             let session = SessionId(first_session + index as u64);
             self.publisher.disconnected(Time(self.now), session, &mut Vec::new());
@@ -272,8 +275,8 @@
     }
 }
 
-fn scope(from: usize, services: usize, of: usize) -> Vec<ServiceName> {
-    (0..services).map(|index| service((from + index) % of)).collect()
+fn scope(first: usize, services: usize, services_in_store: usize) -> Vec<ServiceName> {
+    (0..services).map(|index| service((first + index) % services_in_store)).collect()
 }
 
 fn print_line(line: Value) {
@@ -294,14 +297,14 @@
             let number = network.publisher.store().position().number + 1;
             network.append_change(1, vec![server(0, change % SERVERS_PER_SERVICE, number)]);
         }
-        let per = |value: f64| value / changes as f64;
+        let per_change = |value: f64| value / changes as f64;
         print_line(json!({
             "what": "one changed server by subscribers in scope", "subscribers": subscribers, "changes": changes,
-            "publisher_us_per_change": per(network.publisher_us),
-            "publisher_us_per_subscriber": per(network.publisher_us) / subscribers as f64,
-            "subscriber_us_per_change": per(network.subscriber_us) / subscribers as f64,
-            "bytes_down_per_subscriber": per(network.bytes_down as f64) / subscribers as f64,
-            "bytes_up_per_subscriber": per(network.bytes_up as f64) / subscribers as f64,
+            "publisher_us_per_change": per_change(network.publisher_us),
+            "publisher_us_per_subscriber": per_change(network.publisher_us) / subscribers as f64,
+            "subscriber_us_per_change": per_change(network.subscriber_us) / subscribers as f64,
+            "bytes_down_per_subscriber": per_change(network.bytes_down as f64) / subscribers as f64,
+            "bytes_up_per_subscriber": per_change(network.bytes_up as f64) / subscribers as f64,
         }));
     }
 }
@@ -348,14 +351,14 @@
         let both = allocation_counter::measure(|| network.connect_all(1));
         let (down, subscriber_us, publisher_us) =
             (network.bytes_down, network.subscriber_us, network.publisher_us);
-        let mut session = 0;
+        let mut session_bytes = 0;
         let freed = allocation_counter::measure(|| {
             network.publisher.disconnected(Time(network.now), SessionId(1), &mut Vec::new());
         });
-        session -= freed.bytes_current;
+        session_bytes -= freed.bytes_current;
         print_line(json!({
             "what": "memory and snapshot by scope", "services": services,
-            "session_bytes": session, "subscriber_bytes": both.bytes_current - session,
+            "session_bytes": session_bytes, "subscriber_bytes": both.bytes_current - session_bytes,
             "subscriber_bytes_peak": both.bytes_max, "snapshot_bytes_down": down,
             "publisher_us": publisher_us, "subscriber_us": subscriber_us,
         }));
@@ -379,11 +382,11 @@
         let mut rows = BTreeMap::new();
         network.connect_all(1);
         rows.insert("from nothing", take_measurements(&mut network, 0));
-        network.lose_all(1);
+        network.disconnect_all(1);
         let before = network.now;
         network.connect_all(10_001);
         rows.insert("with all", take_measurements(&mut network, before));
-        network.lose_all(10_001);
+        network.disconnect_all(10_001);
         for change in 0..500 {
             let number = network.publisher.store().position().number + 1;
             network.append_change(
--- a/crates/distribution/examples/tenants.rs
+++ b/crates/distribution/examples/tenants.rs
@@ -26,9 +26,9 @@
 }
 
 /// Returns the tenants of a service as a change file sets them. They share the name of the file.
-fn tenants(of: &ServiceName, version: u64, file: &Arc<str>) -> Vec<Resource> {
+fn tenants(service_name: &ServiceName, version: u64, file: &Arc<str>) -> Vec<Resource> {
     let tenant = |index: usize| Resource {
-        name: ResourceName::tenant(of.clone(), &format!("customer-{index:06}")),
+        name: ResourceName::tenant(service_name.clone(), &format!("customer-{index:06}")),
         version,
         origin: Origin { file: file.clone(), line: 5 * index as u32 },
         body: vec![1; BODY_BYTES].into(),
--- a/crates/distribution/src/subscriber/applied_state.rs
+++ b/crates/distribution/src/subscriber/applied_state.rs
@@ -208,14 +208,14 @@
     /// other comparison would detect.
     pub(super) fn scrub_next(
         &mut self,
-        is_busy: impl Fn(&ServiceName) -> bool,
+        has_pending_changes: impl Fn(&ServiceName) -> bool,
     ) -> Option<ServiceName> {
         let from = self.last_scrubbed.as_ref().map_or(Unbounded, Excluded);
         let next = self.services.range::<ServiceName, _>((from, Unbounded)).next();
         let service =
             next.or_else(|| self.services.first_key_value()).map(|(name, _)| name.clone())?;
         self.last_scrubbed = Some(service.clone());
-        (!is_busy(&service) && self.correct_digest(&service)).then_some(service)
+        (!has_pending_changes(&service) && self.correct_digest(&service)).then_some(service)
     }
 
     /// Replaces the body of a resource and leaves the digest as it is, like a memory error.
--- a/crates/distribution/src/subscriber/connection.rs
+++ b/crates/distribution/src/subscriber/connection.rs
@@ -21,7 +21,7 @@
         control_machine: usize,
         last_received: Time,
         next_ping: Time,
-        sequence: u32,
+        last_ping_sequence: u32,
         is_current: bool,
     },
 }
@@ -72,21 +72,21 @@
 
     /// Returns when the next timer of the connection expires, if there is one.
     pub(super) fn due(&self, timing: &SubscriberTiming) -> Option<Time> {
-        let action = match *self {
+        let scheduled = match *self {
             Connection::Waiting { until } => Some(until),
             Connection::Open { next_ping, .. } => Some(next_ping),
             _ => None,
         };
-        [action, self.silence_deadline(timing)].into_iter().flatten().min()
+        [scheduled, self.silence_deadline(timing)].into_iter().flatten().min()
     }
 
     /// Returns the number of the ping that is due now, if there is one, and schedules the next one.
     pub(super) fn next_ping(&mut self, now: Time, timing: &SubscriberTiming) -> Option<u32> {
         match self {
-            Connection::Open { next_ping, sequence, .. } if *next_ping <= now => {
+            Connection::Open { next_ping, last_ping_sequence, .. } if *next_ping <= now => {
                 *next_ping = now.plus(timing.ping_interval);
-                *sequence = sequence.wrapping_add(1);
-                Some(*sequence)
+                *last_ping_sequence = last_ping_sequence.wrapping_add(1);
+                Some(*last_ping_sequence)
             }
             _ => None,
         }
--- a/crates/distribution/src/subscriber/mod.rs
+++ b/crates/distribution/src/subscriber/mod.rs
@@ -283,9 +283,9 @@
 
     /// Recomputes the digest of one service. If it was wrong, the service is reported and requested again.
     fn scrub(&mut self, out: &mut Vec<SubscriberOutput>) {
-        let busy: BTreeSet<&ServiceName> =
+        let changing: BTreeSet<&ServiceName> =
             self.pending.iter().flat_map(PendingTransaction::services).collect();
-        let Some(service) = self.applied.scrub_next(|service| busy.contains(service)) else {
+        let Some(service) = self.applied.scrub_next(|service| changing.contains(service)) else {
             return;
         };
         self.counters.drifts += 1;
--- a/crates/distribution/src/subscriber/session.rs
+++ b/crates/distribution/src/subscriber/session.rs
@@ -108,7 +108,7 @@
             control_machine,
             last_received: now,
             next_ping,
-            sequence: 0,
+            last_ping_sequence: 0,
             is_current: false,
         };
         out.push(SubscriberOutput::Event(SubscriberEvent::Connected { control_machine, position }));
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -17,12 +17,17 @@
     ServiceName::try_from(name).expect("a valid name")
 }
 
-fn server(of: &str, id: &str, version: u64, body: &[u8]) -> Resource {
+fn server(service_name: &str, id: &str, version: u64, body: &[u8]) -> Resource {
     let origin = Origin { file: "change.toml".into(), line: 1 };
-    Resource { name: ResourceName::server(service(of), id), version, origin, body: body.into() }
+    Resource {
+        name: ResourceName::server(service(service_name), id),
+        version,
+        origin,
+        body: body.into(),
+    }
 }
 
-fn at(number: u64) -> Position {
+fn log_position(number: u64) -> Position {
     Position { epoch: 1, number, chain: number * 7 }
 }
 
@@ -102,13 +107,16 @@
     }
 
     /// Delivers a snapshot of a service with one server, and reports it as applied.
-    fn apply_server(&mut self, of: &str, version: u64) -> Resource {
-        let resource = server(of, "a", version, b"body");
-        let applied =
-            ServiceVersion { service: service(of), version, digest: resource_digest(&resource) };
+    fn apply_server(&mut self, service_name: &str, version: u64) -> Resource {
+        let resource = server(service_name, "a", version, b"body");
+        let applied = ServiceVersion {
+            service: service(service_name),
+            version,
+            digest: resource_digest(&resource),
+        };
         self.receive_transaction(
             version,
-            at(version),
+            log_position(version),
             Base::Snapshot,
             vec![Change::Set(resource.clone())],
             applied,
@@ -172,18 +180,21 @@
 #[test]
 fn the_scope_follows_the_hello_and_reports_the_applied_versions_after_a_lost_connection() {
     let mut balancer = Balancer::new(options(2, &["points", "partners"], 1));
-    let sent = balancer.open_session(at(3));
-    let nothing = |of| ServiceVersion { service: service(of), version: 0, digest: 0 };
+    let sent = balancer.open_session(log_position(3));
+    let not_applied =
+        |service_name| ServiceVersion { service: service(service_name), version: 0, digest: 0 };
     assert!(
         matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == Position::default())
     );
     let SubscriberMessage::Scope { add, last: true, .. } = &sent[1] else { panic!("{sent:?}") };
-    assert_eq!(*add, [nothing("partners"), nothing("points")]);
+    assert_eq!(*add, [not_applied("partners"), not_applied("points")]);
     let resource = balancer.apply_server("points", 3);
     balancer.lose_connection();
     balancer.next_connect();
     let sent = balancer.connected();
-    assert!(matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == at(3)));
+    assert!(
+        matches!(&sent[0], SubscriberMessage::Hello { position, .. } if *position == log_position(3))
+    );
     let SubscriberMessage::Scope { add, .. } = &sent[1] else { panic!("{sent:?}") };
     assert_eq!(
         add[1],
@@ -198,7 +209,7 @@
 #[test]
 fn a_transaction_with_a_wrong_digest_or_base_is_reported_as_a_mismatch_and_not_applied() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let resource = balancer.apply_server("points", 3);
     let applied = ServiceVersion {
         service: service("points"),
@@ -208,7 +219,13 @@
     let change = Change::Set(server("points", "b", 4, b"x"));
     let wrong = ServiceVersion { version: 4, digest: 1, ..applied.clone() };
     balancer.transactions();
-    balancer.receive_transaction(9, at(4), Base::Delta { from: 3 }, vec![change.clone()], wrong);
+    balancer.receive_transaction(
+        9,
+        log_position(4),
+        Base::Delta { from: 3 },
+        vec![change.clone()],
+        wrong,
+    );
     assert_eq!(
         balancer.sent(),
         [SubscriberMessage::Nack {
@@ -221,7 +238,7 @@
     let right = ServiceVersion { version: 4, digest, ..applied.clone() };
     balancer.receive_transaction(
         10,
-        at(4),
+        log_position(4),
         Base::Delta { from: 2 },
         vec![change.clone()],
         right.clone(),
@@ -231,21 +248,21 @@
         [SubscriberMessage::Nack { transaction: 10, reason: NackReason::Mismatch(vec![applied]) }]
     );
     assert_eq!(balancer.transactions(), []);
-    balancer.receive_transaction(11, at(4), Base::Delta { from: 3 }, vec![change], right);
+    balancer.receive_transaction(11, log_position(4), Base::Delta { from: 3 }, vec![change], right);
     assert_eq!(balancer.transactions().len(), 1);
 }
 
 #[test]
 fn a_rejected_transaction_leaves_the_last_good_state_and_is_reported_with_its_origin() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let resource = balancer.apply_server("points", 3);
     let new = server("points", "a", 4, b"bad");
     let applied =
         ServiceVersion { service: service("points"), version: 4, digest: resource_digest(&new) };
     balancer.receive_transaction(
         9,
-        at(4),
+        log_position(4),
         Base::Delta { from: 3 },
         vec![Change::Set(new.clone())],
         applied.clone(),
@@ -273,7 +290,7 @@
 #[test]
 fn an_incomplete_transaction_is_dropped_with_its_connection() {
     let mut balancer = Balancer::new(options(2, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let resource = balancer.apply_server("points", 3);
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
     balancer.receive(PublisherMessage::Begin { transaction: 9, generation: 1, services });
@@ -286,10 +303,10 @@
     assert_eq!(balancer.subscriber.buffered_bytes(), 0);
     assert!(balancer.subscriber.resources(&service("points")).eq([&resource]));
     // On the next connection, the commit of the dropped transaction violates the protocol.
-    balancer.open_session(at(4));
+    balancer.open_session(log_position(4));
     balancer.receive(PublisherMessage::Commit {
         transaction: 9,
-        position: at(4),
+        position: log_position(4),
         services: vec![],
     });
     assert!(matches!(balancer.closed(), Some(DisconnectReason::Violation(_))));
@@ -301,7 +318,7 @@
         max_transaction_bytes: 2_000,
         ..options(2, &["points"], 1)
     });
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let services = vec![ServiceBase { service: service("points"), base: Base::Snapshot }];
     balancer.receive(PublisherMessage::Begin { transaction: 9, generation: 1, services });
     for id in 0..30 {
@@ -315,7 +332,7 @@
 #[test]
 fn the_hello_waits_for_the_answers_to_transactions_of_an_earlier_connection() {
     let mut balancer = Balancer::new(options(2, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let resource = server("points", "a", 3, b"body");
     let applied = ServiceVersion {
         service: service("points"),
@@ -324,7 +341,7 @@
     };
     balancer.receive_transaction(
         9,
-        at(3),
+        log_position(3),
         Base::Snapshot,
         vec![Change::Set(resource)],
         applied.clone(),
@@ -347,21 +364,21 @@
 #[test]
 fn a_control_machine_that_is_behind_or_diverged_is_not_followed() {
     let mut balancer = Balancer::new(options(3, &["points"], 1));
-    balancer.open_session(at(5));
+    balancer.open_session(log_position(5));
     balancer.lose_connection();
     let behind = balancer.next_connect();
     balancer.connected();
-    balancer.receive(PublisherMessage::Welcome { position: at(4) });
-    assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(at(4))));
+    balancer.receive(PublisherMessage::Welcome { position: log_position(4) });
+    assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(log_position(4))));
     let diverged = balancer.next_connect();
     assert_ne!(diverged, behind);
     balancer.connected();
-    let other = Position { chain: 1, ..at(5) };
+    let other = Position { chain: 1, ..log_position(5) };
     balancer.receive(PublisherMessage::Welcome { position: other });
     assert_eq!(balancer.closed(), Some(DisconnectReason::Diverged(other)));
     let diverged_event = SubscriberEvent::Diverged {
         control_machine: diverged,
-        latest_position: at(5),
+        latest_position: log_position(5),
         machine_position: other,
     };
     assert!(balancer.events().contains(&diverged_event));
@@ -374,14 +391,14 @@
     balancer.open_session(Position { epoch: 2, number: 1, chain: 3 });
     assert_eq!(balancer.closed(), None);
     balancer.lose_connection();
-    balancer.open_session(at(99));
-    assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(at(99))));
+    balancer.open_session(log_position(99));
+    assert_eq!(balancer.closed(), Some(DisconnectReason::Behind(log_position(99))));
 }
 
 #[test]
 fn drift_is_detected_by_recomputing_the_digest_and_the_service_is_requested_again() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     balancer.apply_server("points", 3);
     balancer.events();
     balancer.subscriber.corrupt(&service("points"), 0, b"flip".as_slice().into());
@@ -404,9 +421,9 @@
 #[test]
 fn the_first_mismatched_bookmark_resends_the_scope_and_the_second_closes_the_connection() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let bookmark =
-        |generation| PublisherMessage::Current { position: at(3), generation, digest: 1 };
+        |generation| PublisherMessage::Current { position: log_position(3), generation, digest: 1 };
     balancer.receive(bookmark(0));
     assert_eq!(balancer.sent(), [], "a bookmark of an earlier scope is ignored");
     balancer.receive(bookmark(1));
@@ -418,7 +435,7 @@
 #[test]
 fn a_service_that_is_removed_and_added_again_ignores_earlier_transactions() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     balancer.apply_server("points", 3);
     balancer.transactions();
     let new = server("points", "b", 4, b"x");
@@ -439,7 +456,7 @@
     let applied = ServiceVersion { service: service("points"), version: 4, digest: 1 };
     balancer.receive(PublisherMessage::Commit {
         transaction: 9,
-        position: at(4),
+        position: log_position(4),
         services: vec![applied],
     });
     assert_eq!(balancer.transactions(), []);
@@ -450,14 +467,20 @@
 #[test]
 fn an_apply_that_finishes_after_its_service_was_removed_and_added_again_has_no_effect() {
     let mut balancer = Balancer::new(options(1, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let resource = server("points", "a", 3, b"body");
     let applied = ServiceVersion {
         service: service("points"),
         version: 3,
         digest: resource_digest(&resource),
     };
-    balancer.receive_transaction(9, at(3), Base::Snapshot, vec![Change::Set(resource)], applied);
+    balancer.receive_transaction(
+        9,
+        log_position(3),
+        Base::Snapshot,
+        vec![Change::Set(resource)],
+        applied,
+    );
     balancer.subscriber.set_scope(vec![], &mut balancer.out);
     balancer.subscriber.set_scope(vec![service("points")], &mut balancer.out);
     balancer.subscriber.apply_finished(9, Ok(()), &mut balancer.out);
@@ -470,7 +493,7 @@
 #[test]
 fn without_any_control_machine_the_last_good_state_stays_and_unreachable_is_reported_once() {
     let mut balancer = Balancer::new(options(57, &["points"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     let resource = balancer.apply_server("points", 3);
     balancer.lose_connection();
     let last_contact = balancer.now;
@@ -507,7 +530,7 @@
         let mut balancer = Balancer::new(options(57, &["points"], seed));
         let first = balancer.next_connect();
         balancer.connected();
-        balancer.receive(PublisherMessage::Welcome { position: at(1) });
+        balancer.receive(PublisherMessage::Welcome { position: log_position(1) });
         let lost_at = balancer.now;
         balancer.lose_connection();
         let next = balancer.next_connect();
@@ -525,11 +548,11 @@
 #[test]
 fn a_restart_restores_the_saved_state_except_for_damaged_services() {
     let mut balancer = Balancer::new(options(1, &["points", "partners"], 1));
-    balancer.open_session(at(3));
+    balancer.open_session(log_position(3));
     balancer.apply_server("points", 3);
     balancer.apply_server("partners", 4);
     let mut saved = balancer.subscriber.saved_state();
-    assert_eq!(saved.position, at(4));
+    assert_eq!(saved.position, log_position(4));
     let restored = |saved: &SavedState, scope: &[&str]| {
         Balancer::new(SubscriberOptions {
             saved_state: Some(saved.clone()),
@@ -556,7 +579,15 @@
         ))
     });
     balancer.events();
-    balancer.receive(PublisherMessage::Current { position: at(4), generation: 1, digest });
-    balancer.receive(PublisherMessage::Current { position: at(5), generation: 1, digest });
-    assert_eq!(balancer.events(), [SubscriberEvent::Current { position: at(4) }]);
+    balancer.receive(PublisherMessage::Current {
+        position: log_position(4),
+        generation: 1,
+        digest,
+    });
+    balancer.receive(PublisherMessage::Current {
+        position: log_position(5),
+        generation: 1,
+        digest,
+    });
+    assert_eq!(balancer.events(), [SubscriberEvent::Current { position: log_position(4) }]);
 }
