--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -7,52 +7,54 @@
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
-    NameKind, ReadError, check_number, file_name, list_files, name_kind, read_bytes,
+    FileNameKind, ReadError, change_file_name, check_file_number, classify_file_name, list_folder,
+    read_change_file,
 };
 use crate::folder::read_entry;
 use crate::notice::Notice;
 
-/// The contents of a log that has no problem.
+/// The size of a log in which no problem was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSummary {
-    /// The position after its last change.
+    /// The position after the last change.
     pub position: Position,
-    /// How many change files it has.
+    /// Number of change files.
     pub files: usize,
-    /// Services after the last change.
+    /// Number of services after the last change.
     pub services: usize,
-    /// Resources after the last change.
+    /// Number of resources after the last change.
     pub resources: usize,
-    /// Of these, limits of tenants.
+    /// Number of those resources that are limits of tenants.
     pub tenants: usize,
 }
 
-/// Checks a change file by itself. [`check_folder`] also checks that it fits the changes before it.
+/// Checks one change file without the changes before it. [`check_folder`] also checks that a change fits the changes
+/// before it. The number in the file is checked against the name if the file is named as a change file.
 ///
 /// # Errors
 ///
-/// All problems that were found in the file.
+/// Returns all problems that were found in the file.
 pub fn check_file(path: &Path) -> Result<(), Vec<Problem>> {
-    let shown = path.display().to_string();
-    let bytes = read_bytes(path).map_err(|error| vec![unreadable(&shown, &error)])?;
-    let change = read_change(&shown, &bytes)?;
+    let path_text = path.display().to_string();
+    let bytes = read_change_file(path).map_err(|error| vec![read_problem(&path_text, &error)])?;
+    let change = read_change(&path_text, &bytes)?;
     let name = path.file_name().map(|name| name.to_string_lossy().into_owned());
-    match name.as_deref().map(name_kind) {
-        Some(NameKind::Change(number)) => check_number(&change, number),
+    match name.as_deref().map(classify_file_name) {
+        Some(FileNameKind::Change(number)) => check_file_number(&change, number),
         _ => Ok(()),
     }
 }
 
-/// Checks a folder of change files as one log that begins with number `first`. A file after a wrong one is checked
-/// against the resources of the good ones.
+/// Checks a folder of change files as one log that begins with number `first`. A file that follows an invalid file is
+/// checked against the resources of the valid files before it.
 ///
 /// # Errors
 ///
-/// All problems that were found in any of the files.
+/// Returns all problems that were found in the folder and its files.
 pub fn check_folder(path: &Path, first: u64) -> Result<LogSummary, Vec<Problem>> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let files =
-        list_files(path).map_err(|error| vec![Problem::of_file(&shown, error.to_string())])?;
+        list_folder(path).map_err(|error| vec![Problem::of_file(&path_text, error.to_string())])?;
     let mut check = FolderCheck {
         folder: path,
         store: Store::new(StoreLimits::default()),
@@ -61,15 +63,15 @@
     let mut numbers = Vec::new();
     for file in files {
         match file.kind {
-            NameKind::Change(number) => numbers.push(number),
-            NameKind::NotNumbered => check.add_notice(&Notice::NotNumbered { file: file.name }),
-            NameKind::Other => {}
+            FileNameKind::Change(number) => numbers.push(number),
+            FileNameKind::NotNumbered => check.add_notice(&Notice::NotNumbered { file: file.name }),
+            FileNameKind::Other => {}
         }
     }
     numbers.sort_unstable();
-    check.check_contiguous(&numbers, first);
+    check.check_numbers(&numbers, first);
     for number in &numbers {
-        check.check_change(*number);
+        check.check_numbered_file(*number);
     }
     if !check.problems.is_empty() {
         return Err(check.problems);
@@ -84,10 +86,10 @@
     })
 }
 
-/// A folder while it is checked.
+/// The state of the check of one folder.
 struct FolderCheck<'f> {
     folder: &'f Path,
-    /// The resources after the changes that were checked so far.
+    /// The resources after the valid changes that were checked so far.
     store: Store,
     problems: Vec<Problem>,
 }
@@ -97,46 +99,50 @@
         self.problems.push(Problem::of_file("", notice.to_string()));
     }
 
-    /// Reports each number below the first one and each gap.
-    fn check_contiguous(&mut self, numbers: &[u64], first: u64) {
+    /// Reports each number below `first` and each gap. `numbers` must be sorted.
+    fn check_numbers(&mut self, numbers: &[u64], first: u64) {
         let mut expected = first;
         for number in numbers {
             if *number < first {
-                let (file, first) = (file_name(*number), file_name(first));
+                let (file, first) = (change_file_name(*number), change_file_name(first));
                 self.add_notice(&Notice::BeforeFirst { file, first });
                 continue;
             }
             if *number > expected {
-                let (missing, latest) = (file_name(expected), file_name(*number));
+                let (missing, latest) = (change_file_name(expected), change_file_name(*number));
                 self.add_notice(&Notice::Gap { missing, latest });
             }
             expected = number + 1;
         }
     }
 
-    fn check_change(&mut self, number: u64) {
+    fn check_numbered_file(&mut self, number: u64) {
         if let Err(problems) = self.append_file(number) {
             self.problems.extend(problems);
         }
     }
 
     fn append_file(&mut self, number: u64) -> Result<(), Vec<Problem>> {
-        let name = file_name(number);
-        let wrong = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
-        let bytes = read_bytes(&self.folder.join(&name))
-            .map_err(|error| vec![unreadable(&name, &error)])?;
-        // What is wrong in an unfinished file is reported before its missing end.
+        let name = change_file_name(number);
+        let file_problem = |cause: &str| vec![Problem::of_file(&name, cause.to_string())];
+        let bytes = read_change_file(&self.folder.join(&name))
+            .map_err(|error| vec![read_problem(&name, &error)])?;
+        // Other problems of an unfinished file are reported instead of the missing `[end]` table.
         let entry = if is_complete(&bytes) {
             read_entry(&name, number, &bytes, &self.store)?
         } else {
             read_change(&name, &bytes)?;
-            return Err(wrong("its last table is not [end], with a line end after it"));
+            return Err(file_problem(
+                "the file is incomplete: the last table must be [end] with the key `changes`, and the file \
+                 must end with a line break",
+            ));
         };
-        self.append(entry).map_err(|error| wrong(&error.to_string()))
+        self.append_entry(entry).map_err(|error| file_problem(&error.to_string()))
     }
 
-    /// Appends an entry as if it followed the last one, also after a gap or a wrong file: those have been reported.
-    fn append(&mut self, mut entry: LogEntry) -> Result<(), AppendError> {
+    /// Appends an entry to the store. After a problem, the entry is renumbered to follow the last one, so that a gap or
+    /// an invalid file, which was reported, causes no further problems in later files.
+    fn append_entry(&mut self, mut entry: LogEntry) -> Result<(), AppendError> {
         let expected = self.store.position().number + 1;
         if !self.problems.is_empty() {
             renumber(&mut entry, expected);
@@ -145,6 +151,7 @@
     }
 }
 
+/// Sets the number of an entry, and the version of each of its changes to the same number.
 fn renumber(entry: &mut LogEntry, number: u64) {
     entry.number = number;
     for change in &mut entry.changes {
@@ -157,7 +164,7 @@
     }
 }
 
-fn unreadable(file: &str, error: &ReadError) -> Problem {
+fn read_problem(file: &str, error: &ReadError) -> Problem {
     let cause = match error {
         ReadError::Missing => error.to_string(),
         _ => format!("it can't be read: {error}"),
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -1,7 +1,7 @@
-//! The folder of numbered change files, read in order, each file once.
+//! Reads the numbered change files of a folder in the order of their numbers, and applies each file once.
 //!
-//! The next file is found by its name, so reading one more change costs the same whatever the number of files. The
-//! folder is listed only at the start and after watch events were lost.
+//! The next file is found by its name, so the cost of reading one more change does not depend on the number of files.
+//! The folder is listed only when a watch is set and after watch events were lost.
 
 use std::path::{Path, PathBuf};
 
@@ -10,37 +10,40 @@
 use sableloom_toml_diagnostics::Problem;
 
 use crate::change_file::{
-    NameKind, ReadError, check_number, file_name, list_files, name_kind, read_bytes,
+    FileNameKind, ReadError, change_file_name, check_file_number, classify_file_name, list_folder,
+    read_change_file,
 };
 use crate::notice::Notice;
-use crate::read_files::ReadFiles;
+use crate::recent_hashes::RecentHashes;
 
 /// The result of reading the next change file.
 #[derive(Debug)]
 pub enum NextChange {
-    /// The next change. [`ChangeFolder::accepted`] moves on to the file after it.
+    /// The next change, which is to be appended to the log. [`ChangeFolder::record_appended`] then moves on to the next
+    /// file, and [`ChangeFolder::record_rejected`] keeps the folder at the same file.
     Ready(LogEntry),
-    /// There is no next change, or it can't be applied yet. The notice is there the first time that its cause holds.
-    Waiting(Option<Notice>),
+    /// There is no next change, or it can't be applied yet. The notice gives the reason, unless
+    /// the previous attempt had the same result.
+    NotReady(Option<Notice>),
 }
 
-/// A change that was read, without its contents.
+/// The number and the hash of a change file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadChange {
-    /// Its number.
+pub struct ChangeFileId {
+    /// The number of the change, which is also the name of the file.
     pub number: u64,
-    /// The hash of its file.
+    /// The hash of the bytes of the file.
     pub hash: u64,
 }
 
-impl ReadChange {
-    /// The change of a log entry.
-    pub fn of(entry: &LogEntry) -> Self {
+impl ChangeFileId {
+    /// The identity of the file that a log entry was read from.
+    pub fn of_entry(entry: &LogEntry) -> Self {
         Self { number: entry.number, hash: entry.hash }
     }
 }
 
-/// A folder of change files, and how far it was read.
+/// A folder of change files, and the number up to which its files were applied.
 #[derive(Debug)]
 pub struct ChangeFolder {
     path: PathBuf,
@@ -48,18 +51,19 @@
     first: u64,
     /// The number of the file to be read next.
     next: u64,
-    /// The largest number that was seen.
+    /// The largest number of a file that was found so far; 0 if there was none.
     latest: u64,
-    read: ReadFiles,
-    /// The last notice about the next file.
-    reported: Option<Notice>,
+    hashes: RecentHashes,
+    /// The last notice about the next file, which is not reported again.
+    last_notice: Option<Notice>,
 }
 
 impl ChangeFolder {
-    /// A folder of which nothing was read yet; the log begins with the file of number `first`.
+    /// Creates a reader of the folder at `path`, of which no file was read yet. The log begins with the file of number
+    /// `first`.
     pub fn new(path: PathBuf, first: u64) -> Self {
-        let read = ReadFiles::default();
-        Self { path, first, next: first, latest: 0, read, reported: None }
+        let hashes = RecentHashes::default();
+        Self { path, first, next: first, latest: 0, hashes, last_notice: None }
     }
 
     /// The path of the folder.
@@ -67,16 +71,18 @@
         &self.path
     }
 
-    /// The progress of reading: the next number, and why it waits.
+    /// The progress of reading. The reason is the first line of the last notice about the next file, and empty if there
+    /// is none.
     pub fn status(&self) -> LogStatus {
-        let notice = self.reported.as_ref().map(Notice::to_string).unwrap_or_default();
+        let notice = self.last_notice.as_ref().map(Notice::to_string).unwrap_or_default();
         let blocked_reason = notice.lines().next().unwrap_or_default().into();
         LogStatus { next: self.next, latest: self.latest, blocked_reason }
     }
 
-    /// Lists the folder, and remembers the largest number in it.
+    /// Lists the folder, and updates the largest number that was found. Returns a notice for each TOML file that is not
+    /// named as a change file, or one notice if the folder can't be read.
     pub fn list(&mut self) -> Vec<Notice> {
-        let files = match list_files(&self.path) {
+        let files = match list_folder(&self.path) {
             Ok(files) => files,
             Err(error) => {
                 let file = self.path.display().to_string();
@@ -86,20 +92,24 @@
         let mut notices = Vec::new();
         for file in files {
             match file.kind {
-                NameKind::Change(number) => self.latest = self.latest.max(number),
-                NameKind::NotNumbered => notices.push(Notice::NotNumbered { file: file.name }),
-                NameKind::Other => {}
+                FileNameKind::Change(number) => self.latest = self.latest.max(number),
+                FileNameKind::NotNumbered => notices.push(Notice::NotNumbered { file: file.name }),
+                FileNameKind::Other => {}
             }
         }
         notices
     }
 
-    /// Handles the event that a file was written, renamed or removed.
-    pub fn file_changed(&mut self, name: &str) -> Option<Notice> {
-        let number = match name_kind(name) {
-            NameKind::Change(number) => number,
-            NameKind::NotNumbered => return Some(Notice::NotNumbered { file: name.to_string() }),
-            NameKind::Other => return None,
+    /// Handles the event that the file `name` was written, renamed or removed. Returns a notice if the file is a TOML
+    /// file that is not named as a change file, if a file that was applied was modified or removed or can't be read, or
+    /// if the number of an existing file is lower than the first number of the log.
+    pub fn handle_file_event(&mut self, name: &str) -> Option<Notice> {
+        let number = match classify_file_name(name) {
+            FileNameKind::Change(number) => number,
+            FileNameKind::NotNumbered => {
+                return Some(Notice::NotNumbered { file: name.to_string() });
+            }
+            FileNameKind::Other => return None,
         };
         if number >= self.next {
             if self.path.join(name).exists() {
@@ -107,73 +117,73 @@
             }
             return None;
         }
-        self.changed_after_read(name, number)
+        self.handle_applied_file_event(name, number)
     }
 
-    /// A file with a number below the next one has changed.
-    fn changed_after_read(&self, name: &str, number: u64) -> Option<Notice> {
+    /// Handles an event of a file whose number is below the next one.
+    fn handle_applied_file_event(&self, name: &str, number: u64) -> Option<Notice> {
         let file = name.to_string();
-        let bytes = read_bytes(&self.path.join(name));
+        let bytes = read_change_file(&self.path.join(name));
         if number < self.first {
-            let first = file_name(self.first);
+            let first = change_file_name(self.first);
             return bytes.is_ok().then_some(Notice::BeforeFirst { file, first });
         }
         match bytes {
             Err(ReadError::Missing) => Some(Notice::Removed { file }),
             Err(error) => Some(Notice::Unreadable { file, cause: error.to_string() }),
             Ok(bytes) => {
-                // The hash of a file that was read too long ago is forgotten. Nothing is reported then: it might be
-                // false.
-                let known = self.read.get(number, self.next)?;
-                (known != hash_bytes(&bytes)).then_some(Notice::Altered { file })
+                // The hashes of the oldest files are no longer held. Without the hash, a modification can't be told
+                // from an event that left the contents as they were, so nothing is reported.
+                let known = self.hashes.get(number, self.next)?;
+                (known != hash_bytes(&bytes)).then_some(Notice::Modified { file })
             }
         }
     }
 
-    /// Reads the next file, if it is there and complete, against the resources in force.
+    /// Reads the next file if it exists and is complete, and resolves its change against the resources in force.
     pub fn read_next(&mut self, inventory: &dyn Inventory) -> NextChange {
         let next = self.next;
-        let name = file_name(next);
-        let notice = match read_bytes(&self.path.join(&name)) {
+        let name = change_file_name(next);
+        let notice = match read_change_file(&self.path.join(&name)) {
             Ok(bytes) if !is_complete(&bytes) => Some(Notice::Unfinished { file: name }),
             Ok(bytes) => match read_entry(&name, next, &bytes, inventory) {
                 Ok(entry) => return NextChange::Ready(entry),
-                Err(problems) => Some(Notice::Wrong(problems)),
+                Err(problems) => Some(Notice::Invalid(problems)),
             },
             Err(ReadError::Missing) if self.latest > next => {
-                Some(Notice::Gap { missing: name, latest: file_name(self.latest) })
+                Some(Notice::Gap { missing: name, latest: change_file_name(self.latest) })
             }
             Err(ReadError::Missing) => None,
             Err(error) => Some(Notice::Unreadable { file: name, cause: error.to_string() }),
         };
-        NextChange::Waiting(self.report_once(notice))
+        NextChange::NotReady(self.notice_if_new(notice))
     }
 
-    /// The log has appended the next change.
-    pub fn accepted(&mut self, change: ReadChange) {
+    /// Records that the log has appended the next change, and moves on to the file after it.
+    pub fn record_appended(&mut self, change: ChangeFileId) {
         self.next = change.number + 1;
         self.latest = self.latest.max(change.number);
-        self.read.push(change.hash);
-        self.reported = None;
+        self.hashes.push(change.hash);
+        self.last_notice = None;
     }
 
-    /// The log has rejected the next change.
-    pub fn rejected(&mut self, change: ReadChange, error: &AppendError) -> Option<Notice> {
-        let problem = Problem::of_file(&file_name(change.number), error.to_string());
-        self.report_once(Some(Notice::Wrong(vec![problem])))
+    /// Records that the log has rejected the next change. Returns a notice, unless the last one was the same.
+    pub fn record_rejected(&mut self, change: ChangeFileId, error: &AppendError) -> Option<Notice> {
+        let problem = Problem::of_file(&change_file_name(change.number), error.to_string());
+        self.notice_if_new(Some(Notice::Invalid(vec![problem])))
     }
 
-    /// The notice if it differs from the last one.
-    fn report_once(&mut self, notice: Option<Notice>) -> Option<Notice> {
-        if self.reported == notice {
+    /// Stores a notice about the next file. Returns the notice if it differs from the last one.
+    fn notice_if_new(&mut self, notice: Option<Notice>) -> Option<Notice> {
+        if self.last_notice == notice {
             return None;
         }
-        self.reported.clone_from(&notice);
+        self.last_notice.clone_from(&notice);
         notice
     }
 }
 
-/// Reads a complete change file into an entry of the log.
+/// Parses the bytes of a complete change file into an entry of the log. `name` is the name of the file in problems.
 pub(crate) fn read_entry(
     name: &str,
     number: u64,
@@ -181,6 +191,6 @@
     inventory: &dyn Inventory,
 ) -> Result<LogEntry, Vec<Problem>> {
     let change = read_change(name, bytes)?;
-    check_number(&change, number)?;
+    check_file_number(&change, number)?;
     change.resolve(inventory)
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,4 +1,4 @@
-//! A client that requests the status of a control machine, over the protocol of subscribers.
+//! A client that requests the status of a control machine over the protocol of subscribers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,70 +12,79 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a control machine may take for one page.
+/// Timeout for connecting, and for the response to each request of a page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size of the buffer that responses are read into.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// The complete status of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusReport {
-    /// The totals, as they were at the last page.
+    /// The totals at the time of the last page.
     pub status: PublisherStatus,
-    /// The progress of its log, and why it has closed connections.
+    /// The progress of the control machine's log, and how many sessions it has closed for which reason.
     pub machine: MachineStatus,
-    /// Its sessions, in the order of their ids.
+    /// The sessions, in the order of their ids.
     pub sessions: Vec<SessionStatus>,
-    /// Its services, in the order of their names.
+    /// The services, in the order of their names.
     pub services: Vec<ServiceVersion>,
 }
 
-/// Why the status can't be had.
+/// Errors of [`fetch_status`] and [`fetch_status_totals`].
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// There was no response in time.
-    #[error("no answer within {} s", PAGE_TIMEOUT.as_secs())]
+    /// Connecting took longer than the timeout, or there was no response within it.
+    #[error("no response within {} s", PAGE_TIMEOUT.as_secs())]
     Timeout,
     /// The connection was closed without a response.
-    #[error("closed without an answer; has it as many connections as it may have?")]
+    #[error(
+        "the connection was closed without a response; the control machine may have reached its \
+         connection limit"
+    )]
     Closed,
-    /// The response is not a message of the protocol.
-    #[error("{0}; is it a control machine?")]
+    /// The response is not a valid message of the protocol.
+    #[error("{0}; the address may not be that of a control machine")]
     Malformed(#[from] CodecError),
     /// The response is another message than a status page.
-    #[error("an answer that is no status; is it a control machine?")]
+    #[error(
+        "the response is not the requested status page; the address may not be that of a control \
+         machine"
+    )]
     Unexpected,
 }
 
-/// Requests the complete status.
+/// Requests the complete status of the control machine at `address`.
 ///
 /// # Errors
 ///
-/// A [`StatusError`] if the control machine can't be reached or does not answer as one.
-pub async fn fetch(address: SocketAddr) -> Result<StatusReport, StatusError> {
+/// Returns a [`StatusError`] if the control machine can't be reached or its response is not a status page.
+pub async fn fetch_status(address: SocketAddr) -> Result<StatusReport, StatusError> {
     let mut client = StatusClient::connect(address).await?;
-    let page = client.page(StatusQuery::Machine).await?;
+    let page = client.fetch_page(StatusQuery::Machine).await?;
     let StatusRows::Machine(machine) = page.rows else {
         return Err(StatusError::Unexpected);
     };
-    let sessions = client.sessions().await?;
-    let (status, services) = client.services().await?;
+    let sessions = client.fetch_sessions().await?;
+    let (status, services) = client.fetch_services().await?;
     Ok(StatusReport { status, machine, sessions, services })
 }
 
-/// Requests the totals, without sessions and services.
+/// Requests the totals of the control machine at `address`, without sessions and services.
 ///
 /// # Errors
 ///
-/// A [`StatusError`] if the control machine can't be reached or does not answer as one.
-pub async fn fetch_summary(address: SocketAddr) -> Result<PublisherStatus, StatusError> {
+/// Returns a [`StatusError`] if the control machine can't be reached or its response is not a status page.
+pub async fn fetch_status_totals(address: SocketAddr) -> Result<PublisherStatus, StatusError> {
     let mut client = StatusClient::connect(address).await?;
-    let page = client.page(StatusQuery::Sessions { from: u64::MAX }).await?;
+    // Session ids do not reach u64::MAX, so the page holds the totals and no session.
+    let page = client.fetch_page(StatusQuery::Sessions { from: u64::MAX }).await?;
     Ok(page.status)
 }
 
-/// A connection that requests pages of the status.
+/// A connection over which pages of the status are requested.
 struct StatusClient {
     stream: TcpStream,
     frames: FrameReader,
@@ -83,17 +92,17 @@
 
 impl StatusClient {
     async fn connect(address: SocketAddr) -> Result<Self, StatusError> {
-        let connecting = timeout(PAGE_TIMEOUT, TcpStream::connect(address));
-        let stream = connecting.await.map_err(|_| StatusError::Timeout)??;
+        let connection = timeout(PAGE_TIMEOUT, TcpStream::connect(address));
+        let stream = connection.await.map_err(|_| StatusError::Timeout)??;
         Ok(Self { stream, frames: FrameReader::new() })
     }
 
-    /// All sessions, page by page.
-    async fn sessions(&mut self) -> Result<Vec<SessionStatus>, StatusError> {
+    /// Requests all sessions, page by page.
+    async fn fetch_sessions(&mut self) -> Result<Vec<SessionStatus>, StatusError> {
         let mut sessions = Vec::new();
         let mut from = 0;
         loop {
-            let page = self.page(StatusQuery::Sessions { from }).await?;
+            let page = self.fetch_page(StatusQuery::Sessions { from }).await?;
             let StatusRows::Sessions { sessions: rows, next } = page.rows else {
                 return Err(StatusError::Unexpected);
             };
@@ -105,12 +114,14 @@
         }
     }
 
-    /// All services, page by page, with the totals of the last page.
-    async fn services(&mut self) -> Result<(PublisherStatus, Vec<ServiceVersion>), StatusError> {
+    /// Requests all services, page by page. Returns them with the totals of the last page.
+    async fn fetch_services(
+        &mut self,
+    ) -> Result<(PublisherStatus, Vec<ServiceVersion>), StatusError> {
         let mut services = Vec::new();
         let mut after = None;
         loop {
-            let page = self.page(StatusQuery::Services { after: after.clone() }).await?;
+            let page = self.fetch_page(StatusQuery::Services { after: after.clone() }).await?;
             let StatusRows::Services { services: rows, next } = page.rows else {
                 return Err(StatusError::Unexpected);
             };
@@ -122,14 +133,14 @@
         }
     }
 
-    async fn page(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
-        let response = timeout(PAGE_TIMEOUT, self.request(query));
+    async fn fetch_page(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
+        let response = timeout(PAGE_TIMEOUT, self.send_and_receive(query));
         response.await.map_err(|_| StatusError::Timeout)?
     }
 
-    async fn request(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
+    async fn send_and_receive(&mut self, query: StatusQuery) -> Result<StatusPage, StatusError> {
         self.stream.write_all(&encode(&SubscriberMessage::StatusRequest(query))).await?;
-        let mut buffer = vec![0; 16 << 10];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             match self.frames.next_message::<PublisherMessage>()? {
                 Some(PublisherMessage::Status(page)) => return Ok(page),
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -2,23 +2,22 @@
 
 use sableloom_types::{Span, Time};
 
-use super::list_update::START_PINGS_PER_MEMBER;
+use super::list_update::INITIAL_PINGS_PER_MEMBER;
 use super::{Membership, Output};
 use crate::groups::Group;
 use crate::message::{Body, Key, MemberState, Update};
 use crate::peer::Health;
 
-/// The maximum number of members that are pinged at once when a list is new.
-const MAX_LIST_UPDATE_PINGS: usize = 64;
+/// The maximum number of members that [`Membership::ping_missing_members`] pings.
+const MAX_PINGS_AT_ONCE: usize = 64;
 /// The factor that reduces the probability of pings of the missing members of a long list. Where all members start at
-/// once, each ping and its answer displace pages, by which most members are found.
+/// once, most members are found by pages, and each ping and its answer take bytes of the budget that pages need.
 const LONG_LIST_PING_FACTOR: f64 = 0.25;
-/// The maximum number of unknown members that a process that has started with a short list pings in each probe
-/// interval. A member is unknown as long as nothing is known of its state.
-const START_PINGS_PER_INTERVAL: usize = 7;
-/// The maximum number of unknown members that a process that has started with a long list pings in each probe interval
-/// until the first member has answered.
-const LONG_LIST_START_PINGS_PER_INTERVAL: usize = 1;
+/// The maximum number of initial pings in each probe interval with a short list. Initial pings are sent to members of
+/// which nothing is known, after the start of a process and after each change of its list.
+const MAX_INITIAL_PINGS_PER_INTERVAL: usize = 7;
+/// The maximum number of initial pings in each probe interval with a long list, until the first member has answered.
+const MAX_LONG_LIST_INITIAL_PINGS_PER_INTERVAL: usize = 1;
 
 /// A probe that has no answer yet.
 #[derive(Clone, Copy, Debug)]
@@ -27,24 +26,24 @@
     pub(super) seq: u32,
     /// When indirect probes are requested from other members.
     indirect_at: Time,
-    /// When the target is suspected.
+    /// When the target becomes suspected if no answer has arrived.
     deadline: Time,
     /// The number of members from which an indirect probe was requested; `None` before that.
     relay_count: Option<u32>,
-    /// The number of these members that have reported that they received no answer either.
+    /// The number of these members that have reported that the target did not answer them either.
     pub(super) nacks: u32,
 }
 
-/// An indirect probe that this member sends for another one.
+/// An indirect probe that this member sends at the request of another one.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Relay {
+pub(super) struct RelayedProbe {
     pub(super) target: Key,
     pub(super) seq: u32,
     /// The member that requested the probe.
     pub(super) requester: Key,
     /// The sequence number of its request.
     pub(super) requester_seq: u32,
-    /// When the requester is sent a nack.
+    /// When the requester is sent a nack if the target has not answered.
     pub(super) deadline: Time,
 }
 
@@ -55,12 +54,12 @@
             None => probe.indirect_at,
             Some(_) => probe.deadline,
         });
-        let relays = self.relays.iter().map(|relay| relay.deadline);
+        let relayed_probes = self.relayed_probes.iter().map(|probe| probe.deadline);
         let has_gossip = self.local_health > 0 && !self.gossip.is_empty();
         let gossip = Some(self.next_gossip).filter(|_| has_gossip);
         let suspicion = self.table.first_suspicion_deadline();
         let pull = self.anti_entropy.due();
-        let others = suspicion.into_iter().chain(relays).chain(gossip).chain(pull);
+        let others = suspicion.into_iter().chain(relayed_probes).chain(gossip).chain(pull);
         let first = probe.into_iter().chain(others).min();
         first.map_or(self.next_probe, |at| at.min(self.next_probe))
     }
@@ -69,7 +68,7 @@
     pub fn tick(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         self.detect_late_timer(now, output);
-        self.expire_relays(now, output);
+        self.expire_relayed_probes(now, output);
         self.continue_probing(now, output);
         self.expire_suspicions(now, output);
         self.continue_pull(now, output);
@@ -77,11 +76,11 @@
         self.timer_due = Some(self.next_wakeup());
     }
 
-    fn expire_relays(&mut self, now: Time, output: &mut Output) {
-        let expired: Vec<Relay> =
-            self.relays.extract_if(.., |relay| relay.deadline <= now).collect();
-        for relay in expired {
-            self.send(relay.requester, Body::Nack { seq: relay.requester_seq }, output);
+    fn expire_relayed_probes(&mut self, now: Time, output: &mut Output) {
+        let expired: Vec<RelayedProbe> =
+            self.relayed_probes.extract_if(.., |probe| probe.deadline <= now).collect();
+        for probe in expired {
+            self.send(probe.requester, Body::Nack { seq: probe.requester_seq }, output);
         }
     }
 
@@ -100,7 +99,7 @@
         if now >= self.next_gossip {
             self.next_gossip = now.plus(self.timing.probe_interval);
             if self.local_health > 0 && now < self.next_probe && !self.gossip.is_empty() {
-                self.gossip_to(1, output);
+                self.gossip_to_random(1, output);
             }
         }
         if now >= self.next_probe {
@@ -141,13 +140,13 @@
         None
     }
 
-    /// Pings a random member that is on the list and not reachable, as it may be back, or the partition may be over. A
-    /// missing answer has no consequence. The probability is so low that all members together ping each missing one
-    /// about once in a probe interval (Serf's reconnector draws at random in the same way). When each member pinged one
-    /// in each interval, a single missing member of 7,600 received 38,000 datagrams a second.
+    /// Pings a random member that is on the list and not reachable, as it may be back, or the partition may be over. If
+    /// it does not answer, its state does not change. The probability is so low that all members together ping each
+    /// missing one about once in a probe interval (Serf's reconnector draws at random in the same way). When each
+    /// member pinged one in each interval, a single missing member of 7,600 received 38,000 datagrams a second.
     ///
-    /// A process that has started also pings unknown members, for as long as it takes to ping each of them twice, or
-    /// with a long list until the first member has answered.
+    /// Also sends the initial pings of this interval. With a short list, there are two for each unknown member. With a
+    /// long list, they end when the first member has answered.
     fn ping_random_missing(&mut self, output: &mut Output) {
         let reachable = self.table.count_reachable();
         let missing = self.table.len() - reachable;
@@ -159,47 +158,48 @@
             self.ping(key, output);
         }
         let unknown = self.table.count_unknown();
-        let (left, per_interval) = match self.has_short_list() {
-            // Without the bound by the number of unknown members, all members would ping the last few unknown ones for
-            // as long as it takes to ping all.
+        let (remaining, per_interval) = match self.has_short_list() {
+            // The remaining pings are limited to twice the number of members that are still unknown. Otherwise the
+            // pings that were meant for members that have become known would all go to the last few unknown ones.
             true => (
-                self.start_pings_left.min(START_PINGS_PER_MEMBER * unknown),
-                START_PINGS_PER_INTERVAL,
+                self.remaining_initial_pings.min(INITIAL_PINGS_PER_MEMBER * unknown),
+                MAX_INITIAL_PINGS_PER_INTERVAL,
             ),
             false if self.table.count_reachable() == 0 => {
-                (self.start_pings_left, LONG_LIST_START_PINGS_PER_INTERVAL)
+                (self.remaining_initial_pings, MAX_LONG_LIST_INITIAL_PINGS_PER_INTERVAL)
             }
             false => (0, 0),
         };
-        let pings = per_interval.min(left).min(unknown);
-        self.start_pings_left = left - pings;
+        let pings = per_interval.min(remaining).min(unknown);
+        self.remaining_initial_pings = remaining - pings;
         self.ping_random(Group::Unknown, pings, output);
     }
 
-    /// Pings up to 64 members that are not reachable. A process that has just started and the members that answer
-    /// thereby know each other within one round trip. With a long list, which all members take over at about the same
-    /// time, no member is pinged.
+    /// Pings up to 64 members that are not reachable, members of which nothing is known before others. A process that
+    /// has just started thereby records the members that answer as alive within one round trip; they record it when
+    /// they receive its next message, which has their nonce. With a long list no member is pinged, because all members
+    /// start to use a new list at about the same time.
     pub fn ping_missing_members(&mut self, now: Time, output: &mut Output) {
         self.now = now;
         if !self.has_short_list() {
             return;
         }
-        self.ping_random(Group::Unknown, MAX_LIST_UPDATE_PINGS, output);
-        let remaining = MAX_LIST_UPDATE_PINGS.saturating_sub(self.table.count_unknown());
+        self.ping_random(Group::Unknown, MAX_PINGS_AT_ONCE, output);
+        let remaining = MAX_PINGS_AT_ONCE.saturating_sub(self.table.count_unknown());
         self.ping_random(Group::DeadOrLeft, remaining, output);
         self.timer_due = Some(self.next_wakeup().max(now));
     }
 
-    /// Pings `members` random members of a group, or all if there are fewer.
-    fn ping_random(&mut self, group: Group, members: usize, output: &mut Output) {
-        for n in 0..members {
+    /// Pings `count` random members of a group, or all if there are fewer.
+    fn ping_random(&mut self, group: Group, count: usize, output: &mut Output) {
+        for n in 0..count {
             let Some(key) = self.table.random_peer(group, n, &mut self.rng) else { break };
             self.ping(key, output);
         }
     }
 
-    /// Pings a member, whatever is known of it. Its answer is meant for this process, not for an earlier one at the
-    /// same address.
+    /// Pings a member in any state. The answer has the nonce of this process, and so acknowledges this process and not
+    /// an earlier one at the same address.
     pub fn ping(&mut self, key: Key, output: &mut Output) {
         let seq = self.next_seq();
         self.send(key, Body::Ping { seq }, output);
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Ends the probe in progress if it has this target and sequence number. The answer comes from the target itself or
-    /// from a relay.
+    /// Ends the probe in progress if it has this target and sequence number, and improves the local health. The answer
+    /// comes from the target itself or from a relay.
     pub(super) fn probe_answered(&mut self, from: Key, seq: u32) {
         if self.probe.is_some_and(|probe| (probe.target, probe.seq) == (from, seq)) {
             self.probe = None;
