--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -8,8 +8,8 @@
 /// The share of a latency objective that queueing and service may take together. The rest is for the spread of service
 /// times.
 const OBJECTIVE_FRACTION_FOR_SERVICE: f64 = 0.7;
-/// The share of the tolerable wait that the class with the lowest priority may use, and the factor on the share of a
-/// class for a request that does not have the full share.
+/// The share of the tolerable wait that the class with the lowest priority may use. It is also the factor on the share
+/// of any class for a request over its tenant's quota and for a retry that cannot meet its latency objective.
 const MIN_PRIORITY_SHARE: f64 = 0.2;
 /// The shortest Retry-After, as a share of the mean service time.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
@@ -68,15 +68,15 @@
 
     /// The sum of `N_i` for a class, with its full priority share or with the smallest.
     fn limit(&self, class: usize, service_time: f64, full_share: bool) -> f64 {
-        // With the full share, a tenant over its quota took the slots of the others, although its requests over the
-        // quota have little weight.
+        // When requests over a quota had the full share, a tenant over its quota took the slots of the others, although
+        // its requests over the quota have little weight.
         let reduction = if full_share { 1.0 } else { MIN_PRIORITY_SHARE };
         let share = self.priority_shares[class] * reduction;
         self.rate * (service_time + self.tolerable_wait * share)
     }
 
-    /// The delay before a retry that a rejected client is advised of: the time in which the open requests above the
-    /// limit of the class are served, and [`MIN_RETRY_AFTER_FRACTION`] of a service time at least; zero if the settings
+    /// The Retry-After that is advised to a rejected client: the time in which the open requests above the limit of the
+    /// class are served, and [`MIN_RETRY_AFTER_FRACTION`] of a service time at least; zero if the settings
     /// permit no advice. An earlier retry would be rejected again, since the queue would still be full. Where the queue
     /// empties sooner than expected, the retry comes later than necessary.
     pub(crate) fn retry_after(
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -11,7 +11,7 @@
 pub struct ServerGauge {
     /// Requests in flight at the server.
     pub in_flight: u32,
-    /// `K_i`: the largest number of requests in flight.
+    /// `K_i`: the most requests that may be in flight at the server.
     pub max_in_flight: u32,
     /// `N_i`: the number of requests that the server answers within the time that the caller passed.
     pub admission_limit: f64,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -19,7 +19,8 @@
 /// The share of its latency objective that a class may take on average before the limit falls. The rest is for the
 /// spread of service times around their mean.
 const TARGET_LATENCY_RATIO: f64 = 0.5;
-/// The largest value of that share for a class that takes long even without load.
+/// The largest share of its latency objective that a class may take on average before the limit falls, if it takes long
+/// even without load.
 const MAX_TARGET_LATENCY_RATIO: f64 = 0.7;
 /// A latency of up to this many times the unloaded latency does not show yet that requests wait for others.
 const UNCONTENDED_FACTOR: f64 = 1.5;
@@ -77,8 +78,8 @@
         self.usable_servers * per_server / f64::from(balancers)
     }
 
-    /// Scales the limit to another number of balancers that share the servers. It grows to the initial limit of that
-    /// number at most.
+    /// Scales the limit to another number of balancers that share the servers. Scaling raises the limit no further than
+    /// to the initial limit for the new number of balancers.
     pub(crate) fn set_balancers(&mut self, before: u32, after: u32) {
         let scaled = self.limit * f64::from(before) / f64::from(after);
         self.limit = scaled.min(self.limit.max(self.own_share(INITIAL_LIMIT, after)));
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -84,9 +84,9 @@
         index
     }
 
-    /// Removes the servers that are gone. Otherwise, where servers are replaced all the time, each call would iterate
-    /// over all that were ever listed. A server that may still be executing an attempt, or that an open request has
-    /// tried, is kept until a later list.
+    /// Removes the servers that are gone. Without the removal, where servers are replaced all the time, each loop over
+    /// the servers would visit all that were ever listed. A server that may still be executing an attempt, or that an
+    /// open request has tried, is kept until a later list.
     pub(crate) fn remove_gone(&mut self, was_tried: impl Fn(usize) -> bool) {
         let (servers, vacant) = (&mut self.servers, &mut self.vacant);
         self.by_id.retain(|_, &mut index| {
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -21,10 +21,10 @@
 
 /// The consecutive failures of one class at a server, or of the connections to a zone.
 ///
-/// Ejection is by class, since a server may fail, reject or delay only some of the work. When six servers of ten
-/// rejected one class after 95 ms, all classes paused at these servers, then as many requests were forwarded there
-/// again, and half of the attempts of that class ended there. Failures that are consecutive by chance leave the server
-/// idle for one ejection time.
+/// Ejection is by class, since a server may fail, reject or delay only some of the work. With ejection for all classes,
+/// when six servers of ten rejected one class after 95 ms, all classes paused at these servers, then as many requests
+/// were forwarded there again, and half of the attempts of the rejected class ended there. Failures that are
+/// consecutive by chance leave the server idle for one ejection time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutlierState {
     /// The number of consecutive failures. Failures during an ejection, or of attempts sent before it ended, do not
@@ -77,8 +77,8 @@
         self.consecutive_failures = 0;
     }
 
-    /// Counts the end of an attempt of the class at the server. A rejection ejects at once, an error only after another
-    /// failure.
+    /// Counts the end of an attempt of the class at the server. A rejection ejects at once; an error, a reset or a
+    /// timeout ejects only after another failure.
     pub(crate) fn class_attempt_ended(
         &mut self,
         outcome: Outcome,
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -25,7 +25,7 @@
     pub(crate) state: AttemptState,
 }
 
-/// A request that has no final answer yet, or an attempt that has no result yet.
+/// A request that has no final answer yet, or that has an attempt without a result.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) class: usize,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,5 +1,5 @@
-//! The rules on whether a request may be forwarded, for the first time or again, and whether it may be rejected. Both
-//! ensure that the effect of a request that is not idempotent happens at most once.
+//! The rules on whether a request may be forwarded, for the first time or again, and whether it may be rejected. The
+//! rules ensure that the effect of a request that is not idempotent happens at most once.
 
 use sableloom_types::{AttemptLimits, DedupScope, Idempotency, PolicySettings, RequestClass, Time};
 
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,5 +1,5 @@
 //! Slow start: a server that warms up gets requests by tokens. Its tokens are refilled at the rate of a warm server of
-//! its machine type, multiplied by the share of its capacity that it has at least at its age.
+//! its machine type, multiplied by the share of its capacity that a server of its age has at least.
 
 use sableloom_types::{SafetyRules, Span, Time};
 
@@ -30,7 +30,7 @@
     window: Span,
     /// The rates by machine type.
     machine_types: Vec<MachineTypeRate>,
-    /// The decaying peak of the rate of all machine types together, in the same unit.
+    /// The decaying peak of the rate of all machine types together, in answers a microsecond per unit of weight.
     overall_peak: f64,
 }
 
--- a/crates/policy/src/usable_share.rs
+++ b/crates/policy/src/usable_share.rs
@@ -7,8 +7,8 @@
 use crate::slow_start::SlowStart;
 
 /// Refreshes the usable share of every server: it is below 1 for a server that warms up and 0 for one that cannot be
-/// reached. If all counted in full, when most servers are new or unreachable, the remaining ones would get the limit
-/// that is meant for all; they then answered hardly any request in time.
+/// reached. When all servers counted in full while most were new or unreachable, the remaining ones got the limit that
+/// is meant for all, and answered hardly any request in time.
 pub(crate) fn refresh(
     servers: &mut [Server],
     zones: &ZoneOutliers,
--- a/crates/policy/tests/request_path/queue.rs
+++ b/crates/policy/tests/request_path/queue.rs
@@ -69,6 +69,7 @@
         w.request(id, 0);
         serve(&mut w, id, 60);
     }
+    // Earlier answers took 60 ms: one of the two requests has less time left, the other more.
     w.request_until(100, 0, w.now.plus(Span(45 * MS)));
     assert_eq!(
         (w.requests[&100].attempts.len(), w.requests[&100].finished),
@@ -119,6 +120,8 @@
         }
         admitted_of_flood(&mut w, left_ms)
     };
+    // A first try has 600 ms left. With 570 ms left, a request still counts as a first try; with 300 ms left, the
+    // latency objective of 200 ms has passed.
     let (first_tries, slightly_delayed, late) = (admitted(600), admitted(570), admitted(300));
     assert!(first_tries < 200, "the flood must exceed the limit");
     assert_eq!(
--- a/crates/policy/tests/safety_rules.rs
+++ b/crates/policy/tests/safety_rules.rs
@@ -59,6 +59,7 @@
     let mut w = World::with_servers(settings(), 2);
     w.request(1, NON_IDEMPOTENT);
     w.request(2, IDEMPOTENT);
+    // The deadline of both classes is 600 ms.
     w.advance(Span(601 * MS));
     assert!(w.failed(1) && w.requests[&2].finished);
 }
@@ -150,6 +151,7 @@
             Event::Unavailable => w.update_list(ListKind::Unavailable, &[]),
             Event::UnknownTimer { token } => {
                 let mut actions = vec![];
+                // The offset keeps the token apart from that of the housekeeping timer.
                 w.balancer.timer_fired(w.now, token + 1000, &mut actions);
                 assert!(actions.is_empty());
             }
