--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -24,7 +24,7 @@
     epoch: Instant,
     /// The source of the first state in force; `None` until a state is in force.
     origin: Cell<Option<StateOrigin>>,
-    origin_known: Notify,
+    origin_set: Notify,
     /// The outputs of calls that were made outside the task. The task applies them.
     queued_outputs: RefCell<Vec<SubscriberOutput>>,
     outputs_queued: Notify,
@@ -51,7 +51,7 @@
             control_machines,
             epoch: Instant::now(),
             origin: Cell::new(origin),
-            origin_known: Notify::new(),
+            origin_set: Notify::new(),
             queued_outputs: RefCell::default(),
             outputs_queued: Notify::new(),
             unreachable_logged: Cell::new(false),
@@ -112,7 +112,7 @@
             SubscriberEvent::Disconnected { .. } if self.unreachable_logged.get() => return,
             SubscriberEvent::Current { .. } if self.origin.get().is_none() => {
                 self.origin.set(Some(StateOrigin::ControlMachine));
-                self.origin_known.notify_waiters();
+                self.origin_set.notify_waiters();
             }
             _ => {}
         }
@@ -125,13 +125,13 @@
             if let Some(origin) = self.origin.get() {
                 return origin;
             }
-            self.origin_known.notified().await;
+            self.origin_set.notified().await;
         }
     }
 
     pub(crate) fn status(&self) -> SubscriptionStatus {
         let subscriber = self.subscriber.borrow().status(self.now());
-        let number = match subscriber.connection {
+        let index = match subscriber.connection {
             ConnectionState::Idle | ConnectionState::Waiting { .. } => None,
             ConnectionState::Connecting { control_machine }
             | ConnectionState::Greeting { control_machine }
@@ -139,7 +139,7 @@
             | ConnectionState::Current { control_machine } => Some(control_machine),
         };
         SubscriptionStatus {
-            control_machine: number.and_then(|number| self.control_machines.get(number).copied()),
+            control_machine: index.and_then(|index| self.control_machines.get(index).copied()),
             subscriber,
             origin: self.origin.get(),
             save_error: self.save_error.borrow().clone(),
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_file_of_another_subscriber_or_format_or_an_unknown_version_is_rejected() {
+fn a_file_of_another_subscriber_another_format_or_an_unknown_version_is_rejected() {
     let own_name = subscriber("balancer-17");
     let other = encode_state(&subscriber("balancer-18"), &state_at(7));
     let error = decode_state(&own_name, &other).expect_err("the file is of another subscriber");
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -255,7 +255,7 @@
     run_on_local_set(async {
         let folder = Site::new("");
         let (listener, address) = bind_listener().await;
-        let mut subscribed = subscribe(vec![address], &folder, Vec::new());
+        let mut test_subscription = subscribe(vec![address], &folder, Vec::new());
         let frame = encode(&PublisherMessage::Welcome { position: POSITION });
         // The length in the header is 2^32 - 1, over the maximum length of a frame.
         let oversized_frame = [&[0xff; 4][..], &frame[4..]].concat();
@@ -271,7 +271,7 @@
             // The subscriber sends a hello and a scope, then closes the connection.
             while session.next_message().await.is_some() {}
         }
-        assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
+        assert_eq!(test_subscription.subscription.status().subscriber.counters.violations, 3);
         // A connection that ends within a frame is not a protocol violation.
         let mut session = Session::accept(&listener).await;
         session.stream.write_all(&frame[..frame.len() / 2]).await.expect("written");
@@ -281,8 +281,8 @@
         session.accept_hello(POSITION).await;
         let (_, sent_version) = session.send_snapshot(POSITION).await;
         session.send_current(POSITION, &sent_version).await;
-        subscribed.wait_for_line("all is in force up to 1/7").await;
-        assert_eq!(subscribed.subscription.status().subscriber.counters.violations, 3);
+        test_subscription.wait_for_line("all is in force up to 1/7").await;
+        assert_eq!(test_subscription.subscription.status().subscriber.counters.violations, 3);
     });
 }
 
@@ -292,7 +292,8 @@
         let folder = Site::new("");
         let ((silent, silent_address), (good, good_address)) =
             (bind_listener().await, bind_listener().await);
-        let mut subscribed = subscribe(vec![silent_address, good_address], &folder, Vec::new());
+        let mut test_subscription =
+            subscribe(vec![silent_address, good_address], &folder, Vec::new());
         // The silent control machine accepts connections and sends nothing, whether the subscription chooses it first
         // or not.
         let silent_machine = tokio::task::spawn_local(async move {
@@ -305,8 +306,8 @@
         session.accept_hello(POSITION).await;
         let (_, sent_version) = session.send_snapshot(POSITION).await;
         session.send_current(POSITION, &sent_version).await;
-        subscribed.wait_for_line("all is in force up to 1/7").await;
-        let status = subscribed.subscription.status();
+        test_subscription.wait_for_line("all is in force up to 1/7").await;
+        let status = test_subscription.subscription.status();
         assert_eq!(status.control_machine, Some(good_address));
         // After this connection ends, the subscription may try the silent control machine again; the good one then
         // receives the version in force.
