--- a/crates/subscription/src/event_lines.rs
+++ b/crates/subscription/src/event_lines.rs
@@ -12,7 +12,7 @@
 pub(crate) fn describe(event: &SubscriberEvent, control_machines: &[SocketAddr]) -> String {
     let address_of = |control_machine: &usize| match control_machines.get(*control_machine) {
         Some(address) => address.to_string(),
-        None => format!("number {control_machine}"),
+        None => format!("control machine {control_machine}"),
     };
     match event {
         SubscriberEvent::Connected { control_machine, position } => {
--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -15,7 +15,8 @@
 use crate::link::Traffic;
 use crate::status::{StateOrigin, SubscriptionStatus};
 
-/// The state machine with its clock, and the values from which the status is built.
+/// The state machine with its clock, the queue of outputs for the task, the applier, and the values from which the
+/// status is built.
 pub(crate) struct Shared {
     pub(crate) subscriber: RefCell<Subscriber>,
     pub(crate) applier: Rc<dyn Applier>,
@@ -24,6 +25,7 @@
     epoch: Instant,
     /// The source of the first state in force; `None` until a state is in force.
     origin: Cell<Option<StateOrigin>>,
+    /// Notifies the waiting calls that `origin` has been set.
     origin_set: Notify,
     /// The outputs of calls that were made outside the task. The task applies them.
     queued_outputs: RefCell<Vec<SubscriberOutput>>,
--- a/crates/subscription/src/state_file.rs
+++ b/crates/subscription/src/state_file.rs
@@ -18,7 +18,7 @@
 /// The first bytes of every state file.
 const MAGIC: [u8; 8] = *b"SLSTATE\n";
 /// The format version that is written. Version 1 has pools, servers and routes; version 2 also has tenants, which a
-/// program that knows only version 1 cannot decode.
+/// program that supports only version 1 cannot decode.
 const FORMAT_VERSION: u32 = 2;
 /// The oldest format version that is read. Every state of version 1 means the same in version 2, so that a balancer can
 /// restore its state right after an upgrade.
--- a/crates/subscription/tests/state_file.rs
+++ b/crates/subscription/tests/state_file.rs
@@ -1,4 +1,5 @@
-//! Tests that a state file is used only if it is complete, unaltered, and of this subscriber and a known version.
+//! Tests that a state file is used only if it is complete and unaltered, belongs to this subscriber, and has a
+//! supported format version.
 
 use sableloom_distribution::{
     Origin, Position, Resource, ResourceName, SavedService, SavedState, ServiceName, SubscriberName,
@@ -77,7 +78,7 @@
 
 #[test]
 fn a_state_file_of_format_version_1_is_decoded() {
-    // A state file of a program without tenants. The names of the subscriber, the service and the server have one
+    // A state file in the format that has no tenants. The names of the subscriber, the service and the server have one
     // letter each.
     const VERSION_1_FILE: [u8; 86] = [
         b'S', b'L', b'S', b'T', b'A', b'T', b'E', b'\n', 0, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 31,
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! Tests of a subscription over TCP connections to control machines that the tests play.
+//! Tests of a subscription over TCP connections to control machines that the tests simulate.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -294,8 +294,8 @@
             (bind_listener().await, bind_listener().await);
         let mut test_subscription =
             subscribe(vec![silent_address, good_address], &folder, Vec::new());
-        // The silent control machine accepts connections and sends nothing, whether the subscription chooses it first
-        // or not.
+        // The silent control machine accepts connections and sends nothing. It runs in a task of its own, because the
+        // subscription may choose either control machine first.
         let silent_machine = tokio::task::spawn_local(async move {
             let mut open_sessions = Vec::new();
             loop {
