--- a/crates/distribution/src/subscriber/applied_state.rs
+++ b/crates/distribution/src/subscriber/applied_state.rs
@@ -165,8 +165,9 @@
         added
     }
 
-    /// Returns whether the service is in scope, and no scope message has added it again that the control machine had
-    /// not processed when it began the transaction.
+    /// Returns whether the service is in scope and the control machine had processed the scope message that last added
+    /// it when it began the transaction. Otherwise the changes apply to a state that the subscriber has dropped or has
+    /// requested again.
     pub(super) fn expects(&self, transfer: &ServiceTransfer) -> bool {
         self.services
             .get(&transfer.target.service)
@@ -208,14 +209,14 @@
     /// other comparison would detect.
     pub(super) fn scrub_next(
         &mut self,
-        is_busy: impl Fn(&ServiceName) -> bool,
+        has_pending_changes: impl Fn(&ServiceName) -> bool,
     ) -> Option<ServiceName> {
         let from = self.last_scrubbed.as_ref().map_or(Unbounded, Excluded);
         let next = self.services.range::<ServiceName, _>((from, Unbounded)).next();
         let service =
             next.or_else(|| self.services.first_key_value()).map(|(name, _)| name.clone())?;
         self.last_scrubbed = Some(service.clone());
-        (!is_busy(&service) && self.correct_digest(&service)).then_some(service)
+        (!has_pending_changes(&service) && self.correct_digest(&service)).then_some(service)
     }
 
     /// Replaces the body of a resource and leaves the digest as it is, like a memory error.
