--- a/crates/subscription/src/shared.rs
+++ b/crates/subscription/src/shared.rs
@@ -32,7 +32,7 @@
     outputs_queued: Notify,
     /// Whether it has been logged, since the last established session, that no control machine can be reached.
     unreachable_logged: Cell<bool>,
-    /// The error of the last write of the state file; `None` if that write succeeded.
+    /// The error of the last write of the state file; `None` if that write succeeded or none has finished.
     pub(crate) save_error: RefCell<Option<String>>,
     /// The longest time that one copy of the state for a write has taken on the serving thread.
     pub(crate) longest_state_copy: Cell<Duration>,
--- a/crates/subscription/tests/subscription.rs
+++ b/crates/subscription/tests/subscription.rs
@@ -226,14 +226,16 @@
             }
         };
         assert_eq!((saved.position, saved.services.len()), (POSITION, 1));
-        // The second process restores the saved state before it connects, and sends the restored version in its scope.
+        // The second subscription restores the saved state before it connects, and sends the restored version in its
+        // scope.
         let mut second = subscribe(vec![address], &folder, Vec::new());
         assert_eq!(second.subscription.wait_for_state().await, StateOrigin::File);
         assert_eq!(second.applied.try_recv().expect("a transaction").services[0].version, 7);
         second.wait_for_line("1 services at 1/7").await;
         let mut session = Session::accept(&listener).await;
         assert_eq!(session.accept_hello(POSITION).await, sent_version);
-        // The third process rejects the saved service, logs the problem, and requests the service with version 0.
+        // The applier of the third subscription rejects the saved service. The subscription logs the problem, and
+        // requests the service with version 0.
         let mut third = subscribe(vec![address], &folder, vec![service_name()]);
         let line = third.wait_for_line("points not used").await;
         assert!(
