--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -69,7 +69,7 @@
     pub absent_members: usize,
     /// The reason for the size of the share: `shares` if the member shares with all members that are not proved absent,
     /// `waits` if it waits for other members before it has a share, `woken` after a suspension, or `twin` if another
-    /// process acts under its name.
+    /// process runs under its name.
     #[serde(rename = "why")]
     pub reason: String,
 }
