--- a/crates/admission/src/bounds.rs
+++ b/crates/admission/src/bounds.rs
@@ -7,8 +7,8 @@
 pub struct Bounds {
     /// The largest number of connections.
     pub max_connections: usize,
-    /// The largest number of connections on which clients can send requests. It is less than `max_connections` if the
-    /// clients themselves open fewer.
+    /// The largest number of connections on which clients can send requests. It is less than `max_connections` if a
+    /// bound outside the balancer allows clients fewer.
     pub max_client_connections: usize,
     /// A request must be complete this long after its first byte, and on a new connection after the accept.
     pub request_timeout: Span,
--- a/crates/admission/src/hazard_estimate/tests.rs
+++ b/crates/admission/src/hazard_estimate/tests.rs
@@ -38,7 +38,9 @@
     let reused = estimate_of(&[(40, WaitOutcome::Completed, 200)]);
     let never = estimate_of(&[(2400, WaitOutcome::Censored, 200)]);
     assert!(reused.value(0) > 10.0 * never.value(0));
+    // One event per 40 ms is 25 events per second.
     assert!(reused.value(0) > 15.0, "{}", reused.value(0));
+    // Without observations, the prior gives a new connection a value of 100 events per second.
     assert!(never.value(0) < 3.0, "{}", never.value(0));
 }
 
--- a/crates/discovery-schedule/src/poll_timing.rs
+++ b/crates/discovery-schedule/src/poll_timing.rs
@@ -9,8 +9,9 @@
 
 /// The drain grace if the settings state none.
 const DEFAULT_DRAIN_GRACE: Span = ms(1000);
-/// The fraction of the budget that the short wait takes, where the budget is the time in which silence has to be
-/// detected and answered. The rest is for the answer.
+/// The fraction of the budget that the short wait takes. The budget is the time from the start of a poll that goes
+/// silent until a new poll must have been answered, less the answer slack and the connect timeout. The rest of it is
+/// for the answer to the new poll.
 const SHORT_WAIT_FRACTION_OF_BUDGET: f64 = 0.72;
 /// The fraction of the budget of [`SHORT_WAIT_FRACTION_OF_BUDGET`] in which a fast service handles a poll of each
 /// balancer. Such a service can answer all of them in time although they all detect the silence within one short wait.
@@ -19,7 +20,7 @@
 const FAST_SERVICE_FRACTION_OF_BUDGET: f64 = 0.88;
 /// The fraction of the poll interval over which the first polls of a fleet that starts at once are spread.
 const START_SPREAD_FRACTION_OF_INTERVAL: f64 = 0.05;
-/// The longest poll interval of which [`START_SPREAD_FRACTION_OF_INTERVAL`] is taken, in microseconds.
+/// The upper bound of the poll interval from which the spread of the first polls is computed, in microseconds.
 const MAX_START_SPREAD_INTERVAL_US: f64 = 10e6;
 /// The least wait of a long poll at a service.
 const MIN_WAIT: Span = ms(500);
@@ -39,10 +40,10 @@
 /// The settings of discovery, and the number of this balancer among all balancers.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleOptions {
-    /// Whether an agent on this machine has the list, which answers at once and at no cost. Otherwise one service has
-    /// it for all balancers, and handles new polls one after the other.
+    /// Whether the list comes from an agent on this machine, which answers at once and at no cost. Otherwise one
+    /// service provides the list to all balancers, and handles new polls one after the other.
     pub local_agent: bool,
-    /// The longest time between polls if a service has the list.
+    /// The longest time between polls if a service provides the list.
     pub poll_interval: Span,
     /// For how long after the notification of a drain a request to the server may still begin. Zero means that it is
     /// not stated, and selects the default of 1 s.
@@ -61,7 +62,8 @@
     /// The wait at a service that is fast enough for it. It is short enough for silence to be detected, and a new
     /// poll to be answered, before a change that an abandoned poll misses becomes binding.
     pub short_wait: Span,
-    /// The longest time that a service may take for a poll of each balancer to be fast enough for the short wait.
+    /// The longest time that a service may take in total to handle one poll of every balancer if it is to be fast
+    /// enough for the short wait.
     pub fast_service_limit: Span,
     /// The fraction of each period at which this balancer's waits end.
     pub phase: f64,
@@ -168,7 +170,7 @@
                 * START_SPREAD_FRACTION_OF_INTERVAL
                 * timing.phase,
         );
-        // The hedge is sent late, because it slows down a service that is merely slow.
+        // The hedge is sent late, because it adds load to a service that is slow but not silent.
         let answer_budget_us = timing.answer_budget_after_silence().as_micros_f64();
         timing.hedge_delay =
             Span::from_micros_f64(answer_budget_us * HEDGE_FRACTION_OF_BUDGET).min(MAX_HEDGE_DELAY);
--- a/crates/discovery-schedule/src/schedule.rs
+++ b/crates/discovery-schedule/src/schedule.rs
@@ -11,13 +11,13 @@
 use crate::service_time::FleetServiceTime;
 
 /// The wait of a poll that is to be answered as soon as its turn comes at the service. It is the shortest wait that
-/// can be asked for.
+/// can be asked for. A poll with this wait counts as a poll without a wait.
 const SHORTEST_WAIT: Span = ms(1);
 /// A poll was answered quickly, as by a service without other polls queued before it, if its latency is less than the
 /// hedge delay divided by this.
 const QUICK_ANSWER_DIVISOR: i64 = 4;
-/// An answer to a long poll is early if it arrives within this time, which is also the backoff after repeated early
-/// answers.
+/// An answer to a long poll is early if it arrives within this time. It is also the backoff after an early answer
+/// without a change, and after each further early answer in a row.
 const EARLY_ANSWER_LIMIT: Span = ms(100);
 /// A wait that is shorter than its period divided by this is prolonged by a period.
 const MIN_WAIT_DIVISOR: i64 = 20;
@@ -34,9 +34,9 @@
     /// yet is not binding.
     Resyncing,
     /// The list is not in sync, and the time by which an answer was due has passed. The servers of the last list are
-    /// still used: a discovery service that answers no poll is down more often than it has a drain that was not
-    /// received, and rejecting every request whenever it is down would turn each of its outages into an outage of the
-    /// whole service.
+    /// still used: a discovery service that answers no poll is more often down than in possession of a drain that was
+    /// not received. Rejecting every request while discovery is down would turn each outage of discovery into an
+    /// outage of the whole service.
     Stale,
 }
 
@@ -189,7 +189,8 @@
         if self.last_poll_was_queued && left < period / 2 {
             return Span(period);
         }
-        // Without this, an answer that arrives just before the end of its wait would lead to two polls for one end.
+        // Without the additional period, an answer that arrives just before the end of its wait would be followed by a
+        // second poll that ends at the same time.
         let too_short = left * MIN_WAIT_DIVISOR < period;
         Span(if too_short { left + period } else { left })
     }
@@ -236,8 +237,9 @@
         self.fleet_service_time.observe(now, latency, &self.timing);
         let early = is_long_poll && passed < EARLY_ANSWER_LIMIT;
         self.early_answers = if early { self.early_answers + 1 } else { 0 };
-        // A service that keeps answering long polls at once is polled no faster than this, which is still soon enough
-        // to continue the watch.
+        // A service that keeps answering long polls early is polled again only after `EARLY_ANSWER_LIMIT`. That is less
+        // than `MAX_CONTINUATION_GAP`, so that the watch continues. A single early answer with a change causes no
+        // backoff.
         let too_fast = self.early_answers > u32::from(changed);
         self.backoff.set_until(if too_fast { now.plus(EARLY_ANSWER_LIMIT) } else { now });
     }
--- a/crates/discovery-schedule/src/service_time.rs
+++ b/crates/discovery-schedule/src/service_time.rs
@@ -1,4 +1,5 @@
-//! Estimates how long discovery takes for a poll of each balancer of the fleet, from this balancer's own polls.
+//! Estimates how long discovery takes in total to handle one poll of every balancer of the fleet, from this balancer's
+//! own polls.
 
 use sableloom_types::{Span, Time};
 
@@ -13,11 +14,11 @@
     in_turn: bool,
 }
 
-/// An estimate of how long discovery takes for a poll of each balancer.
+/// An estimate of how long discovery takes in total to handle one poll of every balancer.
 #[derive(Debug, Default)]
 pub(crate) struct FleetServiceTime {
     first_poll: Option<FirstPoll>,
-    /// `None` until anything can be concluded, which counts as longer than any limit.
+    /// The estimate; `None` until an answer allows one. `None` counts as longer than any limit.
     estimate: Option<Span>,
 }
 
@@ -33,7 +34,7 @@
             Self { first_poll: Some(FirstPoll { started: now, in_turn: false }), estimate: None };
     }
 
-    /// Whether discovery takes at most this time for a poll of each balancer.
+    /// Whether discovery takes at most this time in total to handle one poll of every balancer.
     pub(crate) fn is_within(&self, limit: Span) -> bool {
         self.estimate.is_some_and(|estimate| estimate <= limit)
     }
@@ -41,7 +42,7 @@
     /// Updates the estimate with an answer. `latency` is given for a poll without a wait.
     pub(crate) fn observe(&mut self, now: Time, latency: Option<Span>, timing: &PollTiming) {
         match (self.first_poll.take(), self.estimate, latency) {
-            // `answered` is the fraction of the fleet that had its answers by then, if all balancers started at once.
+            // `answered` is the fraction of the fleet that had its answers at `now`, if all balancers started at once.
             // A balancer that starts alone gets its answer sooner, and may mistake a slow service for a fast one.
             (Some(FirstPoll { started, in_turn: true }), ..) => {
                 let answered = timing.phase + 1.0 / timing.balancers;
--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -96,8 +96,8 @@
             .collect()
     }
 
-    /// Removes the servers that are neither listed nor `in_use`, and returns their ids. Otherwise the address book
-    /// would grow without bound in a process that runs for long, as servers come and go.
+    /// Removes the servers that are neither listed nor `in_use`, and returns their ids. Otherwise the address book of
+    /// a long-running process would grow without bound as servers come and go.
     pub(crate) fn remove_unlisted(&mut self, in_use: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
         let mut removed = Vec::new();
         self.servers.retain(|id, server| {
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -125,15 +125,15 @@
         self.state.borrow().idle.is_idle()
     }
 
-    /// The number of requests without a final answer.
+    /// The number of requests that were not answered and whose clients have not disconnected.
     pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.unfinished().count()
     }
 
     /// Answers all open requests because the process is about to terminate: requests that were never forwarded are
     /// rejected, the others fail. Afterwards nothing is forwarded, and new requests are rejected at once. Without
-    /// this, a request that was read in the last 60 ms was forwarded, and its answer arrived after the process had
-    /// terminated.
+    /// this, a request that was read in the last 60 ms before the termination was forwarded, and its answer arrived
+    /// after the process had terminated.
     pub fn abort_open_requests(self: &Rc<Self>) {
         self.shutting_down.set(true);
         let open: Vec<_> = {
--- a/crates/exchange/src/open_requests.rs
+++ b/crates/exchange/src/open_requests.rs
@@ -12,7 +12,7 @@
 use crate::attempt::Attempt;
 use crate::message::{Message, Reply, RequestContext, RequestRejection};
 
-/// A request from its acceptance until its final answer is sent and its last attempt has ended.
+/// A request from its acceptance until it is finished and its last attempt has ended.
 pub(crate) struct OpenRequest {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
@@ -105,7 +105,7 @@
         self.by_id.is_empty()
     }
 
-    /// The requests without a final answer.
+    /// The requests that were not answered and whose clients have not disconnected.
     pub(crate) fn unfinished(&self) -> impl Iterator<Item = &Rc<OpenRequest>> {
         self.by_id.values().filter(|request| !request.finished.get())
     }
--- a/crates/exchange/src/outcome.rs
+++ b/crates/exchange/src/outcome.rs
@@ -63,7 +63,7 @@
         (AttemptEnd::UnusableAnswer, true) => Outcome::Error,
         (AttemptEnd::TimedOut, true) => Outcome::Timeout,
         (AttemptEnd::Cancelled | AttemptEnd::RequestFinished, true) => Outcome::Cancelled,
-        // The last two combinations are contradictory, so that nothing is proven.
+        // `ConnectFailed` and `NotStarted` contradict a request that was written completely, so they prove nothing.
         (AttemptEnd::ConnectionLost | AttemptEnd::ConnectFailed | AttemptEnd::NotStarted, true) => {
             Outcome::Reset
         }
