--- a/crates/discovery-schedule/src/schedule.rs
+++ b/crates/discovery-schedule/src/schedule.rs
@@ -240,8 +240,8 @@
         // A service that keeps answering long polls early is polled again only after `EARLY_ANSWER_LIMIT`. That is less
         // than `MAX_CONTINUATION_GAP`, so that the watch continues. A single early answer with a change causes no
         // backoff.
-        let too_fast = self.early_answers > u32::from(changed);
-        self.backoff.set_until(if too_fast { now.plus(EARLY_ANSWER_LIMIT) } else { now });
+        let needs_backoff = self.early_answers > u32::from(changed);
+        self.backoff.set_until(if needs_backoff { now.plus(EARLY_ANSWER_LIMIT) } else { now });
     }
 
     fn handle_silence(&mut self, now: Time, poll: InFlightPoll) {
--- a/crates/discovery-schedule/src/service_time.rs
+++ b/crates/discovery-schedule/src/service_time.rs
@@ -46,14 +46,14 @@
             // A balancer that starts alone gets its answer sooner, and may mistake a slow service for a fast one.
             (Some(FirstPoll { started, in_turn: true }), ..) => {
                 let answered = timing.phase + 1.0 / timing.balancers;
-                let passed = now.since(started).as_micros_f64();
-                self.estimate = Some(Span::from_micros_f64(passed / answered));
+                let passed_us = now.since(started).as_micros_f64();
+                self.estimate = Some(Span::from_micros_f64(passed_us / answered));
             }
             // The poll may have been the first of the fleet or the last. It is assumed to be the first, in which case
             // all polls take at most this long.
             (Some(FirstPoll { in_turn: false, .. }), _, Some(latency)) => {
-                let all = latency.as_micros_f64() * timing.balancers;
-                self.estimate = Some(Span::from_micros_f64(all));
+                let total_us = latency.as_micros_f64() * timing.balancers;
+                self.estimate = Some(Span::from_micros_f64(total_us));
             }
             (None, Some(estimate), Some(latency)) => self.estimate = Some(estimate.max(latency)),
             _ => {}
