--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -33,7 +33,8 @@
     #[serde(rename = "servers")]
     pub endpoints_digest: String,
     /// How much of the fleet the member reaches: `whole` if it reaches all members, `part` if it reaches some, `alone`
-    /// if it reaches no other member, or `just-woken` if it was suspended and does not trust its view yet.
+    /// if it reaches no other member, or `just-woken` if it was suspended and has received messages from too few
+    /// members since.
     #[serde(rename = "standing")]
     pub reachability: String,
     /// The number of members that the member reaches, itself included.
@@ -59,7 +60,8 @@
 pub struct ShareStatus {
     /// The number of balancers that divide the capacity, this one included; 0 if the member has no share yet.
     pub balancers: u32,
-    /// The length of the longest list that the member knows of, its own included.
+    /// The length of the longest list of members among the member's own list and those of other members that are not
+    /// proved absent.
     #[serde(rename = "listed")]
     pub longest_list_length: u32,
     /// The number of members that are proved absent.
@@ -67,12 +69,12 @@
     pub absent_members: usize,
     /// The reason for the size of the share: `shares` if the member shares with all members that are not proved absent,
     /// `waits` if it waits for other members before it has a share, `woken` after a suspension, or `twin` if another
-    /// process acts under its name.
+    /// process runs under its name.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// The state of another member, as the member that reports the status knows it.
+/// The state of another member in the view of the member that reports the status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The member's name.
@@ -94,7 +96,7 @@
     pub process_incarnation: u32,
     /// How long ago the last message from this member was received, in milliseconds; `None` if none was.
     #[serde(rename = "heard_ms")]
-    pub last_heard_ms: Option<i64>,
+    pub since_last_message_ms: Option<i64>,
     /// The length of this member's list as it last stated; 0 if it has stated none.
     #[serde(rename = "listed")]
     pub list_length: u16,
@@ -178,7 +180,7 @@
             reported_by: member.name(peer.reported_by).to_string(),
             suspecting_members,
             process_incarnation: peer.process_incarnation,
-            last_heard_ms: peer.last_message_at.map(milliseconds_since),
+            since_last_message_ms: peer.last_message_at.map(milliseconds_since),
             list_length: peer.list_length,
             endpoints_digest: format_digest(peer.endpoints_digest),
         }
