--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -166,7 +166,7 @@
     for (state, incarnation) in
         [(MemberState::Suspect, 0), (MemberState::Dead, 1), (MemberState::Left, 2)]
     {
-        let suspected = Update {
+        let wrong = Update {
             member: key_of("b"),
             process_incarnation: 9,
             incarnation,
@@ -174,7 +174,7 @@
             reported_by: key_of("c"),
         };
         let message =
-            Message { updates: vec![suspected], body: Body::Ping { seq: 70 }, ..ping.clone() };
+            Message { updates: vec![wrong], body: Body::Ping { seq: 70 }, ..ping.clone() };
         let mut out = Output::default();
         b.receive(now, address(1), &encode(&message).0, &mut out);
         let answer = messages_to(&mut out, 1).pop().expect("an answer");
--- a/crates/policy/tests/request_path/slow_start.rs
+++ b/crates/policy/tests/request_path/slow_start.rs
@@ -69,19 +69,19 @@
     };
     forwards_to_cold(&mut w, 100, 1);
     w.update_list(ListKind::Update, &[Endpoint { started: Some(w.now), ..endpoint(2, 0) }]);
-    let quick = forwards_to_cold(&mut w, 100, 1);
+    let before_slowdown = forwards_to_cold(&mut w, 100, 1);
     forwards_to_cold(&mut w, 100, 25);
-    let slow = forwards_to_cold(&mut w, 100, 25);
+    let after_slowdown = forwards_to_cold(&mut w, 100, 25);
     assert!(
-        quick > 5 && slow >= quick,
-        "{slow} forwards, {quick} before the warm servers slowed down"
+        before_slowdown > 5 && after_slowdown >= before_slowdown,
+        "{after_slowdown} forwards, {before_slowdown} before the warm servers slowed down"
     );
 }
 
 /// The number of forwards to the server `cold`, which restarts in a pool of `n`, in the two seconds after a list of all
-/// `n` reports the restart. The list before contains only the first `listed` servers.
-fn forwards_after_restart(cold: u32, listed: u32, n: u32) -> usize {
-    let mut w = World::with_servers(settings(), listed);
+/// `n` reports the restart. The list before contains only the first `listed_before` servers.
+fn forwards_after_restart(cold: u32, listed_before: u32, n: u32) -> usize {
+    let mut w = World::with_servers(settings(), listed_before);
     let mut id = 0;
     let mut run = |w: &mut World| {
         for _ in 0..100 {
