--- a/crates/discovery-schedule/src/service_time.rs
+++ b/crates/discovery-schedule/src/service_time.rs
@@ -1,4 +1,5 @@
-//! Estimates how long discovery takes for a poll of each balancer of the fleet, from this balancer's own polls.
+//! Estimates how long discovery takes to answer one poll from every balancer of the fleet, all of them together, from
+//! this balancer's own polls.
 
 use sableloom_types::{Span, Time};
 
@@ -7,17 +8,17 @@
 /// The first poll, until the first answer has arrived.
 #[derive(Clone, Copy, Debug)]
 struct FirstPoll {
-    /// When polling began.
+    /// When polling of the current service began.
     started: Time,
-    /// Whether the poll was made in this balancer's turn in a fleet that started at once.
+    /// Whether all balancers started at once and make their first polls in the order of their numbers.
     in_turn: bool,
 }
 
-/// An estimate of how long discovery takes for a poll of each balancer.
+/// An estimate of how long discovery takes to answer one poll from every balancer, all of them together.
 #[derive(Debug, Default)]
 pub(crate) struct FleetServiceTime {
     first_poll: Option<FirstPoll>,
-    /// `None` until anything can be concluded, which counts as longer than any limit.
+    /// `None` until an answer allows an estimate; it then counts as longer than any limit.
     estimate: Option<Span>,
 }
 
@@ -33,12 +34,13 @@
             Self { first_poll: Some(FirstPoll { started: now, in_turn: false }), estimate: None };
     }
 
-    /// Whether discovery takes at most this time for a poll of each balancer.
+    /// Whether discovery takes at most this time to answer one poll from every balancer.
     pub(crate) fn is_within(&self, limit: Span) -> bool {
         self.estimate.is_some_and(|estimate| estimate <= limit)
     }
 
-    /// Updates the estimate with an answer. `latency` is given for a poll without a wait.
+    /// Updates the estimate with an answer. `latency` is how long the poll took; `None` for a long poll, whose
+    /// answer may have waited for a change.
     pub(crate) fn observe(&mut self, now: Time, latency: Option<Span>, timing: &PollTiming) {
         match (self.first_poll.take(), self.estimate, latency) {
             // `answered` is the fraction of the fleet that had its answers by then, if all balancers started at once.
@@ -54,6 +56,7 @@
                 let all = latency.as_micros_f64() * timing.balancers;
                 self.estimate = Some(Span::from_micros_f64(all));
             }
+            // All polls together take at least as long as one.
             (None, Some(estimate), Some(latency)) => self.estimate = Some(estimate.max(latency)),
             _ => {}
         }
--- a/crates/distribution/src/publisher/token_bucket.rs
+++ b/crates/distribution/src/publisher/token_bucket.rs
@@ -6,7 +6,8 @@
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
 
 /// A token bucket in bytes. A frame of a transaction may be sent while there is at least one token, so that it can
-/// overdraw the bucket by its own size. Replies and bookmarks are not held back, but they also take tokens.
+/// overdraw the bucket by its own size. Replies and bookmarks ([`crate::PublisherMessage::Current`]) are not held
+/// back, but they also take tokens.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     bytes_per_second: i64,
--- a/crates/distribution/src/store/limits.rs
+++ b/crates/distribution/src/store/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of a store.
+//! How many changes, chain hashes, services and bytes a store holds.
 
 /// The limits of a store. [`crate::Store::append`] returns an error for a change that exceeds `services`,
 /// `service_bytes` or `change_bytes`; the log and the chain hashes drop their oldest entries instead.
@@ -8,8 +8,8 @@
     pub log_entries: usize,
     /// The most bytes of the log, by estimate. Default 32 MiB.
     pub log_bytes: usize,
-    /// The most change numbers whose chain hash is kept, 8 bytes each; the hashes detect that a subscriber has followed
-    /// another log. Default 1,048,576: 169 days at 6,200 changes a day.
+    /// The most chain hashes that are kept, one of 8 bytes for each change number. They detect that a subscriber has
+    /// followed another log. Default 1,048,576: 169 days at 6,200 changes a day.
     pub chain_entries: usize,
     /// The most services, including those that have no resources any more. Default 16,384: over 6 times the 2,500
     /// services of a fleet.
--- a/crates/exchange/src/address_book.rs
+++ b/crates/exchange/src/address_book.rs
@@ -30,6 +30,7 @@
 pub(crate) struct RecordedEndpoint {
     /// The entry in the form that the policy uses.
     pub(crate) endpoint: Endpoint,
+    /// Whether the server was recorded with another address before; `false` for a new server.
     pub(crate) address_changed: bool,
 }
 
@@ -72,7 +73,7 @@
         server.address = entry.address;
         let endpoint = Endpoint {
             id,
-            // The hash is of the name and not of the address, which differs from one balancer to the next.
+            // The name is hashed rather than the address, because the address differs from one balancer to the next.
             name_hash: stable_hash(&server.name),
             zone: index_of(&settings.zones, &entry.zone),
             machine_type: index_of(&settings.machine_types, &entry.machine_type),
--- a/crates/membership/src/membership/receiving.rs
+++ b/crates/membership/src/membership/receiving.rs
@@ -72,8 +72,8 @@
             });
             self.update_reachability(output);
         } else {
-            // An earlier process of the sender had a later incarnation. That incarnation is sent to the new process, so
-            // that it takes a later one.
+            // A later process incarnation of the sender is recorded, from an earlier process. It is sent to the new
+            // process, so that this one takes a still later process incarnation.
             self.table.change(position, |peer| peer.nonce = nonce);
             self.send_known_incarnation(sender, output);
         }
@@ -86,8 +86,9 @@
         self.receive_body(now, sender, message.body, output);
     }
 
-    /// Handles a message without this process's nonce, which its sender has not received yet. The message has no
-    /// effect, but a ping is answered with the nonce, so that the sender's next message can have it.
+    /// Handles a message whose sender has not received this process's nonce yet. The message has no effect, but a ping
+    /// is answered with the nonce, so that the sender's next message can have it. The sender's own nonce goes into the
+    /// answer, but is not recorded.
     fn answer_with_nonce(&mut self, position: usize, message: &Message, output: &mut Output) {
         let Body::Ping { seq } = message.body else { return };
         let nonce = message.nonce;
@@ -96,7 +97,8 @@
         self.table.change(position, |peer| peer.nonce = before);
     }
 
-    /// Sends a member the incarnations that this process has recorded of it.
+    /// Sends a member the incarnations that this process has recorded of it, with an ack that answers no ping: no ping
+    /// has the sequence number 0.
     fn send_known_incarnation(&mut self, key: Key, output: &mut Output) {
         let Some(peer) = self.peer(key) else { return };
         let update = Update {
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -47,7 +47,7 @@
 fn exchange_nonces(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
     let mut out = Output::default();
     a.tick(Time(0), &mut out);
-    // All members are missing at first, so that one of them is pinged.
+    // Nothing is known of any member at first, so that members are pinged at random until `b` is.
     let mut at = 0;
     let ping = loop {
         if let Some(ping) = messages_to(&mut out, 2).pop() {
--- a/crates/policy/src/usable_share.rs
+++ b/crates/policy/src/usable_share.rs
@@ -7,8 +7,8 @@
 use crate::slow_start::SlowStart;
 
 /// Refreshes the usable share of every server: it is below 1 for a server that warms up and 0 for one that cannot be
-/// reached. If all counted in full, when most servers are new or unreachable, the remaining ones would get the limit
-/// that is meant for all; they then answered hardly any request in time.
+/// reached. The limits on requests scale with the shares. When all servers counted in full while most were
+/// new or unreachable, the remaining ones got the requests meant for all, and answered hardly any in time.
 pub(crate) fn refresh(
     servers: &mut [Server],
     zones: &ZoneOutliers,
@@ -24,7 +24,7 @@
         };
     }
     if servers.iter().all(|server| server.usable_share == 0.0) {
-        // If no server seems reachable, all live ones count in full, since the sum of N must not be zero.
+        // If no server seems reachable, all live ones count in full, since the sum of `N_i` must not be zero.
         for server in servers {
             server.usable_share = f64::from(u8::from(server.is_live()));
         }
--- a/crates/policy/tests/request_path/queue.rs
+++ b/crates/policy/tests/request_path/queue.rs
@@ -150,7 +150,7 @@
 
 #[test]
 fn excess_requests_are_rejected_where_no_server_can_be_reached() {
-    // Guards against a sum of N that is zero because no server counts as usable: all requests were queued.
+    // Guards against a sum of `N_i` that is zero because no server counts as usable: all requests were queued.
     let mut w = World::with_servers(settings(), 4);
     for id in 0..40 {
         w.request(id, 0);
--- a/crates/policy/tests/request_path/slow_start.rs
+++ b/crates/policy/tests/request_path/slow_start.rs
@@ -18,7 +18,7 @@
         w.request(id, 0);
         serve(&mut w, id, 5);
     }
-    // Three servers are warm, and their forwards include those of the 200 requests before the cold server was listed.
+    // `warm` is the mean of the three warm servers, halved: the cold server was listed for 200 of the 400 requests.
     let (cold, warm) =
         (w.forwards_to(9), (w.forwards_to(0) + w.forwards_to(1) + w.forwards_to(2)) / 6);
     assert!(cold > 0, "the cold server must get requests");
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_pool_in_which_every_server_warms_up_gets_requests() {
-    // Guards against a rate that comes from warm servers alone: without any, no server got a request.
+    // Guards against a rate that comes from warm servers alone: in a pool that had none, no server got a request.
     let mut w = World::new(settings());
     let cold = |i| Endpoint { started: Some(w.now), ..endpoint(i, 0) };
     let list: Vec<_> = (0..4).map(cold).collect();
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_pool_that_restarts_except_for_one_server_is_not_overloaded() {
-    // Guards against the rate of many servers being taken for that of the one that is still warm.
+    // Guards against counting the rate that many warm servers had together as that of the one that is still warm.
     let mut w = World::with_servers(settings(), 40);
     let mut id = 0;
     let mut run = |w: &mut World, rounds: u32| {
@@ -134,13 +134,13 @@
         }
         cold(w) - before
     };
-    // The forwards in five rounds, on average.
+    // The mean number of forwards to servers 1 to 39 in five of the 100 rounds, while they are warm.
     let warm = run(&mut w, 100) / 20;
     let cold = |i| Endpoint { started: (i > 0).then_some(w.now), ..endpoint(i, i % 2) };
     let list: Vec<_> = (0..40).map(cold).collect();
     w.update_list(ListKind::Full, &list);
     // The cold servers have a fifth of their capacity; twice that allows for chance. Five rounds are too short for the
-    // balancer to measure the higher rate of the one warm server, by which the cold ones get more requests later.
+    // balancer to measure the higher rate of the one warm server. Once it has, the cold ones get more requests as well.
     let cold = run(&mut w, 5);
     assert!(cold > 0 && cold <= 2 * warm / 5, "{cold} forwards in 0.1 s, {warm} when warm");
 }
--- a/crates/server-list/src/list_change.rs
+++ b/crates/server-list/src/list_change.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Difference of one server between the list in force and the list that replaces it. Servers are named by their ids.
+/// Change of one server between the list in force and the list that replaces it. Servers are named by their ids.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListChange {
     /// The server is new.
--- a/crates/server-list/src/list_spec.rs
+++ b/crates/server-list/src/list_spec.rs
@@ -1,8 +1,8 @@
-//! Settings for the lists of a pool.
+//! Settings for the server lists of a pool.
 
 use sableloom_types::Span;
 
-/// Settings of an operator for the lists of one pool.
+/// Settings that an operator makes for the server lists of one pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListSpec {
     /// Name of the pool.
