--- a/crates/control/examples/changes.rs
+++ b/crates/control/examples/changes.rs
@@ -16,23 +16,30 @@
 
 const SERVERS_PER_SERVICE: usize = 48;
 const ROUTES_PER_SERVICE: usize = 84;
-/// Number of services in one file of the initial log. Such a file has about a megabyte.
+/// Number of services in one file of the initial log. The size of such a file is about a megabyte.
 const SERVICES_PER_FILE: usize = 50;
-/// Number of changes whose time until they are in force is measured one by one.
+/// Number of services whose servers have the same second octet in their addresses. The third octet differs between
+/// these services and stays below this number.
+const SERVICES_PER_OCTET: usize = 250;
+/// Step from the service of one change to that of the next one. It is prime, so that the changes reach every service
+/// unless the number of services is a multiple of it.
+const SERVICE_STEP: usize = 7919;
+/// Number of changes that are written one by one, to measure for each the time until the control machine serves it.
 const SINGLE_CHANGES: u64 = 200;
-/// Number of changes whose processor time is measured together.
+/// Number of changes that are written without a wait between them, to measure the processor time of them all.
 const BATCHED_CHANGES: u64 = 1_000;
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
     let program =
         PathBuf::from(arguments.next().expect("the first argument is the path of the program"));
-    let mut sizes: Vec<usize> = arguments.map(|size| size.parse().expect("a number")).collect();
+    let mut sizes: Vec<usize> =
+        arguments.map(|size| size.parse().expect("SERVICES are numbers")).collect();
     if sizes.is_empty() {
         sizes = vec![25, 250, 2_500];
     }
     println!(
-        "services  base MB  start s  resident MB  peak MB  one change ms: p50 p99  processor us a change"
+        "services   log MB  start s  resident MB  peak MB  one change ms: p50 p99  processor us a change"
     );
     for services in sizes {
         measure_log(&program, services);
@@ -45,8 +52,8 @@
     let log = folder.join("changes");
     fs::create_dir_all(&log).expect("the folder can be created");
     let settings = "listen = \"127.0.0.1:0\"\nchanges = \"changes\"\n";
-    fs::write(folder.join("control.toml"), settings).expect("a file");
-    let (mut number, bytes) = write_base(&log, services);
+    fs::write(folder.join("control.toml"), settings).expect("the file can be written");
+    let (mut number, bytes) = write_initial_log(&log, services);
 
     let started = Instant::now();
     let mut process = ControlProcess::start(program, &folder.join("control.toml"));
@@ -84,7 +91,7 @@
 
 /// Writes the initial log, with [`SERVICES_PER_FILE`] services in each file. Returns the last number and the total size
 /// in bytes.
-fn write_base(log: &Path, services: usize) -> (u64, usize) {
+fn write_initial_log(log: &Path, services: usize) -> (u64, usize) {
     let (mut number, mut bytes) = (0, 0);
     for first in (0..services).step_by(SERVICES_PER_FILE) {
         number += 1;
@@ -94,7 +101,7 @@
         let changes = (last - first) * (1 + SERVERS_PER_SERVICE + ROUTES_PER_SERVICE);
         _ = writeln!(text, "[end]\nchanges = {changes}");
         bytes += text.len();
-        fs::write(log.join(change_file_name(number)), text).expect("a file");
+        fs::write(log.join(change_file_name(number)), text).expect("the file can be written");
     }
     (number, bytes)
 }
@@ -114,7 +121,7 @@
 }
 
 fn write_server(text: &mut String, service: usize, server: usize, weight: u64) {
-    let (high, low) = (service / 250, service % 250);
+    let (high, low) = (service / SERVICES_PER_OCTET, service % SERVICES_PER_OCTET);
     _ = writeln!(
         text,
         "[[server]]\nservice = \"service-{service}\"\nid = \"server-{server}\"\n\
@@ -126,11 +133,11 @@
 /// Writes a change file that changes the weight of one server.
 fn write_weight_change(log: &Path, number: u64, services: usize) {
     let mut text = format!("number = {number}\nepoch = 1\n");
-    let service = number as usize * 7919 % services;
+    let service = number as usize * SERVICE_STEP % services;
     write_server(&mut text, service, number as usize % SERVERS_PER_SERVICE, 1 + number % 100);
     text.push_str("[end]\nchanges = 1\n");
     let temporary = log.join(".new");
-    fs::write(&temporary, text).expect("a file");
+    fs::write(&temporary, text).expect("the file can be written");
     fs::rename(&temporary, log.join(change_file_name(number))).expect("the file can be renamed");
 }
 
@@ -159,13 +166,13 @@
         Self {
             child,
             address: address.expect("the program prints its address"),
-            runtime: runtime.expect("a runtime"),
+            runtime: runtime.expect("the runtime can be built"),
         }
     }
 
-    /// Waits until the change with this number is in force.
+    /// Waits until the control machine serves the change with this number.
     fn await_position(&self, number: u64) {
-        while self.runtime.block_on(log_number(self.address)) < number {
+        while self.runtime.block_on(last_change_number(self.address)) < number {
             std::thread::sleep(Duration::from_micros(200));
         }
     }
@@ -173,28 +180,38 @@
     /// A value of `/proc/PID/status` in kB.
     fn status_kb(&self, name: &str) -> usize {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-        let status = status.expect("a process");
-        let line = status.lines().find_map(|line| line.strip_prefix(name)).expect("a figure");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = status.expect("the process is running");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix(name))
+            .expect("the status has this value");
+        line.trim().trim_end_matches(" kB").parse().expect("the value is a number")
     }
 
     /// The processor time that the process has used, in steps of 10 ms.
     fn processor_time(&self) -> Duration {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
-        let stat = stat.expect("a process");
+        let stat = stat.expect("the process is running");
         // By proc(5), utime and stime are the 14th and the 15th field. The 2nd field may contain spaces.
-        let fields = stat.rsplit(") ").next().expect("fields").split(' ').skip(11).take(2);
-        let ticks: u64 = fields.map(|field| field.parse::<u64>().expect("ticks")).sum();
+        let fields = stat
+            .rsplit(") ")
+            .next()
+            .expect("the line has fields after the name")
+            .split(' ')
+            .skip(11)
+            .take(2);
+        let ticks: u64 =
+            fields.map(|field| field.parse::<u64>().expect("utime and stime are numbers")).sum();
         Duration::from_millis(10 * ticks)
     }
 
     fn kill(&mut self) {
-        self.child.kill().expect("it ends");
-        self.child.wait().expect("it ends");
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process ends");
     }
 }
 
 /// The number of the last change that the control machine at `address` serves.
-async fn log_number(address: SocketAddr) -> u64 {
-    fetch_status_totals(address).await.expect("a status").position.number
+async fn last_change_number(address: SocketAddr) -> u64 {
+    fetch_status_totals(address).await.expect("the status can be fetched").position.number
 }
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -71,8 +71,8 @@
         &self.path
     }
 
-    /// The progress of reading. The reason is the first line of the last notice about the next file, and empty if there
-    /// is none.
+    /// The progress of reading. `blocked_reason` is the first line of the last notice about the next file; it is empty
+    /// if there is no notice.
     pub fn status(&self) -> LogStatus {
         let notice = self.last_notice.as_ref().map(Notice::to_string).unwrap_or_default();
         let blocked_reason = notice.lines().next().unwrap_or_default().into();
@@ -134,13 +134,14 @@
             Ok(bytes) => {
                 // The hashes of the oldest files are no longer held. Without the hash, a modification can't be told
                 // from an event that left the contents as they were, so nothing is reported.
-                let known = self.hashes.get(number, self.next)?;
-                (known != hash_bytes(&bytes)).then_some(Notice::Modified { file })
+                let applied_hash = self.hashes.get(number, self.next)?;
+                (applied_hash != hash_bytes(&bytes)).then_some(Notice::Modified { file })
             }
         }
     }
 
-    /// Reads the next file if it exists and is complete, and resolves its change against the resources in force.
+    /// Reads the next file if it exists and is complete, and resolves its change against `inventory`, which must hold
+    /// the resources after the changes before it.
     pub fn read_next(&mut self, inventory: &dyn Inventory) -> NextChange {
         let next = self.next;
         let name = change_file_name(next);
@@ -151,7 +152,7 @@
                 Err(problems) => Some(Notice::Invalid(problems)),
             },
             Err(ReadError::Missing) if self.latest > next => {
-                Some(Notice::Gap { missing: name, latest: change_file_name(self.latest) })
+                Some(Notice::Gap { missing: name, later: change_file_name(self.latest) })
             }
             Err(ReadError::Missing) => None,
             Err(error) => Some(Notice::Unreadable { file: name, cause: error.to_string() }),
--- a/crates/subscription/src/task.rs
+++ b/crates/subscription/src/task.rs
@@ -1,4 +1,4 @@
-//! The task of a subscription: it feeds the state machine with events, and applies its outputs.
+//! The task of a subscription, which passes events to the state machine and applies the outputs of the state machine.
 
 use std::collections::VecDeque;
 use std::io;
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use crate::state_writer::StateWriter;
 
-/// What woke the task.
+/// An event for which the task wakes up.
 enum Wake {
     Link(LinkEvent),
     WriteFinished(io::Result<()>),
@@ -21,7 +21,7 @@
     OutputsQueued,
 }
 
-/// The connection and the state file, which only the task uses.
+/// The task of a subscription, which owns the connection and the writer of the state file.
 pub(crate) struct SubscriptionTask {
     shared: Rc<Shared>,
     link: Link,
@@ -33,9 +33,10 @@
         Self { shared, link: Link::None, writer }
     }
 
+    /// Handles events forever.
     pub(crate) async fn run(mut self) {
         loop {
-            match self.wait().await {
+            match self.next_wake().await {
                 Wake::Link(event) => self.handle_link_event(event),
                 Wake::WriteFinished(result) => self.handle_write_result(result),
                 Wake::TickDue => {
@@ -43,27 +44,27 @@
                         self.shared.call(|subscriber, now, out| subscriber.tick(now, out));
                     self.apply(outputs);
                 }
-                Wake::SaveDue => self.save(),
+                Wake::SaveDue => self.start_save(),
                 Wake::OutputsQueued => {
-                    let outputs = self.shared.take_outputs();
+                    let outputs = self.shared.take_queued_outputs();
                     self.apply(outputs);
                 }
             }
-            // Requests are served between any two steps, however much a control machine sends.
+            // Yielding after each event lets the thread serve requests, however much a control machine sends.
             yield_now().await;
         }
     }
 
-    async fn wait(&mut self) -> Wake {
+    async fn next_wake(&mut self) -> Wake {
         let shared = self.shared.clone();
-        let tick = shared.subscriber.borrow().due().map(|due| shared.instant(due));
-        let save = self.writer.as_ref().and_then(StateWriter::due);
+        let tick_at = shared.subscriber.borrow().due().map(|due| shared.instant_at(due));
+        let save_at = self.writer.as_ref().and_then(StateWriter::next_write);
         tokio::select! {
-            event = self.link.next(&shared.traffic) => Wake::Link(event),
-            result = write_finished(&mut self.writer) => Wake::WriteFinished(result),
-            () = sleep_until_or_forever(tick) => Wake::TickDue,
-            () = sleep_until_or_forever(save) => Wake::SaveDue,
-            () = shared.outputs_queued() => Wake::OutputsQueued,
+            event = self.link.next_event(&shared.traffic) => Wake::Link(event),
+            result = wait_for_write(&mut self.writer) => Wake::WriteFinished(result),
+            () = sleep_until_or_forever(tick_at) => Wake::TickDue,
+            () = sleep_until_or_forever(save_at) => Wake::SaveDue,
+            () = shared.wait_for_queued_outputs() => Wake::OutputsQueued,
         }
     }
 
@@ -76,7 +77,9 @@
             }
             LinkEvent::Received => return self.handle_received(),
             LinkEvent::Failed(error) => DisconnectReason::ConnectFailed(error.to_string().into()),
-            LinkEvent::Ended(None) => DisconnectReason::Lost("it has ended".into()),
+            LinkEvent::Ended(None) => {
+                DisconnectReason::Lost("closed by the control machine".into())
+            }
             LinkEvent::Ended(Some(error)) => DisconnectReason::Lost(error.to_string().into()),
         };
         self.disconnect(reason);
@@ -91,7 +94,7 @@
 
     fn handle_received(&mut self) {
         loop {
-            let received = self.link.message();
+            let received = self.link.next_message();
             let outputs = match received {
                 Ok(None) => return,
                 Ok(Some(message)) => {
@@ -101,7 +104,7 @@
                     self.shared.call(|subscriber, now, out| subscriber.malformed(now, error, out))
                 }
             };
-            // The outputs may close the connection, after which there is no further message.
+            // The outputs may close the connection; the next call then returns no message.
             self.apply(outputs);
         }
     }
@@ -111,13 +114,15 @@
         while let Some(output) = queue.pop_front() {
             match output {
                 SubscriberOutput::Connect { control_machine } => {
-                    if let Some(machine) = self.shared.machines.get(control_machine) {
-                        self.link = Link::connect(*machine);
+                    if let Some(address) = self.shared.control_machines.get(control_machine) {
+                        self.link = Link::connect(*address);
                     }
                 }
                 SubscriberOutput::Send(message) => {
                     if !self.link.send(&message) {
-                        self.disconnect(DisconnectReason::Lost("it takes nothing in".into()));
+                        self.disconnect(DisconnectReason::Lost(
+                            "too many unsent bytes are queued".into(),
+                        ));
                     }
                 }
                 SubscriberOutput::Close { .. } => self.link = Link::None,
@@ -137,38 +142,39 @@
         }
     }
 
-    /// Hands the state over to be written.
-    fn save(&mut self) {
+    /// Copies the state, and starts to write the copy to the state file.
+    fn start_save(&mut self) {
         let start = Instant::now();
         let state = self.shared.subscriber.borrow().saved_state();
-        let longest = self.shared.longest_save.get().max(start.elapsed());
-        self.shared.longest_save.set(longest);
+        let longest = self.shared.longest_state_copy.get().max(start.elapsed());
+        self.shared.longest_state_copy.set(longest);
         if let Some(writer) = &mut self.writer {
             writer.write(Instant::now(), state);
         }
     }
 
-    /// A write has finished. A failed one is logged once for each cause, and repeated.
+    /// Handles the result of a write. A failed write is scheduled again, and logged unless the write before it failed
+    /// with the same error.
     fn handle_write_result(&mut self, result: io::Result<()>) {
         let Some(writer) = &mut self.writer else { return };
         let path = writer.path().display().to_string();
         let applier = &self.shared.applier;
-        let mut logged = self.shared.save_error.borrow_mut();
+        let mut save_error = self.shared.save_error.borrow_mut();
         match result {
             Ok(()) => {
-                if logged.take().is_some() {
+                if save_error.take().is_some() {
                     applier.log(&format!("state file {path}: written again"));
                 }
             }
             Err(error) => {
                 let error = error.to_string();
-                if logged.as_ref() != Some(&error) {
+                if save_error.as_ref() != Some(&error) {
                     applier.log(&format!(
-                        "state file {path}: not written, a restart without control would begin from an older \
-                         state: {error}"
+                        "state file {path}: not written; a restart without a control machine would restore an \
+                         older state: {error}"
                     ));
                 }
-                *logged = Some(error);
+                *save_error = Some(error);
                 writer.schedule(Instant::now());
             }
         }
@@ -182,9 +188,9 @@
     }
 }
 
-async fn write_finished(writer: &mut Option<StateWriter>) -> io::Result<()> {
+async fn wait_for_write(writer: &mut Option<StateWriter>) -> io::Result<()> {
     match writer {
-        Some(writer) => writer.write_finished().await,
+        Some(writer) => writer.wait_for_write().await,
         None => std::future::pending().await,
     }
 }
