--- a/crates/discovery-schedule/src/service_time.rs
+++ b/crates/discovery-schedule/src/service_time.rs
@@ -8,9 +8,9 @@
 /// The first poll, until the first answer has arrived.
 #[derive(Clone, Copy, Debug)]
 struct FirstPoll {
-    /// When polling began.
+    /// When polling of the current service began.
     started: Time,
-    /// Whether the poll was made in this balancer's turn in a fleet that started at once.
+    /// Whether all balancers started at once and make their first polls in the order of their numbers.
     in_turn: bool,
 }
 
@@ -39,7 +39,8 @@
         self.estimate.is_some_and(|estimate| estimate <= limit)
     }
 
-    /// Updates the estimate with an answer. `latency` is given for a poll without a wait.
+    /// Updates the estimate with an answer. `latency` is how long the poll took; `None` for a long poll, whose
+    /// answer may have waited for a change.
     pub(crate) fn observe(&mut self, now: Time, latency: Option<Span>, timing: &PollTiming) {
         match (self.first_poll.take(), self.estimate, latency) {
             // `answered` is the fraction of the fleet that had its answers at `now`, if all balancers started at once.
@@ -55,6 +56,7 @@
                 let total_us = latency.as_micros_f64() * timing.balancers;
                 self.estimate = Some(Span::from_micros_f64(total_us));
             }
+            // All polls together take at least as long as one.
             (None, Some(estimate), Some(latency)) => self.estimate = Some(estimate.max(latency)),
             _ => {}
         }
--- a/crates/membership/tests/untrusted_datagrams.rs
+++ b/crates/membership/tests/untrusted_datagrams.rs
@@ -47,7 +47,7 @@
 fn exchange_nonces(a: &mut Membership, b: &mut Membership) -> (Message, Message, Time) {
     let mut out = Output::default();
     a.tick(Time(0), &mut out);
-    // All members are missing at first, so that one of them is pinged.
+    // Nothing is known of any member at first, so that members are pinged at random until `b` is.
     let mut at = 0;
     let ping = loop {
         if let Some(ping) = messages_to(&mut out, 2).pop() {
@@ -166,7 +166,7 @@
     for (state, incarnation) in
         [(MemberState::Suspect, 0), (MemberState::Dead, 1), (MemberState::Left, 2)]
     {
-        let suspected = Update {
+        let wrong = Update {
             member: key_of("b"),
             process_incarnation: 9,
             incarnation,
@@ -174,7 +174,7 @@
             reported_by: key_of("c"),
         };
         let message =
-            Message { updates: vec![suspected], body: Body::Ping { seq: 70 }, ..ping.clone() };
+            Message { updates: vec![wrong], body: Body::Ping { seq: 70 }, ..ping.clone() };
         let mut out = Output::default();
         b.receive(now, address(1), &encode(&message).0, &mut out);
         let answer = messages_to(&mut out, 1).pop().expect("an answer");
