--- a/crates/sableloom/tests/subscription/without_control.rs
+++ b/crates/sableloom/tests/subscription/without_control.rs
@@ -80,20 +80,24 @@
     balancer.terminate();
     balancer.await_exit();
     control.kill();
-    // Altered, torn or another's, it is named and not used.
+    // A modified file, a truncated one and one of another subscriber are logged with the reason and not used.
     let good = std::fs::read(&file).expect("a state");
-    let mut altered = good.clone();
-    altered[good.len() / 2] ^= 1;
-    for (bytes, says) in [(&altered[..], "altered"), (&good[..good.len() - 1], "torn")] {
+    let mut modified = good.clone();
+    modified[good.len() / 2] ^= 1;
+    let truncated = &good[..good.len() - 1];
+    for (bytes, reason) in [
+        (&modified[..], "the checksum does not match the contents of the file"),
+        (truncated, "its header gives a length of"),
+    ] {
         std::fs::write(&file, bytes).expect("a file");
         let waiting = start(&folder);
-        waiting.says(&["last-good.bin: not used: it is", says]);
+        waiting.says(&["last-good.bin: not used: ", reason]);
         waiting.says(&["no state yet; listening once a control machine has given it"]);
     }
     std::fs::write(&file, good).expect("a file");
     folder.replace("site.toml", &site(control.address, "other", &["points"], ""));
     let waiting = start(&folder);
-    waiting.says(&["not used: it is the state of subscriber \"one\""]);
+    waiting.says(&["not used: the file holds the state of subscriber \"one\""]);
     // It listens as soon as a control machine is there.
     control.restart();
     waiting.says(&["serving with the state from a control machine"]);
